--- a/bin/amberlift.js
+++ b/bin/amberlift.js
@@ -1,4 +1,4 @@
 #!/usr/bin/env node
-import { main } from '../dist/src/cli/main.js';
+import { main } from '../dist/src/tools/cli/main.js';
 
 await main(process.argv);
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,22 +7,23 @@
 
 /** Folders whose code must be deterministic: time and randomness arrive as arguments. */
 const DECISION_FOLDERS = [
-  'flow',
-  'routing',
-  'health',
-  'balancer',
-  'consensus',
-  'control',
-  'dissemination',
-  'language',
-  'limits',
-  'membership',
-  'declared',
-  'registry',
-  'group',
-  'ingress',
-  'load-exchange',
-  'egress',
+  'shared/consensus',
+  'managed/balancer',
+  'managed/control',
+  'managed/dissemination',
+  'managed/flow',
+  'managed/health',
+  'managed/language',
+  'managed/limits',
+  'managed/membership',
+  'managed/routing',
+  'registered/decisions',
+  'registered/declared',
+  'registered/egress',
+  'registered/group',
+  'registered/ingress',
+  'registered/load-exchange',
+  'registered/registry',
 ];
 
 /** Words of the platform's interfaces, which only `platform/` may know. */
@@ -39,8 +40,23 @@
   (start) => ({ selector: `${start}${PLATFORM_WORDS}]`, message: PLATFORM_MESSAGE }),
 );
 
+/** Parts of the source, each with the parts that it may not import. */
+const FORBIDDEN_IMPORTS = {
+  shared: ['managed', 'registered', 'proof', 'tools'],
+  managed: ['registered', 'proof', 'tools'],
+  registered: ['managed', 'proof', 'tools'],
+  proof: ['tools/cli'],
+};
+
 /** Folders at the edge, which decision code may not import. */
-const EDGE_FOLDERS = ['daemon', 'standins', 'sim', 'experiment', 'client', 'toolbox', 'cli'];
+const EDGE_FOLDERS = ['shared/daemon', 'managed/daemon', 'registered/daemon'];
+
+/** Decision folders that know nothing of the ones that use them. */
+const LAYERS = [
+  ['managed/flow', 'managed/balancer'],
+  ['managed/flow', 'managed/routing'],
+  ['managed/routing', 'managed/balancer'],
+];
 
 const CLOCK_MESSAGE = 'Time and randomness come in through StepContext.';
 
@@ -93,25 +109,28 @@
         'error',
         {
           zones: [
+            ...Object.entries(FORBIDDEN_IMPORTS).flatMap(([target, sources]) =>
+              sources.map((from) => ({
+                target: `./src/${target}`,
+                from: `./src/${from}`,
+                message: `Code of ${target} does not import ${from}.`,
+              })),
+            ),
             ...EDGE_FOLDERS.map((folder) => ({
-              target: DECISION_FOLDERS.concat('common').map((name) => `./src/${name}`),
+              target: DECISION_FOLDERS.concat('shared/common').map((name) => `./src/${name}`),
               from: `./src/${folder}`,
               message: 'Decision code does not import the edge.',
             })),
-            { target: './src/flow', from: './src/balancer' },
-            { target: './src/flow', from: './src/routing' },
-            { target: './src/routing', from: './src/balancer' },
-            { target: './src/daemon', from: './src/standins' },
-            { target: './src/daemon', from: './src/sim' },
-            { target: './src/daemon', from: './src/cli' },
+            ...LAYERS.map(([target, from]) => ({
+              target: `./src/${target}`,
+              from: `./src/${from}`,
+            })),
             { target: './src', from: './platform', message: PLATFORM_MESSAGE },
-            ...['control', 'balancer', 'consensus', 'sim', 'standins', 'experiment', 'cli'].map(
-              (folder) => ({
-                target: './platform',
-                from: `./src/${folder}`,
-                message: 'The adapter translates for daemons, and decides nothing.',
-              }),
-            ),
+            ...['managed', 'proof', 'tools'].map((folder) => ({
+              target: './platform',
+              from: `./src/${folder}`,
+              message: 'The adapter translates for daemons, and decides nothing.',
+            })),
           ],
         },
       ],
--- a/src/balancer/balancer-events.ts
+++ b/src/managed/balancer/balancer-events.ts
@@ -1,7 +1,7 @@
 /**
  * @file What can happen to a balancer, and what its step asks of its surroundings.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type {
   BalancerToControlMessage,
   ControlToBalancerMessage,
--- a/src/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -3,7 +3,7 @@
  * of each back end, and pending opens. Nothing here grows with established flows.
  */
 import { match } from 'ts-pattern';
-import { addressKey, type Address, type AddressKey } from '../common/address.js';
+import { addressKey, type Address, type AddressKey } from '../../shared/common/address.js';
 import {
   emptyRoutingConfig,
   type Backend,
@@ -22,7 +22,7 @@
 import { createPublisher, type PublisherState } from '../dissemination/publisher.js';
 import { createSubscription, type SubscriptionState } from '../dissemination/subscription.js';
 import { createTraffic, type Traffic } from '../dissemination/traffic.js';
-import type { ErrorKind } from '../flow/error-kinds.js';
+import type { ErrorKind } from '../../shared/common/error-kinds.js';
 import { prepareTokenKey, type PreparedTokenKey } from '../flow/token.js';
 import type { ProbeResult } from '../health/backend-report.js';
 import { createHealthSharing, forgetResult, type HealthSharing } from '../health/health-sharing.js';
--- a/src/balancer/balancer-step.ts
+++ b/src/managed/balancer/balancer-step.ts
@@ -2,8 +2,8 @@
  * @file The decision step of a balancer: one event in, effects out.
  */
 import { match } from 'ts-pattern';
-import { packedAddressKey, type Address } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
+import { packedAddressKey, type Address } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
 import { handleLinkClosed } from '../dissemination/subscription.js';
 import { toEnvelope, unpackEnvelope } from '../flow/envelope.js';
 import { hasLongHeader } from '../flow/header.js';
--- a/src/balancer/candidates.ts
+++ b/src/managed/balancer/candidates.ts
@@ -2,7 +2,7 @@
  * @file What a balancer learns of back ends, and its choice among those that may receive a new flow,
  * by the service's placement policy.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import type { ProbeResult } from '../health/backend-report.js';
 import { explainJudgement, type BackendExplanation } from '../health/explanation.js';
 import { judgeOutcome, judgeProbe, type OpenOutcome } from '../health/judgement.js';
--- a/src/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -2,8 +2,8 @@
  * @file A balancer's part in the control plane: its link upwards, the balancers that are linked to it,
  * and its membership.
  */
-import type { Address } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
+import type { Address } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
 import type {
   BalancerToControlMessage,
   ControlToBalancerMessage,
--- a/src/balancer/forwarding.ts
+++ b/src/managed/balancer/forwarding.ts
@@ -3,9 +3,9 @@
  * alone. It reads the packet in place and allocates nothing but its result.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { addressKey, type Address, type AddressKey } from '../common/address.js';
+import { addressKey, type Address, type AddressKey } from '../../shared/common/address.js';
 import type { Envelope } from '../flow/envelope.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { SHORT_HEADER_ID_OFFSET } from '../flow/header.js';
 import {
   hasValidMac,
--- a/src/balancer/open-handling.ts
+++ b/src/managed/balancer/open-handling.ts
@@ -4,13 +4,17 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
-import type { Address } from '../common/address.js';
-import { addressKey, formatAddress } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
+import type { Address } from '../../shared/common/address.js';
+import { addressKey, formatAddress } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
 import type { Service } from '../control/cluster-state.js';
 import { decodeEnvelope, encodeEnvelope, type Envelope } from '../flow/envelope.js';
-import { amberliftError, type AmberliftError, type ErrorKind } from '../flow/error-kinds.js';
-import { answerFor } from '../flow/error-kinds.js';
+import {
+  amberliftError,
+  type AmberliftError,
+  type ErrorKind,
+} from '../../shared/common/error-kinds.js';
+import { answerFor } from '../../shared/common/error-kinds.js';
 import {
   encodeLongHeader,
   FLOW_ID_LENGTH_BYTES,
--- a/src/balancer/shared-health.ts
+++ b/src/managed/balancer/shared-health.ts
@@ -2,7 +2,7 @@
  * @file A balancer's part in the shared probing of back ends: its own probes, the results of other
  * balancers of its zone, and what it tells them.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import { isLeaseHeld } from '../dissemination/lease.js';
 import type { ProbeResult } from '../health/backend-report.js';
 import { noteResult, resultsToShare, type SharedResult } from '../health/health-sharing.js';
--- a/src/control/apply-command.ts
+++ b/src/managed/control/apply-command.ts
@@ -5,8 +5,8 @@
  */
 import { err, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
-import { formatAddress } from '../common/address.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { formatAddress } from '../../shared/common/address.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { countRevision, recordAudit } from './audit.js';
 import { addBackend, retireBackend, setAdminState } from './backend-commands.js';
 import type { ClusterState, Operator, OwnerState, PlannedChange } from './cluster-state.js';
--- a/src/control/backend-commands.ts
+++ b/src/managed/control/backend-commands.ts
@@ -2,7 +2,7 @@
  * @file Commands that add, drain and retire back ends.
  */
 import { err, ok } from 'neverthrow';
-import { amberliftError } from '../flow/error-kinds.js';
+import { amberliftError } from '../../shared/common/error-kinds.js';
 import type { Backend, BackendAdminState, ClusterState } from './cluster-state.js';
 import type { ChangeCommand } from './commands.js';
 import {
--- a/src/control/cluster-join.ts
+++ b/src/managed/control/cluster-join.ts
@@ -3,10 +3,15 @@
  * of its settings. A machine that belongs to a cluster shows it to its operators, who may add it. Where
  * all peers answer that they have no cluster either, the first of them by node ID begins one with all.
  */
-import type { Address } from '../common/address.js';
-import type { ConsensusEvent } from '../consensus/consensus-events.js';
-import { currentMembership, type ConsensusState } from '../consensus/consensus-state.js';
-import { findMember, sortedMembership, type Member, type NodeId } from '../consensus/membership.js';
+import type { Address } from '../../shared/common/address.js';
+import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
+import { currentMembership, type ConsensusState } from '../../shared/consensus/consensus-state.js';
+import {
+  findMember,
+  sortedMembership,
+  type Member,
+  type NodeId,
+} from '../../shared/consensus/membership.js';
 import type { PeerEnvelope, Announcement } from './peer-messages.js';
 
 /** Time between two announcements, in milliseconds. */
--- a/src/control/cluster-state.ts
+++ b/src/managed/control/cluster-state.ts
@@ -3,7 +3,7 @@
  * in quarantine and results of commands. All that belongs to one operator stands in their own
  * `OwnerState`, so that one operator's counters and bounds never depend on another's commands.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type { ChangeCommand, CommandOutcome } from './commands.js';
 import { emptyConfigLookup, type ConfigLookup } from './config-lookup.js';
 
--- a/src/control/command-records.ts
+++ b/src/managed/control/command-records.ts
@@ -8,7 +8,7 @@
  * past a small number of them no further one is taken.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { CommandRecord, OwnerState } from './cluster-state.js';
 import { commandIssueTimeMs } from './command-id.js';
 
--- a/src/control/commands.ts
+++ b/src/managed/control/commands.ts
@@ -3,10 +3,10 @@
  * outcomes.
  */
 import { z } from 'zod';
-import { addressSchema } from '../common/address-schema.js';
-import type { Address } from '../common/address.js';
-import { parseAddressRange } from '../common/address-range.js';
-import type { AmberliftError } from '../flow/error-kinds.js';
+import { addressSchema } from '../../shared/common/address-schema.js';
+import type { Address } from '../../shared/common/address.js';
+import { parseAddressRange } from '../../shared/common/address-range.js';
+import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import { placementPolicyNames } from './cluster-state.js';
 
 /** Length of the longest name of a service, zone or operator. */
--- a/src/control/config-lookup.ts
+++ b/src/managed/control/config-lookup.ts
@@ -3,7 +3,7 @@
  * routing configuration, and kept in step with it by `applyToConfig`.
  */
 import { match } from 'ts-pattern';
-import { formatAddress } from '../common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
 import type { Backend, RoutingConfig, Service } from './cluster-state.js';
 import { applyConfigChange, type ConfigChange } from './config-update.js';
 
--- a/src/control/control-events.ts
+++ b/src/managed/control/control-events.ts
@@ -1,12 +1,12 @@
 /**
  * @file Events and effects of a control machine's step.
  */
-import type { Address } from '../common/address.js';
-import type { NodeId } from '../consensus/membership.js';
-import type { PersistEffect, PersistEvent } from '../consensus/persisted-state.js';
+import type { Address } from '../../shared/common/address.js';
+import type { NodeId } from '../../shared/consensus/membership.js';
+import type { PersistEffect, PersistEvent } from '../../shared/consensus/persisted-state.js';
 import type { BalancerToControlMessage } from '../dissemination/link-messages.js';
 import type { LinkId, LinkSendEffect } from '../dissemination/publisher.js';
-import type { AmberliftError } from '../flow/error-kinds.js';
+import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import type { CommandEntry, CommandOutcome } from './commands.js';
 import type { RequestId } from './control-state.js';
 import type { PeerEnvelope } from './peer-messages.js';
--- a/src/control/control-state.ts
+++ b/src/managed/control/control-state.ts
@@ -2,17 +2,17 @@
  * @file The state of a control machine: its part in the consensus, the replicated state, and what
  * waits for an answer.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import {
   createConsensusState,
   currentMembership,
   defaultConsensusOptions,
   type ConsensusOptions,
   type ConsensusState,
-} from '../consensus/consensus-state.js';
-import { findMember, type Member, type NodeId } from '../consensus/membership.js';
-import type { RecoveredState } from '../consensus/persisted-state.js';
-import type { LogEntry } from '../consensus/log.js';
+} from '../../shared/consensus/consensus-state.js';
+import { findMember, type Member, type NodeId } from '../../shared/consensus/membership.js';
+import type { RecoveredState } from '../../shared/consensus/persisted-state.js';
+import type { LogEntry } from '../../shared/consensus/log.js';
 import { createLeaseAuthority, type LeaseAuthority } from '../dissemination/lease-authority.js';
 import {
   createPublisher,
--- a/src/control/control-status.ts
+++ b/src/managed/control/control-status.ts
@@ -5,8 +5,8 @@
   currentMembership,
   type ConsensusRole,
   type ConsensusState,
-} from '../consensus/consensus-state.js';
-import type { Member, NodeId } from '../consensus/membership.js';
+} from '../../shared/consensus/consensus-state.js';
+import type { Member, NodeId } from '../../shared/consensus/membership.js';
 import { balancerReports } from '../dissemination/publisher.js';
 import { machinesToAdd, type AnnouncedMachine } from './cluster-join.js';
 import type { ControlState } from './control-state.js';
--- a/src/control/control-step.ts
+++ b/src/managed/control/control-step.ts
@@ -4,21 +4,21 @@
  * quorum has confirmed that this machine leads.
  */
 import { match } from 'ts-pattern';
-import type { StepContext } from '../common/step.js';
-import { consensusStep } from '../consensus/consensus-step.js';
+import type { StepContext } from '../../shared/common/step.js';
+import { consensusStep } from '../../shared/consensus/consensus-step.js';
 import type {
   ConsensusEffect,
   ConsensusEvent,
   RefusalKind,
-} from '../consensus/consensus-events.js';
-import type { MemberChange } from '../consensus/membership.js';
+} from '../../shared/consensus/consensus-events.js';
+import type { MemberChange } from '../../shared/consensus/membership.js';
 import { leaseAuthorityTick, takeConfirmation } from '../dissemination/lease-authority.js';
 import {
   disseminationStatus,
   handleSubscriberGone,
   handleSubscriberMessage,
 } from '../dissemination/publisher.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import {
   bootstrapEvent,
   isAnnouncementDue,
--- a/src/control/decision.ts
+++ b/src/managed/control/decision.ts
@@ -2,9 +2,13 @@
  * @file What a command decides, and the checks that the commands have in common.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { formatAddress, type Address } from '../common/address.js';
-import { parseAddressRange, rangeContains, rangeContainsHost } from '../common/address-range.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import {
+  parseAddressRange,
+  rangeContains,
+  rangeContainsHost,
+} from '../../shared/common/address-range.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type {
   Backend,
   ClusterState,
--- a/src/control/id-blocks.ts
+++ b/src/managed/control/id-blocks.ts
@@ -3,7 +3,7 @@
  * tells nothing of another operator's activity, and counts through it once: no ID is used again.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 const IDS_PER_OWNER = 2 ** 24;
 /** How many operators there can be. */
--- a/src/control/key-rotation.ts
+++ b/src/managed/control/key-rotation.ts
@@ -4,7 +4,7 @@
  * whose tokens were minted with it.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { MAX_TOKEN_KEY_ID, TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
 import type { ClusterState, TokenKey } from './cluster-state.js';
 import type { SystemCommand } from './commands.js';
--- a/src/control/peer-gate.ts
+++ b/src/managed/control/peer-gate.ts
@@ -2,9 +2,9 @@
  * @file The door for messages of other control machines: only those of the same cluster, meant for this
  * very disk, get in; others are refused by name.
  */
-import type { Address } from '../common/address.js';
-import { findMember, type NodeId } from '../consensus/membership.js';
-import { currentMembership } from '../consensus/consensus-state.js';
+import type { Address } from '../../shared/common/address.js';
+import { findMember, type NodeId } from '../../shared/consensus/membership.js';
+import { currentMembership } from '../../shared/consensus/consensus-state.js';
 import type { ControlEffect } from './control-events.js';
 import type { ControlState } from './control-state.js';
 import type { PeerEnvelope, PeerMessage, PeerRefusal } from './peer-messages.js';
--- a/src/control/peer-messages.ts
+++ b/src/managed/control/peer-messages.ts
@@ -3,9 +3,9 @@
  * that names cluster, sender and receiver.
  */
 import { createHash } from 'node:crypto';
-import type { Address } from '../common/address.js';
-import type { ConsensusMessage, Sender } from '../consensus/messages.js';
-import type { NodeId } from '../consensus/membership.js';
+import type { Address } from '../../shared/common/address.js';
+import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
+import type { NodeId } from '../../shared/consensus/membership.js';
 
 /** Tells a peer of a machine that may have no cluster yet. */
 export interface Announcement {
--- a/src/control/plan-commands.ts
+++ b/src/managed/control/plan-commands.ts
@@ -3,7 +3,7 @@
  * entry when one is due; the replicated step executes it with the time of that entry.
  */
 import { err, ok } from 'neverthrow';
-import { amberliftError } from '../flow/error-kinds.js';
+import { amberliftError } from '../../shared/common/error-kinds.js';
 import type { ClusterState, PlannedChange } from './cluster-state.js';
 import type { OperatorCommand } from './commands.js';
 import type { CommandSource, DecisionResult } from './decision.js';
--- a/src/control/service-commands.ts
+++ b/src/managed/control/service-commands.ts
@@ -2,7 +2,7 @@
  * @file Commands that define, change and retire services.
  */
 import { err, ok } from 'neverthrow';
-import { amberliftError } from '../flow/error-kinds.js';
+import { amberliftError } from '../../shared/common/error-kinds.js';
 import type { ClusterState, Service } from './cluster-state.js';
 import type { ChangeCommand } from './commands.js';
 import { serviceNameKey } from './config-lookup.js';
--- a/src/control/system-commands.ts
+++ b/src/managed/control/system-commands.ts
@@ -4,8 +4,8 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
-import { parseAddressRange, rangesOverlap } from '../common/address-range.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { parseAddressRange, rangesOverlap } from '../../shared/common/address-range.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { releaseAddresses } from './address-fence.js';
 import { emptyOwnerState, type ClusterState, type Operator } from './cluster-state.js';
 import { SYSTEM_OPERATOR, type SystemCommand } from './commands.js';
--- a/src/control/views/answer-query.ts
+++ b/src/managed/control/views/answer-query.ts
@@ -4,7 +4,7 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
-import { amberliftError, type AmberliftError } from '../../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../../shared/common/error-kinds.js';
 import type { AuditEntry, OwnerState } from '../cluster-state.js';
 import { commandIssueTimeMs } from '../command-id.js';
 import { ownedBackend, ownedService } from '../decision.js';
--- a/src/control/views/view-types.ts
+++ b/src/managed/control/views/view-types.ts
@@ -2,8 +2,8 @@
  * @file Answers to queries. None holds a log index or anything else that counts the commands of
  * another operator.
  */
-import type { Address } from '../../common/address.js';
-import type { AmberliftError } from '../../flow/error-kinds.js';
+import type { Address } from '../../../shared/common/address.js';
+import type { AmberliftError } from '../../../shared/common/error-kinds.js';
 import type { BackendAdminState, PlacementPolicyName, ServiceLimits } from '../cluster-state.js';
 import type { BackendLoad } from './backend-load.js';
 import type { InForceSummary, LaggingBalancer } from './in-force.js';
--- a/src/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -2,8 +2,8 @@
  * @file The balancer daemon: sockets, links, probes and timers around the balancer's decision step.
  */
 import { match } from 'ts-pattern';
-import type { Address } from '../common/address.js';
-import { loggerFor } from '../common/logger.js';
+import type { Address } from '../../shared/common/address.js';
+import { loggerFor } from '../../shared/common/logger.js';
 import type { BalancerEffect, BalancerEvent } from '../balancer/balancer-events.js';
 import { createBalancerState, type BalancerState } from '../balancer/balancer-state.js';
 import { balancerStep } from '../balancer/balancer-step.js';
@@ -16,8 +16,8 @@
 import { parseFeedMessage } from './link-schemas.js';
 import { connectLink, type MessageLink } from './message-link.js';
 import { PeerSockets } from './peer-sockets.js';
-import { systemContextSource } from './system-context.js';
-import { bindUdp, type UdpSocket } from './udp-socket.js';
+import { systemContextSource } from '../../shared/daemon/system-context.js';
+import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
 const TICK_INTERVAL_MS = 20;
 const MILLISECONDS_PER_SECOND = 1_000;
--- a/src/daemon/control-daemon.ts
+++ b/src/managed/daemon/control-daemon.ts
@@ -5,26 +5,26 @@
 import { readFile } from 'node:fs/promises';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { err, ok, type Result } from 'neverthrow';
-import type { Address } from '../common/address.js';
-import { loggerFor } from '../common/logger.js';
+import type { Address } from '../../shared/common/address.js';
+import { loggerFor } from '../../shared/common/logger.js';
 import { operatorTokenHash } from '../control/command-hash.js';
 import type { CommandEntry, CommandOutcome } from '../control/commands.js';
-import { currentMembership } from '../consensus/consensus-state.js';
-import { votersOf } from '../consensus/membership.js';
+import { currentMembership } from '../../shared/consensus/consensus-state.js';
+import { votersOf } from '../../shared/consensus/membership.js';
 import { createControlState, isLeader, type ControlState } from '../control/control-step.js';
 import { unknownLoad } from '../control/views/backend-load.js';
 import type { InForceView } from '../control/views/in-force.js';
 import { hasOutlivedEarlierLeases } from '../dissemination/lease-authority.js';
 import { balancerReports } from '../dissemination/publisher.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { Settings } from '../settings/settings-schema.js';
-import { ConsensusStorage } from './consensus-storage.js';
+import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
 import { ControlEdge } from './control-edge.js';
-import { listenHttp, type HttpServer, type TlsIdentity } from './http-server.js';
+import { listenHttp, type HttpServer, type TlsIdentity } from '../../shared/daemon/http-server.js';
 import { memberApi } from './member-api.js';
 import { listenForLinks, type LinkServer } from './message-link.js';
 import { operatorApi } from './operator-api.js';
-import { openStorageFolder } from './storage-folder.js';
+import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 
 const POLL_INTERVAL_MS = 5;
 /** How long a planned stop waits for another machine to lead, in milliseconds. */
--- a/src/daemon/control-edge.ts
+++ b/src/managed/daemon/control-edge.ts
@@ -4,10 +4,10 @@
 import { randomBytes } from 'node:crypto';
 import { TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
 import { match } from 'ts-pattern';
-import { createDialedLinks } from '../common/dialed-links.js';
-import { createLinkTable } from '../common/link-table.js';
-import { loggerFor } from '../common/logger.js';
-import type { PersistEffect } from '../consensus/persisted-state.js';
+import { createDialedLinks } from '../../shared/common/dialed-links.js';
+import { createLinkTable } from '../../shared/common/link-table.js';
+import { loggerFor } from '../../shared/common/logger.js';
+import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import type { CommandEntry, CommandOutcome } from '../control/commands.js';
 import type { MemberCommand } from '../control/control-events.js';
 import {
@@ -19,10 +19,10 @@
 } from '../control/control-step.js';
 import { parseControlLinkMessage } from './link-schemas.js';
 import { countTraffic, type TrafficDirection } from '../dissemination/traffic.js';
-import type { ConsensusStorage } from './consensus-storage.js';
+import type { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
 import { connectLink, type LinkHandlers, type MessageLink } from './message-link.js';
 import type { QueryAnswer } from './operator-api.js';
-import { systemContextSource } from './system-context.js';
+import { systemContextSource } from '../../shared/daemon/system-context.js';
 
 const TICK_INTERVAL_MS = 20;
 const FIRST_RETRY_DELAY_MS = 50;
--- a/src/daemon/http-json.ts
+++ b/src/managed/daemon/http-json.ts
@@ -4,8 +4,8 @@
 import { request, type IncomingMessage } from 'node:http';
 import { request as requestOverTls } from 'node:https';
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
-import type { Address } from '../common/address.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import type { Address } from '../../shared/common/address.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 const MAX_BODY_BYTES = 1024 * 1024;
 
--- a/src/daemon/link-schemas.ts
+++ b/src/managed/daemon/link-schemas.ts
@@ -11,7 +11,7 @@
   listOf,
   senderShape,
   textShape,
-} from '../consensus/message-shapes.js';
+} from '../../shared/consensus/message-shapes.js';
 import type { PeerEnvelope } from '../control/peer-messages.js';
 import type {
   BalancerToControlMessage,
--- a/src/daemon/member-api.ts
+++ b/src/managed/daemon/member-api.ts
@@ -13,9 +13,9 @@
 import { controlStatus, type ControlStatus } from '../control/control-status.js';
 import type { MemberCommand } from '../control/control-events.js';
 import type { ControlState } from '../control/control-step.js';
-import { amberliftError } from '../flow/error-kinds.js';
+import { amberliftError } from '../../shared/common/error-kinds.js';
 import { readBody } from './http-json.js';
-import { respondJson } from './json-response.js';
+import { respondJson } from '../../shared/daemon/json-response.js';
 import { respondError } from './operator-api.js';
 
 const PATH = '/v1/members';
--- a/src/daemon/message-link.ts
+++ b/src/managed/daemon/message-link.ts
@@ -3,8 +3,8 @@
  */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { once } from 'node:events';
-import type { Address } from '../common/address.js';
-import { encodeFrame, FrameDecoder } from '../common/frame-codec.js';
+import type { Address } from '../../shared/common/address.js';
+import { encodeFrame, FrameDecoder } from '../../shared/common/frame-codec.js';
 import type { TrafficDirection } from '../dissemination/traffic.js';
 
 const KEEP_ALIVE_MS = 5_000;
--- a/src/daemon/metrics/balancer-metrics.ts
+++ b/src/managed/daemon/metrics/balancer-metrics.ts
@@ -5,8 +5,14 @@
 import type { BalancerState } from '../../balancer/balancer-state.js';
 import { openLatencyMs } from '../../balancer/open-latencies.js';
 import { isLeaseHeld } from '../../dissemination/lease.js';
-import type { DaemonHealth, MetricsSource } from './metrics-listener.js';
-import { registerLabelledValues, registerValue } from './state-gauge.js';
+import type {
+  DaemonHealth,
+  MetricsSource,
+} from '../../../shared/daemon/metrics/metrics-listener.js';
+import {
+  registerLabelledValues,
+  registerValue,
+} from '../../../shared/daemon/metrics/state-gauge.js';
 
 const QUANTILES = [0.5, 0.9, 0.99, 0.999];
 const MS_PER_SECOND = 1_000;
--- a/src/daemon/metrics/control-metrics.ts
+++ b/src/managed/daemon/metrics/control-metrics.ts
@@ -4,8 +4,11 @@
 import { collectDefaultMetrics, Registry } from 'prom-client';
 import type { ControlState } from '../../control/control-state.js';
 import { balancerReports } from '../../dissemination/publisher.js';
-import type { MetricsSource } from './metrics-listener.js';
-import { registerLabelledValues, registerValue } from './state-gauge.js';
+import type { MetricsSource } from '../../../shared/daemon/metrics/metrics-listener.js';
+import {
+  registerLabelledValues,
+  registerValue,
+} from '../../../shared/daemon/metrics/state-gauge.js';
 
 /**
  * @returns what a control machine serves
--- a/src/daemon/metrics/metrics-server.ts
+++ b/src/managed/daemon/metrics/metrics-server.ts
@@ -1,9 +1,12 @@
 /**
  * @file The HTTP endpoint for whoever watches a daemon.
  */
-import type { Address } from '../../common/address.js';
-import { listenHttp, type HttpServer } from '../http-server.js';
-import { createMetricsListener, type MetricsSource } from './metrics-listener.js';
+import type { Address } from '../../../shared/common/address.js';
+import { listenHttp, type HttpServer } from '../../../shared/daemon/http-server.js';
+import {
+  createMetricsListener,
+  type MetricsSource,
+} from '../../../shared/daemon/metrics/metrics-listener.js';
 
 /**
  * Starts the endpoint.
--- a/src/daemon/operator-api.ts
+++ b/src/managed/daemon/operator-api.ts
@@ -8,7 +8,7 @@
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type { ClusterState, Operator, OwnerState } from '../control/cluster-state.js';
 import { operatorTokenHash } from '../control/command-hash.js';
 import {
@@ -22,9 +22,9 @@
 import type { LoadView } from '../control/views/backend-load.js';
 import { visibleOutcome } from '../control/views/entity-views.js';
 import type { InForceView } from '../control/views/in-force.js';
-import { amberliftError, answerFor, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, answerFor, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { readBody } from './http-json.js';
-import { respondJson } from './json-response.js';
+import { respondJson } from '../../shared/daemon/json-response.js';
 
 const commandRequestSchema = z.strictObject({
   /** Printable, without spaces, so that a statement can name it. */
--- a/src/daemon/peer-sockets.ts
+++ b/src/managed/daemon/peer-sockets.ts
@@ -2,9 +2,9 @@
  * @file The sockets by which a balancer is reached by other balancers: UDP for gossip, TCP for links
  * over which they get the configuration.
  */
-import type { Address } from '../common/address.js';
-import { createLinkTable } from '../common/link-table.js';
-import { loggerFor } from '../common/logger.js';
+import type { Address } from '../../shared/common/address.js';
+import { createLinkTable } from '../../shared/common/link-table.js';
+import { loggerFor } from '../../shared/common/logger.js';
 import type { BalancerEvent } from '../balancer/balancer-events.js';
 import type { ControlToBalancerMessage } from '../dissemination/link-messages.js';
 import type { LinkId } from '../dissemination/publisher.js';
@@ -20,7 +20,7 @@
 import type { Settings } from '../settings/settings-schema.js';
 import { parseBalancerLinkMessage } from './link-schemas.js';
 import { listenForLinks, type LinkServer, type MessageLink } from './message-link.js';
-import { bindUdp, type UdpSocket } from './udp-socket.js';
+import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
 /** Who takes what comes in. */
 export interface PeerSocketsOwner {
--- a/src/dissemination/link-messages.ts
+++ b/src/managed/dissemination/link-messages.ts
@@ -2,7 +2,7 @@
  * @file Messages between a balancer and the one that it gets the configuration from, over TCP, as
  * MessagePack. That one is a control machine or another balancer, which passes on what it has.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type { ConfigPosition, ConfigUpdate } from '../control/config-update.js';
 import type { SharedResult } from '../health/health-sharing.js';
 import type { LeaseGrant } from './lease.js';
--- a/src/dissemination/link-plan.ts
+++ b/src/managed/dissemination/link-plan.ts
@@ -2,14 +2,14 @@
  * @file Where a balancer links to get the configuration and its lease: a list of candidates, best
  * first, of which it takes the first that works.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import {
   otherZoneContacts,
   zoneMembers,
   type MembershipState,
 } from '../membership/membership-state.js';
 import { linkAddress, type MemberRecord } from '../membership/member.js';
-import { chooseByRendezvous, hashText } from '../membership/rendezvous.js';
+import { chooseByRendezvous, hashText } from '../../shared/common/rendezvous.js';
 
 /** Balancers of a zone that link to control machines; the others link to these. */
 const RELAYS_PER_ZONE = 2;
--- a/src/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -4,7 +4,7 @@
  * Each subscriber gets the deltas that it lacks, or a snapshot where the kept deltas don't reach, and
  * acknowledges what it has in force.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type { RoutingConfig } from '../control/cluster-state.js';
 import {
   snapshotOf,
--- a/src/dissemination/subscription.ts
+++ b/src/managed/dissemination/subscription.ts
@@ -3,7 +3,7 @@
  * control machine or to another balancer, the next candidate when it fails or extends no lease.
  */
 import { match } from 'ts-pattern';
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { ConfigPosition, ConfigUpdate } from '../control/config-update.js';
 import type { SharedResult } from '../health/health-sharing.js';
 import { expiredLease, takeGrant, type Lease } from './lease.js';
--- a/src/flow/envelope.ts
+++ b/src/managed/flow/envelope.ts
@@ -4,8 +4,13 @@
  */
 import { Packr } from 'msgpackr';
 import { err, ok, type Result } from 'neverthrow';
-import { packHost, unpackHost, type Address, type PackedHost } from '../common/address.js';
-import { amberliftError, type AmberliftError } from './error-kinds.js';
+import {
+  packHost,
+  unpackHost,
+  type Address,
+  type PackedHost,
+} from '../../shared/common/address.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 /** A packet with the two ends of its flow. */
 export interface Envelope {
--- a/src/flow/header.ts
+++ b/src/managed/flow/header.ts
@@ -4,7 +4,7 @@
  * token (towards a back end) or the caller's flow ID (towards a caller).
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from './error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 /** The only version spoken: "AMB1" in ASCII. */
 export const AMBERLIFT_VERSION = 0x414d4231;
--- a/src/flow/messages.ts
+++ b/src/managed/flow/messages.ts
@@ -5,7 +5,11 @@
 import { Packr } from 'msgpackr';
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
-import { amberliftError, errorKinds, type AmberliftError } from './error-kinds.js';
+import {
+  amberliftError,
+  errorKinds,
+  type AmberliftError,
+} from '../../shared/common/error-kinds.js';
 
 /** Largest request, part of an answer or push that a message may carry, in bytes. */
 export const MAX_PAYLOAD_BYTES = 1_200;
--- a/src/flow/token.ts
+++ b/src/managed/flow/token.ts
@@ -4,7 +4,7 @@
  * key ID 1, service ID 4, back end ID 4, back end incarnation 4, caller's flow ID 8, MAC 8.
  * The MAC is SipHash-2-4 over all that precedes it, under the key that the key ID names.
  */
-import { KEYED_HASH_BYTES, keyedHash } from '../common/keyed-hash.js';
+import { KEYED_HASH_BYTES, keyedHash } from '../../shared/common/keyed-hash.js';
 import { FLOW_ID_LENGTH_BYTES } from './header.js';
 
 const KEY_ID_OFFSET = 0;
--- a/src/health/probe-schedule.ts
+++ b/src/managed/health/probe-schedule.ts
@@ -5,7 +5,7 @@
  * bounded, so that the interval grows with the back ends and no balancer does work for all at once.
  */
 import type { Backend } from '../control/cluster-state.js';
-import { hashText, rendezvousScore } from '../membership/rendezvous.js';
+import { hashText, rendezvousScore } from '../../shared/common/rendezvous.js';
 
 /** Balancers of a zone that probe one back end. */
 const PROBERS = 3;
--- a/src/language/format-command.ts
+++ b/src/managed/language/format-command.ts
@@ -3,7 +3,7 @@
  * the audit log. Parsing it gives the same command again.
  */
 import { match, P } from 'ts-pattern';
-import { formatAddress } from '../common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
 import type { ServiceLimits } from '../control/cluster-state.js';
 import type { OperatorCommand } from '../control/commands.js';
 
--- a/src/language/reference-text.ts
+++ b/src/managed/language/reference-text.ts
@@ -1,7 +1,7 @@
 /**
  * @file The text of docs/COMMANDS.md, made from the tables of statements and of error kinds.
  */
-import { answerFor, errorKinds, exitCodes } from '../flow/error-kinds.js';
+import { answerFor, errorKinds, exitCodes } from '../../shared/common/error-kinds.js';
 import {
   commandReference,
   ctlOptions,
@@ -11,7 +11,7 @@
 
 const INTRODUCTION = `# Command reference
 
-Made by \`npm run generate\` from the tables in \`src/language\`; not to be edited by hand.
+Made by \`npm run generate\` from the tables in \`src/managed/language\`; not to be edited by hand.
 
 Operators write statements: a command changes something, a query only asks. Words may be written in
 upper or lower case; names and IDs may not. Values stand in angle brackets here, parts that may be left
--- a/src/language/word-checks.ts
+++ b/src/managed/language/word-checks.ts
@@ -1,7 +1,7 @@
 /**
  * @file Checks of single words, which the grammar asks before it takes a word as a value.
  */
-import { parseAddress } from '../common/address.js';
+import { parseAddress } from '../../shared/common/address.js';
 import { MAX_NAME_LENGTH, NAME_PATTERN } from '../control/commands.js';
 
 const TIME_PATTERN = /^\d{4}-\d{2}-\d{2}T\d{2}:\d{2}(:\d{2}(\.\d{1,3})?)?(Z|[+-]\d{2}:\d{2})$/;
--- a/src/limits/open-limits.ts
+++ b/src/managed/limits/open-limits.ts
@@ -3,7 +3,7 @@
  * and by owner. What is refused is refused at once, with the time after which to come back.
  */
 import type { Service } from '../control/cluster-state.js';
-import type { ErrorKind } from '../flow/error-kinds.js';
+import type { ErrorKind } from '../../shared/common/error-kinds.js';
 import { createOwnerShares, takeFromShare, type OwnerShares } from './owner-shares.js';
 import {
   addToRetryBudget,
--- a/src/membership/failure-detector.ts
+++ b/src/managed/membership/failure-detector.ts
@@ -3,7 +3,7 @@
  * answer, others ping it too; where nobody gets an answer it is suspected, and after a while, without
  * a refutation, believed dead.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import { MAX_RECORDS, type AckMessage, type GossipHeader } from './gossip-messages.js';
 import { isPresent, type MemberRecord } from './member.js';
 import { forgetMember, presentMembers, recordHash, setStatus, takeNews } from './member-list.js';
--- a/src/membership/gossip-codec.ts
+++ b/src/managed/membership/gossip-codec.ts
@@ -6,8 +6,12 @@
 import { Packr } from 'msgpackr';
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
-import { KEYED_HASH_BYTES, KEYED_HASH_KEY_BYTES, keyedHash } from '../common/keyed-hash.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import {
+  KEYED_HASH_BYTES,
+  KEYED_HASH_KEY_BYTES,
+  keyedHash,
+} from '../../shared/common/keyed-hash.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { SharedResult } from '../health/health-sharing.js';
 import type { GossipMessage, HealthMessage, PeerDatagram, ZoneSummary } from './gossip-messages.js';
 import type { MemberAddresses, MemberRecord, MemberStatus } from './member.js';
--- a/src/membership/member-list.ts
+++ b/src/managed/membership/member-list.ts
@@ -1,7 +1,7 @@
 /**
  * @file The members of a zone as one balancer knows them, with the news that it still has to spread.
  */
-import { hashText } from './rendezvous.js';
+import { hashText } from '../../shared/common/rendezvous.js';
 import { isPresent, supersedes, type MemberRecord, type MemberStatus } from './member.js';
 
 /** Each piece of news is sent this many times the logarithm of the number of members. */
--- a/src/membership/member.ts
+++ b/src/managed/membership/member.ts
@@ -1,7 +1,7 @@
 /**
  * @file A balancer as its zone knows it, and which of two records about it counts.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 
 /** What is believed of a member. `left` is a member that said itself that it stops. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
--- a/src/membership/membership-state.ts
+++ b/src/managed/membership/membership-state.ts
@@ -2,7 +2,7 @@
  * @file What a balancer knows of the other balancers: the members of its own zone one by one, other
  * zones by a summary.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type { GossipMessage, ZoneSummary } from './gossip-messages.js';
 import { gossipAddress, type MemberAddresses, type MemberRecord } from './member.js';
 import { createMemberList, presentMembers, type MemberList } from './member-list.js';
--- a/src/membership/membership-step.ts
+++ b/src/managed/membership/membership-step.ts
@@ -2,8 +2,8 @@
  * @file The decision step of membership: datagrams of other balancers and time in, datagrams out.
  */
 import { match } from 'ts-pattern';
-import { formatAddress, type Address } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
 import {
   ackMessage,
   detectorTick,
--- a/src/membership/zone-summaries.ts
+++ b/src/managed/membership/zone-summaries.ts
@@ -3,7 +3,7 @@
  * representatives of a zone, chosen by rendezvous, renew its summary and talk to other zones; within
  * the zone the summaries travel along with pings.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import { MAX_CONTACTS, MAX_ZONES, type ZonesMessage, type ZoneSummary } from './gossip-messages.js';
 import type { MemberAddresses } from './member.js';
 import {
@@ -12,7 +12,7 @@
   type GossipSendEffect,
   type MembershipState,
 } from './membership-state.js';
-import { chooseByRendezvous } from './rendezvous.js';
+import { chooseByRendezvous } from '../../shared/common/rendezvous.js';
 
 /** Balancers of a zone that speak for it. */
 const REPRESENTATIVES = 2;
--- a/src/routing/adaptive-policy.ts
+++ b/src/managed/routing/adaptive-policy.ts
@@ -5,7 +5,7 @@
  * the choice even within a report's lag, and bounds how fast a back end with few connections is
  * filled, since each new flow also brings work.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import { recentFailures, recentOpens } from './load-estimate.js';
 import {
   isUntried,
--- a/src/routing/least-reported-policy.ts
+++ b/src/managed/routing/least-reported-policy.ts
@@ -2,7 +2,7 @@
  * @file Placement on the back end that reports the fewest connections for its limit. A baseline:
  * between two reports every open of every balancer goes to the same back end.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import {
   isUntried,
   type PlacementCandidate,
--- a/src/routing/maglev-policy.ts
+++ b/src/managed/routing/maglev-policy.ts
@@ -2,7 +2,7 @@
  * @file Placement by a Maglev table over the flow ID. A baseline: it ties a new flow to a hash,
  * whatever the load.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import { buildMaglevTable, lookUpMaglev } from './maglev-table.js';
 import {
   isUntried,
--- a/src/routing/maglev-table.ts
+++ b/src/managed/routing/maglev-table.ts
@@ -2,7 +2,7 @@
  * @file The lookup table of Maglev (Eisenbud and others, NSDI 2016): every back end fills nearly
  * the same share of the table, and a changed set of back ends changes few other entries.
  */
-import { KEYED_HASH_KEY_BYTES, keyedHash } from '../common/keyed-hash.js';
+import { KEYED_HASH_KEY_BYTES, keyedHash } from '../../shared/common/keyed-hash.js';
 
 /** Number of entries; a prime well above 100 entries for each of the back ends of a service. */
 export const MAGLEV_TABLE_SIZE = 65_537;
--- a/src/routing/placement-policy.ts
+++ b/src/managed/routing/placement-policy.ts
@@ -2,7 +2,7 @@
  * @file The seam for placement policies: which back end receives a new flow. Policies plug in by
  * name, see `policy-registry.ts`.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import type { Backend } from '../control/cluster-state.js';
 import type { Judgement } from '../health/judgement-state.js';
 import type { LoadEstimate } from './load-estimate.js';
--- a/src/routing/random-policy.ts
+++ b/src/managed/routing/random-policy.ts
@@ -1,7 +1,7 @@
 /**
  * @file Random placement: every candidate alike. A baseline.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import {
   isUntried,
   type PlacementCandidate,
--- a/src/settings/settings-schema.ts
+++ b/src/managed/settings/settings-schema.ts
@@ -3,8 +3,8 @@
  * all processes; each reads the sections that it needs.
  */
 import { z } from 'zod';
-import { parseAddress } from '../common/address.js';
-import { logLevels } from '../common/logger.js';
+import { parseAddress } from '../../shared/common/address.js';
+import { logLevels } from '../../shared/common/logger.js';
 import { addressRangeText, nameSchema } from '../control/commands.js';
 import { defaultBalancerOptions } from '../balancer/balancer-state.js';
 
--- a/src/experiment/bench-control-commit.ts
+++ b/src/proof/experiment/bench-control-commit.ts
@@ -2,7 +2,7 @@
  * @file How long a commit takes at 1, 3 and 5 control machines, beside the bare costs in the same run,
  * and how many commits a second there are where many commands come at once.
  */
-import type { OperatorCommand } from '../control/commands.js';
+import type { OperatorCommand } from '../../managed/control/commands.js';
 import { BareCosts } from './bare-costs.js';
 import { BenchCluster, makeBenchFolder, removeBenchFolder } from './bench-control-cluster.js';
 
--- a/src/experiment/bench-control-failover.ts
+++ b/src/proof/experiment/bench-control-failover.ts
@@ -4,9 +4,9 @@
  */
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { formatAddress, type Address } from '../common/address.js';
-import { OperatorClient } from '../client/operator-client.js';
-import type { OperatorCommand } from '../control/commands.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { OperatorClient } from '../../tools/client/operator-client.js';
+import type { OperatorCommand } from '../../managed/control/commands.js';
 import {
   OPERATOR_TOKEN,
   controlFlags,
--- a/src/experiment/bench-control-members.ts
+++ b/src/proof/experiment/bench-control-members.ts
@@ -2,10 +2,10 @@
  * @file Changes of the control machines during measurements, over the interface that operators use.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { Address } from '../common/address.js';
-import type { ControlStatus } from '../control/control-status.js';
-import type { MemberCommand } from '../control/control-events.js';
-import { sendJson } from '../daemon/http-json.js';
+import type { Address } from '../../shared/common/address.js';
+import type { ControlStatus } from '../../managed/control/control-status.js';
+import type { MemberCommand } from '../../managed/control/control-events.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
 
 /** The admin token of all control machines of a bench. */
 export const ADMIN_TOKEN = 'bench-admin-token';
--- a/src/experiment/bench-control-restart.ts
+++ b/src/proof/experiment/bench-control-restart.ts
@@ -5,12 +5,12 @@
 import { cp, stat } from 'node:fs/promises';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { createConsensusState } from '../consensus/consensus-state.js';
-import type { OperatorCommand } from '../control/commands.js';
-import type { ControlState } from '../control/control-state.js';
-import { encodeClusterState } from '../control/cluster-snapshot.js';
-import { ConsensusStorage } from '../daemon/consensus-storage.js';
-import { openStorageFolder } from '../daemon/storage-folder.js';
+import { createConsensusState } from '../../shared/consensus/consensus-state.js';
+import type { OperatorCommand } from '../../managed/control/commands.js';
+import type { ControlState } from '../../managed/control/control-state.js';
+import { encodeClusterState } from '../../managed/control/cluster-snapshot.js';
+import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
+import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 import {
   BenchCluster,
   controlFlags,
--- a/src/experiment/bench-forward-config.ts
+++ b/src/proof/experiment/bench-forward-config.ts
@@ -2,13 +2,21 @@
  * @file The configuration and the datagrams of the forwarding bench: services of ten back ends each,
  * all back ends at loopback numbers of their own and one port, so that one socket receives for all.
  */
-import type { Address } from '../common/address.js';
-import type { Backend, Service, TokenKey } from '../control/cluster-state.js';
-import type { ConfigChange, ConfigDelta, ConfigSnapshot } from '../control/config-update.js';
-import { encodeEnvelope } from '../flow/envelope.js';
-import { encodeLongHeader, encodeShortHeader, FLOW_ID_LENGTH_BYTES } from '../flow/header.js';
-import { encodeMessage } from '../flow/messages.js';
-import { mintToken, prepareTokenKey, TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
+import type { Address } from '../../shared/common/address.js';
+import type { Backend, Service, TokenKey } from '../../managed/control/cluster-state.js';
+import type {
+  ConfigChange,
+  ConfigDelta,
+  ConfigSnapshot,
+} from '../../managed/control/config-update.js';
+import { encodeEnvelope } from '../../managed/flow/envelope.js';
+import {
+  encodeLongHeader,
+  encodeShortHeader,
+  FLOW_ID_LENGTH_BYTES,
+} from '../../managed/flow/header.js';
+import { encodeMessage } from '../../managed/flow/messages.js';
+import { mintToken, prepareTokenKey, TOKEN_KEY_LENGTH_BYTES } from '../../managed/flow/token.js';
 
 const BACKENDS_PER_SERVICE = 10;
 const KEY_ID = 1;
--- a/src/experiment/bench-forward-control.ts
+++ b/src/proof/experiment/bench-forward-control.ts
@@ -2,12 +2,12 @@
  * @file What a balancer needs around it in the forwarding bench: a link that hands it one
  * configuration, and one HTTP endpoint that answers the probes of all back ends.
  */
-import type { Address } from '../common/address.js';
-import { listenHttp } from '../daemon/http-server.js';
-import { respondJson } from '../daemon/json-response.js';
-import { listenForLinks, type MessageLink } from '../daemon/message-link.js';
-import { LEASE_DURATION_MS, type LeaseGrant } from '../dissemination/lease.js';
-import type { BalancerToControlMessage } from '../dissemination/link-messages.js';
+import type { Address } from '../../shared/common/address.js';
+import { listenHttp } from '../../shared/daemon/http-server.js';
+import { respondJson } from '../../shared/daemon/json-response.js';
+import { listenForLinks, type MessageLink } from '../../managed/daemon/message-link.js';
+import { LEASE_DURATION_MS, type LeaseGrant } from '../../managed/dissemination/lease.js';
+import type { BalancerToControlMessage } from '../../managed/dissemination/link-messages.js';
 import { BENCH_INCARNATION, benchConfig, benchDelta } from './bench-forward-config.js';
 import { processorTimeMs } from './bench-forward-process.js';
 
--- a/src/experiment/bench-forward-memory.ts
+++ b/src/proof/experiment/bench-forward-memory.ts
@@ -6,13 +6,13 @@
   applyConfigUpdate,
   createBalancerState,
   defaultBalancerOptions,
-} from '../balancer/balancer-state.js';
-import { balancerStep } from '../balancer/balancer-step.js';
-import { formatAddress } from '../common/address.js';
-import { seededRandom } from '../common/random.js';
-import { decodeEnvelope } from '../flow/envelope.js';
-import { parseShortHeader } from '../flow/header.js';
-import { readToken, TOKEN_LENGTH_BYTES } from '../flow/token.js';
+} from '../../managed/balancer/balancer-state.js';
+import { balancerStep } from '../../managed/balancer/balancer-step.js';
+import { formatAddress } from '../../shared/common/address.js';
+import { seededRandom } from '../../shared/common/random.js';
+import { decodeEnvelope } from '../../managed/flow/envelope.js';
+import { parseShortHeader } from '../../managed/flow/header.js';
+import { readToken, TOKEN_LENGTH_BYTES } from '../../managed/flow/token.js';
 import { benchConfig, establishedDatagrams } from './bench-forward-config.js';
 import type { MemoryResult } from './bench-forward-messages.js';
 
--- a/src/experiment/bench-forward-messages.ts
+++ b/src/proof/experiment/bench-forward-messages.ts
@@ -2,7 +2,7 @@
  * @file What the forwarding bench asks of its peer processes, and what they answer, over the channel
  * of `node:child_process`.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 
 /** What a peer process is, given once at its start. */
 export type PeerRole =
--- a/src/experiment/bench-forward-opener.ts
+++ b/src/proof/experiment/bench-forward-opener.ts
@@ -3,9 +3,9 @@
  */
 import type { Socket } from 'node:dgram';
 import { build } from 'hdr-histogram-js';
-import { decodeEnvelope } from '../flow/envelope.js';
-import { parseLongHeader } from '../flow/header.js';
-import { decodeMessage } from '../flow/messages.js';
+import { decodeEnvelope } from '../../managed/flow/envelope.js';
+import { parseLongHeader } from '../../managed/flow/header.js';
+import { decodeMessage } from '../../managed/flow/messages.js';
 import { flowNumberOf, openDatagram } from './bench-forward-config.js';
 import type { OpenResult, PeerRequest } from './bench-forward-messages.js';
 
--- a/src/experiment/bench-forward-peer.ts
+++ b/src/proof/experiment/bench-forward-peer.ts
@@ -4,9 +4,9 @@
 import { createSocket, type Socket } from 'node:dgram';
 import { once } from 'node:events';
 import { match } from 'ts-pattern';
-import { decodeEnvelope, encodeEnvelope } from '../flow/envelope.js';
-import { encodeLongHeader, hasLongHeader, parseLongHeader } from '../flow/header.js';
-import { encodeMessage } from '../flow/messages.js';
+import { decodeEnvelope, encodeEnvelope } from '../../managed/flow/envelope.js';
+import { encodeLongHeader, hasLongHeader, parseLongHeader } from '../../managed/flow/header.js';
+import { encodeMessage } from '../../managed/flow/messages.js';
 import { BENCH_INCARNATION, establishedDatagrams } from './bench-forward-config.js';
 import { measureMemory } from './bench-forward-memory.js';
 import type { PeerRequest, PeerRole } from './bench-forward-messages.js';
--- a/src/experiment/bench-forward.ts
+++ b/src/proof/experiment/bench-forward.ts
@@ -2,7 +2,7 @@
  * @file The forwarding bench: one real balancer process against bare `dgram` relay processes on
  * loopback, round by round in one run, and medians of the rounds.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import { median, refuseUnknownSettings, type Bench, type BenchTable } from './bench.js';
 import { startBenchControl, type BenchControl } from './bench-forward-control.js';
 import type {
--- a/src/experiment/bench-in-force.ts
+++ b/src/proof/experiment/bench-in-force.ts
@@ -3,7 +3,7 @@
  * balancers have it in force, with real processes on loopback.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { OperatorCommand } from '../control/commands.js';
+import type { OperatorCommand } from '../../managed/control/commands.js';
 import { refuseUnknownSettings, type Bench, type BenchResult } from './bench.js';
 import { InForceCluster, usageOf, type ProcessUsage } from './in-force-cluster.js';
 
--- a/src/experiment/bench-probe.ts
+++ b/src/proof/experiment/bench-probe.ts
@@ -2,9 +2,9 @@
  * @file `amberlift bench probe`: the processor time of one health probe, at the balancer's side and at
  * the back end's, over loopback.
  */
-import type { Address } from '../common/address.js';
-import type { Backend } from '../control/cluster-state.js';
-import { probeBackend } from '../daemon/health-probe.js';
+import type { Address } from '../../shared/common/address.js';
+import type { Backend } from '../../managed/control/cluster-state.js';
+import { probeBackend } from '../../managed/daemon/health-probe.js';
 import { median, refuseUnknownSettings, type Bench } from './bench.js';
 import { startProcess } from './child-process.js';
 import { usageOf } from './in-force-cluster.js';
--- a/src/experiment/bench.ts
+++ b/src/proof/experiment/bench.ts
@@ -1,6 +1,6 @@
 /**
  * @file The seam for benches: each is one file `bench-<name>.ts` that exports a `Bench`, and stands
- * in the registry of `src/cli/bench.ts`.
+ * in the registry of `src/tools/cli/bench.ts`.
  */
 
 /** Options of a run of a bench. */
--- a/src/experiment/child-process.ts
+++ b/src/proof/experiment/child-process.ts
@@ -7,7 +7,7 @@
 import { createInterface } from 'node:readline';
 import { fileURLToPath } from 'node:url';
 
-const ENTRY = fileURLToPath(new URL('../../../bin/amberlift.js', import.meta.url));
+const ENTRY = fileURLToPath(new URL('../../../../bin/amberlift.js', import.meta.url));
 const READY_TIMEOUT_MS = 30_000;
 
 /** A process of ours. */
--- a/src/experiment/cluster-status.ts
+++ b/src/proof/experiment/cluster-status.ts
@@ -4,8 +4,8 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { z } from 'zod';
-import { sendJson } from '../daemon/http-json.js';
-import { loadReportSchema, type LoadReport } from '../health/backend-report.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
+import { loadReportSchema, type LoadReport } from '../../managed/health/backend-report.js';
 import type { Cluster, ClusterBackend, ClusterControl } from './cluster.js';
 import type { BackendRuns } from './harm-summary.js';
 
--- a/src/experiment/cluster.ts
+++ b/src/proof/experiment/cluster.ts
@@ -5,9 +5,9 @@
 import { mkdir } from 'node:fs/promises';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { OperatorClient } from '../client/operator-client.js';
-import { formatAddress, type Address } from '../common/address.js';
-import { sendJson } from '../daemon/http-json.js';
+import { OperatorClient } from '../../tools/client/operator-client.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
 import { startProcess, type ManagedProcess } from './child-process.js';
 import type { DaemonSettings, DeployedService, Deployment } from './deployment.js';
 import { findFreeAddress } from './free-address.js';
--- a/src/experiment/deployment.ts
+++ b/src/proof/experiment/deployment.ts
@@ -7,10 +7,10 @@
 import { err, ok, Result } from 'neverthrow';
 import { parse } from 'yaml';
 import { z } from 'zod';
-import { placementPolicyNames } from '../control/cluster-state.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
-import { loadSettings } from '../settings/load-settings.js';
-import type { Settings } from '../settings/settings-schema.js';
+import { placementPolicyNames } from '../../managed/control/cluster-state.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
+import { loadSettings } from '../../shared/settings/load-settings.js';
+import type { Settings } from '../../managed/settings/settings-schema.js';
 
 const count = z.number().int().positive();
 const durationMs = z.number().min(0);
--- a/src/experiment/fleet-load.ts
+++ b/src/proof/experiment/fleet-load.ts
@@ -2,7 +2,7 @@
  * @file The load of a fleet: callers that come in steps, and notices for their feeds.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { formatAddress } from '../common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
 import { runToEnd } from './child-process.js';
 import type { Cluster } from './cluster.js';
 import type { DeployedService } from './deployment.js';
--- a/src/experiment/fleet.ts
+++ b/src/proof/experiment/fleet.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { match } from 'ts-pattern';
-import { seededRandom } from '../common/random.js';
+import { seededRandom } from '../../shared/common/random.js';
 import { Cluster } from './cluster.js';
 import { revisionsOf, waitUntilInForce } from './cluster-status.js';
 import type { LoadedDeployment } from './deployment.js';
--- a/src/experiment/free-address.ts
+++ b/src/proof/experiment/free-address.ts
@@ -3,7 +3,7 @@
  */
 import { once } from 'node:events';
 import { createServer, type AddressInfo } from 'node:net';
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 
 const LOOPBACK = '127.0.0.1';
 
--- a/src/experiment/hollow/daily-load.ts
+++ b/src/proof/experiment/hollow/daily-load.ts
@@ -1,7 +1,7 @@
 /**
  * @file The changes and restarts of a day, compressed into a shorter time.
  */
-import type { CommandOutcome } from '../../control/commands.js';
+import type { CommandOutcome } from '../../../managed/control/commands.js';
 import type { HollowWorld } from './hollow-world.js';
 
 const MS_PER_DAY = 86_400_000;
--- a/src/experiment/hollow/first-state.ts
+++ b/src/proof/experiment/hollow/first-state.ts
@@ -2,15 +2,15 @@
  * @file The cluster state with which a hollow world begins: operators, services and back ends, made by
  * the replicated step itself, as a snapshot on the disk of each control machine.
  */
-import type { Address } from '../../common/address.js';
-import type { Membership } from '../../consensus/membership.js';
-import type { RecoveredState } from '../../consensus/persisted-state.js';
-import { applyCommand } from '../../control/apply-command.js';
-import { emptyClusterState, type ClusterState } from '../../control/cluster-state.js';
-import { encodeClusterState } from '../../control/cluster-snapshot.js';
-import { timedCommandId } from '../../control/command-id.js';
-import { SYSTEM_OPERATOR, type Command } from '../../control/commands.js';
-import { TOKEN_KEY_LENGTH_BYTES } from '../../flow/token.js';
+import type { Address } from '../../../shared/common/address.js';
+import type { Membership } from '../../../shared/consensus/membership.js';
+import type { RecoveredState } from '../../../shared/consensus/persisted-state.js';
+import { applyCommand } from '../../../managed/control/apply-command.js';
+import { emptyClusterState, type ClusterState } from '../../../managed/control/cluster-state.js';
+import { encodeClusterState } from '../../../managed/control/cluster-snapshot.js';
+import { timedCommandId } from '../../../managed/control/command-id.js';
+import { SYSTEM_OPERATOR, type Command } from '../../../managed/control/commands.js';
+import { TOKEN_KEY_LENGTH_BYTES } from '../../../managed/flow/token.js';
 import type { Place } from './places.js';
 
 /** The operator who owns the services of a hollow world. */
--- a/src/experiment/hollow/hollow-balancer.ts
+++ b/src/proof/experiment/hollow/hollow-balancer.ts
@@ -3,22 +3,22 @@
  * every probe that it is ready, with some load.
  */
 import { match } from 'ts-pattern';
-import { formatAddress, type Address } from '../../common/address.js';
-import type { BalancerEffect, BalancerEvent } from '../../balancer/balancer-events.js';
+import { formatAddress, type Address } from '../../../shared/common/address.js';
+import type { BalancerEffect, BalancerEvent } from '../../../managed/balancer/balancer-events.js';
 import {
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../../balancer/balancer-state.js';
-import { balancerStep } from '../../balancer/balancer-step.js';
+} from '../../../managed/balancer/balancer-state.js';
+import { balancerStep } from '../../../managed/balancer/balancer-step.js';
 import type {
   BalancerToControlMessage,
   ControlToBalancerMessage,
-} from '../../dissemination/link-messages.js';
-import type { PeerDatagram } from '../../membership/gossip-messages.js';
-import { gossipAddress, type MemberAddresses } from '../../membership/member.js';
-import type { Backend } from '../../control/cluster-state.js';
-import type { ProbeResult } from '../../health/backend-report.js';
+} from '../../../managed/dissemination/link-messages.js';
+import type { PeerDatagram } from '../../../managed/membership/gossip-messages.js';
+import { gossipAddress, type MemberAddresses } from '../../../managed/membership/member.js';
+import type { Backend } from '../../../managed/control/cluster-state.js';
+import type { ProbeResult } from '../../../managed/health/backend-report.js';
 import { HollowLink, type LinkClient, type LinkServerEnd } from './hollow-link.js';
 import type { HollowRole } from './meter.js';
 import type { Place } from './places.js';
--- a/src/experiment/hollow/hollow-control.ts
+++ b/src/proof/experiment/hollow/hollow-control.ts
@@ -3,9 +3,9 @@
  * disk in memory.
  */
 import { match } from 'ts-pattern';
-import { formatAddress, type Address } from '../../common/address.js';
-import type { RecoveredState, PersistEffect } from '../../consensus/persisted-state.js';
-import type { CommandEntry, CommandOutcome } from '../../control/commands.js';
+import { formatAddress, type Address } from '../../../shared/common/address.js';
+import type { RecoveredState, PersistEffect } from '../../../shared/consensus/persisted-state.js';
+import type { CommandEntry, CommandOutcome } from '../../../managed/control/commands.js';
 import {
   controlStep,
   createControlState,
@@ -14,10 +14,10 @@
   type ControlEvent,
   type ControlState,
   type RequestId,
-} from '../../control/control-step.js';
-import type { PeerEnvelope } from '../../control/peer-messages.js';
-import type { BalancerToControlMessage } from '../../dissemination/link-messages.js';
-import { TOKEN_KEY_LENGTH_BYTES } from '../../flow/token.js';
+} from '../../../managed/control/control-step.js';
+import type { PeerEnvelope } from '../../../managed/control/peer-messages.js';
+import type { BalancerToControlMessage } from '../../../managed/dissemination/link-messages.js';
+import { TOKEN_KEY_LENGTH_BYTES } from '../../../managed/flow/token.js';
 import { HOLLOW_START_MS } from './first-state.js';
 import { HollowDisk } from './hollow-disk.js';
 import { HollowLink, type LinkClient, type LinkServerEnd } from './hollow-link.js';
--- a/src/experiment/hollow/hollow-disk.ts
+++ b/src/proof/experiment/hollow/hollow-disk.ts
@@ -2,7 +2,11 @@
  * @file A disk in memory for a hollow control machine, which keeps what was written when the machine
  * restarts.
  */
-import type { LogRecord, PersistEffect, RecoveredState } from '../../consensus/persisted-state.js';
+import type {
+  LogRecord,
+  PersistEffect,
+  RecoveredState,
+} from '../../../shared/consensus/persisted-state.js';
 
 /** What one control machine has on disk. */
 export class HollowDisk {
--- a/src/experiment/hollow/hollow-link.ts
+++ b/src/proof/experiment/hollow/hollow-link.ts
@@ -2,7 +2,7 @@
  * @file A link from a hollow balancer to the node that it gets the configuration from, as TCP gives it:
  * in order, and silent while the network between them is cut.
  */
-import type { ControlToBalancerMessage } from '../../dissemination/link-messages.js';
+import type { ControlToBalancerMessage } from '../../../managed/dissemination/link-messages.js';
 import type { HollowRole } from './meter.js';
 import type { Place } from './places.js';
 import type { HollowSurroundings } from './surroundings.js';
--- a/src/experiment/hollow/hollow-world.ts
+++ b/src/proof/experiment/hollow/hollow-world.ts
@@ -2,14 +2,14 @@
  * @file A world of hollow nodes: many balancers and a few control machines in one process, which run the
  * real decision steps in virtual time over an in-memory network. One seed, one run.
  */
-import { formatAddress, type Address } from '../../common/address.js';
-import { seededRandom } from '../../common/random.js';
-import type { RandomSource } from '../../common/step.js';
-import { sortedMembership, type Member } from '../../consensus/membership.js';
-import { timedCommandId } from '../../control/command-id.js';
-import type { CommandOutcome, OperatorCommand } from '../../control/commands.js';
-import { gossipKey } from '../../membership/gossip-codec.js';
-import { gossipAddress, linkAddress } from '../../membership/member.js';
+import { formatAddress, type Address } from '../../../shared/common/address.js';
+import { seededRandom } from '../../../shared/common/random.js';
+import type { RandomSource } from '../../../shared/common/step.js';
+import { sortedMembership, type Member } from '../../../shared/consensus/membership.js';
+import { timedCommandId } from '../../../managed/control/command-id.js';
+import type { CommandOutcome, OperatorCommand } from '../../../managed/control/commands.js';
+import { gossipKey } from '../../../managed/membership/gossip-codec.js';
+import { gossipAddress, linkAddress } from '../../../managed/membership/member.js';
 import { EventQueue } from './event-queue.js';
 import {
   addBackendCommand,
--- a/src/experiment/hollow/node-memory.ts
+++ b/src/proof/experiment/hollow/node-memory.ts
@@ -3,13 +3,16 @@
  * where hollow nodes of one world share what they have decoded.
  */
 import { Packr } from 'msgpackr';
-import { createBalancerState, defaultBalancerOptions } from '../../balancer/balancer-state.js';
-import { balancerStep } from '../../balancer/balancer-step.js';
-import { seededRandom } from '../../common/random.js';
-import { noMembers } from '../../consensus/membership.js';
-import { createControlState } from '../../control/control-step.js';
-import { snapshotOf } from '../../control/config-update.js';
-import type { ControlToBalancerMessage } from '../../dissemination/link-messages.js';
+import {
+  createBalancerState,
+  defaultBalancerOptions,
+} from '../../../managed/balancer/balancer-state.js';
+import { balancerStep } from '../../../managed/balancer/balancer-step.js';
+import { seededRandom } from '../../../shared/common/random.js';
+import { noMembers } from '../../../shared/consensus/membership.js';
+import { createControlState } from '../../../managed/control/control-step.js';
+import { snapshotOf } from '../../../managed/control/config-update.js';
+import type { ControlToBalancerMessage } from '../../../managed/dissemination/link-messages.js';
 import { firstDisk, makeClusterState, type ConfigSize } from './first-state.js';
 import { heapAfterCollection } from './heap.js';
 import { LETTER_REGIONS, LETTER_ZONES, makePlaces } from './places.js';
--- a/src/experiment/hollow/surroundings.ts
+++ b/src/proof/experiment/hollow/surroundings.ts
@@ -1,11 +1,11 @@
 /**
  * @file What all hollow nodes of a world share.
  */
-import type { Address } from '../../common/address.js';
-import type { RandomSource, StepContext } from '../../common/step.js';
+import type { Address } from '../../../shared/common/address.js';
+import type { RandomSource, StepContext } from '../../../shared/common/step.js';
 import type { EventQueue } from './event-queue.js';
-import type { GossipKey } from '../../membership/gossip-codec.js';
-import type { MemberAddresses } from '../../membership/member.js';
+import type { GossipKey } from '../../../managed/membership/gossip-codec.js';
+import type { MemberAddresses } from '../../../managed/membership/member.js';
 import type { HollowBalancer } from './hollow-balancer.js';
 import type { HollowControl } from './hollow-control.js';
 import type { LinkServerEnd } from './hollow-link.js';
--- a/src/experiment/hollow/wire.ts
+++ b/src/proof/experiment/hollow/wire.ts
@@ -4,8 +4,12 @@
  * size and time are charged to each of them, and all receive the same decoded object, which saves memory.
  */
 import { Packr } from 'msgpackr';
-import { decodeGossip, encodeGossip, type GossipKey } from '../../membership/gossip-codec.js';
-import type { PeerDatagram } from '../../membership/gossip-messages.js';
+import {
+  decodeGossip,
+  encodeGossip,
+  type GossipKey,
+} from '../../../managed/membership/gossip-codec.js';
+import type { PeerDatagram } from '../../../managed/membership/gossip-messages.js';
 
 /** A message after encoding and decoding. */
 export interface WireMessage {
--- a/src/experiment/in-force-cluster.ts
+++ b/src/proof/experiment/in-force-cluster.ts
@@ -8,9 +8,9 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { OperatorClient } from '../client/operator-client.js';
-import { formatAddress, type Address } from '../common/address.js';
-import type { InForceSummary } from '../control/views/in-force.js';
+import { OperatorClient } from '../../tools/client/operator-client.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { InForceSummary } from '../../managed/control/views/in-force.js';
 import { startProcess, type ManagedProcess } from './child-process.js';
 
 const CLUSTER_KEY = 'in-force-cluster-key';
--- a/src/experiment/load-sampler.ts
+++ b/src/proof/experiment/load-sampler.ts
@@ -2,7 +2,7 @@
  * @file Samples what the back ends of a cluster really hold, once a second, and tells the imbalance.
  */
 import { z } from 'zod';
-import { sendJson } from '../daemon/http-json.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
 import type { Cluster, ClusterBackend } from './cluster.js';
 
 const HTTP_TIMEOUT_MS = 2_000;
--- a/src/experiment/notice-publisher.ts
+++ b/src/proof/experiment/notice-publisher.ts
@@ -3,9 +3,9 @@
  * of the service. What a back end did not take is handed to it again before the next one, and a back
  * end that joined later gets all.
  */
-import type { Address } from '../common/address.js';
-import { formatAddress } from '../common/address.js';
-import { sendJson } from '../daemon/http-json.js';
+import type { Address } from '../../shared/common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
 
 const HTTP_TIMEOUT_MS = 2_000;
 
--- a/src/experiment/placement-backend.ts
+++ b/src/proof/experiment/placement-backend.ts
@@ -1,9 +1,9 @@
 /**
  * @file A back end of the placement bench: connections, slots, a queue, and load reports that lag.
  */
-import type { RandomSource } from '../common/step.js';
-import type { Backend } from '../control/cluster-state.js';
-import type { LoadReport } from '../health/backend-report.js';
+import type { RandomSource } from '../../shared/common/step.js';
+import type { Backend } from '../../managed/control/cluster-state.js';
+import type { LoadReport } from '../../managed/health/backend-report.js';
 import type { VirtualAgenda } from './virtual-agenda.js';
 
 /** Queued requests beyond which a back end refuses opens. */
--- a/src/experiment/placement-choice-cost.ts
+++ b/src/proof/experiment/placement-choice-cost.ts
@@ -1,22 +1,22 @@
 /**
  * @file What one choice of a back end costs, against the number of back ends.
  */
-import { createBackendView } from '../balancer/backend-view.js';
+import { createBackendView } from '../../managed/balancer/backend-view.js';
 import {
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
   type PendingOpen,
-} from '../balancer/balancer-state.js';
+} from '../../managed/balancer/balancer-state.js';
 import {
   chooseBackend,
   recordAttempt,
   recordAttemptEnd,
   recordProbe,
-} from '../balancer/candidates.js';
-import type { Address } from '../common/address.js';
-import { seededRandom } from '../common/random.js';
-import type { Backend, Service } from '../control/cluster-state.js';
+} from '../../managed/balancer/candidates.js';
+import type { Address } from '../../shared/common/address.js';
+import { seededRandom } from '../../shared/common/random.js';
+import type { Backend, Service } from '../../managed/control/cluster-state.js';
 
 const ADDRESS: Address = { host: '10.1.0.1', port: 5000 };
 const ZONES = 3;
--- a/src/experiment/placement-world.ts
+++ b/src/proof/experiment/placement-world.ts
@@ -9,22 +9,27 @@
   defaultBalancerOptions,
   type BalancerState,
   type PendingOpen,
-} from '../balancer/balancer-state.js';
+} from '../../managed/balancer/balancer-state.js';
 import {
   chooseBackend,
   recordAttempt,
   recordAttemptEnd,
   recordProbe,
-} from '../balancer/candidates.js';
-import { routeEstablished } from '../balancer/forwarding.js';
-import type { BackendView } from '../balancer/backend-view.js';
-import type { Address } from '../common/address.js';
-import { seededRandom } from '../common/random.js';
-import type { RandomSource, StepContext } from '../common/step.js';
-import type { Backend, PlacementPolicyName, Service, TokenKey } from '../control/cluster-state.js';
-import type { ConfigSnapshot } from '../control/config-update.js';
-import { encodeShortHeader } from '../flow/header.js';
-import { mintToken, prepareTokenKey } from '../flow/token.js';
+} from '../../managed/balancer/candidates.js';
+import { routeEstablished } from '../../managed/balancer/forwarding.js';
+import type { BackendView } from '../../managed/balancer/backend-view.js';
+import type { Address } from '../../shared/common/address.js';
+import { seededRandom } from '../../shared/common/random.js';
+import type { RandomSource, StepContext } from '../../shared/common/step.js';
+import type {
+  Backend,
+  PlacementPolicyName,
+  Service,
+  TokenKey,
+} from '../../managed/control/cluster-state.js';
+import type { ConfigSnapshot } from '../../managed/control/config-update.js';
+import { encodeShortHeader } from '../../managed/flow/header.js';
+import { mintToken, prepareTokenKey } from '../../managed/flow/token.js';
 import {
   PlacementBackend,
   type PlacementBackendShape,
--- a/src/experiment/random-faults.ts
+++ b/src/proof/experiment/random-faults.ts
@@ -3,7 +3,7 @@
  * cut off, from a seed.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { RandomSource } from '../common/step.js';
+import type { RandomSource } from '../../shared/common/step.js';
 import type { Cluster, ClusterBalancer, ClusterControl } from './cluster.js';
 import type { FleetContext } from './replacements.js';
 import type { FaultKind } from './scenario.js';
--- a/src/experiment/replacements.ts
+++ b/src/proof/experiment/replacements.ts
@@ -3,7 +3,7 @@
  * new ones.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { sendJson } from '../daemon/http-json.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
 import type { Cluster, ClusterBackend, ClusterBalancer, ClusterControl } from './cluster.js';
 import { readControlStatus, revisionsOf, waitUntilInForce } from './cluster-status.js';
 import type { RunRecorder } from './run-recorder.js';
--- a/src/experiment/scenario.ts
+++ b/src/proof/experiment/scenario.ts
@@ -3,7 +3,7 @@
  */
 import type { Result } from 'neverthrow';
 import { z } from 'zod';
-import type { AmberliftError } from '../flow/error-kinds.js';
+import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import { readYamlFile } from './deployment.js';
 
 const count = z.number().int().positive();
--- a/src/sim/config-digest.ts
+++ b/src/proof/sim-managed/config-digest.ts
@@ -3,7 +3,7 @@
  * same.
  */
 import { createHash } from 'node:crypto';
-import type { RoutingConfig } from '../control/cluster-state.js';
+import type { RoutingConfig } from '../../managed/control/cluster-state.js';
 
 const DIGEST_LENGTH = 16;
 
--- a/src/sim/faults.ts
+++ b/src/proof/sim-managed/faults.ts
@@ -4,7 +4,7 @@
 import type { SimulatedBalancer } from './simulated-balancer.js';
 import type { SimulatedControl } from './simulated-control.js';
 import type { SimulatedProcess } from './simulated-process.js';
-import { badNetwork, goodNetwork } from './virtual-network.js';
+import { badNetwork, goodNetwork } from '../virtual/virtual-network.js';
 import type { PlacedBackend, World } from './world.js';
 
 /** How long a back end that leaves may take until its process ends. */
--- a/src/sim/packet-notes.ts
+++ b/src/proof/sim-managed/packet-notes.ts
@@ -2,10 +2,10 @@
  * @file Reads packets for the trace, without the product's decoders where they check more than is shown.
  */
 import { Packr } from 'msgpackr';
-import { formatAddress } from '../common/address.js';
-import { decodeEnvelope } from '../flow/envelope.js';
-import { hasLongHeader, parseLongHeader, parseShortHeader } from '../flow/header.js';
-import { readToken, TOKEN_LENGTH_BYTES } from '../flow/token.js';
+import { formatAddress } from '../../shared/common/address.js';
+import { decodeEnvelope } from '../../managed/flow/envelope.js';
+import { hasLongHeader, parseLongHeader, parseShortHeader } from '../../managed/flow/header.js';
+import { readToken, TOKEN_LENGTH_BYTES } from '../../managed/flow/token.js';
 import type { Simulation } from './simulation.js';
 
 const packr = new Packr({ useRecords: false });
--- a/src/sim/run-scenario.ts
+++ b/src/proof/sim-managed/run-scenario.ts
@@ -1,7 +1,7 @@
 /**
  * @file Runs scenarios and has the oracle judge them.
  */
-import { seededRandom } from '../common/random.js';
+import { seededRandom } from '../../shared/common/random.js';
 import { Faults } from './faults.js';
 import type { CheckName, Violation } from './oracle/check.js';
 import { Oracle } from './oracle/oracle.js';
--- a/src/sim/scenarios/address-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/address-scenarios.ts
@@ -2,7 +2,7 @@
  * @file Scenarios in which an address moves from one service to another, while balancers are cut off or
  * stand still: the way by which a packet could reach another service.
  */
-import type { Address } from '../../common/address.js';
+import type { Address } from '../../../shared/common/address.js';
 import type { ServicePlan } from '../world-plan.js';
 import { smallWorld } from '../world-plan.js';
 import type { World } from '../world.js';
--- a/src/sim/scenarios/scenario.ts
+++ b/src/proof/sim-managed/scenarios/scenario.ts
@@ -1,7 +1,7 @@
 /**
  * @file What a scenario is: a world, a time, and what is done to the world meanwhile.
  */
-import type { RandomSource } from '../../common/step.js';
+import type { RandomSource } from '../../../shared/common/step.js';
 import type { Faults } from '../faults.js';
 import type { WorldPlan } from '../world-plan.js';
 import type { World } from '../world.js';
--- a/src/sim/simulated-backend.ts
+++ b/src/proof/sim-managed/simulated-backend.ts
@@ -2,9 +2,9 @@
  * @file A simulated back end: the stand-in's step over virtual sockets. It comes back under a new
  * incarnation with nothing that it held.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import type { ProbeResult } from '../health/backend-report.js';
-import type { ProbeEffect } from '../health/probe-schedule.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { ProbeResult } from '../../managed/health/backend-report.js';
+import type { ProbeEffect } from '../../managed/health/probe-schedule.js';
 import type { BackendOptions } from '../standins/backend-options.js';
 import {
   createBackendState,
@@ -17,7 +17,7 @@
 import { readPacket, serviceOf } from './packet-notes.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { Simulation } from './simulation.js';
-import type { DatagramHandler } from './virtual-network.js';
+import type { DatagramHandler } from '../virtual/virtual-network.js';
 
 const TICK_INTERVAL_MS = 20;
 const INCARNATION_BOUND = 2 ** 32 - 1;
--- a/src/sim/simulated-balancer.ts
+++ b/src/proof/sim-managed/simulated-balancer.ts
@@ -2,22 +2,22 @@
  * @file A simulated balancer: the daemon's step over virtual sockets and links. It comes back empty.
  */
 import { match } from 'ts-pattern';
-import type { BalancerEffect, BalancerEvent } from '../balancer/balancer-events.js';
+import type { BalancerEffect, BalancerEvent } from '../../managed/balancer/balancer-events.js';
 import {
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../balancer/balancer-state.js';
-import { formatAddress, type Address } from '../common/address.js';
-import type { ControlToBalancerMessage } from '../dissemination/link-messages.js';
-import type { ProbeEffect } from '../health/probe-schedule.js';
+} from '../../managed/balancer/balancer-state.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { ControlToBalancerMessage } from '../../managed/dissemination/link-messages.js';
+import type { ProbeEffect } from '../../managed/health/probe-schedule.js';
 import { configDigest } from './config-digest.js';
 import { SimulatedPeerSockets } from './simulated-peer-sockets.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { Simulation } from './simulation.js';
 import { probeSimulatedBackend, type BackendDirectory } from './simulated-probe.js';
-import { connectVirtualLink, type VirtualLinkEnd } from './virtual-links.js';
-import type { DatagramHandler } from './virtual-network.js';
+import { connectVirtualLink, type VirtualLinkEnd } from '../virtual/virtual-links.js';
+import type { DatagramHandler } from '../virtual/virtual-network.js';
 
 const TICK_INTERVAL_MS = 20;
 const STOP_POLL_INTERVAL_MS = 50;
--- a/src/sim/simulated-caller.ts
+++ b/src/proof/sim-managed/simulated-caller.ts
@@ -3,8 +3,8 @@
  * right is told by the stand-in itself, which compares bytes.
  */
 import { match } from 'ts-pattern';
-import type { Address } from '../common/address.js';
-import { readToken } from '../flow/token.js';
+import type { Address } from '../../shared/common/address.js';
+import { readToken } from '../../managed/flow/token.js';
 import {
   createCallerState,
   type CallerEffect,
--- a/src/sim/simulated-control.ts
+++ b/src/proof/sim-managed/simulated-control.ts
@@ -3,29 +3,33 @@
  * virtual links. It comes back with what its disk holds.
  */
 import { match } from 'ts-pattern';
-import type { Address } from '../common/address.js';
-import type { DialedLinks } from '../common/dialed-links.js';
-import type { PersistEffect } from '../consensus/persisted-state.js';
-import { operatorTokenHash } from '../control/command-hash.js';
-import { SYSTEM_OPERATOR, type CommandEntry, type CommandOutcome } from '../control/commands.js';
+import type { Address } from '../../shared/common/address.js';
+import type { DialedLinks } from '../../shared/common/dialed-links.js';
+import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
+import { operatorTokenHash } from '../../managed/control/command-hash.js';
+import {
+  SYSTEM_OPERATOR,
+  type CommandEntry,
+  type CommandOutcome,
+} from '../../managed/control/commands.js';
 import {
   createControlState,
   isLeader,
   type ControlEffect,
   type ControlEvent,
   type ControlState,
-} from '../control/control-step.js';
-import type { PeerEnvelope } from '../control/peer-messages.js';
-import { ConsensusStorage } from '../daemon/consensus-storage.js';
-import type { BalancerToControlMessage } from '../dissemination/link-messages.js';
-import type { AmberliftError } from '../flow/error-kinds.js';
-import { TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
+} from '../../managed/control/control-step.js';
+import type { PeerEnvelope } from '../../managed/control/peer-messages.js';
+import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
+import type { BalancerToControlMessage } from '../../managed/dissemination/link-messages.js';
+import type { AmberliftError } from '../../shared/common/error-kinds.js';
+import { TOKEN_KEY_LENGTH_BYTES } from '../../managed/flow/token.js';
 import { configDigest } from './config-digest.js';
 import { createSimulatedPeerLinks } from './simulated-peer-links.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { LinkAcceptor, Simulation } from './simulation.js';
-import { VirtualDisk } from './virtual-disk.js';
-import type { VirtualLinkEnd } from './virtual-links.js';
+import { VirtualDisk } from '../virtual/virtual-disk.js';
+import type { VirtualLinkEnd } from '../virtual/virtual-links.js';
 
 const TICK_INTERVAL_MS = 20;
 const STOP_POLL_INTERVAL_MS = 5;
--- a/src/sim/simulated-fabric.ts
+++ b/src/proof/sim-managed/simulated-fabric.ts
@@ -1,7 +1,7 @@
 /**
  * @file The simulated fabric: the stand-in's step. Its list of balancers is the platform's, which lags.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { FabricEffect, FabricEvent, FabricState } from '../standins/fabric-step.js';
 import { readPacket } from './packet-notes.js';
 import type { SimulatedBalancer } from './simulated-balancer.js';
--- a/src/sim/simulated-operator.ts
+++ b/src/proof/sim-managed/simulated-operator.ts
@@ -2,9 +2,9 @@
  * @file A simulated operator: sends commands to control machines, the same command ID again when no
  * answer comes, as the operators' client does.
  */
-import type { CommandOutcome, OperatorCommand } from '../control/commands.js';
-import { answerFor } from '../flow/error-kinds.js';
-import { formatAddress } from '../common/address.js';
+import type { CommandOutcome, OperatorCommand } from '../../managed/control/commands.js';
+import { answerFor } from '../../shared/common/error-kinds.js';
+import { formatAddress } from '../../shared/common/address.js';
 import type { SimulatedControl } from './simulated-control.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { Simulation } from './simulation.js';
--- a/src/sim/simulated-peer-links.ts
+++ b/src/proof/sim-managed/simulated-peer-links.ts
@@ -1,10 +1,10 @@
 /**
  * @file How a simulated control machine opens its links to the others.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import { createDialedLinks, type DialedLinks } from '../common/dialed-links.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { createDialedLinks, type DialedLinks } from '../../shared/common/dialed-links.js';
 import type { Simulation } from './simulation.js';
-import { connectVirtualLink, type VirtualLinkEnd } from './virtual-links.js';
+import { connectVirtualLink, type VirtualLinkEnd } from '../virtual/virtual-links.js';
 
 const FIRST_RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 1_000;
--- a/src/sim/simulated-peer-sockets.ts
+++ b/src/proof/sim-managed/simulated-peer-sockets.ts
@@ -2,23 +2,27 @@
  * @file The virtual sockets by which a balancer is reached by other balancers: datagrams for gossip,
  * links over which they get the configuration.
  */
-import type { BalancerEvent } from '../balancer/balancer-events.js';
-import type { Address } from '../common/address.js';
+import type { BalancerEvent } from '../../managed/balancer/balancer-events.js';
+import type { Address } from '../../shared/common/address.js';
 import type {
   BalancerToControlMessage,
   ControlToBalancerMessage,
-} from '../dissemination/link-messages.js';
+} from '../../managed/dissemination/link-messages.js';
 import {
   decodeGossip,
   encodeGossip,
   gossipKey,
   type GossipKey,
-} from '../membership/gossip-codec.js';
-import type { PeerDatagram } from '../membership/gossip-messages.js';
-import { gossipAddress, linkAddress, type MemberAddresses } from '../membership/member.js';
+} from '../../managed/membership/gossip-codec.js';
+import type { PeerDatagram } from '../../managed/membership/gossip-messages.js';
+import {
+  gossipAddress,
+  linkAddress,
+  type MemberAddresses,
+} from '../../managed/membership/member.js';
 import type { LinkAcceptor, Simulation } from './simulation.js';
-import type { VirtualLinkEnd } from './virtual-links.js';
-import type { DatagramHandler } from './virtual-network.js';
+import type { VirtualLinkEnd } from '../virtual/virtual-links.js';
+import type { DatagramHandler } from '../virtual/virtual-network.js';
 
 /** UDP port of every balancer's gossip. */
 export const GOSSIP_PORT = 5002;
--- a/src/sim/simulated-probe.ts
+++ b/src/proof/sim-managed/simulated-probe.ts
@@ -2,9 +2,9 @@
  * @file A virtual health probe over HTTP: tells a back end which one it is, and to drain where the
  * operators want that, and brings its health and load.
  */
-import { formatAddress } from '../common/address.js';
-import type { ProbeResult } from '../health/backend-report.js';
-import type { ProbeEffect } from '../health/probe-schedule.js';
+import { formatAddress } from '../../shared/common/address.js';
+import type { ProbeResult } from '../../managed/health/backend-report.js';
+import type { ProbeEffect } from '../../managed/health/probe-schedule.js';
 import type { SimulatedBackend } from './simulated-backend.js';
 import type { Simulation } from './simulation.js';
 
--- a/src/sim/simulated-process.ts
+++ b/src/proof/sim-managed/simulated-process.ts
@@ -2,7 +2,7 @@
  * @file A simulated process: it starts, is paused and resumed, crashes, and ends. What comes while it is
  * paused waits; what comes while it is down is lost.
  */
-import type { RandomSource } from '../common/step.js';
+import type { RandomSource } from '../../shared/common/step.js';
 import type { Simulation } from './simulation.js';
 import type { ProcessKind, ProcessStatus } from './trace.js';
 
--- a/src/sim/simulated-steps.ts
+++ b/src/proof/sim-managed/simulated-steps.ts
@@ -2,9 +2,9 @@
  * @file The steps that the simulator runs: those of the daemons and the stand-ins. Tests replace one of
  * them by a faulty one to show that the oracle notices.
  */
-import { balancerStep } from '../balancer/balancer-step.js';
-import { controlStep } from '../control/control-step.js';
-import type { StorageFolder } from '../daemon/storage-folder.js';
+import { balancerStep } from '../../managed/balancer/balancer-step.js';
+import { controlStep } from '../../managed/control/control-step.js';
+import type { StorageFolder } from '../../shared/daemon/storage-folder.js';
 import { backendStep } from '../standins/backend-step.js';
 import { callerStep } from '../standins/caller-step.js';
 import { fabricStep } from '../standins/fabric-step.js';
--- a/src/sim/simulation.ts
+++ b/src/proof/sim-managed/simulation.ts
@@ -2,14 +2,14 @@
  * @file What all simulated processes share: clock, network, trace, random sources and the registry of
  * those who listen.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import { seededRandom } from '../common/random.js';
-import type { RandomSource, StepContext } from '../common/step.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { seededRandom } from '../../shared/common/random.js';
+import type { RandomSource, StepContext } from '../../shared/common/step.js';
 import type { SimulatedSteps } from './simulated-steps.js';
 import { Trace, type TraceFact, type TraceListener } from './trace.js';
-import { VirtualClock } from './virtual-clock.js';
-import type { VirtualLinkEnd } from './virtual-links.js';
-import { VirtualNetwork } from './virtual-network.js';
+import { VirtualClock } from '../virtual/virtual-clock.js';
+import type { VirtualLinkEnd } from '../virtual/virtual-links.js';
+import { VirtualNetwork } from '../virtual/virtual-network.js';
 
 const SEED_BOUND = 2 ** 31;
 /** Time of day at the start, in Unix milliseconds. */
--- a/src/sim/world.ts
+++ b/src/proof/sim-managed/world.ts
@@ -2,8 +2,8 @@
  * @file A simulated world: control machines, balancers, back ends, callers, the fabric and the operators
  * of both partners, all running the steps that the daemons run.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import type { CommandOutcome, OperatorCommand } from '../control/commands.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { CommandOutcome, OperatorCommand } from '../../managed/control/commands.js';
 import { noticePayload } from './notice-payload.js';
 import { SimulatedBackend } from './simulated-backend.js';
 import { SimulatedBalancer } from './simulated-balancer.js';
--- a/src/sim/ingress/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -2,14 +2,14 @@
  * @file A simulated deployment that forwards by 32-bit tokens: control machines, balancers, back ends,
  * clients behind routers that hash by the number of balancers, and an operator, on virtual time.
  */
-import { formatAddress, type Address } from '../../common/address.js';
-import { seededRandom } from '../../common/random.js';
-import type { RandomSource } from '../../common/step.js';
-import { formatFields, type DecisionFields } from '../../daemon/decision-log.js';
-import type { GroupCall } from '../../daemon/group-process.js';
-import type { GroupReply } from '../../group/group-events.js';
-import { timingFor } from '../../group/timing.js';
-import { VirtualClock } from '../virtual-clock.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { seededRandom } from '../../shared/common/random.js';
+import type { RandomSource } from '../../shared/common/step.js';
+import { formatFields, type DecisionFields } from '../../registered/daemon/decision-log.js';
+import type { GroupCall } from '../../registered/daemon/group-process.js';
+import type { GroupReply } from '../../registered/group/group-events.js';
+import { timingFor } from '../../registered/group/timing.js';
+import { VirtualClock } from '../virtual/virtual-clock.js';
 import { hashOfFlow } from './flow-hash.js';
 import { IngressOracle } from './ingress-oracle.js';
 import { SimulatedControlMachine } from './simulated-control-machine.js';
--- a/src/sim/ingress/process-gate.ts
+++ b/src/proof/sim-registered/process-gate.ts
@@ -2,7 +2,7 @@
  * @file A simulated process that may stand still and that ends: what comes to it runs at once, waits until it goes
  * on, or never runs, where it was meant for a life of the process that is over.
  */
-import type { VirtualClock } from '../virtual-clock.js';
+import type { VirtualClock } from '../virtual/virtual-clock.js';
 
 /** Lets through what comes to a process. */
 export interface ProcessGate {
--- a/src/sim/ingress/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -1,23 +1,23 @@
 /**
  * @file A control machine of the simulated deployment: its disk outlives its process.
  */
-import type { Address } from '../../common/address.js';
-import { formatAddress } from '../../common/address.js';
-import { createDialedLinks, type DialedLinks } from '../../common/dialed-links.js';
-import { createLinkTable } from '../../common/link-table.js';
-import type { GroupReply } from '../../group/group-events.js';
-import { createGroupState, firstStorageId } from '../../group/group-state.js';
-import type { PersistEffect } from '../../consensus/persisted-state.js';
-import type { ConsensusState } from '../../consensus/consensus-state.js';
-import { isFirstMember } from '../../group/membership-duties.js';
-import { packFeed } from '../../group/feed-codec.js';
-import { isBalancerLinkMessage } from '../../group/group-messages.js';
-import { parseControlInbound } from '../../group/message-schemas.js';
-import { ConsensusStorage } from '../../daemon/consensus-storage.js';
-import { GroupProcess, type GroupCall } from '../../daemon/group-process.js';
-import type { DeclaredConfig } from '../../declared/declared-config.js';
-import type { ConfigDocument } from '../../group/replicated-state.js';
-import { VirtualDisk } from '../virtual-disk.js';
+import type { Address } from '../../shared/common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
+import { createDialedLinks, type DialedLinks } from '../../shared/common/dialed-links.js';
+import { createLinkTable } from '../../shared/common/link-table.js';
+import type { GroupReply } from '../../registered/group/group-events.js';
+import { createGroupState, firstStorageId } from '../../registered/group/group-state.js';
+import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
+import type { ConsensusState } from '../../shared/consensus/consensus-state.js';
+import { isFirstMember } from '../../registered/group/membership-duties.js';
+import { packFeed } from '../../registered/group/feed-codec.js';
+import { isBalancerLinkMessage } from '../../registered/group/group-messages.js';
+import { parseControlInbound } from '../../registered/group/message-schemas.js';
+import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
+import { GroupProcess, type GroupCall } from '../../registered/daemon/group-process.js';
+import type { DeclaredConfig } from '../../registered/declared/declared-config.js';
+import type { ConfigDocument } from '../../registered/group/replicated-state.js';
+import { VirtualDisk } from '../virtual/virtual-disk.js';
 import { createProcessGate, type ProcessGate } from './process-gate.js';
 import type { VirtualLink } from './virtual-wires.js';
 import type { IngressWorldParts } from './world-parts.js';
--- a/src/sim/ingress/simulated-ingress-balancer.ts
+++ b/src/proof/sim-registered/simulated-ingress-balancer.ts
@@ -2,10 +2,10 @@
  * @file A balancer of the simulated deployment: the process of the daemon over virtual sockets.
  */
 import { Packr } from 'msgpackr';
-import type { Address } from '../../common/address.js';
-import { IngressProcess } from '../../daemon/ingress-process.js';
-import { parseBalancerMessage } from '../../group/message-schemas.js';
-import { tokenPacketCodec } from '../../ingress/token-packet.js';
+import type { Address } from '../../shared/common/address.js';
+import { IngressProcess } from '../../registered/daemon/ingress-process.js';
+import { parseBalancerMessage } from '../../registered/group/message-schemas.js';
+import { tokenPacketCodec } from '../../registered/ingress/token-packet.js';
 import { createProcessGate, type ProcessGate } from './process-gate.js';
 import type { IngressWorldParts } from './world-parts.js';
 
--- a/src/sim/ingress/stand-in-backend.ts
+++ b/src/proof/sim-registered/stand-in-backend.ts
@@ -2,9 +2,9 @@
  * @file A stand-in back end: registers by heartbeats, takes flows and answers requests, drains, leaves
  * with or without a word.
  */
-import { formatAddress, type Address } from '../../common/address.js';
-import type { GroupCall } from '../../daemon/group-process.js';
-import type { GroupReply } from '../../group/group-events.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { GroupCall } from '../../registered/daemon/group-process.js';
+import type { GroupReply } from '../../registered/group/group-events.js';
 import {
   decodeForBackend,
   encodePacket,
@@ -12,7 +12,7 @@
   sealPacket,
   type PacketKind,
   type TokenPacket,
-} from '../../ingress/token-packet.js';
+} from '../../registered/ingress/token-packet.js';
 import type { StandInParts } from './world-parts.js';
 
 const CALL_TIMEOUT_MS = 1_000;
--- a/src/sim/ingress/stand-in-client.ts
+++ b/src/proof/sim-registered/stand-in-client.ts
@@ -2,8 +2,8 @@
  * @file A stand-in client: opens flows with copies, sends requests on them with resends, and follows
  * the last token that it got, even where that is the wrong one.
  */
-import type { Address } from '../../common/address.js';
-import { formatAddress } from '../../common/address.js';
+import type { Address } from '../../shared/common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
 import {
   decodePacket,
   encodePacket,
@@ -11,7 +11,7 @@
   sealPacket,
   type PacketKind,
   type TokenPacket,
-} from '../../ingress/token-packet.js';
+} from '../../registered/ingress/token-packet.js';
 import type { StandInParts } from './world-parts.js';
 
 const COPY_DELAYS_MS = [0, 200, 600];
--- a/src/sim/ingress/stand-in-operator.ts
+++ b/src/proof/sim-registered/stand-in-operator.ts
@@ -2,8 +2,8 @@
  * @file A stand-in operator: declares configurations with rising versions, sends each again until it is
  * acknowledged, to any control machine, and reads the configuration now and then.
  */
-import { formatAddress, type Address } from '../../common/address.js';
-import type { DeclaredConfig, DeclaredRoute } from '../../declared/declared-config.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { DeclaredConfig, DeclaredRoute } from '../../registered/declared/declared-config.js';
 import { WARM_UP_MS, type CallControl } from './stand-in-backend.js';
 import type { StandInParts } from './world-parts.js';
 
--- a/src/sim/ingress/virtual-wires.ts
+++ b/src/proof/sim-registered/virtual-wires.ts
@@ -2,10 +2,10 @@
  * @file The network of the simulated deployment: datagrams and links between hosts, with delays, losses
  * and cuts that tell no one.
  */
-import { formatAddress, type Address } from '../../common/address.js';
-import { encodeFrame } from '../../common/frame-codec.js';
-import type { RandomSource } from '../../common/step.js';
-import type { VirtualClock } from '../virtual-clock.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { encodeFrame } from '../../shared/common/frame-codec.js';
+import type { RandomSource } from '../../shared/common/step.js';
+import type { VirtualClock } from '../virtual/virtual-clock.js';
 import { createStreamQueue, type StreamQueue, type Transfer } from './stream-queue.js';
 
 const DELAY_MS = 0.5;
--- a/src/sim/ingress/world-parts.ts
+++ b/src/proof/sim-registered/world-parts.ts
@@ -1,13 +1,13 @@
 /**
  * @file What the machines of the simulated deployment share.
  */
-import type { Address } from '../../common/address.js';
-import type { RandomSource } from '../../common/step.js';
-import type { DecisionFields } from '../../daemon/decision-log.js';
-import type { ColdBounds } from '../../ingress/cold-share.js';
-import { defaultPolicy, type IngressPolicy } from '../../ingress/policy.js';
-import type { Timing } from '../../group/timing.js';
-import type { VirtualClock } from '../virtual-clock.js';
+import type { Address } from '../../shared/common/address.js';
+import type { RandomSource } from '../../shared/common/step.js';
+import type { DecisionFields } from '../../registered/daemon/decision-log.js';
+import type { ColdBounds } from '../../registered/decisions/cold-share.js';
+import { defaultPolicy, type IngressPolicy } from '../../registered/decisions/policy.js';
+import type { Timing } from '../../registered/group/timing.js';
+import type { VirtualClock } from '../virtual/virtual-clock.js';
 import type { IngressOracle, OracleBounds } from './ingress-oracle.js';
 import type { VirtualWires } from './virtual-wires.js';
 
--- a/src/sim/ingress/zone-operator.ts
+++ b/src/proof/sim-registered/zone-operator.ts
@@ -2,7 +2,7 @@
  * @file A stand-in operator who empties zones and takes them back: each order is sent again, to any control machine,
  * until it is acknowledged, but not for longer than orders may be resent.
  */
-import type { ZoneOrderKind } from '../../group/zone-orders.js';
+import type { ZoneOrderKind } from '../../registered/group/zone-orders.js';
 import type { CallControl } from './stand-in-backend.js';
 import type { StandInParts } from './world-parts.js';
 
--- a/src/soak/link-proxy.ts
+++ b/src/proof/soak/link-proxy.ts
@@ -4,7 +4,7 @@
  */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { once } from 'node:events';
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 
 /** How the proxy treats what passes it. */
 export type ProxyMode =
--- a/src/soak/read-back.ts
+++ b/src/proof/soak/read-back.ts
@@ -1,10 +1,10 @@
 /**
  * @file Reads back what was acknowledged, from each control machine that answers, after everything.
  */
-import type { Address } from '../common/address.js';
-import { sendJson } from '../daemon/http-json.js';
-import type { ZoneReport } from '../group/group-messages.js';
-import type { IngressOracle } from '../sim/ingress/ingress-oracle.js';
+import type { Address } from '../../shared/common/address.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
+import type { ZoneReport } from '../../registered/group/group-messages.js';
+import type { IngressOracle } from '../sim-registered/ingress-oracle.js';
 import type { SoakClock } from './soak-clock.js';
 
 /** Whom to ask, and who judges. */
--- a/src/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -5,7 +5,7 @@
 import { mkdir, readFile, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { IngressOracle, IngressViolation } from '../sim/ingress/ingress-oracle.js';
+import type { IngressOracle, IngressViolation } from '../sim-registered/ingress-oracle.js';
 import { strike } from './soak-faults.js';
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
 import { startSoakWorld, type SoakPlace, type SoakWorld } from './soak-world.js';
--- a/src/soak/soak-calls.ts
+++ b/src/proof/soak/soak-calls.ts
@@ -1,13 +1,13 @@
 /**
  * @file The calls of stand-in back ends and operators, brought to real control machines over HTTP.
  */
-import type { Address } from '../common/address.js';
-import { formatAddress } from '../common/address.js';
-import type { RandomSource } from '../common/step.js';
-import { sendJson, type JsonRequest, type JsonResponse } from '../daemon/http-json.js';
-import type { GroupCall } from '../daemon/group-process.js';
-import type { GroupReply } from '../group/group-events.js';
-import type { CallControl } from '../sim/ingress/stand-in-backend.js';
+import type { Address } from '../../shared/common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
+import type { RandomSource } from '../../shared/common/step.js';
+import { sendJson, type JsonRequest, type JsonResponse } from '../../managed/daemon/http-json.js';
+import type { GroupCall } from '../../registered/daemon/group-process.js';
+import type { GroupReply } from '../../registered/group/group-events.js';
+import type { CallControl } from '../sim-registered/stand-in-backend.js';
 
 const CALL_TIMEOUT_MS = 1_000;
 const HTTP_OK = 200;
--- a/src/soak/soak-clock.ts
+++ b/src/proof/soak/soak-clock.ts
@@ -1,7 +1,7 @@
 /**
  * @file Real time for stand-ins, from 0 at the start of a soak, with timers that all end with it.
  */
-import type { StandInClock } from '../sim/ingress/world-parts.js';
+import type { StandInClock } from '../sim-registered/world-parts.js';
 
 /** A clock whose timers can be ended together. */
 export interface SoakClock extends StandInClock {
--- a/src/soak/soak-process.ts
+++ b/src/proof/soak/soak-process.ts
@@ -6,7 +6,7 @@
 import { closeSync, openSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 
-const ENTRY = fileURLToPath(new URL('../../../bin/amberlift.js', import.meta.url));
+const ENTRY = fileURLToPath(new URL('../../../../bin/amberlift.js', import.meta.url));
 
 /** What a process is started with. */
 export interface SoakProcessOptions {
--- a/src/soak/soak-schedule.ts
+++ b/src/proof/soak/soak-schedule.ts
@@ -3,8 +3,8 @@
  * by one and in series, as a roll of restarts or a storm of changes, and series overlap. Control machines that
  * are disturbed at the same time stay within what the deployment must bear.
  */
-import { seededRandom } from '../common/random.js';
-import type { RandomSource } from '../common/step.js';
+import { seededRandom } from '../../shared/common/random.js';
+import type { RandomSource } from '../../shared/common/step.js';
 
 /** What can happen to the processes and to what lies between them. */
 export const soakFaultKinds = [
--- a/src/soak/soak-wires.ts
+++ b/src/proof/soak/soak-wires.ts
@@ -3,9 +3,9 @@
  * packets at. A client takes a new port for each flow; of each host the last few sockets stay open.
  */
 import { createSocket, type Socket } from 'node:dgram';
-import { formatAddress, type Address } from '../common/address.js';
-import type { RandomSource } from '../common/step.js';
-import type { StandInWires } from '../sim/ingress/world-parts.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { RandomSource } from '../../shared/common/step.js';
+import type { StandInWires } from '../sim-registered/world-parts.js';
 
 /** The sockets of all stand-ins. */
 export interface SoakWires extends StandInWires {
--- a/src/soak/soak-world.ts
+++ b/src/proof/soak/soak-world.ts
@@ -4,22 +4,22 @@
  * process, judged by the oracle of the simulator.
  */
 import { join } from 'node:path';
-import { formatAddress, type Address } from '../common/address.js';
-import { seededRandom } from '../common/random.js';
-import { sendJson } from '../daemon/http-json.js';
-import { hashOfFlow } from '../sim/ingress/flow-hash.js';
-import { IngressOracle } from '../sim/ingress/ingress-oracle.js';
-import { SIMULATED_ZONES, turnCold, zoneOfBackend } from '../sim/ingress/simulated-zones.js';
-import { createZoneOperator, type ZoneOperator } from '../sim/ingress/zone-operator.js';
-import { StandInBackend, type CallControl } from '../sim/ingress/stand-in-backend.js';
-import { StandInClient } from '../sim/ingress/stand-in-client.js';
-import { SIMULATED_SERVICES, StandInOperator } from '../sim/ingress/stand-in-operator.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { seededRandom } from '../../shared/common/random.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
+import { hashOfFlow } from '../sim-registered/flow-hash.js';
+import { IngressOracle } from '../sim-registered/ingress-oracle.js';
+import { SIMULATED_ZONES, turnCold, zoneOfBackend } from '../sim-registered/simulated-zones.js';
+import { createZoneOperator, type ZoneOperator } from '../sim-registered/zone-operator.js';
+import { StandInBackend, type CallControl } from '../sim-registered/stand-in-backend.js';
+import { StandInClient } from '../sim-registered/stand-in-client.js';
+import { SIMULATED_SERVICES, StandInOperator } from '../sim-registered/stand-in-operator.js';
 import {
   smallIngressWorld,
   type IngressWorldOptions,
   type StandInParts,
   oracleBoundsOf,
-} from '../sim/ingress/world-parts.js';
+} from '../sim-registered/world-parts.js';
 import { startLinkProxy, type LinkProxy } from './link-proxy.js';
 import { createSoakCalls } from './soak-calls.js';
 import { createSoakClock, type SoakClock } from './soak-clock.js';
--- a/src/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -2,13 +2,13 @@
  * @file Faults of back ends, of the operator and of datagrams: the same beside real processes and in the
  * simulator, since the same stand-ins play them.
  */
-import type { Address } from '../common/address.js';
-import type { IngressOracle } from '../sim/ingress/ingress-oracle.js';
-import type { StandInBackend } from '../sim/ingress/stand-in-backend.js';
-import { SIMULATED_SERVICES, type StandInOperator } from '../sim/ingress/stand-in-operator.js';
-import type { StandInClock, StandInWires } from '../sim/ingress/world-parts.js';
-import { SIMULATED_ZONES } from '../sim/ingress/simulated-zones.js';
-import type { ZoneOperator } from '../sim/ingress/zone-operator.js';
+import type { Address } from '../../shared/common/address.js';
+import type { IngressOracle } from '../sim-registered/ingress-oracle.js';
+import type { StandInBackend } from '../sim-registered/stand-in-backend.js';
+import { SIMULATED_SERVICES, type StandInOperator } from '../sim-registered/stand-in-operator.js';
+import type { StandInClock, StandInWires } from '../sim-registered/world-parts.js';
+import { SIMULATED_ZONES } from '../sim-registered/simulated-zones.js';
+import type { ZoneOperator } from '../sim-registered/zone-operator.js';
 import type { SoakFaultKind } from './soak-schedule.js';
 
 /** What these faults need of a deployment. */
--- a/src/soak/virtual-soak.ts
+++ b/src/proof/soak/virtual-soak.ts
@@ -3,14 +3,14 @@
  * real processes, on virtual time, so that a seed gives one verdict on any machine.
  */
 import { match } from 'ts-pattern';
-import type { IngressWorld } from '../sim/ingress/ingress-world.js';
+import type { IngressWorld } from '../sim-registered/ingress-world.js';
 import {
   runWorld,
   type IngressRunReport,
   type WorldRun,
-} from '../sim/ingress/run-ingress-world.js';
-import type { SimulatedControlMachine } from '../sim/ingress/simulated-control-machine.js';
-import type { SimulatedIngressBalancer } from '../sim/ingress/simulated-ingress-balancer.js';
+} from '../sim-registered/run-ingress-world.js';
+import type { SimulatedControlMachine } from '../sim-registered/simulated-control-machine.js';
+import type { SimulatedIngressBalancer } from '../sim-registered/simulated-ingress-balancer.js';
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
 import { disturb, strikeStandIns } from './stand-in-faults.js';
 
--- a/src/standins/backend-drain.ts
+++ b/src/proof/standins/backend-drain.ts
@@ -4,7 +4,7 @@
  * are new work; flows that only hold a feed more slowly. What runs ends here. A flow that does not
  * leave is refused new work soon, and closed only after a long grace time.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 import { closeFlow } from './backend-flows.js';
 import { sendOnFlow, type BackendEffect } from './backend-send.js';
 import {
--- a/src/standins/backend-faults.ts
+++ b/src/proof/standins/backend-faults.ts
@@ -3,7 +3,7 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { BackendFaults } from './backend-options.js';
 
 const flag = z.enum(['true', 'false']).transform((text) => text === 'true');
--- a/src/standins/backend-feed.ts
+++ b/src/proof/standins/backend-feed.ts
@@ -3,8 +3,8 @@
  * that wait for an acknowledgement. Notices are sent again with backoff until they are acknowledged;
  * a gap that the log no longer covers is told, never skipped.
  */
-import type { StepContext } from '../common/step.js';
-import type { Message, RequestMessage } from '../flow/messages.js';
+import type { StepContext } from '../../shared/common/step.js';
+import type { Message, RequestMessage } from '../../managed/flow/messages.js';
 import { closeFlow } from './backend-flows.js';
 import {
   addRecord,
--- a/src/standins/backend-flows.ts
+++ b/src/proof/standins/backend-flows.ts
@@ -2,13 +2,13 @@
  * @file The flows of a stand-in back end: opens, ends, and the memory of ended flows. A token that
  * was used once is never taken again, so that late copies of an open and its requests run nothing.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
-import { encodeEnvelope, type Envelope } from '../flow/envelope.js';
-import type { ErrorKind } from '../flow/error-kinds.js';
-import { encodeLongHeader, parseLongHeader } from '../flow/header.js';
-import { encodeMessage, type Message } from '../flow/messages.js';
-import { readToken, TOKEN_LENGTH_BYTES, type TokenFields } from '../flow/token.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
+import { encodeEnvelope, type Envelope } from '../../managed/flow/envelope.js';
+import type { ErrorKind } from '../../shared/common/error-kinds.js';
+import { encodeLongHeader, parseLongHeader } from '../../managed/flow/header.js';
+import { encodeMessage, type Message } from '../../managed/flow/messages.js';
+import { readToken, TOKEN_LENGTH_BYTES, type TokenFields } from '../../managed/flow/token.js';
 import { RETRY_AFTER_MS, sendToClient, type BackendEffect } from './backend-send.js';
 import { hasUnfinishedRequest, type BackendFlow, type BackendState } from './backend-state.js';
 
--- a/src/standins/backend-options.ts
+++ b/src/proof/standins/backend-options.ts
@@ -1,7 +1,7 @@
 /**
  * @file Options of a stand-in back end: its size, its times, and the ways in which it may misbehave.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 
 /** Options of a stand-in back end; times in milliseconds. */
 export interface BackendOptions {
--- a/src/standins/backend-process.ts
+++ b/src/proof/standins/backend-process.ts
@@ -7,12 +7,12 @@
 import { randomInt } from 'node:crypto';
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { z } from 'zod';
-import type { Address } from '../common/address.js';
-import { readBody } from '../daemon/http-json.js';
-import { respondJson } from '../daemon/json-response.js';
-import { listenHttp } from '../daemon/http-server.js';
-import { systemContextSource } from '../daemon/system-context.js';
-import { bindUdp, type UdpSocket } from '../daemon/udp-socket.js';
+import type { Address } from '../../shared/common/address.js';
+import { readBody } from '../../managed/daemon/http-json.js';
+import { respondJson } from '../../shared/daemon/json-response.js';
+import { listenHttp } from '../../shared/daemon/http-server.js';
+import { systemContextSource } from '../../shared/daemon/system-context.js';
+import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 import type { BackendOptions } from './backend-options.js';
 import {
   createBackendState,
--- a/src/standins/backend-requests.ts
+++ b/src/proof/standins/backend-requests.ts
@@ -3,9 +3,13 @@
  * number of slots, behind a bounded queue. "Not run" is said only of a request that has not started,
  * and is kept, so that no later copy runs.
  */
-import type { StepContext } from '../common/step.js';
-import type { ErrorKind } from '../flow/error-kinds.js';
-import { REQUEST_ID_WINDOW, type Message, type RequestMessage } from '../flow/messages.js';
+import type { StepContext } from '../../shared/common/step.js';
+import type { ErrorKind } from '../../shared/common/error-kinds.js';
+import {
+  REQUEST_ID_WINDOW,
+  type Message,
+  type RequestMessage,
+} from '../../managed/flow/messages.js';
 import { RETRY_AFTER_MS, sendOnFlow, type BackendEffect } from './backend-send.js';
 import {
   noteBusySlots,
--- a/src/standins/backend-send.ts
+++ b/src/proof/standins/backend-send.ts
@@ -1,10 +1,10 @@
 /**
  * @file How a stand-in back end sends: directly to the fabric, or to the balancer that placed an open.
  */
-import type { Address } from '../common/address.js';
-import { encodeEnvelope } from '../flow/envelope.js';
-import { encodeShortHeader } from '../flow/header.js';
-import { encodeMessage, type Message } from '../flow/messages.js';
+import type { Address } from '../../shared/common/address.js';
+import { encodeEnvelope } from '../../managed/flow/envelope.js';
+import { encodeShortHeader } from '../../managed/flow/header.js';
+import { encodeMessage, type Message } from '../../managed/flow/messages.js';
 import type { BackendFlow, BackendState } from './backend-state.js';
 
 /** When a caller that was refused is told to come back, in milliseconds. */
--- a/src/standins/backend-state.ts
+++ b/src/proof/standins/backend-state.ts
@@ -2,9 +2,9 @@
  * @file The state of a stand-in back end: slots, connections, feeds, and a record of each request,
  * by which it runs every request at most once.
  */
-import type { Address } from '../common/address.js';
-import type { Message } from '../flow/messages.js';
-import type { HealthReport, LoadReport } from '../health/backend-report.js';
+import type { Address } from '../../shared/common/address.js';
+import type { Message } from '../../managed/flow/messages.js';
+import type { HealthReport, LoadReport } from '../../managed/health/backend-report.js';
 import {
   defaultBackendTuning,
   type BackendOptions,
--- a/src/standins/backend-step.ts
+++ b/src/proof/standins/backend-step.ts
@@ -3,12 +3,12 @@
  * keeps feeds, drains, and answers directly to the fabric.
  */
 import { match, P } from 'ts-pattern';
-import { formatAddress, type Address } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
-import { decodeEnvelope, type Envelope } from '../flow/envelope.js';
-import { hasLongHeader, parseShortHeader } from '../flow/header.js';
-import { decodeMessage, type Message } from '../flow/messages.js';
-import { TOKEN_LENGTH_BYTES } from '../flow/token.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
+import { decodeEnvelope, type Envelope } from '../../managed/flow/envelope.js';
+import { hasLongHeader, parseShortHeader } from '../../managed/flow/header.js';
+import { decodeMessage, type Message } from '../../managed/flow/messages.js';
+import { TOKEN_LENGTH_BYTES } from '../../managed/flow/token.js';
 import { drainTick, requestDrain } from './backend-drain.js';
 import {
   cancelFeed,
--- a/src/standins/caller-feed.ts
+++ b/src/proof/standins/caller-feed.ts
@@ -3,8 +3,12 @@
  * whichever flow they come on. A move subscribes on the new flow first, after the last notice that
  * the caller has; only once that is confirmed does the old subscription end.
  */
-import type { StepContext } from '../common/step.js';
-import type { AnswerMessage, RefuseMessage, SubscribedMessage } from '../flow/messages.js';
+import type { StepContext } from '../../shared/common/step.js';
+import type {
+  AnswerMessage,
+  RefuseMessage,
+  SubscribedMessage,
+} from '../../managed/flow/messages.js';
 import {
   closeFlow,
   leaveFlow,
--- a/src/standins/caller-flows.ts
+++ b/src/proof/standins/caller-flows.ts
@@ -2,11 +2,15 @@
  * @file The flows of a stand-in caller: opening one, moving to another one make-before-break, and
  * closing what is no longer needed.
  */
-import type { StepContext } from '../common/step.js';
-import { answerFor, type ErrorKind } from '../flow/error-kinds.js';
-import { encodeLongHeader, FLOW_ID_LENGTH_BYTES, parseLongHeader } from '../flow/header.js';
-import { decodeMessage, encodeMessage, type RefuseMessage } from '../flow/messages.js';
-import { TOKEN_LENGTH_BYTES } from '../flow/token.js';
+import type { StepContext } from '../../shared/common/step.js';
+import { answerFor, type ErrorKind } from '../../shared/common/error-kinds.js';
+import {
+  encodeLongHeader,
+  FLOW_ID_LENGTH_BYTES,
+  parseLongHeader,
+} from '../../managed/flow/header.js';
+import { decodeMessage, encodeMessage, type RefuseMessage } from '../../managed/flow/messages.js';
+import { TOKEN_LENGTH_BYTES } from '../../managed/flow/token.js';
 import { endRequest, endUnknown } from './caller-request.js';
 import {
   closeFlow,
--- a/src/standins/caller-process.ts
+++ b/src/proof/standins/caller-process.ts
@@ -3,15 +3,15 @@
  * to the session that opened its flow.
  */
 import { match } from 'ts-pattern';
-import type { Address } from '../common/address.js';
-import { systemContextSource } from '../daemon/system-context.js';
-import { bindUdp, type UdpSocket } from '../daemon/udp-socket.js';
+import type { Address } from '../../shared/common/address.js';
+import { systemContextSource } from '../../shared/daemon/system-context.js';
+import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 import {
   FLOW_ID_LENGTH_BYTES,
   hasLongHeader,
   parseLongHeader,
   parseShortHeader,
-} from '../flow/header.js';
+} from '../../managed/flow/header.js';
 import {
   createCallerState,
   type CallerOptions,
--- a/src/standins/caller-request.ts
+++ b/src/proof/standins/caller-request.ts
@@ -2,9 +2,9 @@
  * @file The requests of a stand-in caller, one after the other. A request stays on the flow that it
  * was sent on; it goes to another one only once it was told that it surely did not run there.
  */
-import type { StepContext } from '../common/step.js';
-import { answerFor, type ErrorKind } from '../flow/error-kinds.js';
-import type { AnswerMessage, RefuseMessage } from '../flow/messages.js';
+import type { StepContext } from '../../shared/common/step.js';
+import { answerFor, type ErrorKind } from '../../shared/common/error-kinds.js';
+import type { AnswerMessage, RefuseMessage } from '../../managed/flow/messages.js';
 import {
   closeFlow,
   hasBegunAllRequests,
--- a/src/standins/caller-state.ts
+++ b/src/proof/standins/caller-state.ts
@@ -2,10 +2,10 @@
  * @file The state of a stand-in caller: one session, which opens a flow, sends requests one after
  * the other, may hold a feed, and moves to another flow when it is told to.
  */
-import type { StepContext } from '../common/step.js';
-import type { ErrorKind } from '../flow/error-kinds.js';
-import { encodeShortHeader } from '../flow/header.js';
-import { encodeMessage, type Message } from '../flow/messages.js';
+import type { StepContext } from '../../shared/common/step.js';
+import type { ErrorKind } from '../../shared/common/error-kinds.js';
+import { encodeShortHeader } from '../../managed/flow/header.js';
+import { encodeMessage, type Message } from '../../managed/flow/messages.js';
 import { RetransmitTimer } from './retransmit-timer.js';
 
 const DEFAULT_MAX_RETRANSMIT_FACTOR = 8;
--- a/src/standins/caller-step.ts
+++ b/src/proof/standins/caller-step.ts
@@ -4,9 +4,13 @@
  * each request's outcome and each notice.
  */
 import { match } from 'ts-pattern';
-import type { StepContext } from '../common/step.js';
-import { FLOW_ID_LENGTH_BYTES, hasLongHeader, parseShortHeader } from '../flow/header.js';
-import { decodeMessage, type Message } from '../flow/messages.js';
+import type { StepContext } from '../../shared/common/step.js';
+import {
+  FLOW_ID_LENGTH_BYTES,
+  hasLongHeader,
+  parseShortHeader,
+} from '../../managed/flow/header.js';
+import { decodeMessage, type Message } from '../../managed/flow/messages.js';
 import { feedTick, handleFeedRefusal, handleNotice, handleSubscribed } from './caller-feed.js';
 import { flowsTick, handleClose, handleOpenReply } from './caller-flows.js';
 import { handleAnswer, handleRequestRefusal, requestTick } from './caller-request.js';
--- a/src/standins/fabric-process.ts
+++ b/src/proof/standins/fabric-process.ts
@@ -4,13 +4,13 @@
  * experiment the balancers to which packets are lost (`POST /cut`).
  */
 import { z } from 'zod';
-import { addressSchema } from '../common/address-schema.js';
-import { formatAddress, type Address } from '../common/address.js';
-import { readBody } from '../daemon/http-json.js';
-import { respondJson } from '../daemon/json-response.js';
-import { listenHttp } from '../daemon/http-server.js';
-import { systemContextSource } from '../daemon/system-context.js';
-import { bindUdp, type UdpSocket } from '../daemon/udp-socket.js';
+import { addressSchema } from '../../shared/common/address-schema.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { readBody } from '../../managed/daemon/http-json.js';
+import { respondJson } from '../../shared/daemon/json-response.js';
+import { listenHttp } from '../../shared/daemon/http-server.js';
+import { systemContextSource } from '../../shared/daemon/system-context.js';
+import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 import {
   createFabricState,
   fabricStep,
--- a/src/standins/fabric-step.ts
+++ b/src/proof/standins/fabric-step.ts
@@ -3,9 +3,9 @@
  * balancers, and hands answers to callers. Its list of balancers may lag.
  */
 import { match } from 'ts-pattern';
-import { formatAddress, type Address } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
-import { decodeEnvelope, encodeEnvelope } from '../flow/envelope.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
+import { decodeEnvelope, encodeEnvelope } from '../../managed/flow/envelope.js';
 
 /** A balancer as the fabric lists it. */
 export interface FabricBalancer {
--- a/src/standins/retransmit-timer.ts
+++ b/src/proof/standins/retransmit-timer.ts
@@ -2,7 +2,7 @@
  * @file When a packet that no one has answered is sent again: exponential backoff with jitter, so
  * that a slow peer is not met by a storm of copies.
  */
-import type { StepContext } from '../common/step.js';
+import type { StepContext } from '../../shared/common/step.js';
 
 const GROWTH_FACTOR = 2;
 /** Each delay is spread by this share to both sides, so that many senders don't fall into step. */
--- a/src/standins/workload.ts
+++ b/src/proof/standins/workload.ts
@@ -4,7 +4,7 @@
  */
 import { Packr } from 'msgpackr';
 import { z } from 'zod';
-import { MAX_PAYLOAD_BYTES } from '../flow/messages.js';
+import { MAX_PAYLOAD_BYTES } from '../../managed/flow/messages.js';
 
 const workSchema = z.strictObject({
   /** Name of the service that the request is meant for. */
--- a/src/sim/virtual-disk.ts
+++ b/src/proof/virtual/virtual-disk.ts
@@ -2,8 +2,8 @@
  * @file The virtual disk of a control machine. What was not synced may be lost in a crash, the last
  * bytes written may be torn, a rename counts only once the folder is synced, and the disk may be full.
  */
-import type { RandomSource } from '../common/step.js';
-import type { StorageFolder } from '../daemon/storage-folder.js';
+import type { RandomSource } from '../../shared/common/step.js';
+import type { StorageFolder } from '../../shared/daemon/storage-folder.js';
 import type { VirtualClock } from './virtual-clock.js';
 
 const WRITE_MS = 0.05;
--- a/src/sim/virtual-network.ts
+++ b/src/proof/virtual/virtual-network.ts
@@ -2,8 +2,8 @@
  * @file The virtual network: delays by zone, datagrams that are lost, doubled and reordered, and cuts
  * between hosts that tell no one.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import type { RandomSource } from '../common/step.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { RandomSource } from '../../shared/common/step.js';
 import type { VirtualClock } from './virtual-clock.js';
 
 /** How datagrams are treated; shares from 0 to 1, times in milliseconds. */
--- a/src/daemon/call-listener.ts
+++ b/src/registered/daemon/call-listener.ts
@@ -8,7 +8,7 @@
   RequestListener,
   ServerResponse,
 } from 'node:http';
-import { amberliftError, answerFor, type ErrorKind } from '../flow/error-kinds.js';
+import { amberliftError, answerFor, type ErrorKind } from '../../shared/common/error-kinds.js';
 import type { GroupReply } from '../group/group-events.js';
 import type { GroupCall } from './group-process.js';
 
--- a/src/daemon/decision-log.ts
+++ b/src/registered/daemon/decision-log.ts
@@ -3,7 +3,7 @@
  * `name=value`. Key and value were chosen over JSON since they cost less to write and read as sentences.
  * Each line ends with the time since the process started, on a clock that never jumps.
  */
-import { loggerFor, type Logger, type LogPart } from '../common/logger.js';
+import { loggerFor, type Logger, type LogPart } from '../../shared/common/logger.js';
 
 /** The inputs of a decision. */
 export type DecisionFields = Readonly<Record<string, string | number | boolean | undefined>>;
--- a/src/daemon/declared-api.ts
+++ b/src/registered/daemon/declared-api.ts
@@ -8,8 +8,8 @@
  *   what works there; with the same token.
  */
 import * as z from 'zod/mini';
-import { parseAddress } from '../common/address.js';
-import { describeFaults } from '../common/schema-faults.js';
+import { parseAddress } from '../../shared/common/address.js';
+import { describeFaults } from '../../shared/common/schema-faults.js';
 import { parseDeclaredConfig } from '../declared/parse-config.js';
 import {
   decodePathPart,
--- a/src/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -1,8 +1,8 @@
 /**
  * @file The link of a balancer to the control machine that feeds it: opened where the source says, answered,
- * told what passes the balancer, and given up. What a message means is decided in `src/ingress`.
+ * told what passes the balancer, and given up. What a message means is decided in `src/registered/ingress`.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import { NO_VERSION } from '../declared/config-update.js';
 import { unpackFeed } from '../group/feed-codec.js';
 import type { BalancerLinkMessage, FeedMessage } from '../group/group-messages.js';
@@ -10,7 +10,7 @@
 import { createLoadReporter, type LoadReporter } from '../ingress/load-reporter.js';
 import { FEED_RETRY_AFTER_MS, FeedSource } from '../ingress/feed-source.js';
 import { isReady, type IngressState } from '../ingress/ingress-state.js';
-import { hashText } from '../membership/rendezvous.js';
+import { hashText } from '../../shared/common/rendezvous.js';
 import type { DecisionFields } from './decision-log.js';
 import type { RequestLog } from './request-log.js';
 
--- a/src/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -5,8 +5,8 @@
  */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
-import type { Address } from '../common/address.js';
-import { encodeFrame, FrameDecoder, pulseFrame } from '../common/frame-codec.js';
+import type { Address } from '../../shared/common/address.js';
+import { encodeFrame, FrameDecoder, pulseFrame } from '../../shared/common/frame-codec.js';
 import type { Timing } from '../group/timing.js';
 
 /** Times and bounds of links. */
--- a/src/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -4,24 +4,24 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Result } from 'neverthrow';
-import { formatAddress, type Address } from '../common/address.js';
-import { createDialedLinks } from '../common/dialed-links.js';
-import { encodeFrame } from '../common/frame-codec.js';
-import { createLinkTable } from '../common/link-table.js';
-import type { PersistEffect } from '../consensus/persisted-state.js';
-import type { AmberliftError } from '../flow/error-kinds.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import { createDialedLinks } from '../../shared/common/dialed-links.js';
+import { encodeFrame } from '../../shared/common/frame-codec.js';
+import { createLinkTable } from '../../shared/common/link-table.js';
+import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
+import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import type { GroupReply } from '../group/group-events.js';
 import { createGroupState, firstStorageId, type GroupOptions } from '../group/group-state.js';
 import { isFirstMember } from '../group/membership-duties.js';
 import { packFeed } from '../group/feed-codec.js';
 import { isBalancerLinkMessage, type FeedMessage } from '../group/group-messages.js';
 import { parseControlInbound } from '../group/message-schemas.js';
-import { ConsensusStorage } from './consensus-storage.js';
+import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
 import { logDecision } from './decision-log.js';
 import { frameLinkOptions, FrameLinks, type FrameLink } from './frame-links.js';
 import { GroupProcess, type GroupCall, type GroupSurroundings } from './group-process.js';
-import { openStorageFolder } from './storage-folder.js';
-import { systemContextSource } from './system-context.js';
+import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
+import { systemContextSource } from '../../shared/daemon/system-context.js';
 
 const TICK_INTERVAL_MS = 50;
 const RETRY_WRITE_AFTER_MS = 200;
--- a/src/daemon/group-process.ts
+++ b/src/registered/daemon/group-process.ts
@@ -2,10 +2,10 @@
  * @file A control machine of a group without its sockets and its disk: it carries out the effects of the
  * group step through its surroundings, which are real in the daemon and virtual in the simulator.
  */
-import type { Address } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
-import type { PersistEffect } from '../consensus/persisted-state.js';
-import type { LinkId } from '../common/link-table.js';
+import type { Address } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
+import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
+import type { LinkId } from '../../shared/common/link-table.js';
 import type { GroupEffect, GroupEvent, GroupReply, RequestId } from '../group/group-events.js';
 import type { BalancerLinkMessage, FeedMessage, PeerMessage } from '../group/group-messages.js';
 import type { GroupState } from '../group/group-state.js';
--- a/src/daemon/ingress-daemon.ts
+++ b/src/registered/daemon/ingress-daemon.ts
@@ -3,7 +3,7 @@
  * process.
  */
 import { Packr } from 'msgpackr';
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import { parseBalancerMessage, type BalancerMessage } from '../group/message-schemas.js';
 import type { Timing } from '../group/timing.js';
 import { logDecision, logLine } from './decision-log.js';
@@ -11,7 +11,7 @@
 import type { PacketCodec } from '../ingress/packet-codec.js';
 import { IngressProcess, type IngressProcessOptions } from './ingress-process.js';
 import { createRequestLog, defaultLineBudget } from './request-log.js';
-import { bindUdp, type UdpSocket } from './udp-socket.js';
+import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
 /** Where a balancer listens besides. */
 export interface IngressDaemonOptions extends IngressProcessOptions {
--- a/src/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -1,9 +1,9 @@
 /**
- * @file A balancer without its sockets: it carries out the decisions of `src/ingress` through its
+ * @file A balancer without its sockets: it carries out the decisions of `src/registered/ingress` through its
  * surroundings, which are real in the daemon and virtual in the simulator. The packet format comes in as
  * a codec.
  */
-import { unpackHost, type Address } from '../common/address.js';
+import { unpackHost, type Address } from '../../shared/common/address.js';
 import type { BalancerMessage } from '../group/message-schemas.js';
 import { ingressSweep } from '../ingress/feed-step.js';
 import {
--- a/src/daemon/metrics/group-metrics.ts
+++ b/src/registered/daemon/metrics/group-metrics.ts
@@ -2,12 +2,15 @@
  * @file The metrics of a control machine of a group.
  */
 import { collectDefaultMetrics, Histogram, Registry } from 'prom-client';
-import { votersOf } from '../../consensus/membership.js';
-import { currentMembership } from '../../consensus/consensus-state.js';
+import { votersOf } from '../../../shared/consensus/membership.js';
+import { currentMembership } from '../../../shared/consensus/consensus-state.js';
 import { isCurrent, type GroupState } from '../../group/group-state.js';
 import type { GroupObserver, GroupProcess } from '../group-process.js';
-import type { MetricsSource } from './metrics-listener.js';
-import { registerLabelledValues, registerValue } from './state-gauge.js';
+import type { MetricsSource } from '../../../shared/daemon/metrics/metrics-listener.js';
+import {
+  registerLabelledValues,
+  registerValue,
+} from '../../../shared/daemon/metrics/state-gauge.js';
 
 const MS_PER_SECOND = 1_000;
 const LATENCY_BUCKETS_S = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
--- a/src/daemon/metrics/ingress-metrics.ts
+++ b/src/registered/daemon/metrics/ingress-metrics.ts
@@ -2,12 +2,16 @@
  * @file The metrics of a balancer that forwards by 32-bit tokens.
  */
 import { collectDefaultMetrics, Registry } from 'prom-client';
-import { fleetSignals } from '../../ingress/fleet-signals.js';
+import { fleetSignals } from '../../decisions/fleet-signals.js';
 import type { BackendSignals } from '../../load-exchange/backend-signals.js';
 import { knowsCurrent } from '../../ingress/ingress-state.js';
 import type { IngressProcess } from '../ingress-process.js';
-import type { MetricsSource } from './metrics-listener.js';
-import { registerLabelledValues, registerValue, type LabelledValue } from './state-gauge.js';
+import type { MetricsSource } from '../../../shared/daemon/metrics/metrics-listener.js';
+import {
+  registerLabelledValues,
+  registerValue,
+  type LabelledValue,
+} from '../../../shared/daemon/metrics/state-gauge.js';
 
 const MS_PER_SECOND = 1_000;
 
--- a/src/daemon/metrics/late-metrics.ts
+++ b/src/registered/daemon/metrics/late-metrics.ts
@@ -4,7 +4,7 @@
 import type { RequestListener } from 'node:http';
 import type { GroupDaemon } from '../group-daemon.js';
 import type { IngressDaemon } from '../ingress-daemon.js';
-import { createMetricsListener } from './metrics-listener.js';
+import { createMetricsListener } from '../../../shared/daemon/metrics/metrics-listener.js';
 
 const nowMs = () => performance.now();
 
--- a/src/daemon/open-sharing.ts
+++ b/src/registered/daemon/open-sharing.ts
@@ -2,7 +2,7 @@
  * @file How balancers share the memory of opens: the one that places an open tells its holders, one that gets
  * a copy which it does not know holds it for a moment and asks them.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { OpenMessage } from '../group/message-schemas.js';
 import type { IngressState } from '../ingress/ingress-state.js';
 import { CLAIM_MS, createOpenClaims } from '../ingress/open-claims.js';
--- a/src/daemon/paced-sender.ts
+++ b/src/registered/daemon/paced-sender.ts
@@ -2,7 +2,7 @@
  * @file Sends datagrams no faster than the link of the machine carries them: the timer and the socket
  * around the packet scheduler. Without a rate everything is sent at once.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import {
   createPacketScheduler,
   type PacketLabel,
--- a/src/daemon/zone-gossip.ts
+++ b/src/registered/daemon/zone-gossip.ts
@@ -5,7 +5,7 @@
  *
  * Whoever knows newer orders wins, so nobody needs to know who is right.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type { ToldZone } from '../group/group-messages.js';
 import type { BalancerMessage } from '../group/message-schemas.js';
 import { knowsCurrent, type IngressState } from '../ingress/ingress-state.js';
--- a/src/ingress/answer-sizes.ts
+++ b/src/registered/decisions/answer-sizes.ts
@@ -3,7 +3,7 @@
  * back end that refuses or fails most of what it gets looks fast and idle; but such answers say little, so the bytes
  * that a client acknowledges tell them from what its route is there for.
  */
-import type { RouteKey } from './packet-view.js';
+import type { RouteKey } from '../ingress/packet-view.js';
 
 /** What is usual on each route. */
 export interface AnswerSizes {
--- a/src/ingress/answer-times.ts
+++ b/src/registered/decisions/answer-times.ts
@@ -6,7 +6,7 @@
  * The time holds what a request waits there as well, so a fast back end that is crowded counts as slower by itself.
  */
 import type { BackendSignals } from '../load-exchange/backend-signals.js';
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 import type { ShownBackend } from './fleet-signals.js';
 
 /** How long a back end takes, as a share of what its service takes on average: 2 is twice as slow. */
--- a/src/ingress/cold-share.ts
+++ b/src/registered/decisions/cold-share.ts
@@ -8,9 +8,9 @@
  * not fit goes to other back ends.
  */
 import type { ServiceWarmUp } from '../declared/declared-config.js';
-import type { KnownBackend } from './backend-table.js';
-import type { PeerTable } from './peer-table.js';
-import type { ZoneTable } from './zone-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
+import type { PeerTable } from '../ingress/peer-table.js';
+import type { ZoneTable } from '../ingress/zone-table.js';
 
 /** How much a cold back end may be given. */
 export interface ColdBounds {
--- a/src/ingress/dead-flow.ts
+++ b/src/registered/decisions/dead-flow.ts
@@ -6,7 +6,7 @@
  * again while it is slow, or a link loses. Two sources that do not share a path are needed: what control machines
  * say of its heartbeats, and a client whose data nobody takes.
  */
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 import type { IngressPolicy } from './policy.js';
 
 /** Data that a client has sent, and sends again where nobody has acknowledged it. */
--- a/src/ingress/failing-backends.ts
+++ b/src/registered/decisions/failing-backends.ts
@@ -11,7 +11,7 @@
  * over for twice as long each time that it fails again.
  */
 import type { BackendSignals } from '../load-exchange/backend-signals.js';
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 import type { ShownBackend } from './fleet-signals.js';
 
 /** Says which back ends to pass over. */
--- a/src/ingress/fleet-signals.ts
+++ b/src/registered/decisions/fleet-signals.ts
@@ -2,7 +2,7 @@
  * @file How a back end answers at all balancers together.
  */
 import type { BackendSignals } from '../load-exchange/backend-signals.js';
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 
 /** @returns what is seen here, and what was told of all others */
 export function fleetSignals({ answers, others }: KnownBackend, nowMs: number): BackendSignals {
--- a/src/ingress/placement.ts
+++ b/src/registered/decisions/placement.ts
@@ -7,7 +7,7 @@
  * send all opens of that time to the same one. It decides between zones, whose sums change slowly.
  */
 import type { Liveness } from '../registry/backend-liveness.js';
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 import { drawBySpeed } from './speed-draw.js';
 import { withoutOutliers } from './outliers.js';
 import { createFailingBackends, type FailingBackends } from './failing-backends.js';
--- a/src/ingress/policy.ts
+++ b/src/registered/decisions/policy.ts
@@ -3,7 +3,7 @@
  * mechanism is worth is measured by settings and not by edits.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 /** What each mechanism may be; the first is the default. */
 export const policyChoices = {
--- a/src/ingress/service-judgement.ts
+++ b/src/registered/decisions/service-judgement.ts
@@ -6,7 +6,7 @@
  * What must hold for each flow, such as who leaves, is cold or busy here, is not part of it.
  */
 import { relativeTimes } from './answer-times.js';
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 import { showAll } from './fleet-signals.js';
 import type { FailingBackends } from './failing-backends.js';
 
--- a/src/ingress/speed-draw.ts
+++ b/src/registered/decisions/speed-draw.ts
@@ -8,9 +8,9 @@
  * crowded takes longer and is drawn less often. With a third of 30 back ends more than twice as fast as the rest
  * and half of the slots in use, requests take 35 ms on average where least load gives 48 ms, and 0.9 % take longer than
  * 250 ms in place of 1.6 %; with equal ones there is no difference. The better of two that are drawn by speed took
- * 48 to 56 ms there at equal ones: all balancers went for the same estimates (`test/ingress/choice-load`).
+ * 48 to 56 ms there at equal ones: all balancers went for the same estimates (`test/registered/decisions/choice-load`).
  */
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 import type { SpeedWeights } from './service-judgement.js';
 
 /** What a choice follows from, beside the back ends. */
--- a/src/ingress/zone-choice.ts
+++ b/src/registered/decisions/zone-choice.ts
@@ -2,7 +2,7 @@
  * @file Which zones the back end of a new flow is looked for in: the own one, others only where it has none or is
  * clearly busier.
  */
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from '../ingress/backend-table.js';
 import type { IngressPolicy } from './policy.js';
 
 /** Narrows back ends to those of the zones that come first. */
--- a/src/declared/check-config.ts
+++ b/src/registered/declared/check-config.ts
@@ -2,7 +2,7 @@
  * @file What a declared configuration must fulfil beyond its form.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { DeclaredConfig, DeclaredRoute } from './declared-config.js';
 
 /**
--- a/src/declared/parse-config.ts
+++ b/src/registered/declared/parse-config.ts
@@ -3,8 +3,8 @@
  */
 import { err, type Result } from 'neverthrow';
 import * as z from 'zod/mini';
-import { describeFaults } from '../common/schema-faults.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { describeFaults } from '../../shared/common/schema-faults.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { checkDeclaredConfig } from './check-config.js';
 import type { DeclaredConfig } from './declared-config.js';
 
--- a/src/egress/sent-copies.ts
+++ b/src/registered/egress/sent-copies.ts
@@ -4,7 +4,7 @@
  * fullest of 80 balancers, with links of 1.5 megabits a second, 2,716 were such copies. A packet that was lost behind the
  * link is sent again with a later copy.
  */
-import { createPeriodMap } from '../common/period-map.js';
+import { createPeriodMap } from '../../shared/common/period-map.js';
 import type { WaitingPacket } from './flow-queues.js';
 
 /** What left lately. */
--- a/src/group/balancer-feed.ts
+++ b/src/registered/group/balancer-feed.ts
@@ -6,7 +6,7 @@
  * that say something, and no more than a few are under way to it. What it can't be told yet waits as news,
  * merged, and holds up nobody else.
  */
-import type { LinkId } from '../common/link-table.js';
+import type { LinkId } from '../../shared/common/link-table.js';
 import { partOf, type ConfigPart, type ConfigUpdate } from '../declared/config-update.js';
 import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
 import { createLoadOutlet } from '../load-exchange/load-outlet.js';
--- a/src/group/balancer-list.ts
+++ b/src/registered/group/balancer-list.ts
@@ -2,7 +2,7 @@
  * @file Which balancers there are: each control machine tells the others which ones it feeds, and tells
  * those that it feeds which ones came and went.
  */
-import { formatAddress } from '../common/address.js';
+import { formatAddress } from '../../shared/common/address.js';
 import type { GroupEffect } from './group-events.js';
 import type { BalancerInfo, PeerMessage } from './group-messages.js';
 import { otherMembers, type GroupState } from './group-state.js';
--- a/src/group/feed-codec.ts
+++ b/src/registered/group/feed-codec.ts
@@ -3,7 +3,7 @@
  * sorted numbers as differences. A whole state takes a sixth of what the messages take field by field, which
  * is what decides how long a link of a few megabits needs for it.
  */
-import { packHost, unpackHost, type Address } from '../common/address.js';
+import { packHost, unpackHost, type Address } from '../../shared/common/address.js';
 import type { ConfigPart, RouteChange } from '../declared/config-update.js';
 import type { WeightedTarget } from '../declared/declared-config.js';
 import type { ServiceWarmUp } from '../declared/declared-config.js';
--- a/src/group/feed-parts.ts
+++ b/src/registered/group/feed-parts.ts
@@ -2,8 +2,8 @@
  * @file What a message to balancers says of each back end, balancer and control machine that it names, looked
  * up when the message is made.
  */
-import { formatAddress } from '../common/address.js';
-import { currentMembership } from '../consensus/consensus-state.js';
+import { formatAddress } from '../../shared/common/address.js';
+import { currentMembership } from '../../shared/consensus/consensus-state.js';
 import type { BackendJudgement } from '../registry/backend-liveness.js';
 import type { Departure } from '../registry/backend-record.js';
 import type { FeedNews } from './feed-news.js';
--- a/src/group/group-consensus.ts
+++ b/src/registered/group/group-consensus.ts
@@ -3,13 +3,13 @@
  * replicated state and answer the calls behind them, messages go out, snapshots are taken in time.
  */
 import { match } from 'ts-pattern';
-import type { StepContext } from '../common/step.js';
-import type { ConsensusEffect, ConsensusEvent } from '../consensus/consensus-events.js';
-import { consensusStep } from '../consensus/consensus-step.js';
-import { currentMembership } from '../consensus/consensus-state.js';
-import type { LogEntry } from '../consensus/log.js';
-import { findMember, votersOf } from '../consensus/membership.js';
-import type { ConsensusMessage } from '../consensus/messages.js';
+import type { StepContext } from '../../shared/common/step.js';
+import type { ConsensusEffect, ConsensusEvent } from '../../shared/consensus/consensus-events.js';
+import { consensusStep } from '../../shared/consensus/consensus-step.js';
+import { currentMembership } from '../../shared/consensus/consensus-state.js';
+import type { LogEntry } from '../../shared/consensus/log.js';
+import { findMember, votersOf } from '../../shared/consensus/membership.js';
+import type { ConsensusMessage } from '../../shared/consensus/messages.js';
 import type { GroupEffect } from './group-events.js';
 import type { LeaderAnswer, PeerMessage } from './group-messages.js';
 import type { GroupState } from './group-state.js';
--- a/src/group/group-events.ts
+++ b/src/registered/group/group-events.ts
@@ -1,9 +1,9 @@
 /**
  * @file Events and effects of the step of a control machine of a group.
  */
-import type { Address } from '../common/address.js';
-import type { LinkId } from '../common/link-table.js';
-import type { PersistEffect, PersistEvent } from '../consensus/persisted-state.js';
+import type { Address } from '../../shared/common/address.js';
+import type { LinkId } from '../../shared/common/link-table.js';
+import type { PersistEffect, PersistEvent } from '../../shared/consensus/persisted-state.js';
 import type { BackendRecord } from '../registry/backend-record.js';
 import type {
   FeedMessage,
--- a/src/group/group-messages.ts
+++ b/src/registered/group/group-messages.ts
@@ -2,8 +2,8 @@
  * @file Messages of the control group: among control machines, and between a control machine and the
  * balancers that it feeds. They travel as MessagePack in frames over TCP.
  */
-import type { Address } from '../common/address.js';
-import type { ConsensusMessage, Sender } from '../consensus/messages.js';
+import type { Address } from '../../shared/common/address.js';
+import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
 import type { ConfigPart } from '../declared/config-update.js';
 import type { PackedLoads } from '../load-exchange/backend-load.js';
 import type { PackedSignals } from '../load-exchange/backend-signals.js';
--- a/src/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -1,17 +1,17 @@
 /**
  * @file The state of a control machine of a group, and its options.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import type { LinkId } from '../common/link-table.js';
-import { createStallGuard, type StallGuard } from '../common/stall-guard.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { LinkId } from '../../shared/common/link-table.js';
+import { createStallGuard, type StallGuard } from '../../shared/common/stall-guard.js';
 import {
   createConsensusState,
   currentMembership,
   type ConsensusOptions,
   type ConsensusState,
-} from '../consensus/consensus-state.js';
-import { findMember, type Member, type NodeId } from '../consensus/membership.js';
-import type { RecoveredState } from '../consensus/persisted-state.js';
+} from '../../shared/consensus/consensus-state.js';
+import { findMember, type Member, type NodeId } from '../../shared/consensus/membership.js';
+import type { RecoveredState } from '../../shared/consensus/persisted-state.js';
 import type { DeclaredConfig } from '../declared/declared-config.js';
 import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
 import { createLoadOutlet, type LoadOutlet } from '../load-exchange/load-outlet.js';
--- a/src/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -3,11 +3,11 @@
  * of the other control machines, links of balancers, and the disk.
  */
 import { match } from 'ts-pattern';
-import { formatAddress } from '../common/address.js';
-import type { StepContext } from '../common/step.js';
-import type { ConsensusEvent } from '../consensus/consensus-events.js';
-import { currentMembership } from '../consensus/consensus-state.js';
-import { findMember } from '../consensus/membership.js';
+import { formatAddress } from '../../shared/common/address.js';
+import type { StepContext } from '../../shared/common/step.js';
+import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
+import { currentMembership } from '../../shared/consensus/consensus-state.js';
+import { findMember } from '../../shared/consensus/membership.js';
 import { isLaterDeparture, type BackendRecord } from '../registry/backend-record.js';
 import {
   addSubscriber,
--- a/src/group/leader-requests.ts
+++ b/src/registered/group/leader-requests.ts
@@ -4,7 +4,7 @@
  * to another machine.
  */
 import { match } from 'ts-pattern';
-import type { ConsensusEvent } from '../consensus/consensus-events.js';
+import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
 import type { GroupEffect, GroupReply, RequestId } from './group-events.js';
 import type { LeaderAnswer, LeaderRequest, PeerMessage } from './group-messages.js';
 import { leaderAddress, type AnswerTo, type GroupState } from './group-state.js';
--- a/src/group/load-duties.ts
+++ b/src/registered/group/load-duties.ts
@@ -3,8 +3,8 @@
  * machines, and to each balancer what all others carry.
  */
 import { isBehind, isBusy } from './balancer-feed.js';
-import type { LinkId } from '../common/link-table.js';
-import { formatAddress } from '../common/address.js';
+import type { LinkId } from '../../shared/common/link-table.js';
+import { formatAddress } from '../../shared/common/address.js';
 import { offered } from '../load-exchange/load-outlet.js';
 import type { LoadTotals } from '../load-exchange/load-totals.js';
 import type { PackedRows } from '../load-exchange/packed-rows.js';
--- a/src/group/membership-duties.ts
+++ b/src/registered/group/membership-duties.ts
@@ -7,16 +7,20 @@
  * former self in one step, which is safe because that one can never vote again. A machine that is only
  * silent is removed only while more voters than needed remain, since it may come back.
  */
-import { formatAddress, type Address } from '../common/address.js';
-import type { ConsensusEvent } from '../consensus/consensus-events.js';
-import { currentMembership, isVoter, type LeaderRole } from '../consensus/consensus-state.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
+import {
+  currentMembership,
+  isVoter,
+  type LeaderRole,
+} from '../../shared/consensus/consensus-state.js';
 import {
   findMember,
   sortedMembership,
   votersOf,
   type Member,
   type MemberChange,
-} from '../consensus/membership.js';
+} from '../../shared/consensus/membership.js';
 import type { GroupEffect } from './group-events.js';
 import type { PeerMessage } from './group-messages.js';
 import {
--- a/src/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -11,7 +11,7 @@
   listOf as list,
   senderShape as sender,
   textShape as text,
-} from '../consensus/message-shapes.js';
+} from '../../shared/consensus/message-shapes.js';
 import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
 import { rowsShape } from './rows-shape.js';
--- a/src/group/packed-feed.ts
+++ b/src/registered/group/packed-feed.ts
@@ -3,7 +3,7 @@
  * believed before.
  */
 import * as z from 'zod/mini';
-import { indexShape as index, textShape as text } from '../consensus/message-shapes.js';
+import { indexShape as index, textShape as text } from '../../shared/consensus/message-shapes.js';
 import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
 import { rowsShape } from './rows-shape.js';
--- a/src/group/rows-shape.ts
+++ b/src/registered/group/rows-shape.ts
@@ -2,7 +2,7 @@
  * @file The form of a table of numbers by back end in a message.
  */
 import * as z from 'zod/mini';
-import { indexShape } from '../consensus/message-shapes.js';
+import { indexShape } from '../../shared/consensus/message-shapes.js';
 import type { RowShape } from '../load-exchange/packed-rows.js';
 
 /** Room for 20,000 back ends, against senders that went astray. */
--- a/src/ingress/backend-table.ts
+++ b/src/registered/ingress/backend-table.ts
@@ -3,7 +3,7 @@
  * back end that leaves or falls silent stays resolvable for as long as its flows may live.
  */
 import { Buffer } from 'node:buffer';
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { AgedRecord } from '../group/group-messages.js';
 import { eachLoad, type PackedLoads } from '../load-exchange/backend-load.js';
 import { eachSignal, type PackedSignals } from '../load-exchange/backend-signals.js';
@@ -15,7 +15,7 @@
   type DepartureKind,
 } from '../registry/backend-record.js';
 import { tokenOf } from '../registry/backend-token.js';
-import { createAnswerRecord, type AnswerRecord } from './answer-record.js';
+import { createAnswerRecord, type AnswerRecord } from '../decisions/answer-record.js';
 
 /** Load of one back end. */
 export interface BackendLoad {
--- a/src/ingress/feed-source.ts
+++ b/src/registered/ingress/feed-source.ts
@@ -3,7 +3,7 @@
  * one as soon as it is silent or ceases to be. One of the own zone comes first, since bytes between zones
  * are paid for; a balancer that had to go elsewhere returns in its own time, so that not all do at once.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { ControlInfo } from '../group/group-messages.js';
 import type { FeedTiming } from '../group/timing.js';
 
--- a/src/ingress/flow-activity.ts
+++ b/src/registered/ingress/flow-activity.ts
@@ -4,8 +4,8 @@
  * serves placement only; no packet of an established flow needs it, and it may be lost at any time.
  */
 import type { KnownBackend } from './backend-table.js';
-import type { UnansweredData } from './dead-flow.js';
-import { createAnswerSizes } from './answer-sizes.js';
+import type { UnansweredData } from '../decisions/dead-flow.js';
+import { createAnswerSizes } from '../decisions/answer-sizes.js';
 import { routeKey, type FlowKey, type PacketView } from './packet-view.js';
 
 /** What is remembered of one flow. */
--- a/src/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -3,16 +3,16 @@
  */
 import type { FeedTiming } from '../group/timing.js';
 import { createConfigAssembly, type ConfigAssembly } from './config-assembly.js';
-import { createColdShare, type ColdBounds, type ColdShare } from './cold-share.js';
+import { createColdShare, type ColdBounds, type ColdShare } from '../decisions/cold-share.js';
 import { createZoneTable, type ZoneTable } from './zone-table.js';
 import { BackendTable } from './backend-table.js';
 import { FlowActivities } from './flow-activity.js';
 import { OpenMemory } from './open-memory.js';
 import { createPeerTable, type PeerTable } from './peer-table.js';
-import { createPlacement, type Placement } from './placement.js';
-import type { IngressPolicy } from './policy.js';
+import { createPlacement, type Placement } from '../decisions/placement.js';
+import type { IngressPolicy } from '../decisions/policy.js';
 import { RouteTable } from './route-table.js';
-import { createStallGuard, type StallGuard } from '../common/stall-guard.js';
+import { createStallGuard, type StallGuard } from '../../shared/common/stall-guard.js';
 
 /** Options of a balancer; all times in milliseconds. */
 export interface IngressOptions {
--- a/src/ingress/open-claims.ts
+++ b/src/registered/ingress/open-claims.ts
@@ -7,9 +7,9 @@
  * Copies of one open are some 200 ms apart, so this takes a balancer that reads an old copy late, after it stood
  * still or had no processor, while a newer one has just reached another.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { FlowKey } from './packet-view.js';
-import { createPeriodMap } from '../common/period-map.js';
+import { createPeriodMap } from '../../shared/common/period-map.js';
 
 /** Who has asked about which open lately. */
 export interface OpenClaims {
--- a/src/ingress/open-memory.ts
+++ b/src/registered/ingress/open-memory.ts
@@ -3,7 +3,7 @@
  * back ends took one flow, the client's packets could reach the one that it did not choose.
  */
 import type { FlowKey } from './packet-view.js';
-import { createPeriodMap, type PeriodMap } from '../common/period-map.js';
+import { createPeriodMap, type PeriodMap } from '../../shared/common/period-map.js';
 
 /** Opens beyond this number in one period are not remembered: other balancers may tell of any number. */
 const MAX_OPENS = 200_000;
--- a/src/ingress/packet-codec.ts
+++ b/src/registered/ingress/packet-codec.ts
@@ -1,7 +1,7 @@
 /**
  * @file What a balancer needs of a packet format.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import type { PacketView } from './packet-view.js';
 
 /** Reads and writes packets of one format. */
--- a/src/ingress/packet-step.ts
+++ b/src/registered/ingress/packet-step.ts
@@ -3,7 +3,7 @@
  * token names; an open goes where its first copy went, or to a back end of the route's service.
  */
 import type { KnownBackend } from './backend-table.js';
-import { isSurelyDead } from './dead-flow.js';
+import { isSurelyDead } from '../decisions/dead-flow.js';
 import { isReady, knowsCurrent, type IngressState } from './ingress-state.js';
 import { flowKeyOf, type FlowKey, type PacketView } from './packet-view.js';
 
--- a/src/ingress/peer-table.ts
+++ b/src/registered/ingress/peer-table.ts
@@ -3,7 +3,7 @@
  * alike by rendezvous, so that asking for a copy costs as much in a large fleet as in a small one.
  */
 import type { BalancerInfo } from '../group/group-messages.js';
-import { hashText, rendezvousScore } from '../membership/rendezvous.js';
+import { hashText, rendezvousScore } from '../../shared/common/rendezvous.js';
 import type { FlowKey } from './packet-view.js';
 
 /** The balancer that places an open tells so many others. */
--- a/src/ingress/route-table.ts
+++ b/src/registered/ingress/route-table.ts
@@ -2,7 +2,7 @@
  * @file The routes in force at a balancer: which service the next flow of a route goes to, so that the
  * flows keep the weights of the route.
  */
-import { packHost } from '../common/address.js';
+import { packHost } from '../../shared/common/address.js';
 import { NO_VERSION, type ConfigUpdate } from '../declared/config-update.js';
 import type { ServiceWarmUp, WeightedTarget } from '../declared/declared-config.js';
 import { routeKey, type RouteKey } from './packet-view.js';
--- a/src/ingress/token-packet.ts
+++ b/src/registered/ingress/token-packet.ts
@@ -3,7 +3,7 @@
  * and the codec by which balancers read it.
  */
 import { Packr } from 'msgpackr';
-import { packHost, parseAddress, unpackHost, type Address } from '../common/address.js';
+import { packHost, parseAddress, unpackHost, type Address } from '../../shared/common/address.js';
 import type { PacketCodec } from './packet-codec.js';
 import type { PacketView } from './packet-view.js';
 
--- a/src/load-exchange/load-totals.ts
+++ b/src/registered/load-exchange/load-totals.ts
@@ -6,7 +6,7 @@
  * Reports are soft state. A report counts until the next one of the same link or the end of the link; the
  * sums of a control machine count for `sumsLifetimeMs`, since a machine that is cut off says nothing.
  */
-import type { LinkId } from '../common/link-table.js';
+import type { LinkId } from '../../shared/common/link-table.js';
 import { eachRow, LOAD_ROWS, type PackedRows, type RowShape } from './packed-rows.js';
 
 /** The load of back ends over all balancers. */
--- a/src/registry/address-holders.ts
+++ b/src/registered/registry/address-holders.ts
@@ -6,7 +6,7 @@
  * The newcomer holds the address at once. One that is superseded holds it again only by heartbeats that go
  * on while the holder's do not: what was held up on the network comes once, a process goes on.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 
 /** Who holds which address. */
 export interface AddressHolders {
--- a/src/registry/backend-record.ts
+++ b/src/registered/registry/backend-record.ts
@@ -1,7 +1,7 @@
 /**
  * @file What a back end tells of itself with each heartbeat, and what was said of its end.
  */
-import type { Address } from '../common/address.js';
+import type { Address } from '../../shared/common/address.js';
 
 /** The last heartbeat of one start of a back end. */
 export interface BackendRecord {
--- a/src/registry/heartbeat-registry.ts
+++ b/src/registered/registry/heartbeat-registry.ts
@@ -2,7 +2,7 @@
  * @file The heartbeats of back ends as one control machine knows them: state that is rebuilt from the
  * next heartbeats wherever it is lost, and so is never written to disk.
  */
-import { formatAddress, type Address } from '../common/address.js';
+import { formatAddress, type Address } from '../../shared/common/address.js';
 import { createAddressHolders, type AddressHolders } from './address-holders.js';
 import { livenessOf, type BackendJudgement, type Liveness } from './backend-liveness.js';
 import type { BackendRecord } from './backend-record.js';
--- a/src/settings/token-settings.ts
+++ b/src/registered/settings/token-settings.ts
@@ -3,9 +3,9 @@
  * `amberlift group`.
  */
 import { z } from 'zod';
-import { parseAddress } from '../common/address.js';
-import { logLevels } from '../common/logger.js';
-import { defaultPolicy, policyChoices } from '../ingress/policy.js';
+import { parseAddress } from '../../shared/common/address.js';
+import { logLevels } from '../../shared/common/logger.js';
+import { defaultPolicy, policyChoices } from '../decisions/policy.js';
 
 const MIN_TOKEN_LENGTH = 8;
 
--- a/src/daemon/consensus-storage.ts
+++ b/src/shared/daemon/consensus-storage.ts
@@ -12,7 +12,7 @@
   RecoveredState,
   Snapshot,
 } from '../consensus/persisted-state.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import { amberliftError, type AmberliftError } from '../common/error-kinds.js';
 import { encodeRecord, scanRecords } from './record-file.js';
 import type { StorageFolder } from './storage-folder.js';
 
--- a/src/settings/load-settings.ts
+++ b/src/shared/settings/load-settings.ts
@@ -6,8 +6,8 @@
 import { err, ok, Result } from 'neverthrow';
 import { parse } from 'yaml';
 import type { z } from 'zod';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
-import { settingsSchema, type Settings } from './settings-schema.js';
+import { amberliftError, type AmberliftError } from '../common/error-kinds.js';
+import { settingsSchema, type Settings } from '../../managed/settings/settings-schema.js';
 
 /** A plain object, as YAML gives it. */
 type PlainObject = Record<string, unknown>;
--- a/src/cli/address-flag.ts
+++ b/src/tools/cli/address-flag.ts
@@ -1,7 +1,7 @@
 /**
  * @file Address flags.
  */
-import { parseAddress, type Address } from '../common/address.js';
+import { parseAddress, type Address } from '../../shared/common/address.js';
 
 /**
  * @param flag name of the flag, for the error message
--- a/src/cli/backend.ts
+++ b/src/tools/cli/backend.ts
@@ -2,9 +2,9 @@
  * @file `amberlift backend`: runs a stand-in back end.
  */
 import type { CAC } from 'cac';
-import { faultNames, parseFaults } from '../standins/backend-faults.js';
-import { defaultBackendTuning } from '../standins/backend-options.js';
-import { startBackend } from '../standins/backend-process.js';
+import { faultNames, parseFaults } from '../../proof/standins/backend-faults.js';
+import { defaultBackendTuning } from '../../proof/standins/backend-options.js';
+import { startBackend } from '../../proof/standins/backend-process.js';
 import { addressFlag } from './address-flag.js';
 import { announceReady, reportError, stopOnSignal } from './daemon-command.js';
 
--- a/src/cli/balancer.ts
+++ b/src/tools/cli/balancer.ts
@@ -2,9 +2,9 @@
  * @file `amberlift balancer`: runs a balancer.
  */
 import type { CAC } from 'cac';
-import { startBalancerDaemon } from '../daemon/balancer-daemon.js';
-import { balancerMetrics } from '../daemon/metrics/balancer-metrics.js';
-import { startMetricsServer } from '../daemon/metrics/metrics-server.js';
+import { startBalancerDaemon } from '../../managed/daemon/balancer-daemon.js';
+import { balancerMetrics } from '../../managed/daemon/metrics/balancer-metrics.js';
+import { startMetricsServer } from '../../managed/daemon/metrics/metrics-server.js';
 import {
   announceReady,
   settingsFromFlags,
--- a/src/cli/bench.ts
+++ b/src/tools/cli/bench.ts
@@ -5,14 +5,14 @@
 import { writeFileSync } from 'node:fs';
 import type { CAC } from 'cac';
 import Table from 'cli-table3';
-import type { Bench, BenchResult, BenchTable } from '../experiment/bench.js';
-import { controlBench } from '../experiment/bench-control.js';
-import { forwardBench } from '../experiment/bench-forward.js';
-import { hollowBench } from '../experiment/bench-hollow.js';
-import { inForceBench } from '../experiment/bench-in-force.js';
-import { probeBench } from '../experiment/bench-probe.js';
-import { placementBench } from '../experiment/bench-placement.js';
-import { exitCodes } from '../flow/error-kinds.js';
+import type { Bench, BenchResult, BenchTable } from '../../proof/experiment/bench.js';
+import { controlBench } from '../../proof/experiment/bench-control.js';
+import { forwardBench } from '../../proof/experiment/bench-forward.js';
+import { hollowBench } from '../../proof/experiment/bench-hollow.js';
+import { inForceBench } from '../../proof/experiment/bench-in-force.js';
+import { probeBench } from '../../proof/experiment/bench-probe.js';
+import { placementBench } from '../../proof/experiment/bench-placement.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
 
 /** Every bench, in the order of the help. */
 const benches: readonly Bench[] = [
--- a/src/cli/callers.ts
+++ b/src/tools/cli/callers.ts
@@ -3,8 +3,8 @@
  * request.
  */
 import type { CAC } from 'cac';
-import { runSessions } from '../standins/caller-process.js';
-import type { CallerOptions } from '../standins/caller-state.js';
+import { runSessions } from '../../proof/standins/caller-process.js';
+import type { CallerOptions } from '../../proof/standins/caller-state.js';
 import { addressFlag } from './address-flag.js';
 
 interface CallersFlags {
--- a/src/cli/check.ts
+++ b/src/tools/cli/check.ts
@@ -5,8 +5,8 @@
 import { readFileSync } from 'node:fs';
 import type { CAC } from 'cac';
 import Table from 'cli-table3';
-import { exitCodes } from '../flow/error-kinds.js';
-import { loadSettings } from '../settings/load-settings.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
+import { loadSettings } from '../../shared/settings/load-settings.js';
 import { checkStatements, type StatementCheck } from '../toolbox/check.js';
 import { parseStateExport, stateOf } from '../toolbox/state-export.js';
 import { reportError } from './daemon-command.js';
--- a/src/cli/control.ts
+++ b/src/tools/cli/control.ts
@@ -2,9 +2,9 @@
  * @file `amberlift control`: runs a control machine.
  */
 import type { CAC } from 'cac';
-import { startControlDaemon } from '../daemon/control-daemon.js';
-import { controlMetrics } from '../daemon/metrics/control-metrics.js';
-import { startMetricsServer } from '../daemon/metrics/metrics-server.js';
+import { startControlDaemon } from '../../managed/daemon/control-daemon.js';
+import { controlMetrics } from '../../managed/daemon/metrics/control-metrics.js';
+import { startMetricsServer } from '../../managed/daemon/metrics/metrics-server.js';
 import {
   announceReady,
   reportError,
--- a/src/cli/ctl.ts
+++ b/src/tools/cli/ctl.ts
@@ -15,9 +15,9 @@
   type RunnerOptions,
   type StatementOutput,
 } from '../client/statement-runner.js';
-import { MAX_COMMAND_ID_LENGTH } from '../control/commands.js';
-import { ctlOptions } from '../language/command-reference.js';
-import type { Address } from '../common/address.js';
+import { MAX_COMMAND_ID_LENGTH } from '../../managed/control/commands.js';
+import { ctlOptions } from '../../managed/language/command-reference.js';
+import type { Address } from '../../shared/common/address.js';
 import { addressFlag } from './address-flag.js';
 import { parseDeclaredCommand, runDeclaredCommand } from './declared-command.js';
 import { parseZoneCommand, runZoneCommand } from './zone-command.js';
--- a/src/cli/daemon-command.ts
+++ b/src/tools/cli/daemon-command.ts
@@ -4,12 +4,12 @@
  */
 import type { CAC, Command } from 'cac';
 import type { z } from 'zod';
-import { setLogLevel, setLogSink, type LogLevel } from '../common/logger.js';
-import { LineWriter, STANDARD_ERROR, writeTo } from '../daemon/line-writer.js';
-import { onStopSignal } from '../daemon/stop-signal.js';
-import { answerFor, exitCodes, type AmberliftError } from '../flow/error-kinds.js';
-import { loadSettingsAs } from '../settings/load-settings.js';
-import { settingsSchema, type Settings } from '../settings/settings-schema.js';
+import { setLogLevel, setLogSink, type LogLevel } from '../../shared/common/logger.js';
+import { LineWriter, STANDARD_ERROR, writeTo } from '../../shared/daemon/line-writer.js';
+import { onStopSignal } from '../../shared/daemon/stop-signal.js';
+import { answerFor, exitCodes, type AmberliftError } from '../../shared/common/error-kinds.js';
+import { loadSettingsAs } from '../../shared/settings/load-settings.js';
+import { settingsSchema, type Settings } from '../../managed/settings/settings-schema.js';
 
 /** Flags by which settings are given. */
 export interface SettingsFlags {
--- a/src/cli/declared-command.ts
+++ b/src/tools/cli/declared-command.ts
@@ -8,9 +8,9 @@
 import { match } from 'ts-pattern';
 import { parse } from 'yaml';
 import type { DeclaredClient } from '../client/declared-client.js';
-import type { DeclaredConfig, WeightedTarget } from '../declared/declared-config.js';
-import { parseDeclaredConfig } from '../declared/parse-config.js';
-import { amberliftError, exitCodes, type AmberliftError } from '../flow/error-kinds.js';
+import type { DeclaredConfig, WeightedTarget } from '../../registered/declared/declared-config.js';
+import { parseDeclaredConfig } from '../../registered/declared/parse-config.js';
+import { amberliftError, exitCodes, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { planDeclared, type DeclaredPlan, type RouteChange } from '../toolbox/plan-declared.js';
 import { reportError } from './daemon-command.js';
 
--- a/src/cli/demo.ts
+++ b/src/tools/cli/demo.ts
@@ -3,9 +3,9 @@
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
-import { runDemo, type DemoProgress } from '../experiment/demo.js';
-import { isUnharmed } from '../experiment/harm-summary.js';
-import { exitCodes } from '../flow/error-kinds.js';
+import { runDemo, type DemoProgress } from '../../proof/experiment/demo.js';
+import { isUnharmed } from '../../proof/experiment/harm-summary.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
 import { describeFigures } from './figures-table.js';
 
 interface DemoFlags {
--- a/src/cli/explain.ts
+++ b/src/tools/cli/explain.ts
@@ -2,7 +2,7 @@
  * @file `amberlift explain`: tells the story of one request, flow, back end or configuration from logs.
  */
 import type { CAC } from 'cac';
-import { exitCodes } from '../flow/error-kinds.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
 import { explain, type Story } from '../toolbox/explain.js';
 import { readLogs } from './log-files.js';
 
--- a/src/cli/fabric.ts
+++ b/src/tools/cli/fabric.ts
@@ -2,7 +2,7 @@
  * @file `amberlift fabric`: runs the stand-in fabric.
  */
 import type { CAC } from 'cac';
-import { startFabric } from '../standins/fabric-process.js';
+import { startFabric } from '../../proof/standins/fabric-process.js';
 import { addressFlag } from './address-flag.js';
 import { announceReady, stopOnSignal } from './daemon-command.js';
 
--- a/src/cli/fleet.ts
+++ b/src/tools/cli/fleet.ts
@@ -3,11 +3,11 @@
  */
 import { writeFile } from 'node:fs/promises';
 import type { CAC } from 'cac';
-import { isUnharmed } from '../experiment/harm-summary.js';
-import { loadDeployment } from '../experiment/deployment.js';
-import { runFleet, type FleetFigures } from '../experiment/fleet.js';
-import { loadScenario, stretchScenario } from '../experiment/scenario.js';
-import { exitCodes } from '../flow/error-kinds.js';
+import { isUnharmed } from '../../proof/experiment/harm-summary.js';
+import { loadDeployment } from '../../proof/experiment/deployment.js';
+import { runFleet, type FleetFigures } from '../../proof/experiment/fleet.js';
+import { loadScenario, stretchScenario } from '../../proof/experiment/scenario.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
 import { reportError } from './daemon-command.js';
 import { describeFigures } from './figures-table.js';
 
--- a/src/cli/group.ts
+++ b/src/tools/cli/group.ts
@@ -2,14 +2,14 @@
  * @file `amberlift group`: runs a control machine of a group that takes declared configurations and heartbeats.
  */
 import type { CAC } from 'cac';
-import { createCallListener } from '../daemon/call-listener.js';
-import { createDeclaredApi } from '../daemon/declared-api.js';
-import { GroupDaemon } from '../daemon/group-daemon.js';
-import { listenHttp } from '../daemon/http-server.js';
-import { groupMetricsListener } from '../daemon/metrics/late-metrics.js';
-import type { DeclaredConfig } from '../declared/declared-config.js';
-import { timingFor } from '../group/timing.js';
-import { groupSettingsSchema } from '../settings/token-settings.js';
+import { createCallListener } from '../../registered/daemon/call-listener.js';
+import { createDeclaredApi } from '../../registered/daemon/declared-api.js';
+import { GroupDaemon } from '../../registered/daemon/group-daemon.js';
+import { listenHttp } from '../../shared/daemon/http-server.js';
+import { groupMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
+import type { DeclaredConfig } from '../../registered/declared/declared-config.js';
+import { timingFor } from '../../registered/group/timing.js';
+import { groupSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
   announceReady,
   logWithoutWaiting,
--- a/src/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -2,14 +2,14 @@
  * @file `amberlift ingress`: runs a balancer that forwards by 32-bit tokens.
  */
 import type { CAC } from 'cac';
-import { bytesPerMsOf } from '../common/bandwidth.js';
-import { IngressDaemon } from '../daemon/ingress-daemon.js';
-import { listenHttp } from '../daemon/http-server.js';
-import { ingressMetricsListener } from '../daemon/metrics/late-metrics.js';
-import { timingFor } from '../group/timing.js';
-import { countedFlowsFor } from '../ingress/ingress-state.js';
-import { tokenPacketCodec } from '../ingress/token-packet.js';
-import { ingressSettingsSchema } from '../settings/token-settings.js';
+import { bytesPerMsOf } from '../../shared/common/bandwidth.js';
+import { IngressDaemon } from '../../registered/daemon/ingress-daemon.js';
+import { listenHttp } from '../../shared/daemon/http-server.js';
+import { ingressMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
+import { timingFor } from '../../registered/group/timing.js';
+import { countedFlowsFor } from '../../registered/ingress/ingress-state.js';
+import { tokenPacketCodec } from '../../registered/ingress/token-packet.js';
+import { ingressSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
   announceReady,
   logWithoutWaiting,
--- a/src/cli/main.ts
+++ b/src/tools/cli/main.ts
@@ -2,7 +2,7 @@
  * @file The entry of the `amberlift` command: one subcommand per file, parsed by cac.
  */
 import { cac, type CAC } from 'cac';
-import { exitCodes } from '../flow/error-kinds.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
 
 const ARGUMENTS_BEFORE_COMMAND = 2;
 
--- a/src/cli/replay.ts
+++ b/src/tools/cli/replay.ts
@@ -5,7 +5,7 @@
 import { readFile } from 'node:fs/promises';
 import { createInterface } from 'node:readline';
 import type { CAC } from 'cac';
-import { amberliftError } from '../flow/error-kinds.js';
+import { amberliftError } from '../../shared/common/error-kinds.js';
 import { parseTrace, selectEvents, type RecordedTrace } from '../toolbox/replay-trace.js';
 import { tellEvent } from '../toolbox/replay-story.js';
 import { reportError } from './daemon-command.js';
--- a/src/cli/report.ts
+++ b/src/tools/cli/report.ts
@@ -4,9 +4,9 @@
 import { readFile, writeFile } from 'node:fs/promises';
 import type { CAC } from 'cac';
 import { z } from 'zod';
-import { fleetResultSchema } from '../experiment/report-data.js';
-import { reportPage } from '../experiment/report-page.js';
-import { amberliftError } from '../flow/error-kinds.js';
+import { fleetResultSchema } from '../../proof/experiment/report-data.js';
+import { reportPage } from '../../proof/experiment/report-page.js';
+import { amberliftError } from '../../shared/common/error-kinds.js';
 import { reportError } from './daemon-command.js';
 
 interface ReportFlags {
