--- a/src/cli/simulate.ts
+++ b/src/tools/cli/simulate.ts
@@ -4,16 +4,16 @@
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
 import Table from 'cli-table3';
-import { exitCodes } from '../flow/error-kinds.js';
-import { findScenario, longScenarios, scenarios } from '../sim/scenarios/index.js';
-import type { Scenario } from '../sim/scenarios/scenario.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
+import { findScenario, longScenarios, scenarios } from '../../proof/sim-managed/scenarios/index.js';
+import type { Scenario } from '../../proof/sim-managed/scenarios/scenario.js';
 import {
   planRuns,
   simulate,
   type SimulationProgress,
   type SimulationReport,
-} from '../sim/simulate.js';
-import { writeTraceFile } from '../sim/violation-file.js';
+} from '../../proof/sim-managed/simulate.js';
+import { writeTraceFile } from '../../proof/sim-managed/violation-file.js';
 
 interface SimulateFlags {
   readonly seed: number;
--- a/src/cli/soak.ts
+++ b/src/tools/cli/soak.ts
@@ -4,9 +4,9 @@
  */
 import { join } from 'node:path';
 import type { CAC } from 'cac';
-import { exitCodes } from '../flow/error-kinds.js';
-import { runSoak, type SoakVerdict } from '../soak/run-soak.js';
-import { smallSoak, type SoakPlace } from '../soak/soak-world.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
+import { runSoak, type SoakVerdict } from '../../proof/soak/run-soak.js';
+import { smallSoak, type SoakPlace } from '../../proof/soak/soak-world.js';
 
 interface SoakFlags {
   readonly seed: number;
--- a/src/cli/timeline.ts
+++ b/src/tools/cli/timeline.ts
@@ -2,7 +2,7 @@
  * @file `amberlift timeline`: tells from logs how processes came back, and what they waited for.
  */
 import type { CAC } from 'cac';
-import { exitCodes } from '../flow/error-kinds.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
 import { timelineOf, type ProcessStart, type Return } from '../toolbox/timeline.js';
 import { readLogs } from './log-files.js';
 
--- a/src/cli/zone-command.ts
+++ b/src/tools/cli/zone-command.ts
@@ -7,8 +7,8 @@
 import { Result } from 'neverthrow';
 import { match } from 'ts-pattern';
 import { parseZoneReports, type DeclaredClient } from '../client/declared-client.js';
-import { amberliftError, exitCodes, type AmberliftError } from '../flow/error-kinds.js';
-import type { ZoneReport } from '../group/group-messages.js';
+import { amberliftError, exitCodes, type AmberliftError } from '../../shared/common/error-kinds.js';
+import type { ZoneReport } from '../../registered/group/group-messages.js';
 import { describeEvacuation, planEvacuation } from '../toolbox/plan-evacuation.js';
 import { reportError } from './daemon-command.js';
 
--- a/src/client/ask-in-turn.ts
+++ b/src/tools/client/ask-in-turn.ts
@@ -5,10 +5,15 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
-import { addressSchema } from '../common/address-schema.js';
-import type { Address } from '../common/address.js';
-import type { JsonResponse } from '../daemon/http-json.js';
-import { amberliftError, answerFor, errorKinds, type AmberliftError } from '../flow/error-kinds.js';
+import { addressSchema } from '../../shared/common/address-schema.js';
+import type { Address } from '../../shared/common/address.js';
+import type { JsonResponse } from '../../managed/daemon/http-json.js';
+import {
+  amberliftError,
+  answerFor,
+  errorKinds,
+  type AmberliftError,
+} from '../../shared/common/error-kinds.js';
 
 /** How often and how long is tried; times in milliseconds. */
 export interface RetryOptions {
--- a/src/client/command-ids.ts
+++ b/src/tools/client/command-ids.ts
@@ -2,7 +2,7 @@
  * @file Command IDs that the client makes up.
  */
 import { randomBytes } from 'node:crypto';
-import { timedCommandId } from '../control/command-id.js';
+import { timedCommandId } from '../../managed/control/command-id.js';
 
 const SUFFIX_BYTES = 8;
 
--- a/src/client/declared-client.ts
+++ b/src/tools/client/declared-client.ts
@@ -4,14 +4,14 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import * as z from 'zod/mini';
-import type { Address } from '../common/address.js';
-import { sendJson } from '../daemon/http-json.js';
-import type { DeclaredConfig } from '../declared/declared-config.js';
-import { parseDeclaredConfig } from '../declared/parse-config.js';
-import { describeFaults } from '../common/schema-faults.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
-import type { ZoneReport } from '../group/group-messages.js';
-import type { ZoneOrderKind } from '../group/zone-orders.js';
+import type { Address } from '../../shared/common/address.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
+import type { DeclaredConfig } from '../../registered/declared/declared-config.js';
+import { parseDeclaredConfig } from '../../registered/declared/parse-config.js';
+import { describeFaults } from '../../shared/common/schema-faults.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
+import type { ZoneReport } from '../../registered/group/group-messages.js';
+import type { ZoneOrderKind } from '../../registered/group/zone-orders.js';
 import {
   askInTurn,
   defaultRetryOptions,
--- a/src/client/interactive.ts
+++ b/src/tools/client/interactive.ts
@@ -3,7 +3,7 @@
  */
 import { createInterface } from 'node:readline/promises';
 import type { CompleterResult } from 'node:readline';
-import { completeStatement, type KnownValues } from '../language/complete-statement.js';
+import { completeStatement, type KnownValues } from '../../managed/language/complete-statement.js';
 import { newCommandId } from './command-ids.js';
 import type { OperatorClient } from './operator-client.js';
 import { runStatement, type RunnerOptions, type StatementOutput } from './statement-runner.js';
--- a/src/client/operator-client.ts
+++ b/src/tools/client/operator-client.ts
@@ -3,12 +3,15 @@
  * when an answer is lost, with the same command ID, and follows the leader's address.
  */
 import type { Result } from 'neverthrow';
-import type { Address } from '../common/address.js';
-import type { OperatorCommand } from '../control/commands.js';
-import type { OperatorQuery } from '../control/queries.js';
-import type { QueryResult, VisibleAcceptedOutcome } from '../control/views/view-types.js';
-import { sendJson } from '../daemon/http-json.js';
-import type { AmberliftError } from '../flow/error-kinds.js';
+import type { Address } from '../../shared/common/address.js';
+import type { OperatorCommand } from '../../managed/control/commands.js';
+import type { OperatorQuery } from '../../managed/control/queries.js';
+import type {
+  QueryResult,
+  VisibleAcceptedOutcome,
+} from '../../managed/control/views/view-types.js';
+import { sendJson } from '../../managed/daemon/http-json.js';
+import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import {
   askInTurn,
   defaultRetryOptions,
--- a/src/client/result-tables.ts
+++ b/src/tools/client/result-tables.ts
@@ -3,8 +3,8 @@
  */
 import Table from 'cli-table3';
 import { match } from 'ts-pattern';
-import { formatAddress } from '../common/address.js';
-import type { InForceSummary, LaggingBalancer } from '../control/views/in-force.js';
+import { formatAddress } from '../../shared/common/address.js';
+import type { InForceSummary, LaggingBalancer } from '../../managed/control/views/in-force.js';
 import type {
   AuditView,
   BackendView,
@@ -13,8 +13,8 @@
   ServiceView,
   VisibleAcceptedOutcome,
   VisibleOutcome,
-} from '../control/views/view-types.js';
-import { formatLimits, formatTime } from '../language/format-command.js';
+} from '../../managed/control/views/view-types.js';
+import { formatLimits, formatTime } from '../../managed/language/format-command.js';
 
 const NOT_KNOWN = 'not known';
 
--- a/src/client/script.ts
+++ b/src/tools/client/script.ts
@@ -1,8 +1,8 @@
 /**
  * @file Runs a script: one statement a line; empty lines and lines that begin with `#` are left out.
  */
-import { exitCodes } from '../flow/error-kinds.js';
-import { parseStatement } from '../language/parse-statement.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
+import { parseStatement } from '../../managed/language/parse-statement.js';
 import { runStatement, type RunnerOptions, type StatementOutput } from './statement-runner.js';
 
 /** A statement of a script. */
--- a/src/client/statement-runner.ts
+++ b/src/tools/client/statement-runner.ts
@@ -2,11 +2,11 @@
  * @file Runs single statements against the cluster and gives what to print.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { OperatorCommand } from '../control/commands.js';
-import type { OperatorQuery } from '../control/queries.js';
-import type { VisibleAcceptedOutcome } from '../control/views/view-types.js';
-import { answerFor, exitCodes, type AmberliftError } from '../flow/error-kinds.js';
-import { describeStatementError, parseStatement } from '../language/parse-statement.js';
+import type { OperatorCommand } from '../../managed/control/commands.js';
+import type { OperatorQuery } from '../../managed/control/queries.js';
+import type { VisibleAcceptedOutcome } from '../../managed/control/views/view-types.js';
+import { answerFor, exitCodes, type AmberliftError } from '../../shared/common/error-kinds.js';
+import { describeStatementError, parseStatement } from '../../managed/language/parse-statement.js';
 import type { OperatorClient } from './operator-client.js';
 import { describeOutcome, formatResult } from './result-tables.js';
 
--- a/src/settings/settings-reference.ts
+++ b/src/tools/settings-reference/settings-reference.ts
@@ -2,9 +2,12 @@
  * @file The text of docs/SETTINGS.md, made from the schema of settings files and the exit codes.
  */
 import { z } from 'zod';
-import { exitCodes } from '../flow/error-kinds.js';
-import { settingsSchema } from './settings-schema.js';
-import { groupSettingsSchema, ingressSettingsSchema } from './token-settings.js';
+import { exitCodes } from '../../shared/common/error-kinds.js';
+import { settingsSchema } from '../../managed/settings/settings-schema.js';
+import {
+  groupSettingsSchema,
+  ingressSettingsSchema,
+} from '../../registered/settings/token-settings.js';
 
 /** The parts of a JSON schema that the reference shows. */
 interface OptionSchema {
@@ -39,7 +42,7 @@
   });
   return `# Settings
 
-Made by \`npm run generate\` from the schemas in src/settings; not to be edited by hand.
+Made by \`npm run generate\` from the schemas of the settings; not to be edited by hand.
 
 A process reads one YAML file, given by \`--config FILE\`, and overrides by \`--set path.to.option=value\`,
 the value written as in YAML. An unknown option, a wrong type or a value out of bounds stops the start
--- a/src/toolbox/check.ts
+++ b/src/tools/toolbox/check.ts
@@ -2,10 +2,10 @@
  * @file Checks a list of operator statements against an export of the state, before they are sent:
  * each is applied to a copy by the replicated step itself, so that later ones see earlier ones.
  */
-import { applyCommand } from '../control/apply-command.js';
-import type { ClusterState } from '../control/cluster-state.js';
-import type { ErrorKind } from '../flow/error-kinds.js';
-import { describeStatementError, parseStatement } from '../language/parse-statement.js';
+import { applyCommand } from '../../managed/control/apply-command.js';
+import type { ClusterState } from '../../managed/control/cluster-state.js';
+import type { ErrorKind } from '../../shared/common/error-kinds.js';
+import { describeStatementError, parseStatement } from '../../managed/language/parse-statement.js';
 import { EXPORT_OPERATOR } from './state-export.js';
 
 /** What came of one statement. */
--- a/src/toolbox/log-line.ts
+++ b/src/tools/toolbox/log-line.ts
@@ -1,5 +1,5 @@
 /**
- * @file Reads the log lines of daemons back: what `src/daemon/decision-log.ts` writes, with or without the
+ * @file Reads the log lines of daemons back: what `src/registered/daemon/decision-log.ts` writes, with or without the
  * time and machine that a collector of logs put before it.
  */
 
--- a/src/toolbox/plan-declared.ts
+++ b/src/tools/toolbox/plan-declared.ts
@@ -1,7 +1,11 @@
 /**
  * @file What a declared configuration would change against the one that holds.
  */
-import type { DeclaredConfig, DeclaredRoute, WeightedTarget } from '../declared/declared-config.js';
+import type {
+  DeclaredConfig,
+  DeclaredRoute,
+  WeightedTarget,
+} from '../../registered/declared/declared-config.js';
 
 /** One route that would change. */
 export type RouteChange =
--- a/src/toolbox/plan-evacuation.ts
+++ b/src/tools/toolbox/plan-evacuation.ts
@@ -2,8 +2,8 @@
  * @file What emptying a zone would leave: whether the back ends of the other zones bear what is in progress now.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
-import type { ZoneReport } from '../group/group-messages.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
+import type { ZoneReport } from '../../registered/group/group-messages.js';
 
 /** What an evacuation would do. */
 export interface EvacuationPlan {
--- a/src/toolbox/plan.ts
+++ b/src/tools/toolbox/plan.ts
@@ -5,8 +5,8 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
-import type { ChangeCommand } from '../control/commands.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+import type { ChangeCommand } from '../../managed/control/commands.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { ExportedBackend, ExportedService, StateExport } from './state-export.js';
 
 /** What an export can't tell. */
--- a/src/toolbox/replay-story.ts
+++ b/src/tools/toolbox/replay-story.ts
@@ -2,7 +2,7 @@
  * @file Tells each event of a trace as one sentence.
  */
 import { match } from 'ts-pattern';
-import type { TraceEvent, TraceFact } from '../sim/trace.js';
+import type { TraceEvent, TraceFact } from '../../proof/sim-managed/trace.js';
 
 const TIME_WIDTH = 10;
 
--- a/src/toolbox/replay-trace.ts
+++ b/src/tools/toolbox/replay-trace.ts
@@ -3,9 +3,9 @@
  * flow, a process, a command or a request.
  */
 import { err, ok, type Result } from 'neverthrow';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
-import type { TraceEvent } from '../sim/trace.js';
-import type { TraceFileHeader } from '../sim/violation-file.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
+import type { TraceEvent } from '../../proof/sim-managed/trace.js';
+import type { TraceFileHeader } from '../../proof/sim-managed/violation-file.js';
 
 /** A recorded run. */
 export interface RecordedTrace {
--- a/src/toolbox/state-export.ts
+++ b/src/tools/toolbox/state-export.ts
@@ -4,16 +4,16 @@
  */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
-import { addressSchema } from '../common/address-schema.js';
-import { buildConfigLookup } from '../control/config-lookup.js';
+import { addressSchema } from '../../shared/common/address-schema.js';
+import { buildConfigLookup } from '../../managed/control/config-lookup.js';
 import {
   emptyClusterState,
   emptyOwnerState,
   placementPolicyNames,
   type ClusterState,
-} from '../control/cluster-state.js';
-import { idInBlock } from '../control/id-blocks.js';
-import { amberliftError, type AmberliftError } from '../flow/error-kinds.js';
+} from '../../managed/control/cluster-state.js';
+import { idInBlock } from '../../managed/control/id-blocks.js';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 /** Name under which the export's operator stands in the rebuilt state. */
 export const EXPORT_OPERATOR = 'exported';
--- a/test/balancer/balancer-world.ts
+++ b/test/managed/balancer/balancer-world.ts
@@ -1,22 +1,26 @@
 /** @file One balancer with its services and ready back ends, and the packets of callers. */
-import type { BalancerEffect, SendEffect } from '../../src/balancer/balancer-events.js';
+import type { BalancerEffect, SendEffect } from '../../../src/managed/balancer/balancer-events.js';
 import {
   applyConfigUpdate,
   createBalancerState,
   defaultBalancerOptions,
   type BalancerOptions,
   type BalancerState,
-} from '../../src/balancer/balancer-state.js';
-import { balancerStep } from '../../src/balancer/balancer-step.js';
-import type { Address } from '../../src/common/address.js';
-import { seededRandom } from '../../src/common/random.js';
-import type { Backend, Service, TokenKey } from '../../src/control/cluster-state.js';
-import type { ConfigChange } from '../../src/control/config-update.js';
-import { decodeEnvelope, encodeEnvelope } from '../../src/flow/envelope.js';
-import type { ErrorKind } from '../../src/flow/error-kinds.js';
-import { encodeLongHeader, encodeShortHeader, parseLongHeader } from '../../src/flow/header.js';
-import { decodeMessage, encodeMessage, type Message } from '../../src/flow/messages.js';
-import { mintToken, prepareTokenKey, type TokenFields } from '../../src/flow/token.js';
+} from '../../../src/managed/balancer/balancer-state.js';
+import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
+import type { Address } from '../../../src/shared/common/address.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import type { Backend, Service, TokenKey } from '../../../src/managed/control/cluster-state.js';
+import type { ConfigChange } from '../../../src/managed/control/config-update.js';
+import { decodeEnvelope, encodeEnvelope } from '../../../src/managed/flow/envelope.js';
+import type { ErrorKind } from '../../../src/shared/common/error-kinds.js';
+import {
+  encodeLongHeader,
+  encodeShortHeader,
+  parseLongHeader,
+} from '../../../src/managed/flow/header.js';
+import { decodeMessage, encodeMessage, type Message } from '../../../src/managed/flow/messages.js';
+import { mintToken, prepareTokenKey, type TokenFields } from '../../../src/managed/flow/token.js';
 
 export const BACKENDS_PER_SERVICE = 4;
 export const FABRIC: Address = { host: '10.0.0.1', port: 1 };
--- a/test/balancer/candidates.test.ts
+++ b/test/managed/balancer/candidates.test.ts
@@ -5,7 +5,7 @@
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../../src/balancer/balancer-state.js';
+} from '../../../src/managed/balancer/balancer-state.js';
 import {
   chooseBackend,
   explainBackend,
@@ -13,9 +13,9 @@
   recordAttemptEnd,
   recordProbe,
   takeBackendChanges,
-} from '../../src/balancer/candidates.js';
-import { seededRandom } from '../../src/common/random.js';
-import type { Backend, Service } from '../../src/control/cluster-state.js';
+} from '../../../src/managed/balancer/candidates.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import type { Backend, Service } from '../../../src/managed/control/cluster-state.js';
 
 const OPENS = 60;
 const address = { host: '127.0.0.1', port: 5000 };
--- a/test/balancer/config-tables.test.ts
+++ b/test/managed/balancer/config-tables.test.ts
@@ -7,9 +7,9 @@
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../../src/balancer/balancer-state.js';
-import type { Backend, Service, TokenKey } from '../../src/control/cluster-state.js';
-import { snapshotOf, type ConfigChange } from '../../src/control/config-update.js';
+} from '../../../src/managed/balancer/balancer-state.js';
+import type { Backend, Service, TokenKey } from '../../../src/managed/control/cluster-state.js';
+import { snapshotOf, type ConfigChange } from '../../../src/managed/control/config-update.js';
 
 const small = fc.integer({ min: 1, max: 4 });
 
--- a/test/balancer/cut-off.test.ts
+++ b/test/managed/balancer/cut-off.test.ts
@@ -5,13 +5,13 @@
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../../src/balancer/balancer-state.js';
-import { balancerStep } from '../../src/balancer/balancer-step.js';
-import { routeEstablished } from '../../src/balancer/forwarding.js';
-import { seededRandom } from '../../src/common/random.js';
-import { IDENTITY_LIFETIME_MS, takeGrant } from '../../src/dissemination/lease.js';
-import { encodeShortHeader, FLOW_ID_LENGTH_BYTES } from '../../src/flow/header.js';
-import { mintToken, prepareTokenKey } from '../../src/flow/token.js';
+} from '../../../src/managed/balancer/balancer-state.js';
+import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
+import { routeEstablished } from '../../../src/managed/balancer/forwarding.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { IDENTITY_LIFETIME_MS, takeGrant } from '../../../src/managed/dissemination/lease.js';
+import { encodeShortHeader, FLOW_ID_LENGTH_BYTES } from '../../../src/managed/flow/header.js';
+import { mintToken, prepareTokenKey } from '../../../src/managed/flow/token.js';
 
 const CLIENT = { host: '10.9.0.1', port: 4000 };
 const SERVICE = { host: '10.1.0.1', port: 5000 };
--- a/test/balancer/deltas.test.ts
+++ b/test/managed/balancer/deltas.test.ts
@@ -6,8 +6,8 @@
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../../src/balancer/balancer-state.js';
-import type { ConfigDelta } from '../../src/control/config-update.js';
+} from '../../../src/managed/balancer/balancer-state.js';
+import type { ConfigDelta } from '../../../src/managed/control/config-update.js';
 
 const LENGTH = 8;
 
--- a/test/balancer/established.test.ts
+++ b/test/managed/balancer/established.test.ts
@@ -1,10 +1,14 @@
 /** @file Packets of established flows: where they go, and what is counted and never forwarded. */
 import fc from 'fast-check';
 import t from 'tap';
-import { decodeEnvelope, encodeEnvelope } from '../../src/flow/envelope.js';
-import { errorKinds } from '../../src/flow/error-kinds.js';
-import { encodeLongHeader, encodeShortHeader, parseLongHeader } from '../../src/flow/header.js';
-import { mintToken, prepareTokenKey } from '../../src/flow/token.js';
+import { decodeEnvelope, encodeEnvelope } from '../../../src/managed/flow/envelope.js';
+import { errorKinds } from '../../../src/shared/common/error-kinds.js';
+import {
+  encodeLongHeader,
+  encodeShortHeader,
+  parseLongHeader,
+} from '../../../src/managed/flow/header.js';
+import { mintToken, prepareTokenKey } from '../../../src/managed/flow/token.js';
 import { BalancerWorld, FABRIC, keyOf, serviceOf } from './balancer-world.js';
 
 const authd = serviceOf(1);
--- a/test/control/address-fence.test.ts
+++ b/test/managed/control/address-fence.test.ts
@@ -1,6 +1,6 @@
 /** @file A control machine that stands alone: an address may change services once the fence lets it. */
 import t from 'tap';
-import { LEASE_DURATION_MS, LEASE_MARGIN_MS } from '../../src/dissemination/lease.js';
+import { LEASE_DURATION_MS, LEASE_MARGIN_MS } from '../../../src/managed/dissemination/lease.js';
 import { addCommand } from './control-world.js';
 import { SingleControl } from './single-control.js';
 
--- a/test/control/apply-command.test.ts
+++ b/test/managed/control/apply-command.test.ts
@@ -1,6 +1,6 @@
 /** @file The replicated step. */
 import t from 'tap';
-import type { Command } from '../../src/control/commands.js';
+import type { Command } from '../../../src/managed/control/commands.js';
 import { addCommand, ControlWorld } from './control-world.js';
 
 const defineAuthd: Command = {
--- a/test/control/command-records.test.ts
+++ b/test/managed/control/command-records.test.ts
@@ -1,8 +1,11 @@
 /** @file Commands sent again: at once, after a restart, and after their result has been forgotten. */
 import t from 'tap';
-import { decodeClusterState, encodeClusterState } from '../../src/control/cluster-snapshot.js';
-import { timedCommandId } from '../../src/control/command-id.js';
-import type { Command } from '../../src/control/commands.js';
+import {
+  decodeClusterState,
+  encodeClusterState,
+} from '../../../src/managed/control/cluster-snapshot.js';
+import { timedCommandId } from '../../../src/managed/control/command-id.js';
+import type { Command } from '../../../src/managed/control/commands.js';
 import { addCommand, ControlWorld } from './control-world.js';
 
 const HOUR_MS = 60 * 60 * 1000;
--- a/test/control/control-world.ts
+++ b/test/managed/control/control-world.ts
@@ -1,13 +1,19 @@
 /** @file A cluster state that tests send entries to, with two operators and no log. */
-import { applyCommand, type AppliedEntry } from '../../src/control/apply-command.js';
-import { emptyClusterState, type ClusterState } from '../../src/control/cluster-state.js';
-import { defaultRecordBounds, type RecordBounds } from '../../src/control/command-records.js';
+import { applyCommand, type AppliedEntry } from '../../../src/managed/control/apply-command.js';
+import {
+  emptyClusterState,
+  type ClusterState,
+} from '../../../src/managed/control/cluster-state.js';
+import {
+  defaultRecordBounds,
+  type RecordBounds,
+} from '../../../src/managed/control/command-records.js';
 import {
   SYSTEM_OPERATOR,
   type AcceptedOutcome,
   type Command,
   type SystemCommand,
-} from '../../src/control/commands.js';
+} from '../../../src/managed/control/commands.js';
 
 /** Sends entries to a cluster state. */
 export class ControlWorld {
--- a/test/control/leader-duties.test.ts
+++ b/test/managed/control/leader-duties.test.ts
@@ -1,8 +1,11 @@
 /** @file What the leader proposes of its own accord: planned changes, key rotation, address release. */
 import t from 'tap';
-import { decodeClusterState, encodeClusterState } from '../../src/control/cluster-snapshot.js';
-import type { CommandEntry } from '../../src/control/commands.js';
-import { leaderDuties } from '../../src/control/leader-duties.js';
+import {
+  decodeClusterState,
+  encodeClusterState,
+} from '../../../src/managed/control/cluster-snapshot.js';
+import type { CommandEntry } from '../../../src/managed/control/commands.js';
+import { leaderDuties } from '../../../src/managed/control/leader-duties.js';
 import { addCommand, ControlWorld } from './control-world.js';
 
 const DAY_MS = 24 * 60 * 60 * 1000;
--- a/test/control/non-interference.test.ts
+++ b/test/managed/control/non-interference.test.ts
@@ -4,11 +4,11 @@
  */
 import fc from 'fast-check';
 import t from 'tap';
-import type { Command, OperatorCommand } from '../../src/control/commands.js';
-import type { OperatorQuery } from '../../src/control/queries.js';
-import { answerQuery } from '../../src/control/views/answer-query.js';
-import { unknownLoad } from '../../src/control/views/backend-load.js';
-import { visibleOutcome } from '../../src/control/views/entity-views.js';
+import type { Command, OperatorCommand } from '../../../src/managed/control/commands.js';
+import type { OperatorQuery } from '../../../src/managed/control/queries.js';
+import { answerQuery } from '../../../src/managed/control/views/answer-query.js';
+import { unknownLoad } from '../../../src/managed/control/views/backend-load.js';
+import { visibleOutcome } from '../../../src/managed/control/views/entity-views.js';
 import { addCommand, ControlWorld } from './control-world.js';
 
 const OBSERVED = 'tarjeta';
--- a/test/control/single-control.ts
+++ b/test/managed/control/single-control.ts
@@ -1,9 +1,13 @@
 /** @file A control machine that stands alone, whose disk is as fast as its memory. */
-import { seededRandom } from '../../src/common/random.js';
-import { SYSTEM_OPERATOR, type Command, type CommandOutcome } from '../../src/control/commands.js';
-import type { ControlEvent } from '../../src/control/control-events.js';
-import { controlStep, createControlState } from '../../src/control/control-step.js';
-import type { LinkSendEffect } from '../../src/dissemination/publisher.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import {
+  SYSTEM_OPERATOR,
+  type Command,
+  type CommandOutcome,
+} from '../../../src/managed/control/commands.js';
+import type { ControlEvent } from '../../../src/managed/control/control-events.js';
+import { controlStep, createControlState } from '../../../src/managed/control/control-step.js';
+import type { LinkSendEffect } from '../../../src/managed/dissemination/publisher.js';
 
 const TICK_MS = 20;
 
--- a/test/control/views.test.ts
+++ b/test/managed/control/views.test.ts
@@ -1,9 +1,9 @@
 /** @file What operators are shown: only their own, with what is committed told apart from in force. */
 import t from 'tap';
-import type { OperatorQuery } from '../../src/control/queries.js';
-import { answerQuery } from '../../src/control/views/answer-query.js';
-import { unknownLoad, type LoadView } from '../../src/control/views/backend-load.js';
-import type { InForceView } from '../../src/control/views/in-force.js';
+import type { OperatorQuery } from '../../../src/managed/control/queries.js';
+import { answerQuery } from '../../../src/managed/control/views/answer-query.js';
+import { unknownLoad, type LoadView } from '../../../src/managed/control/views/backend-load.js';
+import type { InForceView } from '../../../src/managed/control/views/in-force.js';
 import { ControlWorld } from './control-world.js';
 
 const noBalancers: InForceView = { balancers: [], isComplete: true };
--- a/test/daemon/control-daemon.test.ts
+++ b/test/managed/daemon/control-daemon.test.ts
@@ -4,14 +4,17 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import t from 'tap';
-import { answerFor } from '../../src/flow/error-kinds.js';
-import { OperatorClient } from '../../src/client/operator-client.js';
-import { formatAddress } from '../../src/common/address.js';
-import { setLogLevel } from '../../src/common/logger.js';
-import type { OperatorCommand } from '../../src/control/commands.js';
-import { startControlDaemon, type ControlDaemon } from '../../src/daemon/control-daemon.js';
-import { sendJson } from '../../src/daemon/http-json.js';
-import { loadSettings } from '../../src/settings/load-settings.js';
+import { answerFor } from '../../../src/shared/common/error-kinds.js';
+import { OperatorClient } from '../../../src/tools/client/operator-client.js';
+import { formatAddress } from '../../../src/shared/common/address.js';
+import { setLogLevel } from '../../../src/shared/common/logger.js';
+import type { OperatorCommand } from '../../../src/managed/control/commands.js';
+import {
+  startControlDaemon,
+  type ControlDaemon,
+} from '../../../src/managed/daemon/control-daemon.js';
+import { sendJson } from '../../../src/managed/daemon/http-json.js';
+import { loadSettings } from '../../../src/shared/settings/load-settings.js';
 
 const ADMIN_TOKEN = 'admin-token';
 const OPERATOR_TOKEN = 'operator-token';
--- a/test/daemon/message-link.test.ts
+++ b/test/managed/daemon/message-link.test.ts
@@ -3,8 +3,8 @@
 import { createServer, type AddressInfo, type Socket } from 'node:net';
 import { setImmediate } from 'node:timers/promises';
 import t from 'tap';
-import { seededRandom } from '../../src/common/random.js';
-import { connectLink } from '../../src/daemon/message-link.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { connectLink } from '../../../src/managed/daemon/message-link.js';
 
 const MESSAGE_BYTES = 1024 * 1024;
 
--- a/test/daemon/metrics.test.ts
+++ b/test/managed/daemon/metrics.test.ts
@@ -1,11 +1,11 @@
 /** @file What a daemon tells whoever watches it, and how it stops on signals. */
 import t from 'tap';
-import type { Address } from '../../src/common/address.js';
-import { sendJson } from '../../src/daemon/http-json.js';
-import { balancerMetrics } from '../../src/daemon/metrics/balancer-metrics.js';
-import { startMetricsServer } from '../../src/daemon/metrics/metrics-server.js';
-import { startProcess } from '../../src/experiment/child-process.js';
-import { exitCodes } from '../../src/flow/error-kinds.js';
+import type { Address } from '../../../src/shared/common/address.js';
+import { sendJson } from '../../../src/managed/daemon/http-json.js';
+import { balancerMetrics } from '../../../src/managed/daemon/metrics/balancer-metrics.js';
+import { startMetricsServer } from '../../../src/managed/daemon/metrics/metrics-server.js';
+import { startProcess } from '../../../src/proof/experiment/child-process.js';
+import { exitCodes } from '../../../src/shared/common/error-kinds.js';
 import {
   accept,
   BalancerWorld,
--- a/test/daemon/random-bytes.test.ts
+++ b/test/managed/daemon/random-bytes.test.ts
@@ -7,11 +7,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import t from 'tap';
-import type { Address } from '../../src/common/address.js';
-import { encodeFrame } from '../../src/common/frame-codec.js';
-import { seededRandom } from '../../src/common/random.js';
-import { parseControlLinkMessage } from '../../src/daemon/link-schemas.js';
-import { listenForLinks } from '../../src/daemon/message-link.js';
+import type { Address } from '../../../src/shared/common/address.js';
+import { encodeFrame } from '../../../src/shared/common/frame-codec.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { parseControlLinkMessage } from '../../../src/managed/daemon/link-schemas.js';
+import { listenForLinks } from '../../../src/managed/daemon/message-link.js';
 
 const CONNECTIONS = 300;
 const MAX_BYTES = 4_000;
--- a/test/decoders.test.ts
+++ b/test/managed/decoders.test.ts
@@ -1,9 +1,9 @@
 /** @file Decoders take any bytes without a crash. */
 import fc from 'fast-check';
 import t from 'tap';
-import { decodeEnvelope, encodeEnvelope } from '../src/flow/envelope.js';
-import { parseLongHeader, parseShortHeader } from '../src/flow/header.js';
-import { decodeMessage, encodeMessage } from '../src/flow/messages.js';
+import { decodeEnvelope, encodeEnvelope } from '../../src/managed/flow/envelope.js';
+import { parseLongHeader, parseShortHeader } from '../../src/managed/flow/header.js';
+import { decodeMessage, encodeMessage } from '../../src/managed/flow/messages.js';
 
 const RUNS = { numRuns: 2_000, seed: 1 };
 const bytes = fc.uint8Array({ maxLength: 200 });
--- a/test/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -2,15 +2,15 @@
  * @file Control machines and balancers on a virtual clock, with links that can be cut, processes that
  * can be paused, and clocks that run a little fast or slow.
  */
-import type { ConfigPosition } from '../../src/control/config-update.js';
-import { emptyRoutingConfig } from '../../src/control/cluster-state.js';
-import { isLeaseHeld } from '../../src/dissemination/lease.js';
+import type { ConfigPosition } from '../../../src/managed/control/config-update.js';
+import { emptyRoutingConfig } from '../../../src/managed/control/cluster-state.js';
+import { isLeaseHeld } from '../../../src/managed/dissemination/lease.js';
 import {
   createLeaseAuthority,
   leaseAuthorityTick,
   takeConfirmation,
   type LeaseAuthority,
-} from '../../src/dissemination/lease-authority.js';
+} from '../../../src/managed/dissemination/lease-authority.js';
 import {
   createPublisher,
   disseminationStatus,
@@ -20,7 +20,7 @@
   skipToPosition,
   type LinkSendEffect,
   type PublisherState,
-} from '../../src/dissemination/publisher.js';
+} from '../../../src/managed/dissemination/publisher.js';
 import {
   acknowledge,
   createSubscription,
@@ -30,7 +30,7 @@
   subscriptionTick,
   type SubscriptionEffect,
   type SubscriptionState,
-} from '../../src/dissemination/subscription.js';
+} from '../../../src/managed/dissemination/subscription.js';
 
 const TICK_MS = 50;
 const HOP_MS = 1;
--- a/test/dissemination/lease.test.ts
+++ b/test/managed/dissemination/lease.test.ts
@@ -10,7 +10,7 @@
   mayUseBackend,
   passOnLease,
   takeGrant,
-} from '../../src/dissemination/lease.js';
+} from '../../../src/managed/dissemination/lease.js';
 import { LeaseWorld } from './lease-world.js';
 
 const SETTLED_MS = LEASE_DURATION_MS + 2 * LEASE_MARGIN_MS + 2_000;
--- a/test/dissemination/subtree-report.test.ts
+++ b/test/managed/dissemination/subtree-report.test.ts
@@ -13,7 +13,7 @@
   takeReport,
   type SubtreeReport,
   type SubtreeReports,
-} from '../../src/dissemination/subtree-report.js';
+} from '../../../src/managed/dissemination/subtree-report.js';
 
 const ZONE = 'zone-a';
 
--- a/test/dissemination/tree-world.ts
+++ b/test/managed/dissemination/tree-world.ts
@@ -2,15 +2,18 @@
  * @file One control machine and balancers of several zones, all with their real steps, on a virtual
  * network with links and gossip.
  */
-import { formatAddress, type Address } from '../../src/common/address.js';
-import type { BalancerEffect, BalancerEvent } from '../../src/balancer/balancer-events.js';
+import { formatAddress, type Address } from '../../../src/shared/common/address.js';
+import type {
+  BalancerEffect,
+  BalancerEvent,
+} from '../../../src/managed/balancer/balancer-events.js';
 import {
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../../src/balancer/balancer-state.js';
-import { balancerStep } from '../../src/balancer/balancer-step.js';
-import type { ProbeResult } from '../../src/health/backend-report.js';
+} from '../../../src/managed/balancer/balancer-state.js';
+import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
+import type { ProbeResult } from '../../../src/managed/health/backend-report.js';
 import { SingleControl } from '../control/single-control.js';
 import { goodNetwork, VirtualNetwork } from '../flows/network.js';
 
--- a/test/dissemination/tree.test.ts
+++ b/test/managed/dissemination/tree.test.ts
@@ -1,7 +1,10 @@
 /** @file The configuration's way over relays, with control machine and balancers in their real steps. */
 import t from 'tap';
-import { isLeaseHeld, LEASE_DURATION_MS } from '../../src/dissemination/lease.js';
-import { balancerReports, disseminationStatus } from '../../src/dissemination/publisher.js';
+import { isLeaseHeld, LEASE_DURATION_MS } from '../../../src/managed/dissemination/lease.js';
+import {
+  balancerReports,
+  disseminationStatus,
+} from '../../../src/managed/dissemination/publisher.js';
 import { TreeWorld, type TreeNode } from './tree-world.js';
 
 const SETTLE_MS = 30_000;
--- a/test/token.test.ts
+++ b/test/managed/flow/token.test.ts
@@ -1,6 +1,11 @@
 /** @file The routing token. */
 import t from 'tap';
-import { hasValidMac, mintToken, prepareTokenKey, readToken } from '../src/flow/token.js';
+import {
+  hasValidMac,
+  mintToken,
+  prepareTokenKey,
+  readToken,
+} from '../../../src/managed/flow/token.js';
 
 const key = prepareTokenKey(Uint8Array.from({ length: 16 }, (_, index) => index));
 const otherKey = prepareTokenKey(Uint8Array.from({ length: 16 }, (_, index) => index + 1));
--- a/test/flows/caller.test.ts
+++ b/test/managed/flows/caller.test.ts
@@ -1,22 +1,22 @@
 /** @file What a caller takes from the packets that reach it, one packet at a time. */
 import t from 'tap';
-import { seededRandom } from '../../src/common/random.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
 import {
   encodeLongHeader,
   encodeShortHeader,
   hasLongHeader,
   parseLongHeader,
   parseShortHeader,
-} from '../../src/flow/header.js';
-import { decodeMessage, encodeMessage, type Message } from '../../src/flow/messages.js';
-import { TOKEN_LENGTH_BYTES } from '../../src/flow/token.js';
+} from '../../../src/managed/flow/header.js';
+import { decodeMessage, encodeMessage, type Message } from '../../../src/managed/flow/messages.js';
+import { TOKEN_LENGTH_BYTES } from '../../../src/managed/flow/token.js';
 import {
   createCallerState,
   type CallerEffect,
   type CallerOptions,
-} from '../../src/standins/caller-state.js';
-import { callerStep } from '../../src/standins/caller-step.js';
-import { answerParts } from '../../src/standins/workload.js';
+} from '../../../src/proof/standins/caller-state.js';
+import { callerStep } from '../../../src/proof/standins/caller-step.js';
+import { answerParts } from '../../../src/proof/standins/workload.js';
 
 const TOKEN = new Uint8Array(TOKEN_LENGTH_BYTES).fill(9);
 const ANSWER_BYTES = 3_000;
--- a/test/flows/network.ts
+++ b/test/managed/flows/network.ts
@@ -1,8 +1,8 @@
 /**
  * @file A virtual clock and a network that loses, doubles and reorders datagrams from a seed.
  */
-import { seededRandom } from '../../src/common/random.js';
-import type { RandomSource, StepContext } from '../../src/common/step.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import type { RandomSource, StepContext } from '../../../src/shared/common/step.js';
 
 /** How the network treats each datagram; shares from 0 to 1, times in milliseconds. */
 export interface NetworkFaults {
--- a/test/flows/world.ts
+++ b/test/managed/flows/world.ts
@@ -2,39 +2,42 @@
  * @file Callers, fabric, balancers and back ends on a virtual network: the same steps as the
  * processes run, with an oracle's view of what came of each request and notice.
  */
-import { balancerStep } from '../../src/balancer/balancer-step.js';
-import type { BalancerEffect, BalancerEvent } from '../../src/balancer/balancer-events.js';
+import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
+import type {
+  BalancerEffect,
+  BalancerEvent,
+} from '../../../src/managed/balancer/balancer-events.js';
 import {
   applyConfigUpdate,
   createBalancerState,
   defaultBalancerOptions,
   type BalancerState,
-} from '../../src/balancer/balancer-state.js';
-import { formatAddress, type Address } from '../../src/common/address.js';
-import type { Backend, Service } from '../../src/control/cluster-state.js';
-import type { BackendOptions } from '../../src/standins/backend-options.js';
+} from '../../../src/managed/balancer/balancer-state.js';
+import { formatAddress, type Address } from '../../../src/shared/common/address.js';
+import type { Backend, Service } from '../../../src/managed/control/cluster-state.js';
+import type { BackendOptions } from '../../../src/proof/standins/backend-options.js';
 import {
   createBackendState,
   healthReport,
   isDown,
   loadReport,
   type BackendState,
-} from '../../src/standins/backend-state.js';
-import { backendStep, type BackendEvent } from '../../src/standins/backend-step.js';
+} from '../../../src/proof/standins/backend-state.js';
+import { backendStep, type BackendEvent } from '../../../src/proof/standins/backend-step.js';
 import {
   createCallerState,
   type CallerOptions,
   type CallerState,
   type RequestOutcome,
-} from '../../src/standins/caller-state.js';
-import { callerStep, type CallerEvent } from '../../src/standins/caller-step.js';
+} from '../../../src/proof/standins/caller-state.js';
+import { callerStep, type CallerEvent } from '../../../src/proof/standins/caller-step.js';
 import {
   createFabricState,
   fabricStep,
   type FabricEffect,
   type FabricEvent,
   type FabricState,
-} from '../../src/standins/fabric-step.js';
+} from '../../../src/proof/standins/fabric-step.js';
 import { goodNetwork, VirtualNetwork, type NetworkFaults } from './network.js';
 
 const TICK_MS = 10;
--- a/test/health/judgement.test.ts
+++ b/test/managed/health/judgement.test.ts
@@ -1,13 +1,16 @@
 import { test } from 'tap';
-import type { HealthReport, LoadReport } from '../../src/health/backend-report.js';
-import { explainJudgement } from '../../src/health/explanation.js';
+import type { HealthReport, LoadReport } from '../../../src/managed/health/backend-report.js';
+import { explainJudgement } from '../../../src/managed/health/explanation.js';
 import {
   judgeAdminState,
   judgeOutcome,
   judgeProbe,
   type OpenOutcome,
-} from '../../src/health/judgement.js';
-import { createJudgement, type JudgementGroup } from '../../src/health/judgement-state.js';
+} from '../../../src/managed/health/judgement.js';
+import {
+  createJudgement,
+  type JudgementGroup,
+} from '../../../src/managed/health/judgement-state.js';
 
 const PROBE_INTERVAL_MS = 500;
 const load: LoadReport = {
--- a/test/health/probe-sharing.test.ts
+++ b/test/managed/health/probe-sharing.test.ts
@@ -1,13 +1,13 @@
 /** @file Health probes shared out over the balancers of a zone. */
 import t from 'tap';
-import type { Backend } from '../../src/control/cluster-state.js';
-import type { ProbeResult } from '../../src/health/backend-report.js';
+import type { Backend } from '../../../src/managed/control/cluster-state.js';
+import type { ProbeResult } from '../../../src/managed/health/backend-report.js';
 import {
   createHealthSharing,
   MAX_SHARED_RESULTS,
   noteResult,
   resultsToShare,
-} from '../../src/health/health-sharing.js';
+} from '../../../src/managed/health/health-sharing.js';
 import {
   createProbeSchedule,
   dueProbes,
@@ -15,8 +15,12 @@
   probeEnded,
   setProbeTarget,
   type ProbeSchedule,
-} from '../../src/health/probe-schedule.js';
-import { decodeGossip, encodeGossip, gossipKey } from '../../src/membership/gossip-codec.js';
+} from '../../../src/managed/health/probe-schedule.js';
+import {
+  decodeGossip,
+  encodeGossip,
+  gossipKey,
+} from '../../../src/managed/membership/gossip-codec.js';
 import { addCommand } from '../control/control-world.js';
 import { TreeWorld } from '../dissemination/tree-world.js';
 
--- a/test/language/parser-source.ts
+++ b/test/managed/language/parser-source.ts
@@ -2,8 +2,8 @@
 import { readFileSync } from 'node:fs';
 import peggy from 'peggy';
 
-export const GRAMMAR_FILE = 'src/language/statement.peggy';
-export const PARSER_FILE = 'src/language/generated/statement-parser.ts';
+export const GRAMMAR_FILE = 'src/managed/language/statement.peggy';
+export const PARSER_FILE = 'src/managed/language/generated/statement-parser.ts';
 
 const HEADER =
   '// @ts-nocheck\n// Made from statement.peggy by "npm run generate"; not to be edited.\n';
--- a/test/language/reference-source.ts
+++ b/test/managed/language/reference-source.ts
@@ -1,6 +1,6 @@
 /** @file Makes docs/COMMANDS.md as it is committed: the reference text in the formatter's layout. */
 import { format, resolveConfig } from 'prettier';
-import { referenceText } from '../../src/language/reference-text.js';
+import { referenceText } from '../../../src/managed/language/reference-text.js';
 
 export const REFERENCE_FILE = 'docs/COMMANDS.md';
 
--- a/test/language/statement.test.ts
+++ b/test/managed/language/statement.test.ts
@@ -3,13 +3,22 @@
 import { isDeepStrictEqual } from 'node:util';
 import fc from 'fast-check';
 import t from 'tap';
-import { placementPolicyNames } from '../../src/control/cluster-state.js';
-import { operatorCommandSchema, type OperatorCommand } from '../../src/control/commands.js';
-import { operatorQuerySchema } from '../../src/control/queries.js';
-import { completeStatement } from '../../src/language/complete-statement.js';
-import { commandReference, queryReference } from '../../src/language/command-reference.js';
-import { formatCommand } from '../../src/language/format-command.js';
-import { describeStatementError, parseStatement } from '../../src/language/parse-statement.js';
+import { placementPolicyNames } from '../../../src/managed/control/cluster-state.js';
+import {
+  operatorCommandSchema,
+  type OperatorCommand,
+} from '../../../src/managed/control/commands.js';
+import { operatorQuerySchema } from '../../../src/managed/control/queries.js';
+import { completeStatement } from '../../../src/managed/language/complete-statement.js';
+import {
+  commandReference,
+  queryReference,
+} from '../../../src/managed/language/command-reference.js';
+import { formatCommand } from '../../../src/managed/language/format-command.js';
+import {
+  describeStatementError,
+  parseStatement,
+} from '../../../src/managed/language/parse-statement.js';
 import { PARSER_FILE, parserSource } from './parser-source.js';
 import { REFERENCE_FILE, referenceSource } from './reference-source.js';
 
--- a/test/membership/membership.test.ts
+++ b/test/managed/membership/membership.test.ts
@@ -1,10 +1,14 @@
 /** @file Membership: joining, detection, refutation, cuts, leaving, and what it costs. */
 import fc from 'fast-check';
 import t from 'tap';
-import { decodeGossip, encodeGossip, gossipKey } from '../../src/membership/gossip-codec.js';
-import { supersedes, type MemberRecord } from '../../src/membership/member.js';
-import { liveBalancerCount } from '../../src/membership/membership-state.js';
-import { chooseByRendezvous } from '../../src/membership/rendezvous.js';
+import {
+  decodeGossip,
+  encodeGossip,
+  gossipKey,
+} from '../../../src/managed/membership/gossip-codec.js';
+import { supersedes, type MemberRecord } from '../../../src/managed/membership/member.js';
+import { liveBalancerCount } from '../../../src/managed/membership/membership-state.js';
+import { chooseByRendezvous } from '../../../src/shared/common/rendezvous.js';
 import { MembershipWorld } from './membership-world.js';
 
 const MINUTE_MS = 60_000;
--- a/test/routing/candidates.ts
+++ b/test/managed/routing/candidates.ts
@@ -1,9 +1,12 @@
 /** @file Candidates for tests of placement policies. */
-import { seededRandom } from '../../src/common/random.js';
-import type { StepContext } from '../../src/common/step.js';
-import { createJudgement } from '../../src/health/judgement-state.js';
-import { createLoadEstimate, estimateReport } from '../../src/routing/load-estimate.js';
-import type { PlacementCandidate, PlacementRequest } from '../../src/routing/placement-policy.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import type { StepContext } from '../../../src/shared/common/step.js';
+import { createJudgement } from '../../../src/managed/health/judgement-state.js';
+import { createLoadEstimate, estimateReport } from '../../../src/managed/routing/load-estimate.js';
+import type {
+  PlacementCandidate,
+  PlacementRequest,
+} from '../../../src/managed/routing/placement-policy.js';
 
 export const CONNECTION_LIMIT = 2_000;
 
--- a/test/routing/policies.test.ts
+++ b/test/managed/routing/policies.test.ts
@@ -1,9 +1,12 @@
 import { test } from 'tap';
-import { placementPolicyNames } from '../../src/control/cluster-state.js';
-import { estimateFailure, estimateOpen } from '../../src/routing/load-estimate.js';
-import { buildMaglevTable, MAGLEV_TABLE_SIZE } from '../../src/routing/maglev-table.js';
-import type { PlacementCandidate, PlacementRequest } from '../../src/routing/placement-policy.js';
-import { createPolicy } from '../../src/routing/policy-registry.js';
+import { placementPolicyNames } from '../../../src/managed/control/cluster-state.js';
+import { estimateFailure, estimateOpen } from '../../../src/managed/routing/load-estimate.js';
+import { buildMaglevTable, MAGLEV_TABLE_SIZE } from '../../../src/managed/routing/maglev-table.js';
+import type {
+  PlacementCandidate,
+  PlacementRequest,
+} from '../../../src/managed/routing/placement-policy.js';
+import { createPolicy } from '../../../src/managed/routing/policy-registry.js';
 import { candidate, contextAt, requestFor } from './candidates.js';
 
 const FLOWS = 3_000;
--- a/test/platform/control-api.test.ts
+++ b/test/platform/control-api.test.ts
@@ -3,7 +3,7 @@
 import t from 'tap';
 import { readConfigDocument } from '../../platform/config-document.js';
 import { instanceNumberOf, translateCall } from '../../platform/control-api.js';
-import type { TranslatedCall } from '../../src/daemon/call-listener.js';
+import type { TranslatedCall } from '../../src/registered/daemon/call-listener.js';
 
 const BEAT = {
   service: 'alpha',
--- a/test/experiment/report-page.test.ts
+++ b/test/proof/experiment/report-page.test.ts
@@ -1,7 +1,7 @@
 /** @file The report page: needs no other file, and shows what the run gave. */
 import t from 'tap';
-import { fleetResultSchema } from '../../src/experiment/report-data.js';
-import { reportPage } from '../../src/experiment/report-page.js';
+import { fleetResultSchema } from '../../../src/proof/experiment/report-data.js';
+import { reportPage } from '../../../src/proof/experiment/report-page.js';
 
 const data = fleetResultSchema.parse({
   figures: { deployment: 'a</script>', scenario: 's', seed: 1, brokenFlows: 3, misrouted: 0 },
--- a/test/experiment/scenario.test.ts
+++ b/test/proof/experiment/scenario.test.ts
@@ -1,10 +1,14 @@
 /** @file The files of deployments and scenarios, and what is planned from them. */
 import { readdirSync } from 'node:fs';
 import t from 'tap';
-import { seededRandom } from '../../src/common/random.js';
-import { loadDeployment } from '../../src/experiment/deployment.js';
-import { planFaults } from '../../src/experiment/random-faults.js';
-import { loadScenario, scenarioSchema, stretchScenario } from '../../src/experiment/scenario.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { loadDeployment } from '../../../src/proof/experiment/deployment.js';
+import { planFaults } from '../../../src/proof/experiment/random-faults.js';
+import {
+  loadScenario,
+  scenarioSchema,
+  stretchScenario,
+} from '../../../src/proof/experiment/scenario.js';
 
 const SCENARIOS = 'examples/scenarios';
 
--- a/test/hollow/hollow-world.test.ts
+++ b/test/proof/hollow/hollow-world.test.ts
@@ -1,8 +1,8 @@
 /** @file Convergence of a small hollow world after a change and after failures. */
 import t from 'tap';
-import type { CommandOutcome } from '../../src/control/commands.js';
-import { addBackendCommand } from '../../src/experiment/hollow/first-state.js';
-import { HollowWorld } from '../../src/experiment/hollow/hollow-world.js';
+import type { CommandOutcome } from '../../../src/managed/control/commands.js';
+import { addBackendCommand } from '../../../src/proof/experiment/hollow/first-state.js';
+import { HollowWorld } from '../../../src/proof/experiment/hollow/hollow-world.js';
 
 const CONFIG = { services: 4, backends: 40 };
 const CONVERGENCE_MS = 8_000;
--- a/test/sim/config-mutants.ts
+++ b/test/proof/sim-managed/config-mutants.ts
@@ -1,10 +1,13 @@
 /** @file Mutants of consensus, control, dissemination and the disks. */
-import type { StorageFolder } from '../../src/daemon/storage-folder.js';
-import type { ControlEffect, ControlEvent } from '../../src/control/control-events.js';
-import { isLeader } from '../../src/control/control-step.js';
-import { atRandomTimes } from '../../src/sim/scenarios/scenario.js';
-import { changeSomething } from '../../src/sim/scenarios/operator-changes.js';
-import { productSteps, type SimulatedSteps } from '../../src/sim/simulated-steps.js';
+import type { StorageFolder } from '../../../src/shared/daemon/storage-folder.js';
+import type { ControlEffect, ControlEvent } from '../../../src/managed/control/control-events.js';
+import { isLeader } from '../../../src/managed/control/control-step.js';
+import { atRandomTimes } from '../../../src/proof/sim-managed/scenarios/scenario.js';
+import { changeSomething } from '../../../src/proof/sim-managed/scenarios/operator-changes.js';
+import {
+  productSteps,
+  type SimulatedSteps,
+} from '../../../src/proof/sim-managed/simulated-steps.js';
 import { scenarioNamed, type Mutant } from './mutant.js';
 
 const operatorsRace = scenarioNamed('operators-race', { durationMs: 12_000 });
--- a/test/sim/flow-mutants.ts
+++ b/test/proof/sim-managed/flow-mutants.ts
@@ -1,12 +1,12 @@
 /** @file Mutants of the data path: balancers, back ends and callers. */
-import { formatAddress, type Address } from '../../src/common/address.js';
-import { encodeEnvelope } from '../../src/flow/envelope.js';
-import { mintToken, readToken } from '../../src/flow/token.js';
-import type { BalancerState } from '../../src/balancer/balancer-state.js';
-import type { SimulatedSteps } from '../../src/sim/simulated-steps.js';
-import { productSteps } from '../../src/sim/simulated-steps.js';
-import { closeFlow } from '../../src/standins/backend-flows.js';
-import { sendOnFlow, sendToClient } from '../../src/standins/backend-send.js';
+import { formatAddress, type Address } from '../../../src/shared/common/address.js';
+import { encodeEnvelope } from '../../../src/managed/flow/envelope.js';
+import { mintToken, readToken } from '../../../src/managed/flow/token.js';
+import type { BalancerState } from '../../../src/managed/balancer/balancer-state.js';
+import type { SimulatedSteps } from '../../../src/proof/sim-managed/simulated-steps.js';
+import { productSteps } from '../../../src/proof/sim-managed/simulated-steps.js';
+import { closeFlow } from '../../../src/proof/standins/backend-flows.js';
+import { sendOnFlow, sendToClient } from '../../../src/proof/standins/backend-send.js';
 import { scenarioNamed, type Mutant } from './mutant.js';
 import {
   messageToBackend,
--- a/test/sim/fuzz-commands.ts
+++ b/test/proof/sim-managed/fuzz-commands.ts
@@ -1,8 +1,8 @@
 /** @file Commands of the stateful fuzzing: faults of any process at any moment, and operators at work. */
 import fc from 'fast-check';
-import type { PlacementPolicyName } from '../../src/control/cluster-state.js';
-import type { Faults } from '../../src/sim/faults.js';
-import type { World } from '../../src/sim/world.js';
+import type { PlacementPolicyName } from '../../../src/managed/control/cluster-state.js';
+import type { Faults } from '../../../src/proof/sim-managed/faults.js';
+import type { World } from '../../../src/proof/sim-managed/world.js';
 
 /** The model: what the commands need to know; what must hold is known to the oracle. */
 export interface FuzzModel {
--- a/test/sim/fuzz.test.ts
+++ b/test/proof/sim-managed/fuzz.test.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import t from 'tap';
-import { productSteps } from '../../src/sim/simulated-steps.js';
+import { productSteps } from '../../../src/proof/sim-managed/simulated-steps.js';
 import { fuzz } from './fuzz.js';
 
 const schedules = Number(process.env.AMBERLIFT_FUZZ_SCHEDULES ?? 5);
--- a/test/sim/fuzz.ts
+++ b/test/proof/sim-managed/fuzz.ts
@@ -2,13 +2,16 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import fc from 'fast-check';
-import { Faults } from '../../src/sim/faults.js';
-import type { Violation } from '../../src/sim/oracle/check.js';
-import { Oracle } from '../../src/sim/oracle/oracle.js';
-import { productSteps, type SimulatedSteps } from '../../src/sim/simulated-steps.js';
-import { formatTrace } from '../../src/sim/violation-file.js';
-import { smallWorld } from '../../src/sim/world-plan.js';
-import { World } from '../../src/sim/world.js';
+import { Faults } from '../../../src/proof/sim-managed/faults.js';
+import type { Violation } from '../../../src/proof/sim-managed/oracle/check.js';
+import { Oracle } from '../../../src/proof/sim-managed/oracle/oracle.js';
+import {
+  productSteps,
+  type SimulatedSteps,
+} from '../../../src/proof/sim-managed/simulated-steps.js';
+import { formatTrace } from '../../../src/proof/sim-managed/violation-file.js';
+import { smallWorld } from '../../../src/proof/sim-managed/world-plan.js';
+import { World } from '../../../src/proof/sim-managed/world.js';
 import { fuzzCommands, type FuzzModel, type FuzzSystem } from './fuzz-commands.js';
 
 const MAX_COMMANDS = 30;
--- a/test/sim/mutant.ts
+++ b/test/proof/sim-managed/mutant.ts
@@ -1,10 +1,13 @@
 /** @file What a mutant is: a deliberately broken variant of the product, and the check that catches it. */
 import t from 'tap';
-import type { CheckName } from '../../src/sim/oracle/check.js';
-import { runScenario, type RunReport } from '../../src/sim/run-scenario.js';
-import { findScenario } from '../../src/sim/scenarios/index.js';
-import type { Scenario } from '../../src/sim/scenarios/scenario.js';
-import { productSteps, type SimulatedSteps } from '../../src/sim/simulated-steps.js';
+import type { CheckName } from '../../../src/proof/sim-managed/oracle/check.js';
+import { runScenario, type RunReport } from '../../../src/proof/sim-managed/run-scenario.js';
+import { findScenario } from '../../../src/proof/sim-managed/scenarios/index.js';
+import type { Scenario } from '../../../src/proof/sim-managed/scenarios/scenario.js';
+import {
+  productSteps,
+  type SimulatedSteps,
+} from '../../../src/proof/sim-managed/simulated-steps.js';
 
 /** A broken variant. */
 export interface Mutant {
--- a/test/sim/packet-surgery.ts
+++ b/test/proof/sim-managed/packet-surgery.ts
@@ -1,13 +1,17 @@
 /** @file Helpers with which broken steps change packets on their way. */
-import { decodeEnvelope, encodeEnvelope, type Envelope } from '../../src/flow/envelope.js';
+import {
+  decodeEnvelope,
+  encodeEnvelope,
+  type Envelope,
+} from '../../../src/managed/flow/envelope.js';
 import {
   encodeShortHeader,
   FLOW_ID_LENGTH_BYTES,
   hasLongHeader,
   parseShortHeader,
-} from '../../src/flow/header.js';
-import { decodeMessage, encodeMessage, type Message } from '../../src/flow/messages.js';
-import { TOKEN_LENGTH_BYTES } from '../../src/flow/token.js';
+} from '../../../src/managed/flow/header.js';
+import { decodeMessage, encodeMessage, type Message } from '../../../src/managed/flow/messages.js';
+import { TOKEN_LENGTH_BYTES } from '../../../src/managed/flow/token.js';
 
 /** The envelope of a datagram; throws for another one. */
 export function openEnvelope(datagram: Uint8Array): Envelope {
--- a/test/sim/scenarios.test.ts
+++ b/test/proof/sim-managed/scenarios.test.ts
@@ -1,10 +1,10 @@
 /** @file Scenarios on the product's own steps: one seed gives one trace, and no check is violated. */
 import t from 'tap';
-import { runScenario } from '../../src/sim/run-scenario.js';
-import { findScenario, scenarios } from '../../src/sim/scenarios/index.js';
-import type { Scenario } from '../../src/sim/scenarios/scenario.js';
-import { World } from '../../src/sim/world.js';
-import { smallWorld } from '../../src/sim/world-plan.js';
+import { runScenario } from '../../../src/proof/sim-managed/run-scenario.js';
+import { findScenario, scenarios } from '../../../src/proof/sim-managed/scenarios/index.js';
+import type { Scenario } from '../../../src/proof/sim-managed/scenarios/scenario.js';
+import { World } from '../../../src/proof/sim-managed/world.js';
+import { smallWorld } from '../../../src/proof/sim-managed/world-plan.js';
 
 function scenarioNamed(name: string): Scenario {
   const scenario = findScenario(name);
--- a/test/sim/simulate.test.ts
+++ b/test/proof/sim-managed/simulate.test.ts
@@ -3,9 +3,12 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import t from 'tap';
-import { findScenario, scenarios } from '../../src/sim/scenarios/index.js';
-import { planRuns, summarizeRun } from '../../src/sim/simulate.js';
-import { writeTraceFile, type TraceFileHeader } from '../../src/sim/violation-file.js';
+import { findScenario, scenarios } from '../../../src/proof/sim-managed/scenarios/index.js';
+import { planRuns, summarizeRun } from '../../../src/proof/sim-managed/simulate.js';
+import {
+  writeTraceFile,
+  type TraceFileHeader,
+} from '../../../src/proof/sim-managed/violation-file.js';
 
 const quiet = findScenario('quiet');
 
--- a/test/soak/link-proxy.test.ts
+++ b/test/proof/soak/link-proxy.test.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import t, { type Test } from 'tap';
-import { startLinkProxy, type LinkProxy } from '../../src/soak/link-proxy.js';
+import { startLinkProxy, type LinkProxy } from '../../../src/proof/soak/link-proxy.js';
 
 const HOST = '127.0.0.1';
 
--- a/test/soak/soak-schedule.test.ts
+++ b/test/proof/soak/soak-schedule.test.ts
@@ -7,7 +7,7 @@
   soakFaultKinds,
   type ScheduleOptions,
   type SoakFault,
-} from '../../src/soak/soak-schedule.js';
+} from '../../../src/proof/soak/soak-schedule.js';
 
 const OPTIONS: ScheduleOptions = {
   seed: 1,
--- a/test/soak/soak-verdict.test.ts
+++ b/test/proof/soak/soak-verdict.test.ts
@@ -1,10 +1,10 @@
 /** @file Calls reach control machines as the product's own calls, and logs tell who led. */
 import t from 'tap';
-import { createDeclaredApi } from '../../src/daemon/declared-api.js';
-import type { GroupCall } from '../../src/daemon/group-process.js';
-import { IngressOracle } from '../../src/sim/ingress/ingress-oracle.js';
-import { noteLeadersOf } from '../../src/soak/run-soak.js';
-import { replyOf, requestFor } from '../../src/soak/soak-calls.js';
+import { createDeclaredApi } from '../../../src/registered/daemon/declared-api.js';
+import type { GroupCall } from '../../../src/registered/daemon/group-process.js';
+import { IngressOracle } from '../../../src/proof/sim-registered/ingress-oracle.js';
+import { noteLeadersOf } from '../../../src/proof/soak/run-soak.js';
+import { replyOf, requestFor } from '../../../src/proof/soak/soak-calls.js';
 
 const TOKEN = 'operator-token';
 const TO = { host: '127.0.0.1', port: 7_702 };
--- a/test/soak/virtual-soak.test.ts
+++ b/test/proof/soak/virtual-soak.test.ts
@@ -3,10 +3,10 @@
  * that are broken on purpose. A seed gives the same verdict on any machine.
  */
 import t from 'tap';
-import type { IngressProcess } from '../../src/daemon/ingress-process.js';
-import type { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import type { IngressWorldOptions } from '../../src/sim/ingress/world-parts.js';
-import { runVirtualSoak } from '../../src/soak/virtual-soak.js';
+import type { IngressProcess } from '../../../src/registered/daemon/ingress-process.js';
+import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import type { IngressWorldOptions } from '../../../src/proof/sim-registered/world-parts.js';
+import { runVirtualSoak } from '../../../src/proof/soak/virtual-soak.js';
 
 const DURATION_MS = 40_000;
 const small: Partial<IngressWorldOptions> = {};
--- a/test/sim/virtual-disk.test.ts
+++ b/test/proof/virtual/virtual-disk.test.ts
@@ -1,8 +1,8 @@
 /** @file The virtual disk loses what a real one may lose, and nothing else. */
 import t from 'tap';
-import { seededRandom } from '../../src/common/random.js';
-import { VirtualClock } from '../../src/sim/virtual-clock.js';
-import { VirtualDisk } from '../../src/sim/virtual-disk.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { VirtualClock } from '../../../src/proof/virtual/virtual-clock.js';
+import { VirtualDisk } from '../../../src/proof/virtual/virtual-disk.js';
 
 async function done<T>(clock: VirtualClock, operation: Promise<T>): Promise<T> {
   await clock.runUntil(clock.nowMs + 10);
--- a/test/daemon/declared-api.test.ts
+++ b/test/registered/daemon/declared-api.test.ts
@@ -1,8 +1,8 @@
 /** @file The product's own calls: each becomes a call of the group or a clear answer. */
 import fc from 'fast-check';
 import t from 'tap';
-import type { TranslatedCall } from '../../src/daemon/call-listener.js';
-import { createDeclaredApi } from '../../src/daemon/declared-api.js';
+import type { TranslatedCall } from '../../../src/registered/daemon/call-listener.js';
+import { createDeclaredApi } from '../../../src/registered/daemon/declared-api.js';
 
 const TOKEN = 'operator-token';
 const BEAT = {
--- a/test/daemon/frame-links.test.ts
+++ b/test/registered/daemon/frame-links.test.ts
@@ -2,8 +2,8 @@
 import { once } from 'node:events';
 import { Socket } from 'node:net';
 import t from 'tap';
-import { frameLinkOptions, FrameLinks } from '../../src/daemon/frame-links.js';
-import { widestTiming } from '../../src/group/timing.js';
+import { frameLinkOptions, FrameLinks } from '../../../src/registered/daemon/frame-links.js';
+import { widestTiming } from '../../../src/registered/group/timing.js';
 
 const OPTIONS = frameLinkOptions(widestTiming);
 const ANYWHERE = { host: '127.0.0.1', port: 0 };
--- a/test/daemon/request-log.test.ts
+++ b/test/registered/daemon/request-log.test.ts
@@ -1,6 +1,6 @@
 /** @file Lines on packets stay within their budget, and what is left out is counted. */
 import t from 'tap';
-import { createRequestLog } from '../../src/daemon/request-log.js';
+import { createRequestLog } from '../../../src/registered/daemon/request-log.js';
 
 function createLog(linesPerSecond: number, bytesPerSecond = 10_000) {
   const lines: string[] = [];
--- a/test/daemon/token-deployment.test.ts
+++ b/test/registered/daemon/token-deployment.test.ts
@@ -12,19 +12,19 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { promisify } from 'node:util';
 import t from 'tap';
-import { createDeclaredClient } from '../../src/client/declared-client.js';
-import type { Address } from '../../src/common/address.js';
-import { encodeFrame } from '../../src/common/frame-codec.js';
-import { seededRandom } from '../../src/common/random.js';
-import { sendJson } from '../../src/daemon/http-json.js';
-import { parseDeclaredConfig } from '../../src/declared/parse-config.js';
+import { createDeclaredClient } from '../../../src/tools/client/declared-client.js';
+import type { Address } from '../../../src/shared/common/address.js';
+import { encodeFrame } from '../../../src/shared/common/frame-codec.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { sendJson } from '../../../src/managed/daemon/http-json.js';
+import { parseDeclaredConfig } from '../../../src/registered/declared/parse-config.js';
 import {
   decodeForBackend,
   decodePacket,
   encodePacket,
   sealPacket,
   type TokenPacket,
-} from '../../src/ingress/token-packet.js';
+} from '../../../src/registered/ingress/token-packet.js';
 
 const HOST = '127.0.0.1';
 const TOKEN = 'operator-token';
--- a/test/ingress/answer-evidence.test.ts
+++ b/test/registered/decisions/answer-evidence.test.ts
@@ -1,13 +1,13 @@
 /** @file What the packets of clients show of how back ends answer, and what they do not show. */
 import t from 'tap';
-import { createAnswerRecord } from '../../src/ingress/answer-record.js';
-import { createAnswerSizes } from '../../src/ingress/answer-sizes.js';
-import { relativeTimes } from '../../src/ingress/answer-times.js';
-import { BackendTable, type KnownBackend } from '../../src/ingress/backend-table.js';
-import { showAll } from '../../src/ingress/fleet-signals.js';
-import { FlowActivities } from '../../src/ingress/flow-activity.js';
-import type { PacketView } from '../../src/ingress/packet-view.js';
-import { PLAIN_PACKET } from './client-packets.js';
+import { createAnswerRecord } from '../../../src/registered/decisions/answer-record.js';
+import { createAnswerSizes } from '../../../src/registered/decisions/answer-sizes.js';
+import { relativeTimes } from '../../../src/registered/decisions/answer-times.js';
+import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { showAll } from '../../../src/registered/decisions/fleet-signals.js';
+import { FlowActivities } from '../../../src/registered/ingress/flow-activity.js';
+import type { PacketView } from '../../../src/registered/ingress/packet-view.js';
+import { PLAIN_PACKET } from '../ingress/client-packets.js';
 import { recordOf, takeIn } from './backend-records.js';
 
 const FLOW = 'flow';
--- a/test/ingress/backend-records.ts
+++ b/test/registered/decisions/backend-records.ts
@@ -1,8 +1,8 @@
 /**
  * @file Records of back ends for tests, as their first heartbeats tell them.
  */
-import type { BackendTable, KnownBackend } from '../../src/ingress/backend-table.js';
-import type { BackendRecord } from '../../src/registry/backend-record.js';
+import type { BackendTable, KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import type { BackendRecord } from '../../../src/registered/registry/backend-record.js';
 
 const INSTANCE_DIGITS = 16;
 const HEXADECIMAL = 16;
--- a/test/ingress/choice-load.ts
+++ b/test/registered/decisions/choice-load.ts
@@ -2,15 +2,15 @@
  * @file A fleet of balancers before back ends of unequal speed, without any network: what a choice does to those who
  * wait. Each balancer sees its own requests at once, and those of the others as they were told half a second ago.
  */
-import { seededRandom } from '../../src/common/random.js';
-import { packLoads } from '../../src/load-exchange/backend-load.js';
-import { packSignals } from '../../src/load-exchange/backend-signals.js';
-import { BackendTable, type KnownBackend } from '../../src/ingress/backend-table.js';
-import { createColdShare } from '../../src/ingress/cold-share.js';
-import { createPeerTable } from '../../src/ingress/peer-table.js';
-import { createPlacement } from '../../src/ingress/placement.js';
-import type { IngressPolicy } from '../../src/ingress/policy.js';
-import { createZoneTable } from '../../src/ingress/zone-table.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { packLoads } from '../../../src/registered/load-exchange/backend-load.js';
+import { packSignals } from '../../../src/registered/load-exchange/backend-signals.js';
+import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { createColdShare } from '../../../src/registered/decisions/cold-share.js';
+import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
+import { createPlacement } from '../../../src/registered/decisions/placement.js';
+import type { IngressPolicy } from '../../../src/registered/decisions/policy.js';
+import { createZoneTable } from '../../../src/registered/ingress/zone-table.js';
 import { recordOf } from './backend-records.js';
 
 /** The load and who bears it. */
--- a/test/ingress/dead-flow.test.ts
+++ b/test/registered/decisions/dead-flow.test.ts
@@ -4,15 +4,15 @@
  * their whole deadline where nobody tells them.
  */
 import t from 'tap';
-import { BackendTable } from '../../src/ingress/backend-table.js';
-import { isSurelyDead } from '../../src/ingress/dead-flow.js';
-import { FlowActivities } from '../../src/ingress/flow-activity.js';
-import { flowKeyOf, type PacketView } from '../../src/ingress/packet-view.js';
-import { defaultPolicy, parsePolicy } from '../../src/ingress/policy.js';
-import type { IngressFaultKind } from '../../src/sim/ingress/ingress-faults.js';
-import type { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { runIngressWorld } from '../../src/sim/ingress/run-ingress-world.js';
-import { PLAIN_PACKET } from './client-packets.js';
+import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import { isSurelyDead } from '../../../src/registered/decisions/dead-flow.js';
+import { FlowActivities } from '../../../src/registered/ingress/flow-activity.js';
+import { flowKeyOf, type PacketView } from '../../../src/registered/ingress/packet-view.js';
+import { defaultPolicy, parsePolicy } from '../../../src/registered/decisions/policy.js';
+import type { IngressFaultKind } from '../../../src/proof/sim-registered/ingress-faults.js';
+import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
+import { PLAIN_PACKET } from '../ingress/client-packets.js';
 import { recordOf, takeIn } from './backend-records.js';
 
 const HEARTBEAT_MS = 1_200;
--- a/test/ingress/failing-backends.test.ts
+++ b/test/registered/decisions/failing-backends.test.ts
@@ -3,9 +3,9 @@
  * some answer at once and say no.
  */
 import t from 'tap';
-import { BackendTable, type KnownBackend } from '../../src/ingress/backend-table.js';
-import { createFailingBackends } from '../../src/ingress/failing-backends.js';
-import { showAll } from '../../src/ingress/fleet-signals.js';
+import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { createFailingBackends } from '../../../src/registered/decisions/failing-backends.js';
+import { showAll } from '../../../src/registered/decisions/fleet-signals.js';
 import { recordOf } from './backend-records.js';
 
 function backends(count: number): KnownBackend[] {
--- a/test/ingress/outliers.test.ts
+++ b/test/registered/decisions/outliers.test.ts
@@ -3,9 +3,9 @@
  * there stands out of their service.
  */
 import t from 'tap';
-import { BackendTable, type KnownBackend } from '../../src/ingress/backend-table.js';
+import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
 import { recordOf, takeIn } from './backend-records.js';
-import { withoutOutliers } from '../../src/ingress/outliers.js';
+import { withoutOutliers } from '../../../src/registered/decisions/outliers.js';
 
 function backendsWith(busyOf: readonly number[]): KnownBackend[] {
   const table = new BackendTable(1_200);
--- a/test/ingress/placement.test.ts
+++ b/test/registered/decisions/placement.test.ts
@@ -1,17 +1,20 @@
 /** @file Which back end a new flow goes to. */
 import t from 'tap';
-import { wholeUpdate } from '../../src/declared/config-update.js';
-import { widestTiming } from '../../src/group/timing.js';
-import { BackendTable } from '../../src/ingress/backend-table.js';
-import { createIngressState, type IngressState } from '../../src/ingress/ingress-state.js';
-import { decidePacket } from '../../src/ingress/packet-step.js';
-import type { PacketView } from '../../src/ingress/packet-view.js';
-import { createColdShare } from '../../src/ingress/cold-share.js';
-import { createPeerTable } from '../../src/ingress/peer-table.js';
-import { createPlacement } from '../../src/ingress/placement.js';
-import { createZoneTable } from '../../src/ingress/zone-table.js';
-import { defaultPolicy, parsePolicy } from '../../src/ingress/policy.js';
-import { PLAIN_PACKET } from './client-packets.js';
+import { wholeUpdate } from '../../../src/registered/declared/config-update.js';
+import { widestTiming } from '../../../src/registered/group/timing.js';
+import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import {
+  createIngressState,
+  type IngressState,
+} from '../../../src/registered/ingress/ingress-state.js';
+import { decidePacket } from '../../../src/registered/ingress/packet-step.js';
+import type { PacketView } from '../../../src/registered/ingress/packet-view.js';
+import { createColdShare } from '../../../src/registered/decisions/cold-share.js';
+import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
+import { createPlacement } from '../../../src/registered/decisions/placement.js';
+import { createZoneTable } from '../../../src/registered/ingress/zone-table.js';
+import { defaultPolicy, parsePolicy } from '../../../src/registered/decisions/policy.js';
+import { PLAIN_PACKET } from '../ingress/client-packets.js';
 import { recordOf } from './backend-records.js';
 
 const OPTIONS = {
--- a/test/ingress/speed-draw.test.ts
+++ b/test/registered/decisions/speed-draw.test.ts
@@ -3,7 +3,7 @@
  * of the time of the others, and the crest of the demand takes four tenths of all slots.
  */
 import t from 'tap';
-import { defaultPolicy } from '../../src/ingress/policy.js';
+import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
 import { playChoiceLoad, type ChoiceOutcome } from './choice-load.js';
 
 const leastLoad = { ...defaultPolicy, choice: 'least-load' } as const;
--- a/test/declared/parse-config.test.ts
+++ b/test/registered/declared/parse-config.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import t from 'tap';
 import { parse } from 'yaml';
-import { parseDeclaredConfig } from '../../src/declared/parse-config.js';
+import { parseDeclaredConfig } from '../../../src/registered/declared/parse-config.js';
 
 const CONFIG = {
   version: 3,
--- a/test/egress/packet-scheduler.test.ts
+++ b/test/registered/egress/packet-scheduler.test.ts
@@ -1,7 +1,10 @@
 /** @file When packets leave towards a link of known rate, in which order, and which are dropped. */
 import fc from 'fast-check';
 import t from 'tap';
-import { createPacketScheduler, type PacketLabel } from '../../src/egress/packet-scheduler.js';
+import {
+  createPacketScheduler,
+  type PacketLabel,
+} from '../../../src/registered/egress/packet-scheduler.js';
 
 /** 2 megabits a second. */
 const RATE = 250;
--- a/test/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -1,38 +1,41 @@
 /** @file What a control machine tells balancers: the whole once, then only what changes. */
 import t from 'tap';
-import type { LinkId } from '../../src/common/link-table.js';
-import type { DeclaredConfig } from '../../src/declared/declared-config.js';
+import type { LinkId } from '../../../src/shared/common/link-table.js';
+import type { DeclaredConfig } from '../../../src/registered/declared/declared-config.js';
 import {
   addSubscriber,
   feedOne,
   feedSubscribers,
   noteTaken,
   removeSubscriber,
-} from '../../src/group/balancer-feed.js';
-import { forgetOldBalancers } from '../../src/group/balancer-list.js';
-import type { GroupEffect } from '../../src/group/group-events.js';
-import type { FeedMessage, SubscribeMessage } from '../../src/group/group-messages.js';
-import { isCurrent, type GroupState } from '../../src/group/group-state.js';
+} from '../../../src/registered/group/balancer-feed.js';
+import { forgetOldBalancers } from '../../../src/registered/group/balancer-list.js';
+import type { GroupEffect } from '../../../src/registered/group/group-events.js';
+import type {
+  FeedMessage,
+  SubscribeMessage,
+} from '../../../src/registered/group/group-messages.js';
+import { isCurrent, type GroupState } from '../../../src/registered/group/group-state.js';
 import {
   feedLoads,
   shareLoadSums,
   takeLoadReport,
   takeLoadSums,
-} from '../../src/group/load-duties.js';
+} from '../../../src/registered/group/load-duties.js';
 import {
   eachSignal,
   packSignals,
   type BackendSignals,
-} from '../../src/load-exchange/backend-signals.js';
-import { judgeBackends, takeRecord } from '../../src/group/registry-duties.js';
-import { widestTiming } from '../../src/group/timing.js';
-import { noteZoneChanged } from '../../src/group/zone-duties.js';
-import { takeFeed } from '../../src/ingress/feed-step.js';
-import { createIngressState, isReady } from '../../src/ingress/ingress-state.js';
-import { defaultPolicy } from '../../src/ingress/policy.js';
-import { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { smallIngressWorld } from '../../src/sim/ingress/world-parts.js';
-import { recordOf } from '../ingress/backend-records.js';
+} from '../../../src/registered/load-exchange/backend-signals.js';
+import { judgeBackends, takeRecord } from '../../../src/registered/group/registry-duties.js';
+import { widestTiming } from '../../../src/registered/group/timing.js';
+import { noteZoneChanged } from '../../../src/registered/group/zone-duties.js';
+import { takeFeed } from '../../../src/registered/ingress/feed-step.js';
+import { createIngressState, isReady } from '../../../src/registered/ingress/ingress-state.js';
+import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
+import { recordOf } from '../decisions/backend-records.js';
 
 const FORMATION_MS = 6_000;
 const LONG_MS = 3_000;
--- a/test/group/config-history.test.ts
+++ b/test/registered/group/config-history.test.ts
@@ -1,10 +1,14 @@
 /** @file A balancer that applies updates, from whatever it holds, ends with the configuration that holds. */
 import fc from 'fast-check';
 import t from 'tap';
-import { partOf, updateBetween, wholeUpdate } from '../../src/declared/config-update.js';
-import type { DeclaredConfig } from '../../src/declared/declared-config.js';
-import { createConfigHistory } from '../../src/group/config-history.js';
-import { RouteTable } from '../../src/ingress/route-table.js';
+import {
+  partOf,
+  updateBetween,
+  wholeUpdate,
+} from '../../../src/registered/declared/config-update.js';
+import type { DeclaredConfig } from '../../../src/registered/declared/declared-config.js';
+import { createConfigHistory } from '../../../src/registered/group/config-history.js';
+import { RouteTable } from '../../../src/registered/ingress/route-table.js';
 
 const PORTS = 12;
 const HOST = 0xc6120001;
--- a/test/group/feed-codec.test.ts
+++ b/test/registered/group/feed-codec.test.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check';
 import { Packr } from 'msgpackr';
 import t from 'tap';
-import { packFeed, unpackFeed } from '../../src/group/feed-codec.js';
-import type { AgedRecord, FeedMessage } from '../../src/group/group-messages.js';
+import { packFeed, unpackFeed } from '../../../src/registered/group/feed-codec.js';
+import type { AgedRecord, FeedMessage } from '../../../src/registered/group/group-messages.js';
 
 const packr = new Packr({ useRecords: false });
 const FLAGS = { type: 'feed', isCurrent: true, isComplete: false, isCounted: true } as const;
--- a/test/group/message-schemas.test.ts
+++ b/test/registered/group/message-schemas.test.ts
@@ -1,8 +1,11 @@
 /** @file Whatever comes in on an internal port is one of our messages or is refused; nothing throws. */
 import fc from 'fast-check';
 import t from 'tap';
-import { unpackFeed } from '../../src/group/feed-codec.js';
-import { parseBalancerMessage, parseControlInbound } from '../../src/group/message-schemas.js';
+import { unpackFeed } from '../../../src/registered/group/feed-codec.js';
+import {
+  parseBalancerMessage,
+  parseControlInbound,
+} from '../../../src/registered/group/message-schemas.js';
 
 const SUBSCRIBE = {
   type: 'subscribe',
--- a/test/group/restart.test.ts
+++ b/test/registered/group/restart.test.ts
@@ -1,7 +1,7 @@
 /** @file All control machines are killed at once and come back: how soon the group decides again. */
 import t from 'tap';
-import { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { smallIngressWorld } from '../../src/sim/ingress/world-parts.js';
+import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
 const SEEDS = 10;
--- a/test/group/zone-orders.test.ts
+++ b/test/registered/group/zone-orders.test.ts
@@ -1,7 +1,7 @@
 /** @file Orders for zones: what follows the last one changes the zone, what comes late changes nothing. */
 import t from 'tap';
-import { createZoneOrders } from '../../src/group/zone-orders.js';
-import { ReplicatedState } from '../../src/group/replicated-state.js';
+import { createZoneOrders } from '../../../src/registered/group/zone-orders.js';
+import { ReplicatedState } from '../../../src/registered/group/replicated-state.js';
 
 t.test('an order that another one has overtaken changes nothing', async (t) => {
   const zones = createZoneOrders();
--- a/test/ingress/client-packets.ts
+++ b/test/registered/ingress/client-packets.ts
@@ -1,7 +1,7 @@
 /**
  * @file A packet of a client for tests, which say only what differs.
  */
-import type { PacketView } from '../../src/ingress/packet-view.js';
+import type { PacketView } from '../../../src/registered/ingress/packet-view.js';
 
 /** A packet of an established flow without data. */
 export const PLAIN_PACKET: PacketView = {
--- a/test/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -4,13 +4,16 @@
  * cold: its back ends bear few new flows a second from all balancers together.
  */
 import t from 'tap';
-import { createStallGuard } from '../../src/common/stall-guard.js';
-import { defaultPolicy } from '../../src/ingress/policy.js';
-import { IngressFaults } from '../../src/sim/ingress/ingress-faults.js';
-import type { IngressCheck } from '../../src/sim/ingress/ingress-oracle.js';
-import { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { runIngressWorld } from '../../src/sim/ingress/run-ingress-world.js';
-import { smallIngressWorld, type IngressWorldOptions } from '../../src/sim/ingress/world-parts.js';
+import { createStallGuard } from '../../../src/shared/common/stall-guard.js';
+import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { IngressFaults } from '../../../src/proof/sim-registered/ingress-faults.js';
+import type { IngressCheck } from '../../../src/proof/sim-registered/ingress-oracle.js';
+import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
+import {
+  smallIngressWorld,
+  type IngressWorldOptions,
+} from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
 const CUT_NOTICED_MS = 500;
--- a/test/ingress/faults.test.ts
+++ b/test/registered/ingress/faults.test.ts
@@ -1,7 +1,7 @@
 /** @file The simulated deployment under drawn faults: nothing is violated, and service comes back. */
 import t from 'tap';
-import { ingressFaultKinds } from '../../src/sim/ingress/ingress-faults.js';
-import { runIngressWorld } from '../../src/sim/ingress/run-ingress-world.js';
+import { ingressFaultKinds } from '../../../src/proof/sim-registered/ingress-faults.js';
+import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
 
 const SEEDS = 12;
 const FAULTS = 12;
--- a/test/ingress/feed-source.test.ts
+++ b/test/registered/ingress/feed-source.test.ts
@@ -1,8 +1,8 @@
 /** @file A balancer finds a control machine that is current, and leaves one that is not. */
 import t from 'tap';
-import type { Address } from '../../src/common/address.js';
-import { widestTiming } from '../../src/group/timing.js';
-import { FeedSource } from '../../src/ingress/feed-source.js';
+import type { Address } from '../../../src/shared/common/address.js';
+import { widestTiming } from '../../../src/registered/group/timing.js';
+import { FeedSource } from '../../../src/registered/ingress/feed-source.js';
 
 const STEP_MS = 100;
 const CONTROLS: readonly Address[] = [1, 2, 3].map((number) => ({
--- a/test/ingress/feed-step.test.ts
+++ b/test/registered/ingress/feed-step.test.ts
@@ -1,11 +1,14 @@
 /** @file What a balancer believes after messages of control machines: late, whole, from another machine, none. */
 import t from 'tap';
-import type { FeedMessage } from '../../src/group/group-messages.js';
-import { widestTiming } from '../../src/group/timing.js';
-import { ingressSweep, ownReport, takeFeed } from '../../src/ingress/feed-step.js';
-import { createIngressState, type IngressState } from '../../src/ingress/ingress-state.js';
-import { defaultPolicy } from '../../src/ingress/policy.js';
-import { recordOf } from './backend-records.js';
+import type { FeedMessage } from '../../../src/registered/group/group-messages.js';
+import { widestTiming } from '../../../src/registered/group/timing.js';
+import { ingressSweep, ownReport, takeFeed } from '../../../src/registered/ingress/feed-step.js';
+import {
+  createIngressState,
+  type IngressState,
+} from '../../../src/registered/ingress/ingress-state.js';
+import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { recordOf } from '../decisions/backend-records.js';
 
 const LIFETIME_MS = 60_000;
 
--- a/test/ingress/frozen-balancer.test.ts
+++ b/test/registered/ingress/frozen-balancer.test.ts
@@ -1,8 +1,8 @@
 /** @file A balancer that stood still: opens that waited there were placed by others meanwhile. */
 import t from 'tap';
-import type { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { runIngressWorld } from '../../src/sim/ingress/run-ingress-world.js';
-import { createStallGuard } from '../../src/common/stall-guard.js';
+import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
+import { createStallGuard } from '../../../src/shared/common/stall-guard.js';
 
 const SEEDS = 6;
 const FAULTS = 10;
--- a/test/ingress/frozen-series.test.ts
+++ b/test/registered/ingress/frozen-series.test.ts
@@ -4,7 +4,7 @@
  * balancers that asked about copies of one open at the same moment could both place it.
  */
 import t from 'tap';
-import { runIngressWorld } from '../../src/sim/ingress/run-ingress-world.js';
+import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
 
 const SEEDS = [3, 11, 20, 37] as const;
 const FREEZES = 30;
--- a/test/ingress/many-balancers.test.ts
+++ b/test/registered/ingress/many-balancers.test.ts
@@ -1,9 +1,9 @@
 /** @file Fifty balancers: promises under faults, and what a balancer sends and gets does not grow with them. */
 import t from 'tap';
-import type { IngressFaultKind } from '../../src/sim/ingress/ingress-faults.js';
-import { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { runIngressWorld } from '../../src/sim/ingress/run-ingress-world.js';
-import { smallIngressWorld } from '../../src/sim/ingress/world-parts.js';
+import type { IngressFaultKind } from '../../../src/proof/sim-registered/ingress-faults.js';
+import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
+import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 
 const MANY = 50;
 const FEW = 8;
--- a/test/ingress/mutants.test.ts
+++ b/test/registered/ingress/mutants.test.ts
@@ -1,11 +1,11 @@
 /** @file Each check of the oracle catches a deployment that is broken on purpose. */
 import t from 'tap';
-import type { ConfigDocument } from '../../src/group/replicated-state.js';
-import type { IngressFaultKind } from '../../src/sim/ingress/ingress-faults.js';
-import type { IngressCheck } from '../../src/sim/ingress/ingress-oracle.js';
-import type { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { runIngressWorld } from '../../src/sim/ingress/run-ingress-world.js';
-import { decodePacket, encodePacket } from '../../src/ingress/token-packet.js';
+import type { ConfigDocument } from '../../../src/registered/group/replicated-state.js';
+import type { IngressFaultKind } from '../../../src/proof/sim-registered/ingress-faults.js';
+import type { IngressCheck } from '../../../src/proof/sim-registered/ingress-oracle.js';
+import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
+import { decodePacket, encodePacket } from '../../../src/registered/ingress/token-packet.js';
 
 interface IngressMutant {
   readonly name: string;
--- a/test/ingress/open-claims.test.ts
+++ b/test/registered/ingress/open-claims.test.ts
@@ -8,15 +8,19 @@
  * back end reset the flow.
  */
 import t from 'tap';
-import type { Address } from '../../src/common/address.js';
-import { createOpenSharing } from '../../src/daemon/open-sharing.js';
-import type { OpenMessage } from '../../src/group/message-schemas.js';
-import { createIngressState } from '../../src/ingress/ingress-state.js';
-import { createOpenClaims } from '../../src/ingress/open-claims.js';
-import { defaultPolicy } from '../../src/ingress/policy.js';
-import { flowKeyOf, type FlowKey, type PacketView } from '../../src/ingress/packet-view.js';
-import { timingFor } from '../../src/group/timing.js';
-import { VirtualClock } from '../../src/sim/virtual-clock.js';
+import type { Address } from '../../../src/shared/common/address.js';
+import { createOpenSharing } from '../../../src/registered/daemon/open-sharing.js';
+import type { OpenMessage } from '../../../src/registered/group/message-schemas.js';
+import { createIngressState } from '../../../src/registered/ingress/ingress-state.js';
+import { createOpenClaims } from '../../../src/registered/ingress/open-claims.js';
+import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import {
+  flowKeyOf,
+  type FlowKey,
+  type PacketView,
+} from '../../../src/registered/ingress/packet-view.js';
+import { timingFor } from '../../../src/registered/group/timing.js';
+import { VirtualClock } from '../../../src/proof/virtual/virtual-clock.js';
 
 const TOKEN = 77;
 const WAIT_MS = 100;
--- a/test/ingress/open-memory.test.ts
+++ b/test/registered/ingress/open-memory.test.ts
@@ -1,6 +1,6 @@
 /** @file The memory of opens: for one to two periods, and bounded, since others tell of opens too. */
 import t from 'tap';
-import { OpenMemory } from '../../src/ingress/open-memory.js';
+import { OpenMemory } from '../../../src/registered/ingress/open-memory.js';
 
 const PERIOD_MS = 2_000;
 const MORE_THAN_BOUND = 250_000;
--- a/test/ingress/peer-table.test.ts
+++ b/test/registered/ingress/peer-table.test.ts
@@ -1,6 +1,10 @@
 /** @file Which balancers keep the memory of an open: the same for all, few, and spread over all. */
 import t from 'tap';
-import { ASKED_HOLDERS, createPeerTable, TOLD_HOLDERS } from '../../src/ingress/peer-table.js';
+import {
+  ASKED_HOLDERS,
+  createPeerTable,
+  TOLD_HOLDERS,
+} from '../../../src/registered/ingress/peer-table.js';
 
 const BALANCERS = 88;
 const KEYS = 2_000;
--- a/test/ingress/reborn-backend.test.ts
+++ b/test/registered/ingress/reborn-backend.test.ts
@@ -3,9 +3,9 @@
  * heartbeat of the first one, held up by a cut, comes after that. No balancer takes the first one for alive.
  */
 import t from 'tap';
-import { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { SIMULATED_SERVICES } from '../../src/sim/ingress/stand-in-operator.js';
-import { smallIngressWorld } from '../../src/sim/ingress/world-parts.js';
+import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { SIMULATED_SERVICES } from '../../../src/proof/sim-registered/stand-in-operator.js';
+import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
 const HELD_UP_MS = 700;
--- a/test/ingress/route-table.test.ts
+++ b/test/registered/ingress/route-table.test.ts
@@ -1,7 +1,7 @@
 /** @file The routes in force: shares by weight, and never an older configuration after a newer one. */
 import t from 'tap';
-import { wholeUpdate, type ConfigUpdate } from '../../src/declared/config-update.js';
-import { RouteTable } from '../../src/ingress/route-table.js';
+import { wholeUpdate, type ConfigUpdate } from '../../../src/registered/declared/config-update.js';
+import { RouteTable } from '../../../src/registered/ingress/route-table.js';
 
 const HOST = 0xc6120001;
 const PORT = 443;
--- a/test/ingress/short-stalls.test.ts
+++ b/test/registered/ingress/short-stalls.test.ts
@@ -5,7 +5,7 @@
  * than their claim placed its open without asking again.
  */
 import t from 'tap';
-import { runWorld } from '../../src/sim/ingress/run-ingress-world.js';
+import { runWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
 
 const SEEDS = [7, 14, 16, 23] as const;
 const STALLS = 60;
--- a/test/ingress/slow-feed.test.ts
+++ b/test/registered/ingress/slow-feed.test.ts
@@ -12,8 +12,8 @@
  * are bounded and answered, configurations travel as differences, and news merges while it waits.
  */
 import t from 'tap';
-import { IngressWorld } from '../../src/sim/ingress/ingress-world.js';
-import { smallIngressWorld } from '../../src/sim/ingress/world-parts.js';
+import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
+import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
 const SETTLED_MS = 8_000;
--- a/test/ingress/token-packet.test.ts
+++ b/test/registered/ingress/token-packet.test.ts
@@ -9,7 +9,7 @@
   isIntact,
   sealPacket,
   tokenPacketCodec,
-} from '../../src/ingress/token-packet.js';
+} from '../../../src/registered/ingress/token-packet.js';
 
 const packr = new Packr({ useRecords: false });
 const PACKET = sealPacket({
--- a/test/ingress/zone-table.test.ts
+++ b/test/registered/ingress/zone-table.test.ts
@@ -1,10 +1,10 @@
 /** @file What a balancer believes of zones, and what it gives to cold back ends. */
 import t from 'tap';
-import { BackendTable, type KnownBackend } from '../../src/ingress/backend-table.js';
-import { createColdShare, type ColdBounds } from '../../src/ingress/cold-share.js';
-import { createPeerTable } from '../../src/ingress/peer-table.js';
-import { createZoneTable } from '../../src/ingress/zone-table.js';
-import { recordOf, takeIn } from './backend-records.js';
+import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { createColdShare, type ColdBounds } from '../../../src/registered/decisions/cold-share.js';
+import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
+import { createZoneTable } from '../../../src/registered/ingress/zone-table.js';
+import { recordOf, takeIn } from '../decisions/backend-records.js';
 
 const WARM_UP = { service: 'alpha', warmUpMs: 2_000 };
 const HEARTBEAT_MS = 1_200;
--- a/test/load-exchange/load-outlet.test.ts
+++ b/test/registered/load-exchange/load-outlet.test.ts
@@ -1,7 +1,7 @@
 /** @file A list of loads is sent where it has changed, and not too often. */
 import t from 'tap';
-import { SHORTEST_EXCHANGE_PERIOD_MS } from '../../src/load-exchange/exchange-period.js';
-import { createLoadOutlet } from '../../src/load-exchange/load-outlet.js';
+import { SHORTEST_EXCHANGE_PERIOD_MS } from '../../../src/registered/load-exchange/exchange-period.js';
+import { createLoadOutlet } from '../../../src/registered/load-exchange/load-outlet.js';
 
 t.test(
   'the first list is sent, also an empty one, and the same list is not sent again',
--- a/test/load-exchange/load-totals.test.ts
+++ b/test/registered/load-exchange/load-totals.test.ts
@@ -1,14 +1,18 @@
 /** @file Loads over all balancers: late, lost, doubled and reordered reports, restarts, and long lists. */
 import fc from 'fast-check';
 import t from 'tap';
-import type { LinkId } from '../../src/common/link-table.js';
-import { eachLoad, packLoads, type PackedLoads } from '../../src/load-exchange/backend-load.js';
+import type { LinkId } from '../../../src/shared/common/link-table.js';
+import {
+  eachLoad,
+  packLoads,
+  type PackedLoads,
+} from '../../../src/registered/load-exchange/backend-load.js';
 import {
   exchangePeriodMs,
   SHORTEST_EXCHANGE_PERIOD_MS,
-} from '../../src/load-exchange/exchange-period.js';
-import { isSameRows } from '../../src/load-exchange/packed-rows.js';
-import { createLoadTotals } from '../../src/load-exchange/load-totals.js';
+} from '../../../src/registered/load-exchange/exchange-period.js';
+import { isSameRows } from '../../../src/registered/load-exchange/packed-rows.js';
+import { createLoadTotals } from '../../../src/registered/load-exchange/load-totals.js';
 
 const LIFETIME_MS = 1_000;
 const [FIRST, SECOND, THIRD] = [1, 2].map((id) => id as LinkId) as [LinkId, LinkId, LinkId];
--- a/test/registry/address-holders.test.ts
+++ b/test/registered/registry/address-holders.test.ts
@@ -1,6 +1,6 @@
 /** @file Which start of a back end holds an address, whatever order heartbeats come in. */
 import t from 'tap';
-import { createAddressHolders } from '../../src/registry/address-holders.js';
+import { createAddressHolders } from '../../../src/registered/registry/address-holders.js';
 
 const INTERVAL_MS = 1_000;
 const HERE = { host: '10.0.2.1', port: 9_000 };
--- a/test/registry/heartbeat-registry.test.ts
+++ b/test/registered/registry/heartbeat-registry.test.ts
@@ -1,7 +1,7 @@
 /** @file What a control machine keeps of heartbeats, what of it is news, and how silence is judged. */
 import t from 'tap';
-import type { BackendRecord } from '../../src/registry/backend-record.js';
-import { HeartbeatRegistry } from '../../src/registry/heartbeat-registry.js';
+import type { BackendRecord } from '../../../src/registered/registry/backend-record.js';
+import { HeartbeatRegistry } from '../../../src/registered/registry/heartbeat-registry.js';
 
 const INTERVAL_MS = 1_000;
 const LISTENING_SINCE_MS = 0;
--- a/test/error-kinds.test.ts
+++ b/test/shared/common/error-kinds.test.ts
@@ -1,6 +1,6 @@
 /** @file The table of error kinds. */
 import t from 'tap';
-import { answerFor, errorKinds } from '../src/flow/error-kinds.js';
+import { answerFor, errorKinds } from '../../../src/shared/common/error-kinds.js';
 
 t.test('every kind has an answer, and "not run" is said only with a refusal', async (t) => {
   for (const kind of errorKinds) {
--- a/test/common/frame-compression.test.ts
+++ b/test/shared/common/frame-compression.test.ts
@@ -1,7 +1,7 @@
 /** @file Long frames travel compressed, short ones as they are, and what is no frame is refused. */
 import fc from 'fast-check';
 import t from 'tap';
-import { encodeFrame, FrameDecoder } from '../../src/common/frame-codec.js';
+import { encodeFrame, FrameDecoder } from '../../../src/shared/common/frame-codec.js';
 
 const LENGTH_BYTES = 4;
 const longText = JSON.stringify(
--- a/test/common/keyed-hash.test.ts
+++ b/test/shared/common/keyed-hash.test.ts
@@ -1,6 +1,6 @@
 /** @file The keyed hash gives what the published algorithm gives. */
 import t from 'tap';
-import { keyedHash } from '../../src/common/keyed-hash.js';
+import { keyedHash } from '../../../src/shared/common/keyed-hash.js';
 
 /** From the reference implementation: key 00..0f, message 00..n-1, by n; little-endian. */
 const vectors = new Map([
--- a/test/common/links.test.ts
+++ b/test/shared/common/links.test.ts
@@ -1,7 +1,7 @@
 /** @file The links of a process: their IDs, and how broken ones are opened again. */
 import t from 'tap';
-import { createDialedLinks, type DialedLink } from '../../src/common/dialed-links.js';
-import { createLinkTable } from '../../src/common/link-table.js';
+import { createDialedLinks, type DialedLink } from '../../../src/shared/common/dialed-links.js';
+import { createLinkTable } from '../../../src/shared/common/link-table.js';
 
 t.test('a link keeps its ID until it is removed, and no ID is used again', async (t) => {
   const table = createLinkTable<object>();
--- a/test/consensus/chaos.test.ts
+++ b/test/shared/consensus/chaos.test.ts
@@ -1,7 +1,7 @@
 /** @file Safety under faults: nothing accepted is lost and no read is old, over many seeds. */
 import t from 'tap';
-import { encodeClusterState } from '../../src/control/cluster-snapshot.js';
-import { controlStatus } from '../../src/control/control-status.js';
+import { encodeClusterState } from '../../../src/managed/control/cluster-snapshot.js';
+import { controlStatus } from '../../../src/managed/control/control-status.js';
 import { ControlNetwork, serviceName, type Pending } from './control-network.js';
 
 const SEEDS = 12;
--- a/test/consensus/control-network.ts
+++ b/test/shared/consensus/control-network.ts
@@ -1,22 +1,22 @@
 /** @file Control machines with virtual disks, network and clock; all is decided by one seed. */
-import { seededRandom } from '../../src/common/random.js';
-import { formatAddress, type Address } from '../../src/common/address.js';
-import type { RandomSource } from '../../src/common/step.js';
-import type { ConsensusOptions } from '../../src/consensus/consensus-state.js';
-import type { NodeId } from '../../src/consensus/membership.js';
-import type { Command, CommandOutcome } from '../../src/control/commands.js';
-import type { ControlEvent, MemberCommand } from '../../src/control/control-events.js';
-import type { PersistEffect } from '../../src/consensus/persisted-state.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import { formatAddress, type Address } from '../../../src/shared/common/address.js';
+import type { RandomSource } from '../../../src/shared/common/step.js';
+import type { ConsensusOptions } from '../../../src/shared/consensus/consensus-state.js';
+import type { NodeId } from '../../../src/shared/consensus/membership.js';
+import type { Command, CommandOutcome } from '../../../src/managed/control/commands.js';
+import type { ControlEvent, MemberCommand } from '../../../src/managed/control/control-events.js';
+import type { PersistEffect } from '../../../src/shared/consensus/persisted-state.js';
 import {
   controlStep,
   createControlState,
   isLeader,
   type ControlEffect,
   type ControlState,
-} from '../../src/control/control-step.js';
-import type { PeerEnvelope } from '../../src/control/peer-messages.js';
-import type { AmberliftError } from '../../src/flow/error-kinds.js';
-import { TimedQueue } from '../../src/common/timed-queue.js';
+} from '../../../src/managed/control/control-step.js';
+import type { PeerEnvelope } from '../../../src/managed/control/peer-messages.js';
+import type { AmberliftError } from '../../../src/shared/common/error-kinds.js';
+import { TimedQueue } from '../../../src/shared/common/timed-queue.js';
 import { Invariants } from './invariants.js';
 import { VirtualDisk } from './virtual-disk.js';
 
--- a/test/consensus/invariants.ts
+++ b/test/shared/consensus/invariants.ts
@@ -1,7 +1,7 @@
 /** @file What must hold among control machines at any moment; a breach throws. */
 import { isDeepStrictEqual } from 'node:util';
-import type { ConsensusState } from '../../src/consensus/consensus-state.js';
-import type { LogEntry } from '../../src/consensus/log.js';
+import type { ConsensusState } from '../../../src/shared/consensus/consensus-state.js';
+import type { LogEntry } from '../../../src/shared/consensus/log.js';
 
 /** Watches the consensus states of all machines. */
 export class Invariants {
--- a/test/consensus/member.ts
+++ b/test/shared/consensus/member.ts
@@ -1,16 +1,19 @@
 /** @file One member of three, driven event by event. */
-import { seededRandom } from '../../src/common/random.js';
-import type { ConsensusEffect, ConsensusEvent } from '../../src/consensus/consensus-events.js';
-import { consensusStep } from '../../src/consensus/consensus-step.js';
+import { seededRandom } from '../../../src/shared/common/random.js';
+import type {
+  ConsensusEffect,
+  ConsensusEvent,
+} from '../../../src/shared/consensus/consensus-events.js';
+import { consensusStep } from '../../../src/shared/consensus/consensus-step.js';
 import {
   createConsensusState,
   defaultConsensusOptions,
   type ConsensusState,
-} from '../../src/consensus/consensus-state.js';
-import type { EntryContent, LogEntry } from '../../src/consensus/log.js';
-import type { Member, Membership } from '../../src/consensus/membership.js';
-import type { LogRecord } from '../../src/consensus/persisted-state.js';
-import type { ConsensusMessage } from '../../src/consensus/messages.js';
+} from '../../../src/shared/consensus/consensus-state.js';
+import type { EntryContent, LogEntry } from '../../../src/shared/consensus/log.js';
+import type { Member, Membership } from '../../../src/shared/consensus/membership.js';
+import type { LogRecord } from '../../../src/shared/consensus/persisted-state.js';
+import type { ConsensusMessage } from '../../../src/shared/consensus/messages.js';
 
 const address = { host: '127.0.0.1', port: 1 };
 
--- a/test/consensus/membership.test.ts
+++ b/test/shared/consensus/membership.test.ts
@@ -1,6 +1,6 @@
 /** @file How a cluster begins, grows, replaces a machine, and refuses strangers. */
 import t from 'tap';
-import { controlStatus } from '../../src/control/control-status.js';
+import { controlStatus } from '../../../src/managed/control/control-status.js';
 import { ControlNetwork } from './control-network.js';
 
 /** Members, no-op, operators, token key: so a cluster's log begins where nothing fails. */
--- a/test/consensus/rules.test.ts
+++ b/test/shared/consensus/rules.test.ts
@@ -1,6 +1,6 @@
 /** @file The rules of Raft that safety rests on, each at one member. */
 import t from 'tap';
-import type { AppendRequest, SnapshotChunk } from '../../src/consensus/messages.js';
+import type { AppendRequest, SnapshotChunk } from '../../../src/shared/consensus/messages.js';
 import { entry, membership, sent, SingleMember } from './member.js';
 
 function appendRequest(request: Partial<AppendRequest>): AppendRequest {
--- a/test/consensus/snapshot.test.ts
+++ b/test/shared/consensus/snapshot.test.ts
@@ -1,6 +1,6 @@
 /** @file Snapshots: sent in parts to a machine that is far behind, whatever gets lost on the way. */
 import t from 'tap';
-import { encodeClusterState } from '../../src/control/cluster-snapshot.js';
+import { encodeClusterState } from '../../../src/managed/control/cluster-snapshot.js';
 import { ControlNetwork } from './control-network.js';
 
 const CHUNK_BYTES = 512;
--- a/test/consensus/virtual-disk.ts
+++ b/test/shared/consensus/virtual-disk.ts
@@ -1,11 +1,11 @@
 /** @file A disk in memory that holds what was synced; a write under way may be lost in a crash. */
-import type { RandomSource } from '../../src/common/step.js';
+import type { RandomSource } from '../../../src/shared/common/step.js';
 import type {
   LogRecord,
   PersistEffect,
   RecoveredState,
   Snapshot,
-} from '../../src/consensus/persisted-state.js';
+} from '../../../src/shared/consensus/persisted-state.js';
 
 /** The disk of one machine. */
 export class VirtualDisk {
--- a/test/daemon/consensus-storage.test.ts
+++ b/test/shared/daemon/consensus-storage.test.ts
@@ -3,11 +3,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import t from 'tap';
-import { createConsensusState } from '../../src/consensus/consensus-state.js';
-import type { LogEntry } from '../../src/consensus/log.js';
-import type { LogRecord, PersistEffect } from '../../src/consensus/persisted-state.js';
-import { ConsensusStorage } from '../../src/daemon/consensus-storage.js';
-import { openStorageFolder, type StorageFolder } from '../../src/daemon/storage-folder.js';
+import { createConsensusState } from '../../../src/shared/consensus/consensus-state.js';
+import type { LogEntry } from '../../../src/shared/consensus/log.js';
+import type { LogRecord, PersistEffect } from '../../../src/shared/consensus/persisted-state.js';
+import { ConsensusStorage } from '../../../src/shared/daemon/consensus-storage.js';
+import {
+  openStorageFolder,
+  type StorageFolder,
+} from '../../../src/shared/daemon/storage-folder.js';
 import { MemoryFolder } from './memory-folder.js';
 
 function entry(index: number, term = 1): LogEntry {
--- a/test/daemon/line-writer.test.ts
+++ b/test/shared/daemon/line-writer.test.ts
@@ -2,7 +2,7 @@
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import t from 'tap';
-import { LineWriter } from '../../src/daemon/line-writer.js';
+import { LineWriter } from '../../../src/shared/daemon/line-writer.js';
 
 t.test('lines gather while a write is under way', async (t) => {
   const written: string[] = [];
@@ -36,7 +36,7 @@
 });
 
 const FLOOD = `
-  import { LineWriter, STANDARD_ERROR, writeTo } from './dist/src/daemon/line-writer.js';
+  import { LineWriter, STANDARD_ERROR, writeTo } from './dist/src/shared/daemon/line-writer.js';
   const lines = new LineWriter(writeTo(STANDARD_ERROR));
   let turns = 0;
   const turn = () => {
--- a/test/daemon/memory-folder.ts
+++ b/test/shared/daemon/memory-folder.ts
@@ -1,5 +1,5 @@
 /** @file A folder in memory with what is written and what is synced kept apart, for crashes at any write. */
-import type { StorageFolder } from '../../src/daemon/storage-folder.js';
+import type { StorageFolder } from '../../../src/shared/daemon/storage-folder.js';
 
 /** Thrown in place of an operation once the folder has crashed or is full. */
 export class FolderFailure extends Error {}
--- a/test/record-file.test.ts
+++ b/test/shared/daemon/record-file.test.ts
@@ -1,6 +1,10 @@
 /** @file The form of record files. */
 import t from 'tap';
-import { encodeRecord, RECORD_HEADER_BYTES, scanRecords } from '../src/daemon/record-file.js';
+import {
+  encodeRecord,
+  RECORD_HEADER_BYTES,
+  scanRecords,
+} from '../../../src/shared/daemon/record-file.js';
 
 const one = encodeRecord(Buffer.from('one'));
 const two = encodeRecord(Buffer.from('two'));
--- a/test/daemon/signals.test.ts
+++ b/test/shared/daemon/signals.test.ts
@@ -4,8 +4,8 @@
 import { createInterface } from 'node:readline';
 import t from 'tap';
 
-const RELOAD = new URL('../../src/daemon/reload-signal.js', import.meta.url).href;
-const STOP = new URL('../../src/daemon/stop-signal.js', import.meta.url).href;
+const RELOAD = new URL('../../../src/registered/daemon/reload-signal.js', import.meta.url).href;
+const STOP = new URL('../../../src/shared/daemon/stop-signal.js', import.meta.url).href;
 const PROGRAM = `
 import { onReloadSignal } from '${RELOAD}';
 import { onStopSignal } from '${STOP}';
--- a/test/cli-main.test.ts
+++ b/test/tools/cli/cli-main.test.ts
@@ -1,7 +1,7 @@
 /** @file The entry of the command line: each subcommand's code is loaded by its name. */
 import { readFileSync } from 'node:fs';
 import t from 'tap';
-import { main } from '../src/cli/main.js';
+import { main } from '../../../src/tools/cli/main.js';
 
 async function outputOf(...args: string[]): Promise<string> {
   const lines: string[] = [];
@@ -13,7 +13,7 @@
 }
 
 t.test('each subcommand that the help lists can be asked for its own help', async (t) => {
-  const source = readFileSync(new URL('../src/cli/main.js', import.meta.url), 'utf8');
+  const source = readFileSync(new URL('../../../src/tools/cli/main.js', import.meta.url), 'utf8');
   const names = [...source.matchAll(/name: '([\w-]+)'/g)].map(([, name]) => name ?? '');
   t.ok(names.length >= 10);
   const help = await outputOf('--help');
--- a/test/client/operator-client.test.ts
+++ b/test/tools/client/operator-client.test.ts
@@ -2,14 +2,14 @@
 import { readFileSync } from 'node:fs';
 import { PassThrough } from 'node:stream';
 import t, { type Test } from 'tap';
-import { complete, runInteractive } from '../../src/client/interactive.js';
-import { runScript } from '../../src/client/script.js';
-import { runStatement, type StatementOutput } from '../../src/client/statement-runner.js';
-import type { OperatorCommand } from '../../src/control/commands.js';
-import { sendJson } from '../../src/daemon/http-json.js';
+import { complete, runInteractive } from '../../../src/tools/client/interactive.js';
+import { runScript } from '../../../src/tools/client/script.js';
+import { runStatement, type StatementOutput } from '../../../src/tools/client/statement-runner.js';
+import type { OperatorCommand } from '../../../src/managed/control/commands.js';
+import { sendJson } from '../../../src/managed/daemon/http-json.js';
 import { OperatorWorld, TOKENS } from './operator-world.js';
 
-const TLS_FOLDER = 'test/client/tls';
+const TLS_FOLDER = 'test/tools/client/tls';
 const DEFINE = 'define service authd at 127.1.0.1:7000';
 const ADD = 'add backend to authd at 127.1.0.9:9000 health 127.1.0.9:9100 zone z1';
 const defineAuthd: OperatorCommand = {
--- a/test/client/operator-world.ts
+++ b/test/tools/client/operator-world.ts
@@ -1,19 +1,26 @@
 /** @file Control machines over loopback HTTP around one cluster state, for tests of the client. */
-import { operatorApi, type QueryAnswer } from '../../src/daemon/operator-api.js';
-import { listenHttp, type HttpServer, type TlsIdentity } from '../../src/daemon/http-server.js';
-import { OperatorClient } from '../../src/client/operator-client.js';
-import { decodeClusterState, encodeClusterState } from '../../src/control/cluster-snapshot.js';
-import { applyCommand } from '../../src/control/apply-command.js';
-import { emptyClusterState } from '../../src/control/cluster-state.js';
-import { operatorTokenHash } from '../../src/control/command-hash.js';
+import { operatorApi, type QueryAnswer } from '../../../src/managed/daemon/operator-api.js';
+import {
+  listenHttp,
+  type HttpServer,
+  type TlsIdentity,
+} from '../../../src/shared/daemon/http-server.js';
+import { OperatorClient } from '../../../src/tools/client/operator-client.js';
+import {
+  decodeClusterState,
+  encodeClusterState,
+} from '../../../src/managed/control/cluster-snapshot.js';
+import { applyCommand } from '../../../src/managed/control/apply-command.js';
+import { emptyClusterState } from '../../../src/managed/control/cluster-state.js';
+import { operatorTokenHash } from '../../../src/managed/control/command-hash.js';
 import {
   SYSTEM_OPERATOR,
   type CommandEntry,
   type CommandOutcome,
-} from '../../src/control/commands.js';
-import { unknownLoad } from '../../src/control/views/backend-load.js';
-import type { BalancerInForce } from '../../src/control/views/in-force.js';
-import type { Address } from '../../src/common/address.js';
+} from '../../../src/managed/control/commands.js';
+import { unknownLoad } from '../../../src/managed/control/views/backend-load.js';
+import type { BalancerInForce } from '../../../src/managed/control/views/in-force.js';
+import type { Address } from '../../../src/shared/common/address.js';
 
 /** How a machine treats the next requests. */
 export type MachineMode = 'leads' | 'loses-answers' | 'follows' | 'is-cut-off';
--- a/test/settings/reference-source.ts
+++ b/test/tools/settings-reference/reference-source.ts
@@ -1,6 +1,6 @@
 /** @file Makes docs/SETTINGS.md as it is committed: the reference text in the formatter's layout. */
 import { format, resolveConfig } from 'prettier';
-import { settingsReference } from '../../src/settings/settings-reference.js';
+import { settingsReference } from '../../../src/tools/settings-reference/settings-reference.js';
 
 export const SETTINGS_REFERENCE_FILE = 'docs/SETTINGS.md';
 
--- a/test/settings/settings-reference.test.ts
+++ b/test/tools/settings-reference/settings-reference.test.ts
@@ -1,9 +1,9 @@
 /** @file The settings reference says what the schema says. */
 import { readFileSync } from 'node:fs';
 import t from 'tap';
-import { exitCodes } from '../../src/flow/error-kinds.js';
-import { settingsReference } from '../../src/settings/settings-reference.js';
-import { settingsSchema } from '../../src/settings/settings-schema.js';
+import { exitCodes } from '../../../src/shared/common/error-kinds.js';
+import { settingsReference } from '../../../src/tools/settings-reference/settings-reference.js';
+import { settingsSchema } from '../../../src/managed/settings/settings-schema.js';
 import { SETTINGS_REFERENCE_FILE, settingsReferenceSource } from './reference-source.js';
 
 t.test('docs/SETTINGS.md is what the schema gives; else run npm run generate', async (t) => {
--- a/test/toolbox/explain.test.ts
+++ b/test/tools/toolbox/explain.test.ts
@@ -1,11 +1,11 @@
 /** @file Stories out of logs: of a real run, and of logs whose clocks differ or that lack lines. */
 import { readFileSync } from 'node:fs';
 import t from 'tap';
-import { explain } from '../../src/toolbox/explain.js';
-import { parseLogLine, type LogLine } from '../../src/toolbox/log-line.js';
+import { explain } from '../../../src/tools/toolbox/explain.js';
+import { parseLogLine, type LogLine } from '../../../src/tools/toolbox/log-line.js';
 
 /** From the bench's day of journal entry 20921c58, with the machine and time that the bench puts first. */
-const RECORDED = 'test/toolbox/recorded-day.txt';
+const RECORDED = 'test/tools/toolbox/recorded-day.txt';
 const DARK_BACKEND = 'i-d1b18094d1';
 const LOST_REQUEST = '853dc276e3b37f50';
 const FLOW = '100.64.0.1:1000>198.18.0.1:443';
--- a/test/toolbox/plan-declared.test.ts
+++ b/test/tools/toolbox/plan-declared.test.ts
@@ -1,7 +1,10 @@
 /** @file What a declared configuration would change. */
 import t from 'tap';
-import type { DeclaredConfig, DeclaredRoute } from '../../src/declared/declared-config.js';
-import { planDeclared } from '../../src/toolbox/plan-declared.js';
+import type {
+  DeclaredConfig,
+  DeclaredRoute,
+} from '../../../src/registered/declared/declared-config.js';
+import { planDeclared } from '../../../src/tools/toolbox/plan-declared.js';
 
 const ROUTE: DeclaredRoute = {
   name: 'first',
--- a/test/toolbox/plan-evacuation.test.ts
+++ b/test/tools/toolbox/plan-evacuation.test.ts
@@ -1,8 +1,8 @@
 /** @file What emptying a zone would leave, from the reports of control machines. */
 import t from 'tap';
-import { parseZoneReports } from '../../src/client/declared-client.js';
-import type { ZoneReport } from '../../src/group/group-messages.js';
-import { describeEvacuation, planEvacuation } from '../../src/toolbox/plan-evacuation.js';
+import { parseZoneReports } from '../../../src/tools/client/declared-client.js';
+import type { ZoneReport } from '../../../src/registered/group/group-messages.js';
+import { describeEvacuation, planEvacuation } from '../../../src/tools/toolbox/plan-evacuation.js';
 
 function report(zone: string, slots: number, busy: number, isEvacuated = false): ZoneReport {
   return { zone, isEvacuated, orders: Number(isEvacuated), backendCount: slots / 2, slots, busy };
--- a/test/toolbox/plan.test.ts
+++ b/test/tools/toolbox/plan.test.ts
@@ -1,8 +1,12 @@
 import { test } from 'tap';
-import type { ChangeCommand } from '../../src/control/commands.js';
-import { checkStatements } from '../../src/toolbox/check.js';
-import { planChange, type ChangePlan } from '../../src/toolbox/plan.js';
-import { parseStateExport, stateOf, type StateExport } from '../../src/toolbox/state-export.js';
+import type { ChangeCommand } from '../../../src/managed/control/commands.js';
+import { checkStatements } from '../../../src/tools/toolbox/check.js';
+import { planChange, type ChangePlan } from '../../../src/tools/toolbox/plan.js';
+import {
+  parseStateExport,
+  stateOf,
+  type StateExport,
+} from '../../../src/tools/toolbox/state-export.js';
 
 const options = { connectionLimit: 100, movesPerSecond: 10 };
 const address = (port: number) => ({ host: '10.0.0.1', port });
--- a/test/toolbox/replay.test.ts
+++ b/test/tools/toolbox/replay.test.ts
@@ -1,10 +1,10 @@
 /** @file A recorded trace is told as the story of one flow, one back end or one command. */
 import t from 'tap';
-import { findScenario } from '../../src/sim/scenarios/index.js';
-import { runScenario } from '../../src/sim/run-scenario.js';
-import { formatTrace } from '../../src/sim/violation-file.js';
-import { tellEvent } from '../../src/toolbox/replay-story.js';
-import { parseTrace, selectEvents } from '../../src/toolbox/replay-trace.js';
+import { findScenario } from '../../../src/proof/sim-managed/scenarios/index.js';
+import { runScenario } from '../../../src/proof/sim-managed/run-scenario.js';
+import { formatTrace } from '../../../src/proof/sim-managed/violation-file.js';
+import { tellEvent } from '../../../src/tools/toolbox/replay-story.js';
+import { parseTrace, selectEvents } from '../../../src/tools/toolbox/replay-trace.js';
 
 const drain = findScenario('drain');
 
--- a/test/toolbox/timeline.test.ts
+++ b/test/tools/toolbox/timeline.test.ts
@@ -1,11 +1,11 @@
 /** @file How processes came back, out of logs: of a recorded loss of everything, and of written ones. */
 import { readFileSync } from 'node:fs';
 import t from 'tap';
-import { parseLogLine, type LogLine } from '../../src/toolbox/log-line.js';
-import { timelineOf } from '../../src/toolbox/timeline.js';
+import { parseLogLine, type LogLine } from '../../../src/tools/toolbox/log-line.js';
+import { timelineOf } from '../../../src/tools/toolbox/timeline.js';
 
 /** All machines of a day lost power: journal entry 8a50b81a, with other names for machines and zones. */
-const RECORDED = 'test/toolbox/recorded-return.txt';
+const RECORDED = 'test/tools/toolbox/recorded-return.txt';
 const START_MS = 1_700_000_000_000;
 
 function parseAll(text: string, fileName: string): LogLine[] {
