--- a/eslint.config.js
+++ b/eslint.config.js
@@ -15,7 +15,7 @@
   'managed/health',
   'managed/language',
   'managed/limits',
-  'managed/membership',
+  'managed/gossip',
   'managed/routing',
   'registered/decisions',
   'registered/declared',
--- a/src/managed/balancer/balancer-events.ts
+++ b/src/managed/balancer/balancer-events.ts
@@ -9,7 +9,7 @@
 import type { LinkId } from '../dissemination/publisher.js';
 import type { SubscriptionEffect } from '../dissemination/subscription.js';
 import type { ProbeResult } from '../health/backend-report.js';
-import type { PeerDatagram } from '../membership/gossip-messages.js';
+import type { PeerDatagram } from '../gossip/gossip-messages.js';
 import type { ProbeEffect } from '../health/probe-schedule.js';
 
 /** What can happen to a balancer. */
--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -17,7 +17,7 @@
   type ConfigChange,
   type ConfigPosition,
   type ConfigUpdate,
-} from '../control/config-update.js';
+} from '../control/config-delta.js';
 import { mayUseBackend } from '../dissemination/lease.js';
 import { createPublisher, type PublisherState } from '../dissemination/publisher.js';
 import { createSubscription, type SubscriptionState } from '../dissemination/subscription.js';
@@ -38,7 +38,7 @@
   createMembership,
   type MembershipOptions,
   type MembershipState,
-} from '../membership/membership-state.js';
+} from '../gossip/membership-state.js';
 import type { PlacementPolicy } from '../routing/placement-policy.js';
 import { createPolicy } from '../routing/policy-registry.js';
 import { createBackendView, type BackendView } from './backend-view.js';
--- a/src/managed/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -25,10 +25,10 @@
   type ReportSource,
 } from '../dissemination/subscription.js';
 import { expireReports } from '../dissemination/subtree-report.js';
-import type { PeerDatagram } from '../membership/gossip-messages.js';
+import type { PeerDatagram } from '../gossip/gossip-messages.js';
 import { allSharedResults } from '../health/health-sharing.js';
-import { liveBalancerCount, zoneMembers } from '../membership/membership-state.js';
-import { membershipStep } from '../membership/membership-step.js';
+import { liveBalancerCount, zoneMembers } from '../gossip/membership-state.js';
+import { membershipStep } from '../gossip/membership-step.js';
 import type { BalancerEffect, PeerSendEffect } from './balancer-events.js';
 import { applyConfigUpdate, type BalancerState } from './balancer-state.js';
 import { takeHealthState, takeSharedResults } from './shared-health.js';
--- a/src/managed/balancer/shared-health.ts
+++ b/src/managed/balancer/shared-health.ts
@@ -12,10 +12,10 @@
   probeEnded,
   type ProberGroup,
 } from '../health/probe-schedule.js';
-import type { HealthMessage } from '../membership/gossip-messages.js';
-import { gossipAddress } from '../membership/member.js';
-import { presentMembers } from '../membership/member-list.js';
-import { zoneMembers } from '../membership/membership-state.js';
+import type { HealthMessage } from '../gossip/gossip-messages.js';
+import { gossipAddress } from '../gossip/member.js';
+import { presentMembers } from '../gossip/member-list.js';
+import { zoneMembers } from '../gossip/membership-state.js';
 import type { BalancerEffect } from './balancer-events.js';
 import { recordIdentity, type BalancerState } from './balancer-state.js';
 import { recordProbe } from './candidates.js';
--- a/src/managed/control/apply-command.ts
+++ b/src/managed/control/apply-command.ts
@@ -30,7 +30,7 @@
   type SystemCommand,
 } from './commands.js';
 import { applyToConfig } from './config-lookup.js';
-import type { ConfigChange, ConfigPosition } from './config-update.js';
+import type { ConfigChange, ConfigPosition } from './config-delta.js';
 import type { CommandSource, Decision, DecisionResult } from './decision.js';
 import { cancelPlan, planChange } from './plan-commands.js';
 import { changeService, defineService, retireService } from './service-commands.js';
--- a/src/managed/control/config-lookup.ts
+++ b/src/managed/control/config-lookup.ts
@@ -5,7 +5,7 @@
 import { match } from 'ts-pattern';
 import { formatAddress } from '../../shared/common/address.js';
 import type { Backend, RoutingConfig, Service } from './cluster-state.js';
-import { applyConfigChange, type ConfigChange } from './config-update.js';
+import { applyConfigChange, type ConfigChange } from './config-delta.js';
 
 /** Who uses an address. */
 export interface AddressUse {
--- a/src/managed/control/decision.ts
+++ b/src/managed/control/decision.ts
@@ -19,7 +19,7 @@
   Service,
 } from './cluster-state.js';
 import { serviceNameKey } from './config-lookup.js';
-import type { ConfigChange } from './config-update.js';
+import type { ConfigChange } from './config-delta.js';
 
 /** Who sends a command, and when. */
 export interface CommandSource {
--- a/src/managed/control/key-rotation.ts
+++ b/src/managed/control/key-rotation.ts
@@ -8,7 +8,7 @@
 import { MAX_TOKEN_KEY_ID, TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
 import type { ClusterState, TokenKey } from './cluster-state.js';
 import type { SystemCommand } from './commands.js';
-import type { ConfigChange } from './config-update.js';
+import type { ConfigChange } from './config-delta.js';
 
 const DAY_MS = 24 * 60 * 60 * 1000;
 
--- a/src/managed/control/system-commands.ts
+++ b/src/managed/control/system-commands.ts
@@ -10,7 +10,7 @@
 import { emptyOwnerState, type ClusterState, type Operator } from './cluster-state.js';
 import { SYSTEM_OPERATOR, type SystemCommand } from './commands.js';
 import { applyToConfig } from './config-lookup.js';
-import type { ConfigChange } from './config-update.js';
+import type { ConfigChange } from './config-delta.js';
 import { MAX_OPERATORS } from './id-blocks.js';
 import { decideKeyCommand } from './key-rotation.js';
 
--- a/src/managed/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -10,7 +10,7 @@
 import { takeBackendChanges } from '../balancer/candidates.js';
 import { reasonSentence } from '../health/explanation.js';
 import type { Settings } from '../settings/settings-schema.js';
-import { gossipAddress } from '../membership/member.js';
+import { gossipAddress } from '../gossip/member.js';
 import { countTraffic, type TrafficDirection } from '../dissemination/traffic.js';
 import { probeBackend } from './health-probe.js';
 import { parseFeedMessage } from './link-schemas.js';
--- a/src/managed/daemon/peer-sockets.ts
+++ b/src/managed/daemon/peer-sockets.ts
@@ -9,14 +9,9 @@
 import type { ControlToBalancerMessage } from '../dissemination/link-messages.js';
 import type { LinkId } from '../dissemination/publisher.js';
 import type { TrafficDirection } from '../dissemination/traffic.js';
-import {
-  decodeGossip,
-  encodeGossip,
-  gossipKey,
-  type GossipKey,
-} from '../membership/gossip-codec.js';
-import type { PeerDatagram } from '../membership/gossip-messages.js';
-import type { MemberAddresses } from '../membership/member.js';
+import { decodeGossip, encodeGossip, gossipKey, type GossipKey } from '../gossip/gossip-codec.js';
+import type { PeerDatagram } from '../gossip/gossip-messages.js';
+import type { MemberAddresses } from '../gossip/member.js';
 import type { Settings } from '../settings/settings-schema.js';
 import { parseBalancerLinkMessage } from './link-schemas.js';
 import { listenForLinks, type LinkServer, type MessageLink } from './message-link.js';
--- a/src/managed/dissemination/link-messages.ts
+++ b/src/managed/dissemination/link-messages.ts
@@ -3,7 +3,7 @@
  * MessagePack. That one is a control machine or another balancer, which passes on what it has.
  */
 import type { Address } from '../../shared/common/address.js';
-import type { ConfigPosition, ConfigUpdate } from '../control/config-update.js';
+import type { ConfigPosition, ConfigUpdate } from '../control/config-delta.js';
 import type { SharedResult } from '../health/health-sharing.js';
 import type { LeaseGrant } from './lease.js';
 import type { SubtreeReport } from './subtree-report.js';
--- a/src/managed/dissemination/link-plan.ts
+++ b/src/managed/dissemination/link-plan.ts
@@ -7,8 +7,8 @@
   otherZoneContacts,
   zoneMembers,
   type MembershipState,
-} from '../membership/membership-state.js';
-import { linkAddress, type MemberRecord } from '../membership/member.js';
+} from '../gossip/membership-state.js';
+import { linkAddress, type MemberRecord } from '../gossip/member.js';
 import { chooseByRendezvous, hashText } from '../../shared/common/rendezvous.js';
 
 /** Balancers of a zone that link to control machines; the others link to these. */
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -12,7 +12,7 @@
   type ConfigDelta,
   type ConfigPosition,
   type ConfigUpdate,
-} from '../control/config-update.js';
+} from '../control/config-delta.js';
 import { passOnLease, type Lease, type LeaseGrant } from './lease.js';
 import {
   fencedIndex,
--- a/src/managed/dissemination/subscription.ts
+++ b/src/managed/dissemination/subscription.ts
@@ -4,7 +4,7 @@
  */
 import { match } from 'ts-pattern';
 import { formatAddress, type Address } from '../../shared/common/address.js';
-import type { ConfigPosition, ConfigUpdate } from '../control/config-update.js';
+import type { ConfigPosition, ConfigUpdate } from '../control/config-delta.js';
 import type { SharedResult } from '../health/health-sharing.js';
 import { expiredLease, takeGrant, type Lease } from './lease.js';
 import type {
--- a/src/proof/experiment/bench-forward-config.ts
+++ b/src/proof/experiment/bench-forward-config.ts
@@ -8,7 +8,7 @@
   ConfigChange,
   ConfigDelta,
   ConfigSnapshot,
-} from '../../managed/control/config-update.js';
+} from '../../managed/control/config-delta.js';
 import { encodeEnvelope } from '../../managed/flow/envelope.js';
 import {
   encodeLongHeader,
--- a/src/proof/experiment/hollow/hollow-balancer.ts
+++ b/src/proof/experiment/hollow/hollow-balancer.ts
@@ -15,8 +15,8 @@
   BalancerToControlMessage,
   ControlToBalancerMessage,
 } from '../../../managed/dissemination/link-messages.js';
-import type { PeerDatagram } from '../../../managed/membership/gossip-messages.js';
-import { gossipAddress, type MemberAddresses } from '../../../managed/membership/member.js';
+import type { PeerDatagram } from '../../../managed/gossip/gossip-messages.js';
+import { gossipAddress, type MemberAddresses } from '../../../managed/gossip/member.js';
 import type { Backend } from '../../../managed/control/cluster-state.js';
 import type { ProbeResult } from '../../../managed/health/backend-report.js';
 import { HollowLink, type LinkClient, type LinkServerEnd } from './hollow-link.js';
--- a/src/proof/experiment/hollow/hollow-world.ts
+++ b/src/proof/experiment/hollow/hollow-world.ts
@@ -8,8 +8,8 @@
 import { sortedMembership, type Member } from '../../../shared/consensus/membership.js';
 import { timedCommandId } from '../../../managed/control/command-id.js';
 import type { CommandOutcome, OperatorCommand } from '../../../managed/control/commands.js';
-import { gossipKey } from '../../../managed/membership/gossip-codec.js';
-import { gossipAddress, linkAddress } from '../../../managed/membership/member.js';
+import { gossipKey } from '../../../managed/gossip/gossip-codec.js';
+import { gossipAddress, linkAddress } from '../../../managed/gossip/member.js';
 import { EventQueue } from './event-queue.js';
 import {
   addBackendCommand,
--- a/src/proof/experiment/hollow/node-memory.ts
+++ b/src/proof/experiment/hollow/node-memory.ts
@@ -11,7 +11,7 @@
 import { seededRandom } from '../../../shared/common/random.js';
 import { noMembers } from '../../../shared/consensus/membership.js';
 import { createControlState } from '../../../managed/control/control-step.js';
-import { snapshotOf } from '../../../managed/control/config-update.js';
+import { snapshotOf } from '../../../managed/control/config-delta.js';
 import type { ControlToBalancerMessage } from '../../../managed/dissemination/link-messages.js';
 import { firstDisk, makeClusterState, type ConfigSize } from './first-state.js';
 import { heapAfterCollection } from './heap.js';
--- a/src/proof/experiment/hollow/surroundings.ts
+++ b/src/proof/experiment/hollow/surroundings.ts
@@ -4,8 +4,8 @@
 import type { Address } from '../../../shared/common/address.js';
 import type { RandomSource, StepContext } from '../../../shared/common/step.js';
 import type { EventQueue } from './event-queue.js';
-import type { GossipKey } from '../../../managed/membership/gossip-codec.js';
-import type { MemberAddresses } from '../../../managed/membership/member.js';
+import type { GossipKey } from '../../../managed/gossip/gossip-codec.js';
+import type { MemberAddresses } from '../../../managed/gossip/member.js';
 import type { HollowBalancer } from './hollow-balancer.js';
 import type { HollowControl } from './hollow-control.js';
 import type { LinkServerEnd } from './hollow-link.js';
--- a/src/proof/experiment/hollow/wire.ts
+++ b/src/proof/experiment/hollow/wire.ts
@@ -8,8 +8,8 @@
   decodeGossip,
   encodeGossip,
   type GossipKey,
-} from '../../../managed/membership/gossip-codec.js';
-import type { PeerDatagram } from '../../../managed/membership/gossip-messages.js';
+} from '../../../managed/gossip/gossip-codec.js';
+import type { PeerDatagram } from '../../../managed/gossip/gossip-messages.js';
 
 /** A message after encoding and decoding. */
 export interface WireMessage {
--- a/src/proof/experiment/placement-world.ts
+++ b/src/proof/experiment/placement-world.ts
@@ -27,7 +27,7 @@
   Service,
   TokenKey,
 } from '../../managed/control/cluster-state.js';
-import type { ConfigSnapshot } from '../../managed/control/config-update.js';
+import type { ConfigSnapshot } from '../../managed/control/config-delta.js';
 import { encodeShortHeader } from '../../managed/flow/header.js';
 import { mintToken, prepareTokenKey } from '../../managed/flow/token.js';
 import {
--- a/src/proof/sim-managed/simulated-peer-sockets.ts
+++ b/src/proof/sim-managed/simulated-peer-sockets.ts
@@ -13,13 +13,9 @@
   encodeGossip,
   gossipKey,
   type GossipKey,
-} from '../../managed/membership/gossip-codec.js';
-import type { PeerDatagram } from '../../managed/membership/gossip-messages.js';
-import {
-  gossipAddress,
-  linkAddress,
-  type MemberAddresses,
-} from '../../managed/membership/member.js';
+} from '../../managed/gossip/gossip-codec.js';
+import type { PeerDatagram } from '../../managed/gossip/gossip-messages.js';
+import { gossipAddress, linkAddress, type MemberAddresses } from '../../managed/gossip/member.js';
 import type { LinkAcceptor, Simulation } from './simulation.js';
 import type { VirtualLinkEnd } from '../virtual/virtual-links.js';
 import type { DatagramHandler } from '../virtual/virtual-network.js';
--- a/src/proof/sim-registered/world-parts.ts
+++ b/src/proof/sim-registered/world-parts.ts
@@ -4,8 +4,11 @@
 import type { Address } from '../../shared/common/address.js';
 import type { RandomSource } from '../../shared/common/step.js';
 import type { DecisionFields } from '../../registered/daemon/decision-log.js';
-import type { ColdBounds } from '../../registered/decisions/cold-share.js';
-import { defaultPolicy, type IngressPolicy } from '../../registered/decisions/policy.js';
+import type { SlowStartBounds } from '../../registered/decisions/slow-start.js';
+import {
+  defaultSwitches,
+  type MechanismSwitches,
+} from '../../registered/decisions/mechanism-switches.js';
 import type { Timing } from '../../registered/group/timing.js';
 import type { VirtualClock } from '../virtual/virtual-clock.js';
 import type { IngressOracle, OracleBounds } from './ingress-oracle.js';
@@ -35,9 +38,9 @@
   readonly flowLifetimeMs: number;
   /** What a balancer takes its link to carry, in bytes a millisecond; undefined for no pacing. */
   readonly linkBytesPerMs: number | undefined;
-  readonly policy: IngressPolicy;
+  readonly policy: MechanismSwitches;
   /** What a cold back end may be given; undefined for no bound. */
-  readonly coldBounds: ColdBounds | undefined;
+  readonly coldBounds: SlowStartBounds | undefined;
   /** How many requests a second a cold back end handles, as the operator declares it. */
   readonly coldRequestsPerS: number;
   /** A zone takes no new flow for so long after its evacuation was acknowledged. */
@@ -60,7 +63,7 @@
   catchUpMs: 4_000,
   flowLifetimeMs: 60_000,
   linkBytesPerMs: undefined,
-  policy: defaultPolicy,
+  policy: defaultSwitches,
   coldBounds: { excess: 1.5, slackPerS: 5 },
   coldRequestsPerS: 0,
   evacuationBoundMs: 4_000,
--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -6,7 +6,7 @@
 import { NO_VERSION } from '../declared/config-update.js';
 import { unpackFeed } from '../group/feed-codec.js';
 import type { BalancerLinkMessage, FeedMessage } from '../group/group-messages.js';
-import { takeFeed } from '../ingress/feed-step.js';
+import { applyFeedMessage } from '../ingress/feed-step.js';
 import { createLoadReporter, type LoadReporter } from '../ingress/load-reporter.js';
 import { FEED_RETRY_AFTER_MS, FeedSource } from '../ingress/feed-source.js';
 import { isReady, type IngressState } from '../ingress/ingress-state.js';
@@ -187,7 +187,7 @@
   nowMs: number,
 ): boolean {
   const wasReady = isReady(state);
-  const taken = takeFeed(state, message, nowMs);
+  const taken = applyFeedMessage(state, message, nowMs);
   if (taken.type === 'in-force') {
     note('config in force', { version: taken.version });
   }
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -15,7 +15,7 @@
 import {
   decidePacket,
   placeOpen,
-  takePlacedElsewhere,
+  placeAsPeerDid,
   type DropReason,
   type PacketDecision,
   type FoundBy,
@@ -23,6 +23,7 @@
 import type { PacketCodec } from '../ingress/packet-codec.js';
 import { flowKeyOf, type PacketView } from '../ingress/packet-view.js';
 import type { KnownBackend } from '../ingress/backend-table.js';
+import { LIVENESS_LABELS } from '../registry/backend-liveness.js';
 import type { PacketLabel } from '../egress/packet-scheduler.js';
 import type { DecisionFields } from './decision-log.js';
 import {
@@ -128,7 +129,7 @@
       },
       onClaimed: ({ packet }) => this.refuse('dropped', 'claimed-elsewhere', packet),
       onFound: ({ datagram, packet }, key, token) => {
-        const decision = takePlacedElsewhere(this.state, key, token, surroundings.nowMs());
+        const decision = placeAsPeerDid(this.state, key, token, surroundings.nowMs());
         this.carryOut(decision, datagram, packet);
       },
     });
@@ -158,7 +159,7 @@
     }
     const nowMs = this.surroundings.nowMs();
     this.lastPacketAtMs = nowMs;
-    this.state.stallGuard.noteTurn(nowMs);
+    this.state.stallGuard.recordTurn(nowMs);
     this.carryOut(decidePacket(this.state, packet, nowMs), datagram, packet);
   }
 
@@ -215,7 +216,7 @@
   }
 
   private tellOthers(foundBy: FoundBy, token: number): void {
-    if (foundBy.type === 'chosen' && this.options.ingress.policy.opens === 'shared') {
+    if (foundBy.type === 'chosen' && this.options.ingress.switches.opens === 'shared') {
       this.opens.tell(foundBy.key, token);
     }
   }
@@ -236,7 +237,7 @@
         load: Math.round(foundBy.load * LOAD_DIGITS) / LOAD_DIGITS,
       }),
       backend: backend.id,
-      liveness: backend.liveness,
+      liveness: LIVENESS_LABELS[backend.liveness],
       config: routes.config?.version,
       evacuated: zones.describeEvacuated(this.surroundings.nowMs()),
       feedAgeMs: this.feed.feedAgeMs(),
@@ -276,7 +277,7 @@
   /** Does what is due. */
   tick(): void {
     const nowMs = this.surroundings.nowMs();
-    this.state.stallGuard.noteTurn(nowMs);
+    this.state.stallGuard.recordTurn(nowMs);
     this.feed.tick(nowMs);
     this.zones.tick(nowMs);
     this.noteZones(nowMs);
@@ -284,8 +285,13 @@
     if (nowMs >= this.nextSweepAtMs) {
       this.nextSweepAtMs = nowMs + SWEEP_INTERVAL_MS;
       ingressSweep(this.state, nowMs).forEach(({ backend, from, to }) => {
-        const silentMs = Math.round(nowMs - backend.heardAtMs);
-        this.surroundings.note('backend judged', { backend: backend.id, from, to, silentMs });
+        const silentMs = Math.round(nowMs - backend.lastHeartbeatAtMs);
+        this.surroundings.note('backend judged', {
+          backend: backend.id,
+          from: LIVENESS_LABELS[from],
+          to: LIVENESS_LABELS[to],
+          silentMs,
+        });
       });
     }
     this.surroundings.packetLog.flush();
@@ -302,10 +308,15 @@
   }
 
   private noteFailing(): void {
-    for (const { backendId, failure, holdMs, shown } of this.state.placement.failing.takeNews()) {
-      const { stalled, busy } = shown;
-      const answered = Math.round(shown.answered);
-      const short = Math.round(shown.short);
+    for (const {
+      backendId,
+      failure,
+      holdMs,
+      evidence,
+    } of this.state.placement.failing.takeEjections()) {
+      const { stalled, busy } = evidence;
+      const answered = Math.round(evidence.answered);
+      const short = Math.round(evidence.short);
       const fields = { backend: backendId, failure, holdMs, stalled, busy, answered, short };
       this.surroundings.note('backend passed over', fields);
     }
--- a/src/registered/daemon/metrics/ingress-metrics.ts
+++ b/src/registered/daemon/metrics/ingress-metrics.ts
@@ -2,8 +2,9 @@
  * @file The metrics of a balancer that forwards by 32-bit tokens.
  */
 import { collectDefaultMetrics, Registry } from 'prom-client';
-import { fleetSignals } from '../../decisions/fleet-signals.js';
-import type { BackendSignals } from '../../load-exchange/backend-signals.js';
+import { fleetAnswerStats } from '../../decisions/fleet-answer-stats.js';
+import type { AnswerStats } from '../../load-exchange/answer-stats.js';
+import { LIVENESS_LABELS } from '../../registry/backend-liveness.js';
 import { knowsCurrent } from '../../ingress/ingress-state.js';
 import type { IngressProcess } from '../ingress-process.js';
 import type { MetricsSource } from '../../../shared/daemon/metrics/metrics-listener.js';
@@ -78,9 +79,9 @@
     'Requests that seem to be in progress at a back end, over all balancers.',
     'backend',
     () =>
-      [...state.backends.all()].map(({ id, own, others }) => ({
+      [...state.backends.all()].map(({ id, own, fleet }) => ({
         label: id,
-        value: own.busy + others.busy,
+        value: own.busy + fleet.busy,
       })),
   );
   registerLabelledValues(
@@ -91,7 +92,7 @@
     () => {
       const counts = new Map<string, number>();
       for (const { departure, liveness } of state.backends.all()) {
-        const label = departure ?? liveness;
+        const label = departure ?? LIVENESS_LABELS[liveness];
         counts.set(label, (counts.get(label) ?? 0) + 1);
       }
       return [...counts].map(([label, value]) => ({ label, value }));
@@ -107,11 +108,11 @@
 
 /** What placement goes by, as this balancer and all others together see it. */
 function registerAnswers(registry: Registry, { state }: IngressProcess, nowMs: () => number): void {
-  const ofBackends = (name: string, help: string, read: (signals: BackendSignals) => number) =>
+  const ofBackends = (name: string, help: string, read: (signals: AnswerStats) => number) =>
     registerLabelledValues(registry, `amberlift_ingress_backend_${name}`, help, 'backend', () =>
       [...state.backends.all()].map((backend) => ({
         label: backend.id,
-        value: read(fleetSignals(backend, nowMs())),
+        value: read(fleetAnswerStats(backend, nowMs())),
       })),
     );
   ofBackends('answer_ms', 'Mean time of the answers of the last seconds.', (signals) =>
@@ -132,7 +133,11 @@
     'amberlift_ingress_passed_over_backends',
     'Back ends that get no new flows since they fail, by what they show.',
     'failure',
-    () => [...state.placement.failing.counts(nowMs())].map(([label, value]) => ({ label, value })),
+    () =>
+      [...state.placement.failing.ejectedByFailure(nowMs())].map(([label, value]) => ({
+        label,
+        value,
+      })),
   );
 }
 
--- a/src/registered/daemon/zone-gossip.ts
+++ b/src/registered/daemon/zone-gossip.ts
@@ -6,7 +6,7 @@
  * Whoever knows newer orders wins, so nobody needs to know who is right.
  */
 import type { Address } from '../../shared/common/address.js';
-import type { ToldZone } from '../group/group-messages.js';
+import type { ZoneUpdate } from '../group/group-messages.js';
 import type { BalancerMessage } from '../group/message-schemas.js';
 import { knowsCurrent, type IngressState } from '../ingress/ingress-state.js';
 
@@ -26,7 +26,7 @@
   /** Answers another balancer that asks. */
   answer(replyTo: Address): void;
   /** Takes what another balancer knows. */
-  take(zones: readonly ToldZone[]): void;
+  take(zones: readonly ZoneUpdate[]): void;
 }
 
 /**
@@ -57,13 +57,13 @@
   }
 
   function answer(to: Address): void {
-    const zones = state.zones.all(options.nowMs());
+    const zones = state.zones.updates(options.nowMs());
     if (zones.length > 0) {
       sendToBalancer(to, { type: 'zones-known', zones });
     }
   }
 
-  function take(zones: readonly ToldZone[]): void {
-    state.zones.take(zones, options.nowMs());
+  function take(zones: readonly ZoneUpdate[]): void {
+    state.zones.applyUpdates(zones, options.nowMs());
   }
 }
--- a/src/registered/decisions/answer-record.ts
+++ b/src/registered/decisions/answer-recorder.ts
@@ -2,19 +2,19 @@
  * @file What the flows through this balancer show of how one back end answers. Answers fade, so that a back end that
  * was slow some seconds ago is not held for slow.
  */
-import type { BackendSignals } from '../load-exchange/backend-signals.js';
+import type { AnswerStats } from '../load-exchange/answer-stats.js';
 
 /** How one back end answers, as seen here. */
-export interface AnswerRecord {
+export interface AnswerRecorder {
   /** @returns what is known now */
-  signals(nowMs: number): BackendSignals;
+  stats(nowMs: number): AnswerStats;
   /**
    * Takes one more answer.
    * @param tookMs from the last data of the request to the first sign of the answer
    */
-  noteAnswer(tookMs: number, nowMs: number): void;
+  recordAnswer(tookMs: number, nowMs: number): void;
   /** Takes an answer that is far shorter than is usual: its time says nothing of how fast the back end works. */
-  noteShortAnswer(nowMs: number): void;
+  recordShortAnswer(nowMs: number): void;
   /** One flow more, or one less, whose client has sent the same again without any sign of the back end. */
   changeStalled(by: 1 | -1): void;
 }
@@ -32,7 +32,7 @@
 const MAX_ANSWER_MS = 1_000;
 
 /** @returns a record of nothing */
-export function createAnswerRecord(): AnswerRecord {
+export function createAnswerRecorder(): AnswerRecorder {
   let answered = 0;
   let answerMs = 0;
   let short = 0;
@@ -40,16 +40,16 @@
   let fadedAtMs = 0;
 
   return {
-    signals: (nowMs) => {
+    stats: (nowMs) => {
       fade(nowMs);
       return { stalled, answered, answerMs, short };
     },
-    noteAnswer: (tookMs, nowMs) => {
+    recordAnswer: (tookMs, nowMs) => {
       fade(nowMs);
       answered += 1;
       answerMs += Math.min(MAX_ANSWER_MS, Math.max(0, tookMs));
     },
-    noteShortAnswer: (nowMs) => {
+    recordShortAnswer: (nowMs) => {
       fade(nowMs);
       short += 1;
     },
--- a/src/registered/decisions/answer-times.ts
+++ b/src/registered/decisions/answer-times.ts
@@ -5,9 +5,9 @@
  *
  * The time holds what a request waits there as well, so a fast back end that is crowded counts as slower by itself.
  */
-import type { BackendSignals } from '../load-exchange/backend-signals.js';
+import type { AnswerStats } from '../load-exchange/answer-stats.js';
 import type { KnownBackend } from '../ingress/backend-table.js';
-import type { ShownBackend } from './fleet-signals.js';
+import type { ObservedBackend } from './fleet-answer-stats.js';
 
 /** How long a back end takes, as a share of what its service takes on average: 2 is twice as slow. */
 export type RelativeTime = number;
@@ -22,21 +22,21 @@
  * @param all back ends of one service
  * @returns the time of each; 1 for all while nothing is known
  */
-export function relativeTimes(all: readonly ShownBackend[]): Map<KnownBackend, RelativeTime> {
+export function relativeTimes(all: readonly ObservedBackend[]): Map<KnownBackend, RelativeTime> {
   let answered = 0;
   let answerMs = 0;
-  for (const { signals } of all) {
-    answered += signals.answered;
-    answerMs += signals.answerMs;
+  for (const { stats } of all) {
+    answered += stats.answered;
+    answerMs += stats.answerMs;
   }
   const meanMs = answered > 0 ? answerMs / answered : 0;
   const times = new Map<KnownBackend, RelativeTime>();
-  for (const { backend, signals } of all) {
-    times.set(backend, meanMs > 0 ? timeAgainst(meanMs, signals) : 1);
+  for (const { backend, stats } of all) {
+    times.set(backend, meanMs > 0 ? timeAgainst(meanMs, stats) : 1);
   }
   return times;
 }
 
-function timeAgainst(meanMs: number, { answered, answerMs }: BackendSignals): RelativeTime {
+function timeAgainst(meanMs: number, { answered, answerMs }: AnswerStats): RelativeTime {
   return (answerMs + PRIOR_ANSWERS * meanMs) / ((answered + PRIOR_ANSWERS) * meanMs);
 }
--- a/src/registered/decisions/dead-flow.ts
+++ b/src/registered/decisions/dead-flow.ts
@@ -7,7 +7,7 @@
  * say of its heartbeats, and a client whose data nobody takes.
  */
 import type { KnownBackend } from '../ingress/backend-table.js';
-import type { IngressPolicy } from './policy.js';
+import type { MechanismSwitches } from './mechanism-switches.js';
 
 /** Data that a client has sent, and sends again where nobody has acknowledged it. */
 export interface UnansweredData {
@@ -36,16 +36,16 @@
 /**
  * @returns true where the back end can't answer any more; never on a word of the control machine or of a client alone
  */
-export function isSurelyDead(
+export function isProvenDead(
   backend: KnownBackend,
   { isFeedCurrent, isReplaced, unanswered }: DeadFlowEvidence,
-  policy: IngressPolicy,
+  policy: MechanismSwitches,
 ): boolean {
-  if (policy.deadFlows === 'left' || !isFeedCurrent || backend.liveness === 'heard') {
+  if (policy.deadFlows === 'left' || !isFeedCurrent || backend.liveness === 'alive') {
     return false;
   }
   const { repeats, sinceMs } = unanswered;
-  if (backend.progressAtMs > sinceMs) {
+  if (backend.lastProgressAtMs > sinceMs) {
     // Some client has got something from it meanwhile.
     return false;
   }
--- a/src/registered/decisions/failing-backends.ts
+++ b/src/registered/decisions/failing-backends.ts
@@ -10,35 +10,35 @@
  * What is passed over shows nothing new, so the evidence goes by itself. The back end is then tried again, and passed
  * over for twice as long each time that it fails again.
  */
-import type { BackendSignals } from '../load-exchange/backend-signals.js';
+import type { AnswerStats } from '../load-exchange/answer-stats.js';
 import type { KnownBackend } from '../ingress/backend-table.js';
-import type { ShownBackend } from './fleet-signals.js';
+import type { ObservedBackend } from './fleet-answer-stats.js';
 
 /** Says which back ends to pass over. */
-export interface FailingBackends {
+export interface EjectionByAnswers {
   /**
    * Looks at what back ends show; whoever chooses calls it now and then, since it costs more than a choice.
    * @param all back ends of one service that may be chosen
    */
-  judge(all: readonly ShownBackend[], nowMs: number): void;
+  detect(all: readonly ObservedBackend[], nowMs: number): void;
   /**
    * @param candidates back ends of one service
    * @returns those that do not fail, as was judged last; all of them where too many seem to
    */
-  without(candidates: readonly KnownBackend[], nowMs: number): readonly KnownBackend[];
+  withoutEjected(candidates: readonly KnownBackend[], nowMs: number): readonly KnownBackend[];
   /** @returns how many are passed over now, by what they show */
-  counts(nowMs: number): ReadonlyMap<Failure, number>;
+  ejectedByFailure(nowMs: number): ReadonlyMap<Failure, number>;
   /** @returns what began since the last call, for the logs */
-  takeNews(): readonly FailureNews[];
+  takeEjections(): readonly Ejection[];
 }
 
 /** A back end that is passed over from now on. */
-export interface FailureNews {
+export interface Ejection {
   readonly backendId: string;
   readonly failure: Failure;
   /** For how long at least, in milliseconds. */
   readonly holdMs: number;
-  readonly shown: ShownBy;
+  readonly evidence: EjectionEvidence;
 }
 
 /** What a back end shows that fails. */
@@ -78,13 +78,13 @@
 }
 
 /** @returns a memory without any back end */
-export function createFailingBackends(): FailingBackends {
+export function createEjectionByAnswers(): EjectionByAnswers {
   const held = new Map<string, Held>();
-  let news: FailureNews[] = [];
+  let news: Ejection[] = [];
 
-  return { judge, without, counts, takeNews };
+  return { detect, withoutEjected, ejectedByFailure, takeEjections };
 
-  function counts(nowMs: number): ReadonlyMap<Failure, number> {
+  function ejectedByFailure(nowMs: number): ReadonlyMap<Failure, number> {
     const byFailure = new Map<Failure, number>();
     for (const { failure, untilMs } of held.values()) {
       if (nowMs < untilMs) {
@@ -94,13 +94,16 @@
     return byFailure;
   }
 
-  function takeNews(): readonly FailureNews[] {
+  function takeEjections(): readonly Ejection[] {
     const taken = news;
     news = [];
     return taken;
   }
 
-  function without(candidates: readonly KnownBackend[], nowMs: number): readonly KnownBackend[] {
+  function withoutEjected(
+    candidates: readonly KnownBackend[],
+    nowMs: number,
+  ): readonly KnownBackend[] {
     if (held.size === 0) {
       return candidates;
     }
@@ -109,19 +112,19 @@
     return passedOver > candidates.length * MAX_SHARE ? candidates : sound;
   }
 
-  function judge(all: readonly ShownBackend[], nowMs: number): void {
+  function detect(all: readonly ObservedBackend[], nowMs: number): void {
     let answered = 0;
     let short = 0;
-    for (const { signals } of all) {
-      answered += signals.answered + signals.short;
-      short += signals.short;
+    for (const { stats } of all) {
+      answered += stats.answered + stats.short;
+      short += stats.short;
     }
-    for (const { backend, signals } of all) {
-      const failure = failureOf(backend, signals, { answered, short }, nowMs);
+    for (const { backend, stats } of all) {
+      const failure = failureOf(backend, stats, { answered, short }, nowMs);
       if (failure === undefined) {
         release(backend, nowMs);
       } else {
-        hold(backend, failure, signals, nowMs);
+        hold(backend, failure, stats, nowMs);
       }
     }
   }
@@ -129,7 +132,7 @@
   function hold(
     backend: KnownBackend,
     failure: Failure,
-    signals: BackendSignals,
+    signals: AnswerStats,
     nowMs: number,
   ): void {
     const { id } = backend;
@@ -142,18 +145,18 @@
         backendId: id,
         failure,
         holdMs: next.holdMs,
-        shown: { ...signals, busy: busyAt(backend) },
+        evidence: { ...signals, busy: busyAt(backend) },
       });
     }
   }
 
   /** One that stalled is sound once somebody gets something from it; all are forgotten after a while without a sign. */
-  function release({ id, progressAtMs }: KnownBackend, nowMs: number): void {
+  function release({ id, lastProgressAtMs }: KnownBackend, nowMs: number): void {
     const known = held.get(id);
     if (known === undefined) {
       return;
     }
-    const hasRecovered = known.failure === 'stalls' && progressAtMs > known.failedAtMs;
+    const hasRecovered = known.failure === 'stalls' && lastProgressAtMs > known.failedAtMs;
     if (hasRecovered || nowMs - known.untilMs > LONGEST_HOLD_MS) {
       held.delete(id);
     }
@@ -169,7 +172,7 @@
 }
 
 /** What the flows of a back end show at all balancers together. */
-export interface ShownBy extends BackendSignals {
+export interface EjectionEvidence extends AnswerStats {
   /** Requests in progress. */
   readonly busy: number;
 }
@@ -182,7 +185,7 @@
 
 function failureOf(
   backend: KnownBackend,
-  signals: BackendSignals,
+  signals: AnswerStats,
   service: AnswersOfService,
   nowMs: number,
 ): Failure | undefined {
@@ -196,12 +199,12 @@
   return answersShort(signals, service) ? 'answers-short' : undefined;
 }
 
-function isStalled(backend: KnownBackend, { stalled }: BackendSignals, nowMs: number): boolean {
+function isStalled(backend: KnownBackend, { stalled }: AnswerStats, nowMs: number): boolean {
   const isMost = stalled >= LEAST_STALLED && stalled >= STALLED_SHARE * busyAt(backend);
-  return isMost && nowMs - backend.progressAtMs >= QUIET_MS;
+  return isMost && nowMs - backend.lastProgressAtMs >= QUIET_MS;
 }
 
-function answersShort({ answered, short }: BackendSignals, service: AnswersOfService): boolean {
+function answersShort({ answered, short }: AnswerStats, service: AnswersOfService): boolean {
   const all = answered + short;
   const elsewhere = (service.short - short) / Math.max(1, service.answered - all);
   const isFar = short >= SHORT_SHARE * all && short >= TIMES_OTHERS * elsewhere * all;
@@ -209,6 +212,6 @@
 }
 
 /** @returns requests in progress at all balancers */
-function busyAt({ own, others }: KnownBackend): number {
-  return own.busy + others.busy;
+function busyAt({ own, fleet }: KnownBackend): number {
+  return own.busy + fleet.busy;
 }
--- a/src/registered/decisions/policy.ts
+++ b/src/registered/decisions/mechanism-switches.ts
@@ -6,7 +6,7 @@
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 /** What each mechanism may be; the first is the default. */
-export const policyChoices = {
+export const switchValues = {
   /** Whether back ends of the own zone come first. */
   zones: ['own-first', 'any'],
   /** Whether cold back ends come later and get no more than they bear, only come later, or are as others. */
@@ -29,23 +29,25 @@
   learning: ['dropped', 'reset'],
 } as const;
 
-type PolicyChoices = typeof policyChoices;
+type PolicyChoices = typeof switchValues;
 
 /** How a balancer decides. */
-export type IngressPolicy = { readonly [Name in keyof PolicyChoices]: PolicyChoices[Name][number] };
+export type MechanismSwitches = {
+  readonly [Name in keyof PolicyChoices]: PolicyChoices[Name][number];
+};
 
-const names = Object.keys(policyChoices) as (keyof PolicyChoices)[];
+const names = Object.keys(switchValues) as (keyof PolicyChoices)[];
 
 /** The policy without any setting. */
-export const defaultPolicy = Object.fromEntries(
-  names.map((name) => [name, policyChoices[name][0]]),
-) as unknown as IngressPolicy;
+export const defaultSwitches = Object.fromEntries(
+  names.map((name) => [name, switchValues[name][0]]),
+) as unknown as MechanismSwitches;
 
 /**
  * Reads a policy from a text such as `zones=any,warmUp=ignored`; what it does not name has its default.
  * @returns the policy, or `invalid-settings` with what is wrong
  */
-export function parsePolicy(text: string): Result<IngressPolicy, AmberliftError> {
+export function parseSwitches(text: string): Result<MechanismSwitches, AmberliftError> {
   const changes: Record<string, string> = {};
   for (const part of text.split(',').filter((part) => part !== '')) {
     const [name = '', value = ''] = part.split('=', 2);
@@ -54,10 +56,10 @@
     }
     changes[name] = value;
   }
-  return ok({ ...defaultPolicy, ...changes });
+  return ok({ ...defaultSwitches, ...changes });
 }
 
 function isChoice(name: string, value: string): boolean {
   const known = names.find((candidate) => candidate === name);
-  return known !== undefined && policyChoices[known].some((choice) => choice === value);
+  return known !== undefined && switchValues[known].some((choice) => choice === value);
 }
--- a/src/registered/decisions/outliers.ts
+++ b/src/registered/decisions/outliers.ts
@@ -22,7 +22,7 @@
  * @param candidates back ends of one service
  * @returns those that do not stand out; the ones that carry most are left out first
  */
-export function withoutOutliers(candidates: readonly KnownBackend[]): readonly KnownBackend[] {
+export function withoutLoadOutliers(candidates: readonly KnownBackend[]): readonly KnownBackend[] {
   if (candidates.every((backend) => perSlot(backend) < LEAST_PER_SLOT)) {
     return candidates;
   }
@@ -36,6 +36,6 @@
 }
 
 /** @returns what all balancers together seem to have in progress there */
-function perSlot({ own, others, record }: KnownBackend): number {
-  return (own.busy + others.busy) / Math.max(1, record.capacity);
+function perSlot({ own, fleet, record }: KnownBackend): number {
+  return (own.busy + fleet.busy) / Math.max(1, record.capacity);
 }
--- a/src/registered/decisions/placement.ts
+++ b/src/registered/decisions/placement.ts
@@ -9,12 +9,12 @@
 import type { Liveness } from '../registry/backend-liveness.js';
 import type { KnownBackend } from '../ingress/backend-table.js';
 import { drawBySpeed } from './speed-draw.js';
-import { withoutOutliers } from './outliers.js';
-import { createFailingBackends, type FailingBackends } from './failing-backends.js';
-import { createServiceJudgements } from './service-judgement.js';
+import { withoutLoadOutliers } from './outliers.js';
+import { createEjectionByAnswers, type EjectionByAnswers } from './failing-backends.js';
+import { createServiceEstimates } from './service-estimates.js';
 import { createZoneChoice } from './zone-choice.js';
-import type { ColdShare } from './cold-share.js';
-import type { IngressPolicy } from './policy.js';
+import type { SlowStart } from './slow-start.js';
+import type { MechanismSwitches } from './mechanism-switches.js';
 
 /** Decides which back end takes a new flow. */
 export interface Placement {
@@ -31,7 +31,7 @@
   /** @returns requests in progress for each slot, with some more at a cold back end */
   loadOf(backend: KnownBackend, nowMs: number): number;
   /** Which back ends are passed over since they fail. */
-  readonly failing: FailingBackends;
+  readonly failing: EjectionByAnswers;
 }
 
 /** A cold back end counts as if it had so many more requests in progress for each slot. */
@@ -43,12 +43,12 @@
  */
 export function createPlacement(
   ownZone: string,
-  policy: IngressPolicy,
-  coldShare: ColdShare,
+  policy: MechanismSwitches,
+  coldShare: SlowStart,
 ): Placement {
   const countsTold = policy.toldLoads === 'backend';
-  const failing = createFailingBackends();
-  const judgements = createServiceJudgements(failing);
+  const failing = createEjectionByAnswers();
+  const judgements = createServiceEstimates(failing);
   const inChosenZones = createZoneChoice(ownZone, policy);
 
   return { choose, loadOf, failing };
@@ -62,10 +62,11 @@
     const heard = policy.silence === 'ignored' ? staying : bestHeard(staying);
     const bearing =
       policy.warmUp === 'limited'
-        ? heard.filter((backend) => coldShare.mayTake(backend, nowMs))
+        ? heard.filter((backend) => coldShare.admits(backend, nowMs))
         : heard;
-    const sound = policy.failing === 'passed-over' ? failing.without(bearing, nowMs) : bearing;
-    const candidates = policy.outliers === 'passed-over' ? withoutOutliers(sound) : sound;
+    const sound =
+      policy.failing === 'passed-over' ? failing.withoutEjected(bearing, nowMs) : bearing;
+    const candidates = policy.outliers === 'passed-over' ? withoutLoadOutliers(sound) : sound;
     const load = (backend: KnownBackend) => loadOf(backend, nowMs);
     const inZones = inChosenZones(candidates);
     return policy.choice === 'least-load'
@@ -78,8 +79,8 @@
   }
 
   function loadOf(backend: KnownBackend, nowMs: number): number {
-    const { own, others, record } = backend;
-    const busy = own.busy + (countsTold ? others.busy : 0);
+    const { own, fleet, record } = backend;
+    const busy = own.busy + (countsTold ? fleet.busy : 0);
     const perSlot = busy / Math.max(1, record.capacity);
     return isCold(backend, nowMs) ? perSlot + COLD_PENALTY : perSlot;
   }
@@ -109,6 +110,6 @@
 function bestHeard(staying: readonly KnownBackend[]): readonly KnownBackend[] {
   const judgedAs = (liveness: Liveness) =>
     staying.filter((backend) => backend.liveness === liveness);
-  const heard = judgedAs('heard');
-  return heard.length > 0 ? heard : judgedAs('silent');
+  const heard = judgedAs('alive');
+  return heard.length > 0 ? heard : judgedAs('suspect');
 }
--- a/src/registered/decisions/service-judgement.ts
+++ b/src/registered/decisions/service-estimates.ts
@@ -7,11 +7,11 @@
  */
 import { relativeTimes } from './answer-times.js';
 import type { KnownBackend } from '../ingress/backend-table.js';
-import { showAll } from './fleet-signals.js';
-import type { FailingBackends } from './failing-backends.js';
+import { observeAll } from './fleet-answer-stats.js';
+import type { EjectionByAnswers } from './failing-backends.js';
 
 /** Judgements by service. */
-export interface ServiceJudgements {
+export interface ServiceEstimates {
   /**
    * @param backends all of one service that may be chosen
    * @returns how often each is drawn against one of average speed; 1 for one that is not in it
@@ -37,7 +37,7 @@
 }
 
 /** @param failing is told to look at back ends with each new judgement */
-export function createServiceJudgements(failing: FailingBackends): ServiceJudgements {
+export function createServiceEstimates(failing: EjectionByAnswers): ServiceEstimates {
   const byService = new Map<string, Judgement>();
 
   return { speedsOf };
@@ -48,8 +48,8 @@
     if (known !== undefined && nowMs - known.madeAtMs < HOLDS_MS) {
       return known.speeds;
     }
-    const shown = showAll(backends, nowMs);
-    failing.judge(shown, nowMs);
+    const shown = observeAll(backends, nowMs);
+    failing.detect(shown, nowMs);
     const speeds = new Map<KnownBackend, number>();
     for (const [backend, time] of relativeTimes(shown)) {
       speeds.set(backend, time ** -SPEED_POWER);
--- a/src/registered/decisions/cold-share.ts
+++ b/src/registered/decisions/slow-start.ts
@@ -13,7 +13,7 @@
 import type { ZoneTable } from '../ingress/zone-table.js';
 
 /** How much a cold back end may be given. */
-export interface ColdBounds {
+export interface SlowStartBounds {
   /** So many times what its service says that a cold back end handles ... */
   readonly excess: number;
   /** ... and so many more new flows in any second. */
@@ -21,9 +21,9 @@
 }
 
 /** What the share follows from. */
-export interface ColdShareOptions {
+export interface SlowStartOptions {
   /** Undefined where the deployment bounds nothing. */
-  readonly bounds: ColdBounds | undefined;
+  readonly bounds: SlowStartBounds | undefined;
   /** Time between two heartbeats of a back end, in milliseconds. */
   readonly heartbeatIntervalMs: number;
   readonly zones: ZoneTable;
@@ -35,12 +35,12 @@
 }
 
 /** Says which back ends are cold, and counts what this balancer gives them. */
-export interface ColdShare {
+export interface SlowStart {
   isCold(backend: KnownBackend, nowMs: number): boolean;
   /** @returns true where a back end is warm, or may be given one more new flow from here */
-  mayTake(backend: KnownBackend, nowMs: number): boolean;
+  admits(backend: KnownBackend, nowMs: number): boolean;
   /** A new flow goes to a back end. */
-  noteTaken(backend: KnownBackend, nowMs: number): void;
+  recordPlacement(backend: KnownBackend, nowMs: number): void;
 }
 
 /**
@@ -54,27 +54,27 @@
 const WINDOW_MS = 1_200;
 
 /** @returns the share of a balancer that has given nothing to cold back ends yet */
-export function createColdShare(options: ColdShareOptions): ColdShare {
+export function createSlowStart(options: SlowStartOptions): SlowStart {
   const { bounds, zones, peers, warmUpOf, knowsOthers } = options;
   /** When cold back ends were given new flows within the last window, by their IDs. */
   const taken = new Map<string, number[]>();
 
-  return { isCold, mayTake, noteTaken };
+  return { isCold, admits, recordPlacement };
 
   function isCold(backend: KnownBackend, nowMs: number): boolean {
     return nowMs < backend.warmUntilMs || nowMs < coldSinceReadmission(backend);
   }
 
   /** @returns until when a back end may be cold that has surely told nothing since its zone was readmitted */
-  function coldSinceReadmission({ zone, service, toldAtMs }: KnownBackend): number {
+  function coldSinceReadmission({ zone, service, recordSentAtMs }: KnownBackend): number {
     const readmittedAtMs = zones.readmittedAtMs(zone);
     const lateMs = LATE_HEARTBEAT_INTERVALS * options.heartbeatIntervalMs;
-    return readmittedAtMs === undefined || toldAtMs > readmittedAtMs + lateMs
+    return readmittedAtMs === undefined || recordSentAtMs > readmittedAtMs + lateMs
       ? Number.NEGATIVE_INFINITY
       : readmittedAtMs + (warmUpOf(service)?.warmUpMs ?? 0);
   }
 
-  function mayTake(backend: KnownBackend, nowMs: number): boolean {
+  function admits(backend: KnownBackend, nowMs: number): boolean {
     if (bounds === undefined || !isCold(backend, nowMs)) {
       return true;
     }
@@ -83,7 +83,7 @@
   }
 
   /** @returns how many new flows a window this balancer may give to a cold back end */
-  function ownShare({ id, service }: KnownBackend, { excess, slackPerS }: ColdBounds): number {
+  function ownShare({ id, service }: KnownBackend, { excess, slackPerS }: SlowStartBounds): number {
     const handledPerS = warmUpOf(service)?.coldRequestsPerS ?? 0;
     const given = Math.floor((handledPerS * excess + slackPerS) * GIVEN_SHARE);
     const balancerCount = peers.size + 1;
@@ -92,7 +92,7 @@
     return forEach + Number(peers.isOwnHolder(id, left));
   }
 
-  function noteTaken(backend: KnownBackend, nowMs: number): void {
+  function recordPlacement(backend: KnownBackend, nowMs: number): void {
     if (bounds === undefined || !isCold(backend, nowMs)) {
       return;
     }
--- a/src/registered/decisions/speed-draw.ts
+++ b/src/registered/decisions/speed-draw.ts
@@ -11,7 +11,7 @@
  * 48 to 56 ms there at equal ones: all balancers went for the same estimates (`test/registered/decisions/choice-load`).
  */
 import type { KnownBackend } from '../ingress/backend-table.js';
-import type { SpeedWeights } from './service-judgement.js';
+import type { SpeedWeights } from './service-estimates.js';
 
 /** What a choice follows from, beside the back ends. */
 export interface ChoiceContext {
--- a/src/registered/decisions/zone-choice.ts
+++ b/src/registered/decisions/zone-choice.ts
@@ -3,7 +3,7 @@
  * clearly busier.
  */
 import type { KnownBackend } from '../ingress/backend-table.js';
-import type { IngressPolicy } from './policy.js';
+import type { MechanismSwitches } from './mechanism-switches.js';
 
 /** Narrows back ends to those of the zones that come first. */
 export type ZoneChoice = (candidates: readonly KnownBackend[]) => readonly KnownBackend[];
@@ -12,7 +12,7 @@
 const ZONE_MARGIN = 0.6;
 
 /** @param ownZone zone of the balancer that places */
-export function createZoneChoice(ownZone: string, policy: IngressPolicy): ZoneChoice {
+export function createZoneChoice(ownZone: string, policy: MechanismSwitches): ZoneChoice {
   return (candidates) => {
     if (policy.zones === 'any') {
       return candidates;
@@ -36,8 +36,8 @@
   function zoneLoad(backends: readonly KnownBackend[]): number {
     let busy = 0;
     let slots = 0;
-    for (const { own, others, record } of backends) {
-      busy += own.busy + (policy.toldLoads === 'ignored' ? 0 : others.busy);
+    for (const { own, fleet, record } of backends) {
+      busy += own.busy + (policy.toldLoads === 'ignored' ? 0 : fleet.busy);
       slots += Math.max(1, record.capacity);
     }
     return busy / Math.max(1, slots);
--- a/src/registered/group/balancer-feed.ts
+++ b/src/registered/group/balancer-feed.ts
@@ -8,13 +8,19 @@
  */
 import type { LinkId } from '../../shared/common/link-table.js';
 import { partOf, type ConfigPart, type ConfigUpdate } from '../declared/config-update.js';
-import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
+import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { createLoadOutlet } from '../load-exchange/load-outlet.js';
 import { noteBalancersChanged, publishBalancers } from './balancer-list.js';
 import { feedParts } from './feed-parts.js';
-import { addNews, createFeedNews, isNoNews, takeNews, type FeedNews } from './feed-news.js';
+import {
+  mergeUpdates,
+  createPendingUpdates,
+  hasNoUpdates,
+  takeUpdates,
+  type PendingUpdates,
+} from './pending-updates.js';
 import type { GroupEffect } from './group-events.js';
-import type { FeedMessage, FeedTransfer, SubscribeMessage } from './group-messages.js';
+import type { FeedMessage, FullSyncStage, SubscribeMessage } from './group-messages.js';
 import { isCurrent, type GroupState, type Subscriber } from './group-state.js';
 
 /** What a message is to tell; what is said of each name is looked up when the message is made. */
@@ -23,8 +29,8 @@
   /** Whether anything is left to be told after it. */
   readonly isComplete: boolean;
   readonly isCounted: boolean;
-  readonly news: FeedNews;
-  readonly transfer?: FeedTransfer;
+  readonly news: PendingUpdates;
+  readonly transfer?: FullSyncStage;
   readonly config?: ConfigPart;
 }
 
@@ -50,16 +56,16 @@
     configVersion,
     unfinished,
     phase: 'new',
-    news: createFeedNews(),
-    isInTransfer: false,
+    pendingUpdates: createPendingUpdates(),
+    isInFullSync: false,
     countedSent: 0,
     countedTaken: 0,
-    wasToldCurrent: false,
+    wasSentCurrent: false,
     nextPulseAtMs: Number.NEGATIVE_INFINITY,
     loads: { version: -1, outlet: createLoadOutlet() },
     signals: {
       version: -1,
-      outlet: createLoadOutlet(Number.POSITIVE_INFINITY, SIGNAL_ROWS),
+      outlet: createLoadOutlet(Number.POSITIVE_INFINITY, ANSWER_STATS_ROWS),
     },
   });
   noteBalancersChanged(state);
@@ -113,12 +119,12 @@
  * Sends each balancer what it lacks.
  */
 export function feedSubscribers(state: GroupState, nowMs: number): GroupEffect[] {
-  publishBalancers(state).forEach((name) => state.news.balancers.add(name));
-  const { news } = state;
-  state.news = createFeedNews();
-  if (!isNoNews(news)) {
+  publishBalancers(state).forEach((name) => state.pendingUpdates.balancers.add(name));
+  const { pendingUpdates } = state;
+  state.pendingUpdates = createPendingUpdates();
+  if (!hasNoUpdates(pendingUpdates)) {
     for (const subscriber of state.subscribers.values()) {
-      addNews(subscriber.news, news);
+      mergeUpdates(subscriber.pendingUpdates, pendingUpdates);
     }
   }
   state.feedMessages.clear();
@@ -142,12 +148,12 @@
     plans.push(planNext(state, subscriber, current));
     subscriber.countedSent += 1;
   }
-  const isNewlyCurrent = current !== subscriber.wasToldCurrent && !isBusy(subscriber);
+  const isNewlyCurrent = current !== subscriber.wasSentCurrent && !isBusy(subscriber);
   if (plans.length === 0 && (isNewlyCurrent || nowMs >= subscriber.nextPulseAtMs)) {
     plans.push(planPulse(state, subscriber, current));
   }
   return plans.map((plan) => {
-    subscriber.wasToldCurrent = plan.isCurrent;
+    subscriber.wasSentCurrent = plan.isCurrent;
     subscriber.nextPulseAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
     return { type: 'send-feed', linkId, message: messageOf(state, plan, nowMs) };
   });
@@ -158,7 +164,7 @@
     isCurrent: current,
     isComplete: !isBehind(state, subscriber),
     isCounted: false,
-    news: createFeedNews(),
+    news: createPendingUpdates(),
   };
 }
 
@@ -195,7 +201,7 @@
 /** All that there is becomes news. */
 function beginTransfer(state: GroupState, subscriber: Subscriber, current: boolean): void {
   const { registry, publishedBalancers } = state;
-  subscriber.news = {
+  subscriber.pendingUpdates = {
     registered: new Set([...registry.all()].map(({ record }) => record.id)),
     judged: new Set(),
     departed: new Set(departedForTransfer(state)),
@@ -203,7 +209,7 @@
     areControlsChanged: true,
     areZonesChanged: true,
   };
-  subscriber.isInTransfer = false;
+  subscriber.isInFullSync = false;
   subscriber.phase = current ? 'transfer-current' : 'transfer-provisional';
 }
 
@@ -225,8 +231,13 @@
 /**
  * @returns true where a balancer lacks something that this machine knows
  */
-export function isBehind(state: GroupState, { news, configVersion, phase }: Subscriber): boolean {
-  return isTransfer(phase) || !isNoNews(news) || configVersion < state.configs.version;
+export function isBehind(
+  state: GroupState,
+  { pendingUpdates, configVersion, phase }: Subscriber,
+): boolean {
+  return (
+    isTransfer(phase) || !hasNoUpdates(pendingUpdates) || configVersion < state.configs.version
+  );
 }
 
 function isTransfer(phase: Subscriber['phase']): boolean {
@@ -235,8 +246,8 @@
 
 /** Back ends come before routes: placement waits for both, and routes may be many. */
 function planNext(state: GroupState, subscriber: Subscriber, current: boolean): MessagePlan {
-  const news = takeNews(subscriber.news, MAX_NAMES);
-  const hasAllNews = isNoNews(subscriber.news);
+  const news = takeUpdates(subscriber.pendingUpdates, MAX_NAMES);
+  const hasAllNews = hasNoUpdates(subscriber.pendingUpdates);
   const transfer = isTransfer(subscriber.phase) ? nextTransfer(subscriber, hasAllNews) : undefined;
   const config = hasAllNews ? nextConfigPart(state, subscriber) : undefined;
   return {
@@ -249,9 +260,9 @@
   };
 }
 
-function nextTransfer(subscriber: Subscriber, isLast: boolean): FeedTransfer {
-  const isFirst = !subscriber.isInTransfer;
-  subscriber.isInTransfer = !isLast;
+function nextTransfer(subscriber: Subscriber, isLast: boolean): FullSyncStage {
+  const isFirst = !subscriber.isInFullSync;
+  subscriber.isInFullSync = !isLast;
   if (isLast) {
     subscriber.phase = subscriber.phase === 'transfer-current' ? 'fed' : 'provisional';
     return isFirst ? 'whole' : 'ends';
--- a/src/registered/group/balancer-list.ts
+++ b/src/registered/group/balancer-list.ts
@@ -50,9 +50,9 @@
   const sender = formatAddress(address);
   if (state.controlZones.get(sender) !== zone) {
     state.controlZones.set(sender, zone);
-    state.news.areControlsChanged = true;
+    state.pendingUpdates.areControlsChanged = true;
   }
-  state.peerBalancers.set(sender, { balancers, heardAtMs: nowMs });
+  state.peerBalancers.set(sender, { balancers, receivedAtMs: nowMs });
   state.areBalancersChanged = true;
 }
 
@@ -60,13 +60,13 @@
  * Forgets the balancers of control machines that have been silent for long.
  */
 export function forgetOldBalancers(state: GroupState, nowMs: number): void {
-  for (const [sender, { heardAtMs }] of state.peerBalancers) {
-    if (nowMs - heardAtMs > BALANCERS_LIFETIME_MS) {
+  for (const [sender, { receivedAtMs }] of state.peerBalancers) {
+    if (nowMs - receivedAtMs > BALANCERS_LIFETIME_MS) {
       state.peerBalancers.delete(sender);
       state.areBalancersChanged = true;
       // Balancers are not sent to a machine that may be gone.
       state.controlZones.delete(sender);
-      state.news.areControlsChanged = true;
+      state.pendingUpdates.areControlsChanged = true;
     }
   }
 }
--- a/src/registered/group/feed-codec.ts
+++ b/src/registered/group/feed-codec.ts
@@ -12,7 +12,7 @@
   BalancerInfo,
   ControlInfo,
   FeedMessage,
-  ToldZone,
+  ZoneUpdate,
 } from './group-messages.js';
 import {
   DEPARTURES,
@@ -87,7 +87,7 @@
     ...(judged && {
       judgements: judged.ids.map((backendId, at) => ({
         backendId,
-        liveness: LIVENESS[judged.kinds[at] ?? 0] ?? 'heard',
+        liveness: LIVENESS[judged.kinds[at] ?? 0] ?? 'alive',
         silentMs: judged.silentMs[at] ?? 0,
       })),
     }),
@@ -203,7 +203,7 @@
   });
 }
 
-function packZones(all: readonly ToldZone[]): PackedZones {
+function packZones(all: readonly ZoneUpdate[]): PackedZones {
   return {
     names: all.map(({ zone }) => zone),
     areEvacuated: all.map(({ isEvacuated }) => isEvacuated),
@@ -212,7 +212,7 @@
   };
 }
 
-function unpackZones({ names, areEvacuated, orders, readmittedAgo }: PackedZones): ToldZone[] {
+function unpackZones({ names, areEvacuated, orders, readmittedAgo }: PackedZones): ZoneUpdate[] {
   return names.map((zone, at) => {
     const agoMs = readmittedAgo[at] ?? NOT_SEEN;
     return {
--- a/src/registered/group/feed-parts.ts
+++ b/src/registered/group/feed-parts.ts
@@ -4,15 +4,15 @@
  */
 import { formatAddress } from '../../shared/common/address.js';
 import { currentMembership } from '../../shared/consensus/consensus-state.js';
-import type { BackendJudgement } from '../registry/backend-liveness.js';
+import type { LivenessChange } from '../registry/backend-liveness.js';
 import type { Departure } from '../registry/backend-record.js';
-import type { FeedNews } from './feed-news.js';
+import type { PendingUpdates } from './pending-updates.js';
 import type {
   AgedRecord,
   BalancerInfo,
   ControlInfo,
   FeedMessage,
-  ToldZone,
+  ZoneUpdate,
 } from './group-messages.js';
 import type { GroupState } from './group-state.js';
 
@@ -23,7 +23,7 @@
  * @param news names of what has changed
  * @returns what a message says of each
  */
-export function feedParts(state: GroupState, news: FeedNews, nowMs: number): FeedParts {
+export function feedParts(state: GroupState, news: PendingUpdates, nowMs: number): FeedParts {
   const { registered, judged, departed, balancers, areControlsChanged, areZonesChanged } = news;
   const records = [...registered].flatMap((id) => agedRecordOf(state, id, nowMs));
   const judgements = [...new Set([...judged, ...registered])].flatMap((id) =>
@@ -69,7 +69,7 @@
   return registered.has(id) && !state.registry.isSuperseded(id);
 }
 
-function judgementOf(state: GroupState, backendId: string, nowMs: number): BackendJudgement[] {
+function judgementOf(state: GroupState, backendId: string, nowMs: number): LivenessChange[] {
   const known = state.registry.get(backendId);
   if (known === undefined) {
     return [];
@@ -96,7 +96,7 @@
 }
 
 /** All of them: whoever lacks one lacks what was ordered last, and there are few. */
-function toldZones({ replicated, readmittedAtMs }: GroupState, nowMs: number): ToldZone[] {
+function toldZones({ replicated, readmittedAtMs }: GroupState, nowMs: number): ZoneUpdate[] {
   return replicated.zones.all().map((status) => {
     const atMs = status.isEvacuated ? undefined : readmittedAtMs.get(status.zone);
     const readmittedAgoMs = atMs === undefined ? undefined : Math.round(nowMs - atMs);
--- a/src/registered/group/group-consensus.ts
+++ b/src/registered/group/group-consensus.ts
@@ -11,7 +11,7 @@
 import { findMember, votersOf } from '../../shared/consensus/membership.js';
 import type { ConsensusMessage } from '../../shared/consensus/messages.js';
 import type { GroupEffect } from './group-events.js';
-import type { LeaderAnswer, PeerMessage } from './group-messages.js';
+import type { LeaderReply, PeerMessage } from './group-messages.js';
 import type { GroupState } from './group-state.js';
 import { finishCall, finishRead, refused } from './leader-requests.js';
 import { decodeGroupCommand, type AppliedChange } from './replicated-state.js';
@@ -88,7 +88,7 @@
 function applyEntry(state: GroupState, entry: LogEntry, nowMs: number): GroupEffect[] {
   const { content, index, term } = entry;
   if (content.type === 'membership') {
-    state.news.areControlsChanged = true;
+    state.pendingUpdates.areControlsChanged = true;
     return [membershipDecision(state, index)];
   }
   if (content.type === 'no-op') {
@@ -104,7 +104,7 @@
   return [...decisions, ...finishCall(state, proposal.proposalId, answerTo(change))];
 }
 
-function answerTo(change: AppliedChange): LeaderAnswer {
+function answerTo(change: AppliedChange): LeaderReply {
   return change.type === 'order-outdated'
     ? refused(`Another order for zone ${change.order.zone} came between.`)
     : { type: 'committed' };
@@ -119,7 +119,7 @@
       return [{ type: 'decision', name: 'config in force', fields }];
     })
     .with({ type: 'departure-noted' }, ({ departure }): GroupEffect[] => {
-      state.news.departed.add(departure.backendId);
+      state.pendingUpdates.departed.add(departure.backendId);
       return [{ type: 'decision', name: 'departure', fields: { ...departure } }];
     })
     .with({ type: 'zone-changed' }, ({ status }) => noteZoneChanged(state, status, nowMs))
@@ -137,9 +137,9 @@
     state.configs.take(state.options.readDocument(config));
   }
   for (const { backendId } of state.replicated.allDepartures()) {
-    state.news.departed.add(backendId);
+    state.pendingUpdates.departed.add(backendId);
   }
-  state.news.areZonesChanged = true;
+  state.pendingUpdates.areZonesChanged = true;
   state.isRegistrySeeded = false;
   return [{ type: 'decision', name: 'snapshot taken over', fields: { version: config?.version } }];
 }
@@ -147,7 +147,7 @@
 /** What was proposed may still be committed; the same call sent again tells. */
 function abandonProposals(state: GroupState, kind: string): GroupEffect[] {
   state.proposals.clear();
-  return [...state.answers.keys()].flatMap((proposalId) =>
+  return [...state.pendingReplies.keys()].flatMap((proposalId) =>
     finishCall(state, proposalId, refused(`Leadership was lost: ${kind}.`)),
   );
 }
--- a/src/registered/group/group-messages.ts
+++ b/src/registered/group/group-messages.ts
@@ -6,8 +6,8 @@
 import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
 import type { ConfigPart } from '../declared/config-update.js';
 import type { PackedLoads } from '../load-exchange/backend-load.js';
-import type { PackedSignals } from '../load-exchange/backend-signals.js';
-import type { BackendJudgement } from '../registry/backend-liveness.js';
+import type { PackedAnswerStats } from '../load-exchange/answer-stats.js';
+import type { LivenessChange } from '../registry/backend-liveness.js';
 import type { BackendRecord, Departure } from '../registry/backend-record.js';
 import type { ConfigDocument, GroupCommand } from './replicated-state.js';
 import type { ZoneStatus } from './zone-orders.js';
@@ -35,7 +35,7 @@
 }
 
 /** A zone as balancers are told of it. */
-export interface ToldZone extends ZoneStatus {
+export interface ZoneUpdate extends ZoneStatus {
   /**
    * Milliseconds since it was readmitted, as far as the sender has seen that happen: its back ends may have turned
    * cold shortly before.
@@ -60,7 +60,7 @@
   | { readonly type: 'read-zones' };
 
 /** How the leader answered. */
-export type LeaderAnswer =
+export type LeaderReply =
   | { readonly type: 'committed' }
   | { readonly type: 'config'; readonly document: ConfigDocument | undefined }
   | { readonly type: 'zones'; readonly zones: readonly ZoneReport[] }
@@ -95,7 +95,7 @@
       readonly sender: Address;
       /** Undefined where the ones that were told before still hold; so are the signals. */
       readonly loads?: PackedLoads | undefined;
-      readonly signals?: PackedSignals | undefined;
+      readonly signals?: PackedAnswerStats | undefined;
     }
   | {
       readonly type: 'forward';
@@ -103,7 +103,7 @@
       readonly replyTo: Address;
       readonly request: LeaderRequest;
     }
-  | { readonly type: 'forward-reply'; readonly forwardId: number; readonly answer: LeaderAnswer };
+  | { readonly type: 'forward-reply'; readonly forwardId: number; readonly answer: LeaderReply };
 
 /** From a balancer to the control machine that feeds it; the first message of a link. */
 export interface SubscribeMessage {
@@ -130,7 +130,7 @@
   /** Undefined where what was told before still holds. */
   readonly loads?: PackedLoads | undefined;
   /** How back ends answer here; undefined where what was told before still holds. */
-  readonly signals?: PackedSignals | undefined;
+  readonly signals?: PackedAnswerStats | undefined;
 }
 
 /** From a balancer to the control machine that feeds it: it has taken what it was sent. */
@@ -141,7 +141,7 @@
 }
 
 /** Where a message stands in the transfer of a whole state. */
-export type FeedTransfer =
+export type FullSyncStage =
   /** The first of several messages; what was known before is doubted unless they name it. */
   | 'begins'
   | 'goes-on'
@@ -160,12 +160,12 @@
   /** True where the receiver answers that it has taken the message; the sender waits for that at times. */
   readonly isCounted: boolean;
   /** Set while all that the sender knows of back ends and balancers is told. */
-  readonly transfer?: FeedTransfer;
+  readonly transfer?: FullSyncStage;
   readonly config?: ConfigPart;
   /** Back ends that were not heard of before, or that tell something else of themselves. */
   readonly records?: readonly AgedRecord[];
   /** Back ends that are judged otherwise than before. */
-  readonly judgements?: readonly BackendJudgement[];
+  readonly judgements?: readonly LivenessChange[];
   readonly departures?: readonly Departure[];
   /** Balancers that came. */
   readonly balancers?: readonly BalancerInfo[];
@@ -173,11 +173,11 @@
   readonly lostBalancers?: readonly string[];
   readonly controls?: readonly ControlInfo[];
   /** All zones for which there ever was an order. */
-  readonly zones?: readonly ToldZone[];
+  readonly zones?: readonly ZoneUpdate[];
   /** What passes all other balancers, in place of what was told before. */
   readonly loads?: PackedLoads;
   /** How back ends answer at all other balancers, in place of what was told before. */
-  readonly signals?: PackedSignals;
+  readonly signals?: PackedAnswerStats;
 }
 
 /** What a balancer sends on its link. */
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -13,14 +13,14 @@
 import { findMember, type Member, type NodeId } from '../../shared/consensus/membership.js';
 import type { RecoveredState } from '../../shared/consensus/persisted-state.js';
 import type { DeclaredConfig } from '../declared/declared-config.js';
-import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
+import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { createLoadOutlet, type LoadOutlet } from '../load-exchange/load-outlet.js';
 import { createLoadTotals, type LoadTotals } from '../load-exchange/load-totals.js';
 import { HeartbeatRegistry } from '../registry/heartbeat-registry.js';
 import { createConfigHistory, type ConfigHistory } from './config-history.js';
 import type { RequestId } from './group-events.js';
 import type { Timing } from './timing.js';
-import { createFeedNews, type FeedNews } from './feed-news.js';
+import { createPendingUpdates, type PendingUpdates } from './pending-updates.js';
 import type {
   AgedRecord,
   BalancerInfo,
@@ -73,13 +73,13 @@
 }
 
 /** Who gets the answer to a proposal or read of this leader. */
-export type AnswerTo =
+export type ReplyTo =
   | { readonly type: 'client'; readonly requestId: RequestId }
   | { readonly type: 'peer'; readonly address: Address; readonly forwardId: number };
 
 /** A proposal or read under way. */
-export interface PendingAnswer {
-  readonly answerTo: AnswerTo;
+export interface PendingReply {
+  readonly replyTo: ReplyTo;
   readonly request: LeaderRequest;
 }
 
@@ -88,7 +88,7 @@
   readonly nodeId: NodeId;
   readonly storageId: string;
   readonly linkAddress: Address;
-  readonly heardAtMs: number;
+  readonly announcedAtMs: number;
 }
 
 /** A balancer that gets its feed from here. */
@@ -100,24 +100,24 @@
   unfinished: UnfinishedConfig | undefined;
   phase: SubscriberPhase;
   /** What it has not been told yet. */
-  news: FeedNews;
+  pendingUpdates: PendingUpdates;
   /** True while a whole state is under way, of which it has got some. */
-  isInTransfer: boolean;
+  isInFullSync: boolean;
   /** Messages that were sent and that it answers. */
   countedSent: number;
   /** How many of them it has taken. */
   countedTaken: number;
   /** True where the last message said that this machine was current. */
-  wasToldCurrent: boolean;
+  wasSentCurrent: boolean;
   /** When it gets a message though nothing has changed, in milliseconds. */
   nextPulseAtMs: number;
-  readonly loads: ToldTable;
+  readonly loads: PublishedTable;
   /** How back ends answer. */
-  readonly signals: ToldTable;
+  readonly signals: PublishedTable;
 }
 
 /** What a balancer was told of one table. */
-export interface ToldTable {
+export interface PublishedTable {
   /** The version of the totals that it was told of last. */
   version: number;
   /** When it is told. */
@@ -140,7 +140,7 @@
 /** The balancers that another control machine feeds. */
 export interface BalancersOfPeer {
   readonly balancers: readonly BalancerInfo[];
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** The state of one control machine. */
@@ -153,7 +153,7 @@
   /** Calls of clients of this machine. */
   readonly waiting: Map<RequestId, WaitingCall>;
   /** Proposals and reads under way here, by the number that consensus knows. */
-  readonly answers: Map<number, PendingAnswer>;
+  readonly pendingReplies: Map<number, PendingReply>;
   /** The proposal at each index of the log that is not committed yet. */
   readonly proposals: Map<number, { readonly term: number; readonly proposalId: number }>;
   /** Where this machine looks for the group; from the settings. */
@@ -176,7 +176,7 @@
   /** The balancers that subscribers have been told of, by their names. */
   publishedBalancers: ReadonlyMap<string, BalancerInfo>;
   /** What has changed since the last feed. */
-  news: FeedNews;
+  pendingUpdates: PendingUpdates;
   /** Messages that were made since the last tick, by what they tell. */
   readonly feedMessages: Map<string, FeedMessage>;
   /** Zones of the other control machines, by their link addresses. */
@@ -248,7 +248,7 @@
     registry: new HeartbeatRegistry(options.heartbeatIntervalMs),
     clusterId: clusterIdOf(options.seeds),
     waiting: new Map(),
-    answers: new Map(),
+    pendingReplies: new Map(),
     proposals: new Map(),
     seeds: options.seeds,
     registryProposalIndex: 0,
@@ -262,14 +262,14 @@
     peerBalancers: new Map(),
     areBalancersChanged: false,
     publishedBalancers: new Map(),
-    news: createFeedNews(),
+    pendingUpdates: createPendingUpdates(),
     feedMessages: new Map(),
     controlZones: new Map(),
     nextBalancersShareAtMs: Number.NEGATIVE_INFINITY,
     loads: createLoadTotals(LOAD_SUMS_LIFETIME_MS),
     sumsOutlet: createLoadOutlet(LOAD_SUMS_REFRESH_MS),
-    signals: createLoadTotals(LOAD_SUMS_LIFETIME_MS, SIGNAL_ROWS),
-    signalSumsOutlet: createLoadOutlet(LOAD_SUMS_REFRESH_MS, SIGNAL_ROWS),
+    signals: createLoadTotals(LOAD_SUMS_LIFETIME_MS, ANSWER_STATS_ROWS),
+    signalSumsOutlet: createLoadOutlet(LOAD_SUMS_REFRESH_MS, ANSWER_STATS_ROWS),
     listeningSinceMs: undefined,
     configs: createConfigHistory(
       document === undefined ? undefined : options.readDocument(document),
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -49,7 +49,7 @@
   context: StepContext,
 ): GroupEffect[] {
   const { nowMs } = context;
-  state.stallGuard.noteTurn(nowMs);
+  state.stallGuard.recordTurn(nowMs);
   const run = (consensusEvent: ConsensusEvent) => runConsensus(state, consensusEvent, context);
   return match(event)
     .with({ type: 'heartbeat' }, (call) => takeHeartbeat(state, call, context))
--- a/src/registered/group/leader-requests.ts
+++ b/src/registered/group/leader-requests.ts
@@ -6,8 +6,8 @@
 import { match } from 'ts-pattern';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
 import type { GroupEffect, GroupReply, RequestId } from './group-events.js';
-import type { LeaderAnswer, LeaderRequest, PeerMessage } from './group-messages.js';
-import { leaderAddress, type AnswerTo, type GroupState } from './group-state.js';
+import type { LeaderReply, LeaderRequest, PeerMessage } from './group-messages.js';
+import { leaderAddress, type ReplyTo, type GroupState } from './group-state.js';
 import { encodeGroupCommand } from './replicated-state.js';
 import { isFulfilled } from './zone-orders.js';
 import { zoneReports } from './zone-reports.js';
@@ -52,7 +52,7 @@
   message: Extract<PeerMessage, { type: 'forward' }>,
   run: RunConsensus,
 ): GroupEffect[] {
-  const answerTo: AnswerTo = {
+  const answerTo: ReplyTo = {
     type: 'peer',
     address: message.replyTo,
     forwardId: message.forwardId,
@@ -76,12 +76,12 @@
 function performAsLeader(
   state: GroupState,
   request: LeaderRequest,
-  answerTo: AnswerTo,
+  replyTo: ReplyTo,
   run: RunConsensus,
 ): GroupEffect[] {
   const proposalId = state.nextProposalId;
   state.nextProposalId += 1;
-  state.answers.set(proposalId, { answerTo, request });
+  state.pendingReplies.set(proposalId, { replyTo, request });
   const needsNoEntry = request.type !== 'command' || changesNothing(state, request);
   // What is held already is only confirmed: that this machine still leads.
   return needsNoEntry
@@ -116,11 +116,11 @@
 export function finishCall(
   state: GroupState,
   proposalId: number,
-  answer: LeaderAnswer,
+  answer: LeaderReply,
 ): GroupEffect[] {
-  const pending = state.answers.get(proposalId);
-  state.answers.delete(proposalId);
-  return pending === undefined ? [] : [answerCall(state, pending.answerTo, answer)];
+  const pending = state.pendingReplies.get(proposalId);
+  state.pendingReplies.delete(proposalId);
+  return pending === undefined ? [] : [answerCall(state, pending.replyTo, answer)];
 }
 
 /**
@@ -128,21 +128,21 @@
  * already hears that it holds.
  */
 export function finishRead(state: GroupState, readId: number): GroupEffect[] {
-  const request = state.answers.get(readId)?.request;
+  const request = state.pendingReplies.get(readId)?.request;
   return request === undefined ? [] : finishCall(state, readId, answerToRead(state, request));
 }
 
-function answerToRead(state: GroupState, request: LeaderRequest): LeaderAnswer {
+function answerToRead(state: GroupState, request: LeaderRequest): LeaderReply {
   return match(request)
-    .with({ type: 'read-config' }, (): LeaderAnswer => ({
+    .with({ type: 'read-config' }, (): LeaderReply => ({
       type: 'config',
       document: state.replicated.config,
     }))
-    .with({ type: 'read-zones' }, (): LeaderAnswer => ({
+    .with({ type: 'read-zones' }, (): LeaderReply => ({
       type: 'zones',
       zones: zoneReports(state),
     }))
-    .with({ type: 'command' }, ({ command }): LeaderAnswer =>
+    .with({ type: 'command' }, ({ command }): LeaderReply =>
       // Another order may have been committed while the read was confirmed.
       command.type === 'order-zone' && !changesNothing(state, { type: 'command', command })
         ? refused(`Another order for zone ${command.order.zone} came between.`)
@@ -151,7 +151,7 @@
     .exhaustive();
 }
 
-function answerCall(state: GroupState, answerTo: AnswerTo, answer: LeaderAnswer): GroupEffect {
+function answerCall(state: GroupState, answerTo: ReplyTo, answer: LeaderReply): GroupEffect {
   if (answerTo.type === 'peer') {
     const { address, forwardId } = answerTo;
     return {
@@ -164,15 +164,11 @@
   return reply(answerTo.requestId, replyOf(answer));
 }
 
-function answerClient(
-  state: GroupState,
-  requestId: RequestId,
-  answer: LeaderAnswer,
-): GroupEffect[] {
+function answerClient(state: GroupState, requestId: RequestId, answer: LeaderReply): GroupEffect[] {
   return state.waiting.delete(requestId) ? [reply(requestId, replyOf(answer))] : [];
 }
 
-function replyOf(answer: LeaderAnswer): GroupReply {
+function replyOf(answer: LeaderReply): GroupReply {
   return match(answer)
     .with({ type: 'committed' }, (): GroupReply => ({ type: 'accepted' }))
     .with({ type: 'config' }, ({ document }): GroupReply => ({ type: 'config', document }))
@@ -198,7 +194,7 @@
 /**
  * @returns the answer for a call that could not be performed
  */
-export function refused(reason: string): LeaderAnswer {
+export function refused(reason: string): LeaderReply {
   return { type: 'refused', reason };
 }
 
--- a/src/registered/group/load-duties.ts
+++ b/src/registered/group/load-duties.ts
@@ -10,7 +10,7 @@
 import type { PackedRows } from '../load-exchange/packed-rows.js';
 import type { GroupEffect } from './group-events.js';
 import type { LoadReportMessage, PeerMessage } from './group-messages.js';
-import { isCurrent, otherMembers, type GroupState, type ToldTable } from './group-state.js';
+import { isCurrent, otherMembers, type GroupState, type PublishedTable } from './group-state.js';
 
 type LoadSumsMessage = Extract<PeerMessage, { readonly type: 'load-sums' }>;
 
@@ -102,7 +102,7 @@
 /** @returns what all others have of a table, where that has changed and may be told */
 function othersFor(
   linkId: LinkId,
-  told: ToldTable,
+  told: PublishedTable,
   totals: LoadTotals,
   nowMs: number,
 ): PackedRows | undefined {
--- a/src/registered/group/membership-duties.ts
+++ b/src/registered/group/membership-duties.ts
@@ -116,7 +116,7 @@
 ): GroupEffect[] {
   const { from, linkAddress } = message;
   if (state.consensus.role.name === 'leader') {
-    state.announced.set(from.nodeId, { ...from, linkAddress, heardAtMs: nowMs });
+    state.announced.set(from.nodeId, { ...from, linkAddress, announcedAtMs: nowMs });
     return [];
   }
   const leader = leaderAddress(state);
@@ -168,7 +168,7 @@
   const membership = currentMembership(state.consensus);
   for (const [nodeId, machine] of state.announced) {
     const isKnown = findMember(membership, nodeId) !== undefined;
-    if (isKnown || nowMs - machine.heardAtMs > ANNOUNCEMENT_LIFETIME_MS) {
+    if (isKnown || nowMs - machine.announcedAtMs > ANNOUNCEMENT_LIFETIME_MS) {
       state.announced.delete(nodeId);
       continue;
     }
--- a/src/registered/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -12,7 +12,7 @@
   senderShape as sender,
   textShape as text,
 } from '../../shared/consensus/message-shapes.js';
-import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
+import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
 import { rowsShape } from './rows-shape.js';
 import type { ControlInboundMessage } from './group-messages.js';
@@ -33,7 +33,7 @@
 const departure = z.object({ backendId: text, kind: z.enum(['draining', 'gone']) });
 const balancer = z.object({ name: text, zone: text, peerAddress: address });
 const loads = z.optional(rowsShape(LOAD_ROWS));
-const signals = z.optional(rowsShape(SIGNAL_ROWS));
+const signals = z.optional(rowsShape(ANSWER_STATS_ROWS));
 interface Tables {
   readonly loads?: unknown;
   readonly signals?: unknown;
--- a/src/registered/group/packed-feed.ts
+++ b/src/registered/group/packed-feed.ts
@@ -4,12 +4,12 @@
  */
 import * as z from 'zod/mini';
 import { indexShape as index, textShape as text } from '../../shared/consensus/message-shapes.js';
-import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
+import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
 import { rowsShape } from './rows-shape.js';
 import type { Liveness } from '../registry/backend-liveness.js';
 import type { DepartureKind } from '../registry/backend-record.js';
-import type { FeedTransfer } from './group-messages.js';
+import type { FullSyncStage } from './group-messages.js';
 
 /** Room for the largest fleet in one message, against senders that went astray. */
 const MAX_ITEMS = 50_000;
@@ -20,11 +20,11 @@
 /** Stands for a time that is not known. */
 export const NOT_SEEN = -1;
 /** Kinds by their numbers. */
-export const LIVENESS: readonly Liveness[] = ['heard', 'silent', 'dead'];
+export const LIVENESS: readonly Liveness[] = ['alive', 'suspect', 'dead'];
 /** Kinds by their numbers. */
 export const DEPARTURES: readonly DepartureKind[] = ['draining', 'gone'];
 /** Kinds by their numbers. */
-export const TRANSFERS: readonly FeedTransfer[] = ['begins', 'goes-on', 'ends', 'whole'];
+export const TRANSFERS: readonly FullSyncStage[] = ['begins', 'goes-on', 'ends', 'whole'];
 
 const numbers = z.array(z.int()).check(z.maxLength(MAX_ITEMS));
 const indexes = z.array(index).check(z.maxLength(MAX_ITEMS));
@@ -90,7 +90,7 @@
   zones: z.optional(packedZones),
   config: z.optional(packedConfig),
   loads: z.optional(rowsShape(LOAD_ROWS)),
-  signals: z.optional(rowsShape(SIGNAL_ROWS)),
+  signals: z.optional(rowsShape(ANSWER_STATS_ROWS)),
 });
 
 /** A feed message as it travels. */
--- a/src/registered/group/feed-news.ts
+++ b/src/registered/group/pending-updates.ts
@@ -5,7 +5,7 @@
  */
 
 /** What has changed. */
-export interface FeedNews {
+export interface PendingUpdates {
   /** IDs of back ends that came, or tell something else of themselves. */
   readonly registered: Set<string>;
   /** IDs of back ends that are judged otherwise. */
@@ -20,7 +20,7 @@
 }
 
 /** @returns no news */
-export function createFeedNews(): FeedNews {
+export function createPendingUpdates(): PendingUpdates {
   return {
     registered: new Set(),
     judged: new Set(),
@@ -32,13 +32,13 @@
 }
 
 /** @returns true where there is nothing to tell */
-export function isNoNews(news: FeedNews): boolean {
+export function hasNoUpdates(news: PendingUpdates): boolean {
   const isNothingWhole = !news.areControlsChanged && !news.areZonesChanged;
   return isNothingWhole && namedIn(news).every(({ size }) => size === 0);
 }
 
 /** Adds news to others. */
-export function addNews(news: FeedNews, more: FeedNews): void {
+export function mergeUpdates(news: PendingUpdates, more: PendingUpdates): void {
   const sets = namedIn(news);
   namedIn(more).forEach((names, at) => names.forEach((name) => sets[at]?.add(name)));
   news.areControlsChanged ||= more.areControlsChanged;
@@ -49,8 +49,8 @@
  * Takes some news out of others.
  * @param count at most so many names of each kind
  */
-export function takeNews(news: FeedNews, count: number): FeedNews {
-  const taken = createFeedNews();
+export function takeUpdates(news: PendingUpdates, count: number): PendingUpdates {
+  const taken = createPendingUpdates();
   const sets = namedIn(taken);
   namedIn(news).forEach((names, at) => {
     for (const name of names) {
@@ -68,6 +68,6 @@
   return taken;
 }
 
-function namedIn({ registered, judged, departed, balancers }: FeedNews): Set<string>[] {
+function namedIn({ registered, judged, departed, balancers }: PendingUpdates): Set<string>[] {
   return [registered, judged, departed, balancers];
 }
--- a/src/registered/group/registry-duties.ts
+++ b/src/registered/group/registry-duties.ts
@@ -20,7 +20,7 @@
 export function takeRecord(state: GroupState, aged: AgedRecord, nowMs: number): boolean {
   const news = state.registry.take(aged.record, nowMs - aged.ageMs);
   if (news === 'changed' || (news === 'alive' && isWarmthAwaited(state, aged.record, nowMs))) {
-    state.news.registered.add(aged.record.id);
+    state.pendingUpdates.registered.add(aged.record.id);
   }
   return news !== 'late';
 }
@@ -74,7 +74,7 @@
   }
   const { listeningSinceMs } = state;
   const judgements = registry.judge(nowMs, listeningSinceMs);
-  judgements.forEach(({ backendId }) => state.news.judged.add(backendId));
+  judgements.forEach(({ backendId }) => state.pendingUpdates.judged.add(backendId));
 }
 
 /**
@@ -118,7 +118,7 @@
     const record = { ...registered, warmUpLeftMs: 0 };
     if (state.registry.get(record.id) === undefined) {
       state.registry.takeListed(record, nowMs - ageMs);
-      state.news.registered.add(record.id);
+      state.pendingUpdates.registered.add(record.id);
     }
   }
 }
--- a/src/registered/group/zone-duties.ts
+++ b/src/registered/group/zone-duties.ts
@@ -51,7 +51,7 @@
   } else {
     state.readmittedAtMs.set(zone, nowMs);
   }
-  state.news.areZonesChanged = true;
+  state.pendingUpdates.areZonesChanged = true;
   const name = isEvacuated ? 'zone evacuated' : 'zone readmitted';
   return [{ type: 'decision', name, fields: { zone, orders: status.orders } }];
 }
--- a/src/registered/group/zone-reports.ts
+++ b/src/registered/group/zone-reports.ts
@@ -19,7 +19,7 @@
   for (const { record, liveness } of registry.all()) {
     const { zone, capacity } = record;
     const before = reports.get(zone) ?? emptyReport(state, zone);
-    const stays = liveness === 'heard' && replicated.departureOf(record.id) === undefined;
+    const stays = liveness === 'alive' && replicated.departureOf(record.id) === undefined;
     const busy = busyByToken.get(tokenOf(record.instanceNumber)) ?? 0;
     reports.set(zone, {
       ...before,
--- a/src/registered/ingress/backend-table.ts
+++ b/src/registered/ingress/backend-table.ts
@@ -6,8 +6,8 @@
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { AgedRecord } from '../group/group-messages.js';
 import { eachLoad, type PackedLoads } from '../load-exchange/backend-load.js';
-import { eachSignal, type PackedSignals } from '../load-exchange/backend-signals.js';
-import { livenessOf, type BackendJudgement, type Liveness } from '../registry/backend-liveness.js';
+import { eachAnswerStats, type PackedAnswerStats } from '../load-exchange/answer-stats.js';
+import { livenessOf, type LivenessChange, type Liveness } from '../registry/backend-liveness.js';
 import {
   isLaterDeparture,
   type BackendRecord,
@@ -15,7 +15,7 @@
   type DepartureKind,
 } from '../registry/backend-record.js';
 import { tokenOf } from '../registry/backend-token.js';
-import { createAnswerRecord, type AnswerRecord } from '../decisions/answer-record.js';
+import { createAnswerRecorder, type AnswerRecorder } from '../decisions/answer-recorder.js';
 
 /** Load of one back end. */
 export interface BackendLoad {
@@ -24,7 +24,7 @@
 }
 
 /** Load of one back end at the other balancers, and how it answers there. */
-export interface ToldLoad extends BackendLoad {
+export interface FleetLoad extends BackendLoad {
   stalled: number;
   answered: number;
   answerMs: number;
@@ -43,26 +43,26 @@
   readonly token: number;
   record: BackendRecord;
   /** When its last heartbeat came, in milliseconds; for one that is heard, some time before now. */
-  heardAtMs: number;
+  lastHeartbeatAtMs: number;
   departure: DepartureKind | undefined;
   /** What its heartbeats say, as the control machine judges. */
   liveness: Liveness;
   /** What they said when the logs told of it last. */
-  notedLiveness: Liveness;
+  loggedLiveness: Liveness;
   /** When a client last showed here that it had got something from it, in milliseconds. */
-  progressAtMs: number;
+  lastProgressAtMs: number;
   /** When it left, in milliseconds. */
   departedAtMs: number;
   /** When the heartbeat came that told what is known of it, in milliseconds. */
-  toldAtMs: number;
+  recordSentAtMs: number;
   /** Until when it is slow from its start, in milliseconds. */
   warmUntilMs: number;
   /** What passes this balancer. */
   readonly own: BackendLoad;
   /** What passes all other balancers, as the control machine told. */
-  readonly others: ToldLoad;
+  readonly fleet: FleetLoad;
   /** How it answers here. */
-  readonly answers: AnswerRecord;
+  readonly answers: AnswerRecorder;
 }
 
 const INSTANCE_BYTES = 8;
@@ -98,41 +98,41 @@
   }
 
   /** @returns the back ends of a service that have not said that they leave */
-  staying(service: string): readonly KnownBackend[] {
+  activeOf(service: string): readonly KnownBackend[] {
     return (this.byService.get(service) ?? []).filter(({ departure }) => departure === undefined);
   }
 
   /** Takes what a back end tells of itself, as the control machine has it. */
-  take({ record, ageMs }: AgedRecord, nowMs: number): void {
+  applyRecord({ record, ageMs }: AgedRecord, nowMs: number): void {
     const heardAtMs = nowMs - ageMs;
     const known = this.byId.get(record.id) ?? this.add(record, heardAtMs);
     if (known === undefined) {
       return;
     }
     known.liveness = livenessOf(ageMs, this.heartbeatIntervalMs);
-    known.heardAtMs = Math.max(known.heardAtMs, heardAtMs);
+    known.lastHeartbeatAtMs = Math.max(known.lastHeartbeatAtMs, heardAtMs);
     if (record.sequence > known.record.sequence) {
       known.record = record;
-      known.toldAtMs = heardAtMs;
+      known.recordSentAtMs = heardAtMs;
       known.warmUntilMs = heardAtMs + record.warmUpLeftMs;
     }
   }
 
   /** Takes another judgement of a back end. */
-  judge({ backendId, liveness, silentMs }: BackendJudgement, nowMs: number): void {
+  applyLiveness({ backendId, liveness, silentMs }: LivenessChange, nowMs: number): void {
     const known = this.byId.get(backendId);
     if (known !== undefined) {
       known.liveness = liveness;
-      known.heardAtMs = nowMs - silentMs;
+      known.lastHeartbeatAtMs = nowMs - silentMs;
     }
   }
 
   /** Takes back ends that the control machine knows nothing of as silent from now on. */
-  doubtAllBut(ids: ReadonlySet<string>, nowMs: number): void {
+  suspectAllBut(ids: ReadonlySet<string>, nowMs: number): void {
     for (const backend of this.byId.values()) {
-      if (backend.liveness === 'heard' && !ids.has(backend.id)) {
-        backend.liveness = 'silent';
-        backend.heardAtMs = nowMs;
+      if (backend.liveness === 'alive' && !ids.has(backend.id)) {
+        backend.liveness = 'suspect';
+        backend.lastHeartbeatAtMs = nowMs;
       }
     }
   }
@@ -140,16 +140,16 @@
   /** @returns true where a back end that is heard of stands at the address of another one */
   isReplaced({ id, address }: KnownBackend): boolean {
     const holder = this.byAddress.get(formatAddress(address));
-    return holder !== undefined && holder.id !== id && holder.liveness === 'heard';
+    return holder !== undefined && holder.id !== id && holder.liveness === 'alive';
   }
 
   /** Takes what passes all other balancers, in place of what was told before. */
-  takeLoads(loads: PackedLoads): void {
-    for (const { others } of this.byId.values()) {
-      others.busy = 0;
+  applyFleetLoads(loads: PackedLoads): void {
+    for (const { fleet } of this.byId.values()) {
+      fleet.busy = 0;
     }
     eachLoad(loads, (token, busy) => {
-      const others = this.byToken.get(token)?.others;
+      const others = this.byToken.get(token)?.fleet;
       if (others !== undefined) {
         others.busy = busy;
       }
@@ -157,12 +157,12 @@
   }
 
   /** Takes how back ends answer at all other balancers, in place of what was told before. */
-  takeSignals(signals: PackedSignals): void {
-    for (const { others } of this.byId.values()) {
-      Object.assign(others, { stalled: 0, answered: 0, answerMs: 0, short: 0 });
+  applyFleetAnswerStats(signals: PackedAnswerStats): void {
+    for (const { fleet } of this.byId.values()) {
+      Object.assign(fleet, { stalled: 0, answered: 0, answerMs: 0, short: 0 });
     }
-    eachSignal(signals, (token, told) => {
-      const others = this.byToken.get(token)?.others;
+    eachAnswerStats(signals, (token, told) => {
+      const others = this.byToken.get(token)?.fleet;
       if (others !== undefined) {
         Object.assign(others, told);
       }
@@ -170,7 +170,7 @@
   }
 
   /** Takes the word that a back end leaves; it may come before its first heartbeat. */
-  depart({ backendId, kind }: Departure, nowMs: number): void {
+  applyDeparture({ backendId, kind }: Departure, nowMs: number): void {
     if (!isLaterDeparture(kind, this.departures.get(backendId))) {
       return;
     }
@@ -187,15 +187,15 @@
     for (const backend of this.byId.values()) {
       const leftAtMs =
         backend.departure === undefined
-          ? backend.heardAtMs
-          : Math.max(backend.departedAtMs, backend.heardAtMs);
-      if (backend.liveness !== 'heard' && nowMs - leftAtMs > lifetimeMs) {
+          ? backend.lastHeartbeatAtMs
+          : Math.max(backend.departedAtMs, backend.lastHeartbeatAtMs);
+      if (backend.liveness !== 'alive' && nowMs - leftAtMs > lifetimeMs) {
         this.remove(backend);
       }
     }
   }
 
-  private add(record: BackendRecord, heardAtMs: number): KnownBackend | undefined {
+  private add(record: BackendRecord, lastHeartbeatAtMs: number): KnownBackend | undefined {
     const backend: KnownBackend = {
       id: record.id,
       service: record.service,
@@ -204,17 +204,17 @@
       instanceBytes: Buffer.from(record.instanceNumber, 'hex').subarray(0, INSTANCE_BYTES),
       token: tokenOf(record.instanceNumber),
       record,
-      heardAtMs,
+      lastHeartbeatAtMs,
       departure: this.departures.get(record.id),
-      departedAtMs: heardAtMs,
-      liveness: 'heard',
-      notedLiveness: 'heard',
-      toldAtMs: heardAtMs,
-      progressAtMs: Number.NEGATIVE_INFINITY,
-      warmUntilMs: heardAtMs + record.warmUpLeftMs,
+      departedAtMs: lastHeartbeatAtMs,
+      liveness: 'alive',
+      loggedLiveness: 'alive',
+      recordSentAtMs: lastHeartbeatAtMs,
+      lastProgressAtMs: Number.NEGATIVE_INFINITY,
+      warmUntilMs: lastHeartbeatAtMs + record.warmUpLeftMs,
       own: { busy: 0 },
-      others: { busy: 0, stalled: 0, answered: 0, answerMs: 0, short: 0 },
-      answers: createAnswerRecord(),
+      fleet: { busy: 0, stalled: 0, answered: 0, answerMs: 0, short: 0 },
+      answers: createAnswerRecorder(),
     };
     if (this.byToken.has(backend.token)) {
       // Its flows could not be told from those of the other back end: it takes none.
--- a/src/registered/ingress/feed-step.ts
+++ b/src/registered/ingress/feed-step.ts
@@ -8,13 +8,13 @@
   type BackendLoadEntry,
   type PackedLoads,
 } from '../load-exchange/backend-load.js';
-import { packSignals, type PackedSignals } from '../load-exchange/backend-signals.js';
+import { packAnswerStats, type PackedAnswerStats } from '../load-exchange/answer-stats.js';
 import type { Liveness } from '../registry/backend-liveness.js';
 import type { KnownBackend } from './backend-table.js';
 import type { IngressState } from './ingress-state.js';
 
 /** A back end that is judged otherwise than before. */
-export interface JudgedAnew {
+export interface LivenessTransition {
   readonly backend: KnownBackend;
   readonly from: Liveness;
   readonly to: Liveness;
@@ -24,7 +24,7 @@
 const LOADS_LIFETIME_MS = 2_000;
 
 /** What a message of the control machine did to the configuration. */
-export type ConfigTaken =
+export type ConfigOutcome =
   | { readonly type: 'unchanged' }
   | { readonly type: 'in-force'; readonly version: number }
   /** It does not follow what is held here: the control machine must begin anew. */
@@ -33,21 +33,25 @@
 /**
  * Takes a message of the control machine.
  */
-export function takeFeed(state: IngressState, message: FeedMessage, nowMs: number): ConfigTaken {
-  state.zones.take(message.zones ?? [], nowMs);
+export function applyFeedMessage(
+  state: IngressState,
+  message: FeedMessage,
+  nowMs: number,
+): ConfigOutcome {
+  state.zones.applyUpdates(message.zones ?? [], nowMs);
   noteTransfer(state, message);
   const { records, judgements, departures, balancers = [], lostBalancers = [] } = message;
   const { backends, peers } = state;
-  records?.forEach((aged) => backends.take(aged, nowMs));
-  judgements?.forEach((judgement) => backends.judge(judgement, nowMs));
-  departures?.forEach((departure) => backends.depart(departure, nowMs));
-  peers.takeChanges(balancers, lostBalancers);
+  records?.forEach((aged) => backends.applyRecord(aged, nowMs));
+  judgements?.forEach((judgement) => backends.applyLiveness(judgement, nowMs));
+  departures?.forEach((departure) => backends.applyDeparture(departure, nowMs));
+  peers.applyChanges(balancers, lostBalancers);
   endTransfer(state, message, nowMs);
   if (message.loads !== undefined) {
-    backends.takeLoads(message.loads);
+    backends.applyFleetLoads(message.loads);
   }
   if (message.signals !== undefined) {
-    backends.takeSignals(message.signals);
+    backends.applyFleetAnswerStats(message.signals);
   }
   const taken = takeConfig(state, message);
   if (message.isCurrent && message.isComplete && taken.type !== 'unfit') {
@@ -57,7 +61,7 @@
   return taken;
 }
 
-function takeConfig({ routes, assembly }: IngressState, { config }: FeedMessage): ConfigTaken {
+function takeConfig({ routes, assembly }: IngressState, { config }: FeedMessage): ConfigOutcome {
   if (config === undefined || config.version <= (routes.config?.version ?? NO_VERSION)) {
     return { type: 'unchanged' };
   }
@@ -75,30 +79,30 @@
 function noteTransfer(state: IngressState, message: FeedMessage): void {
   const { transfer, records = [], balancers = [] } = message;
   if (transfer === 'begins' || transfer === 'whole') {
-    state.transfer = { backendIds: new Set(), balancerNames: new Set() };
+    state.fullSync = { backendIds: new Set(), balancerNames: new Set() };
   }
-  records.forEach(({ record }) => state.transfer?.backendIds.add(record.id));
-  balancers.forEach(({ name }) => state.transfer?.balancerNames.add(name));
+  records.forEach(({ record }) => state.fullSync?.backendIds.add(record.id));
+  balancers.forEach(({ name }) => state.fullSync?.balancerNames.add(name));
 }
 
 /** After the last one, what was not named is doubted. */
 function endTransfer(state: IngressState, message: FeedMessage, nowMs: number): void {
   const { transfer, isCurrent } = message;
-  if (state.transfer === undefined || (transfer !== 'ends' && transfer !== 'whole')) {
+  if (state.fullSync === undefined || (transfer !== 'ends' && transfer !== 'whole')) {
     return;
   }
-  const { backendIds, balancerNames } = state.transfer;
-  state.transfer = undefined;
+  const { backendIds, balancerNames } = state.fullSync;
+  state.fullSync = undefined;
   state.peers.retain(balancerNames);
   if (isCurrent) {
-    state.backends.doubtAllBut(backendIds, nowMs);
+    state.backends.suspectAllBut(backendIds, nowMs);
   }
 }
 
 /**
  * @returns what passes this balancer; back ends without any load are left out
  */
-export function ownReport(state: IngressState): PackedLoads {
+export function ownLoads(state: IngressState): PackedLoads {
   const loads: BackendLoadEntry[] = [];
   for (const { token, own } of state.backends.all()) {
     if (own.busy > 0) {
@@ -111,9 +115,9 @@
 /**
  * @returns how back ends answer here; those of which nothing is known are left out
  */
-export function ownSignals(state: IngressState, nowMs: number): PackedSignals {
-  return packSignals(
-    [...state.backends.all()].map(({ token, answers }) => [token, answers.signals(nowMs)] as const),
+export function ownAnswerStats(state: IngressState, nowMs: number): PackedAnswerStats {
+  return packAnswerStats(
+    [...state.backends.all()].map(({ token, answers }) => [token, answers.stats(nowMs)] as const),
   );
 }
 
@@ -121,18 +125,18 @@
  * Forgets what is old: flows at rest, back ends that are gone, loads that nobody told for long.
  * @returns back ends that are judged otherwise than at the last sweep
  */
-export function ingressSweep(state: IngressState, nowMs: number): JudgedAnew[] {
+export function ingressSweep(state: IngressState, nowMs: number): LivenessTransition[] {
   state.activities.sweep(nowMs);
   state.backends.forget(nowMs, state.options.flowLifetimeMs);
   if (nowMs - (state.currentAtMs ?? nowMs) > LOADS_LIFETIME_MS) {
-    state.backends.takeLoads([]);
-    state.backends.takeSignals([]);
+    state.backends.applyFleetLoads([]);
+    state.backends.applyFleetAnswerStats([]);
   }
   return [...state.backends.all()].flatMap(judgedAnew);
 }
 
-function judgedAnew(backend: KnownBackend): JudgedAnew[] {
-  const { notedLiveness: from, liveness: to } = backend;
-  backend.notedLiveness = to;
+function judgedAnew(backend: KnownBackend): LivenessTransition[] {
+  const { loggedLiveness: from, liveness: to } = backend;
+  backend.loggedLiveness = to;
   return from === to ? [] : [{ backend, from, to }];
 }
--- a/src/registered/ingress/flow-activity.ts
+++ b/src/registered/ingress/flow-activity.ts
@@ -57,7 +57,7 @@
   }
 
   /** Notes that a new flow was placed; it counts as busy until its request comes and is answered. */
-  open(key: FlowKey, backend: KnownBackend, nowMs: number): void {
+  recordOpen(key: FlowKey, backend: KnownBackend, nowMs: number): void {
     if (this.flows.get(key)?.backend === backend) {
       return;
     }
@@ -66,7 +66,7 @@
   }
 
   /** Notes a copy of an open that was placed here; one read together with the first, after a pause, shows nothing. */
-  noteOpenCopy(key: FlowKey, nowMs: number): void {
+  recordOpenCopy(key: FlowKey, nowMs: number): void {
     const flow = this.flows.get(key);
     const isWaiting = flow?.sentEnd === 0 && flow.isBusy;
     if (isWaiting && nowMs - flow.endSentAtMs >= REPEATED_AFTER_MS) {
@@ -79,7 +79,7 @@
    * @returns how often the client has sent the data of the packet again, as far as it passed here; undefined where
    *   it carries none, or is not counted
    */
-  note(
+  recordPacket(
     key: FlowKey,
     backend: KnownBackend,
     packet: PacketView,
@@ -136,15 +136,15 @@
     this.setStalled(flow, false);
     this.setBusy(flow, !isAnswer);
     flow.acknowledgedAtRequest = packet.acknowledged;
-    flow.backend.progressAtMs = nowMs;
+    flow.backend.lastProgressAtMs = nowMs;
   }
 
   private noteAnswer(flow: FlowActivity, packet: PacketView, bytes: number, nowMs: number): void {
     const { answers } = flow.backend;
     if (this.sizes.isShort(routeKey(packet.destinationHost, packet.destinationPort), bytes)) {
-      answers.noteShortAnswer(nowMs);
+      answers.recordShortAnswer(nowMs);
     } else if (flow.wentOutAtOnce && flow.repeats === 0) {
-      answers.noteAnswer(nowMs - flow.dataSinceMs, nowMs);
+      answers.recordAnswer(nowMs - flow.dataSinceMs, nowMs);
     }
   }
 
@@ -163,7 +163,7 @@
     }
     const isKnown = flow.sentEnd !== 0 || flow.isBusy;
     if (isKnown && packet.acknowledged !== flow.acknowledgedAtRequest) {
-      flow.backend.progressAtMs = nowMs;
+      flow.backend.lastProgressAtMs = nowMs;
     }
     flow.sentEnd = end;
     flow.endSentAtMs = nowMs;
--- a/src/registered/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -3,14 +3,14 @@
  */
 import type { FeedTiming } from '../group/timing.js';
 import { createConfigAssembly, type ConfigAssembly } from './config-assembly.js';
-import { createColdShare, type ColdBounds, type ColdShare } from '../decisions/cold-share.js';
+import { createSlowStart, type SlowStartBounds, type SlowStart } from '../decisions/slow-start.js';
 import { createZoneTable, type ZoneTable } from './zone-table.js';
 import { BackendTable } from './backend-table.js';
 import { FlowActivities } from './flow-activity.js';
 import { OpenMemory } from './open-memory.js';
 import { createPeerTable, type PeerTable } from './peer-table.js';
 import { createPlacement, type Placement } from '../decisions/placement.js';
-import type { IngressPolicy } from '../decisions/policy.js';
+import type { MechanismSwitches } from '../decisions/mechanism-switches.js';
 import { RouteTable } from './route-table.js';
 import { createStallGuard, type StallGuard } from '../../shared/common/stall-guard.js';
 
@@ -26,9 +26,9 @@
   readonly feed: FeedTiming;
   /** Flows beyond this number are not counted for placement. */
   readonly maxCountedFlows: number;
-  readonly policy: IngressPolicy;
+  readonly switches: MechanismSwitches;
   /** What a cold back end may be given; undefined where the deployment does not bound it. */
-  readonly coldBounds?: ColdBounds | undefined;
+  readonly slowStartBounds?: SlowStartBounds | undefined;
 }
 
 /** How long copies of an open may come after the first. */
@@ -58,7 +58,7 @@
 }
 
 /** What a whole state has named so far. */
-export interface StateTransfer {
+export interface FullSync {
   readonly backendIds: Set<string>;
   readonly balancerNames: Set<string>;
 }
@@ -70,7 +70,7 @@
   /** The parts of a newer configuration that have come. */
   readonly assembly: ConfigAssembly;
   /** What a whole state that is under way has named; undefined where none is. */
-  transfer: StateTransfer | undefined;
+  fullSync: FullSync | undefined;
   readonly backends: BackendTable;
   readonly opens: OpenMemory;
   readonly activities: FlowActivities;
@@ -82,7 +82,7 @@
   readonly peers: PeerTable;
   /** Which zones take no new flows. */
   readonly zones: ZoneTable;
-  readonly coldShare: ColdShare;
+  readonly slowStart: SlowStart;
   readonly placement: Placement;
   readonly stallGuard: StallGuard;
 }
@@ -98,8 +98,8 @@
   const routes = new RouteTable();
   const peers = createPeerTable(options.name);
   const zones = createZoneTable();
-  const coldShare = createColdShare({
-    bounds: options.coldBounds,
+  const slowStart = createSlowStart({
+    bounds: options.slowStartBounds,
     heartbeatIntervalMs: options.heartbeatIntervalMs,
     zones,
     peers,
@@ -110,7 +110,7 @@
     options,
     routes,
     assembly: createConfigAssembly(),
-    transfer: undefined,
+    fullSync: undefined,
     backends: new BackendTable(options.heartbeatIntervalMs),
     opens: new OpenMemory(OPEN_LIFETIME_MS),
     activities: new FlowActivities(
@@ -123,8 +123,8 @@
     isStopping: false,
     peers,
     zones,
-    coldShare,
-    placement: createPlacement(options.zone, options.policy, coldShare),
+    slowStart,
+    placement: createPlacement(options.zone, options.switches, slowStart),
     stallGuard: createStallGuard({ stallMs: OPEN_STALL_MS, rememberedMs: OPEN_LIFETIME_MS }),
   };
   return state;
--- a/src/registered/ingress/load-reporter.ts
+++ b/src/registered/ingress/load-reporter.ts
@@ -2,10 +2,10 @@
  * @file When a balancer tells the control machine that feeds it what passes here, and how back ends answer: each where it
  * has changed, no more often than its length allows.
  */
-import { SIGNAL_ROWS } from '../load-exchange/backend-signals.js';
+import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { createLoadOutlet, offered } from '../load-exchange/load-outlet.js';
 import type { LoadReportMessage } from '../group/group-messages.js';
-import { ownReport, ownSignals } from './feed-step.js';
+import { ownLoads, ownAnswerStats } from './feed-step.js';
 import type { IngressState } from './ingress-state.js';
 
 /** What was told on one link. */
@@ -17,13 +17,13 @@
 /** @returns a reporter that has told nothing yet */
 export function createLoadReporter(state: IngressState): LoadReporter {
   const loadsOutlet = createLoadOutlet();
-  const signalsOutlet = createLoadOutlet(Number.POSITIVE_INFINITY, SIGNAL_ROWS);
+  const signalsOutlet = createLoadOutlet(Number.POSITIVE_INFINITY, ANSWER_STATS_ROWS);
 
   return { due };
 
   function due(nowMs: number): LoadReportMessage | undefined {
-    const loads = offered(loadsOutlet, () => ownReport(state), nowMs);
-    const signals = offered(signalsOutlet, () => ownSignals(state, nowMs), nowMs);
+    const loads = offered(loadsOutlet, () => ownLoads(state), nowMs);
+    const signals = offered(signalsOutlet, () => ownAnswerStats(state, nowMs), nowMs);
     return loads === undefined && signals === undefined
       ? undefined
       : { type: 'load-report', ...(loads && { loads }), ...(signals && { signals }) };
--- a/src/registered/ingress/packet-step.ts
+++ b/src/registered/ingress/packet-step.ts
@@ -3,7 +3,7 @@
  * token names; an open goes where its first copy went, or to a back end of the route's service.
  */
 import type { KnownBackend } from './backend-table.js';
-import { isSurelyDead } from '../decisions/dead-flow.js';
+import { isProvenDead } from '../decisions/dead-flow.js';
 import { isReady, knowsCurrent, type IngressState } from './ingress-state.js';
 import { flowKeyOf, type FlowKey, type PacketView } from './packet-view.js';
 
@@ -76,14 +76,14 @@
     return { type: 'drop', reason: 'unknown-token' };
   }
   const key = flowKeyOf(packet);
-  const unanswered = state.activities.note(key, backend, packet, nowMs);
-  if (unanswered !== undefined && backend.liveness !== 'heard') {
+  const unanswered = state.activities.recordPacket(key, backend, packet, nowMs);
+  if (unanswered !== undefined && backend.liveness !== 'alive') {
     const evidence = {
       isFeedCurrent: knowsCurrent(state, nowMs),
       isReplaced: state.backends.isReplaced(backend),
       unanswered,
     };
-    if (isSurelyDead(backend, evidence, state.options.policy)) {
+    if (isProvenDead(backend, evidence, state.options.switches)) {
       return { type: 'reset', reason: 'backend-dead' };
     }
   }
@@ -97,7 +97,7 @@
   const key = flowKeyOf(packet);
   const placed = state.opens.recall(key, nowMs);
   if (placed !== undefined) {
-    state.activities.noteOpenCopy(key, nowMs);
+    state.activities.recordOpenCopy(key, nowMs);
     return forwardCopy(state, placed, { type: 'remembered' });
   }
   if (!state.routes.has(packet.destinationHost, packet.destinationPort)) {
@@ -124,7 +124,7 @@
   key: FlowKey,
   nowMs: number,
 ): PacketDecision {
-  const canAsk = state.options.policy.opens === 'shared' && state.peers.size > 0;
+  const canAsk = state.options.switches.opens === 'shared' && state.peers.size > 0;
   return canAsk ? { type: 'ask-peers', key } : placeOpen(state, packet, nowMs);
 }
 
@@ -143,18 +143,18 @@
   if (service === undefined) {
     return { type: 'reset', reason: 'no-route' };
   }
-  const { placement, coldShare } = state;
-  const staying = state.backends.staying(service);
+  const { placement, slowStart } = state;
+  const staying = state.backends.activeOf(service);
   const open = staying.filter(({ zone }) => !state.zones.isEvacuated(zone));
   const backend = placement.choose(open, hashOf(packet), nowMs);
   if (backend === undefined) {
     return refuseOpen(state, staying, open, nowMs);
   }
-  coldShare.noteTaken(backend, nowMs);
+  slowStart.recordPlacement(backend, nowMs);
   const load = placement.loadOf(backend, nowMs);
   const key = flowKeyOf(packet);
   state.opens.remember(key, backend.token, nowMs);
-  state.activities.open(key, backend, nowMs);
+  state.activities.recordOpen(key, backend, nowMs);
   return { type: 'forward', backend, foundBy: { type: 'chosen', key, service, load } };
 }
 
@@ -172,7 +172,7 @@
     // Nothing else keeps a back end that may be there from being chosen.
     return { type: 'reset', reason: 'all-cold' };
   }
-  return state.options.policy.learning === 'dropped' && isLearning(state, nowMs)
+  return state.options.switches.learning === 'dropped' && isLearning(state, nowMs)
     ? { type: 'drop', reason: 'no-backend' }
     : { type: 'reset', reason: 'no-backend' };
 }
@@ -180,7 +180,7 @@
 /**
  * Another balancer has placed the first copy of an open.
  */
-export function takePlacedElsewhere(
+export function placeAsPeerDid(
   state: IngressState,
   key: FlowKey,
   token: number,
--- a/src/registered/ingress/peer-table.ts
+++ b/src/registered/ingress/peer-table.ts
@@ -18,7 +18,7 @@
   /** Forgets all balancers but those that are named. */
   retain(names: ReadonlySet<string>): void;
   /** Takes balancers that came and the names of those that went. */
-  takeChanges(came: readonly BalancerInfo[], went: readonly string[]): void;
+  applyChanges(came: readonly BalancerInfo[], went: readonly string[]): void;
   /**
    * @param count how many are chosen; this balancer may be one of them, and is left out then
    * @returns the balancers that keep the memory of an open
@@ -52,7 +52,7 @@
       return balancers.size - Number(balancers.has(ownName));
     },
     retain,
-    takeChanges,
+    applyChanges,
     holdersOf: (key, count) => chosenFor(key, count).filter(({ name }) => name !== ownName),
     othersInTurn,
     isOwnHolder: (key, count) => chosenFor(key, count).some(({ name }) => name === ownName),
@@ -66,7 +66,7 @@
     }
   }
 
-  function takeChanges(came: readonly BalancerInfo[], went: readonly string[]): void {
+  function applyChanges(came: readonly BalancerInfo[], went: readonly string[]): void {
     went.forEach((name) => balancers.delete(name));
     came.forEach((info) => balancers.set(info.name, { info, nameHash: hashText(info.name) }));
   }
--- a/src/registered/ingress/zone-table.ts
+++ b/src/registered/ingress/zone-table.ts
@@ -2,15 +2,15 @@
  * @file The zones as a balancer knows them: which are evacuated, so that no new flow goes there, and when others
  * were readmitted. A control machine that lags behind tells less than is known here; only newer orders count.
  */
-import type { ToldZone } from '../group/group-messages.js';
+import type { ZoneUpdate } from '../group/group-messages.js';
 
 /** What a balancer knows of zones. */
 export interface ZoneTable {
   /** Rises with each order that is taken. */
   readonly version: number;
-  take(told: readonly ToldZone[], nowMs: number): void;
+  applyUpdates(told: readonly ZoneUpdate[], nowMs: number): void;
   /** @returns all zones for which there was an order, as they would be told */
-  all(nowMs: number): ToldZone[];
+  updates(nowMs: number): ZoneUpdate[];
   isEvacuated(zone: string): boolean;
   /** @returns when a zone was readmitted last, in milliseconds; undefined for never, or before anyone here knows */
   readmittedAtMs(zone: string): number | undefined;
@@ -33,14 +33,14 @@
     get version() {
       return version;
     },
-    take,
-    all,
+    applyUpdates,
+    updates,
     isEvacuated: (zone) => zones.get(zone)?.evacuatedSinceMs !== undefined,
     readmittedAtMs: (zone) => zones.get(zone)?.readmittedAtMs,
     describeEvacuated,
   };
 
-  function take(told: readonly ToldZone[], nowMs: number): void {
+  function applyUpdates(told: readonly ZoneUpdate[], nowMs: number): void {
     for (const { zone, isEvacuated, orders, readmittedAgoMs } of told) {
       if (orders > (zones.get(zone)?.orders ?? 0)) {
         version += 1;
@@ -53,7 +53,7 @@
     }
   }
 
-  function all(nowMs: number): ToldZone[] {
+  function updates(nowMs: number): ZoneUpdate[] {
     return [...zones].map(([zone, { orders, evacuatedSinceMs, readmittedAtMs }]) => ({
       zone,
       isEvacuated: evacuatedSinceMs !== undefined,
--- a/src/registered/load-exchange/backend-signals.ts
+++ b/src/registered/load-exchange/answer-stats.ts
@@ -6,7 +6,7 @@
 import { eachRow, type PackedRows, type RowShape } from './packed-rows.js';
 
 /** How a back end answers, as far as one process or several have seen it. */
-export interface BackendSignals {
+export interface AnswerStats {
   /** Flows whose client has sent the same again, and which have shown no sign of the back end since. */
   readonly stalled: number;
   /** Answers of usual size that came lately; older ones count for less. */
@@ -18,18 +18,18 @@
 }
 
 /** Rows of five numbers: token, stalled flows, answers in tenths, milliseconds, short answers in tenths. */
-export type PackedSignals = PackedRows;
+export type PackedAnswerStats = PackedRows;
 
 /** Token, stalled flows, answers in parts, milliseconds, short answers in parts. */
-export const SIGNAL_ROWS: RowShape = { numbers: 5, bytes: 11 };
+export const ANSWER_STATS_ROWS: RowShape = { numbers: 5, bytes: 11 };
 
 /** Answers that fade are no whole numbers; they travel in so many parts. */
 const PARTS_PER_ANSWER = 10;
 
 /** @returns the entries as a flat list; what would be all 0 is left out */
-export function packSignals(
-  entries: Iterable<readonly [token: number, signals: BackendSignals]>,
-): PackedSignals {
+export function packAnswerStats(
+  entries: Iterable<readonly [token: number, signals: AnswerStats]>,
+): PackedAnswerStats {
   const packed: number[] = [];
   for (const [token, { stalled, answered, answerMs, short }] of entries) {
     const parts = Math.round(answered * PARTS_PER_ANSWER);
@@ -42,11 +42,11 @@
 }
 
 /** Calls back with each entry of a flat list; one that is cut short is passed over. */
-export function eachSignal(
-  packed: PackedSignals,
-  take: (token: number, signals: BackendSignals) => void,
+export function eachAnswerStats(
+  packed: PackedAnswerStats,
+  take: (token: number, signals: AnswerStats) => void,
 ): void {
-  eachRow(packed, SIGNAL_ROWS, (token, row) => {
+  eachRow(packed, ANSWER_STATS_ROWS, (token, row) => {
     const [stalled = 0, parts = 0, answerMs = 0, shortParts = 0] = row;
     const answered = parts / PARTS_PER_ANSWER;
     take(token, { stalled, answered, answerMs, short: shortParts / PARTS_PER_ANSWER });
--- a/src/registered/registry/backend-liveness.ts
+++ b/src/registered/registry/backend-liveness.ts
@@ -3,11 +3,18 @@
  * balancers are told only when a judgement changes.
  */
 
-/** Heard of lately, silent for a while, or for so long that the back end counts as dead. */
-export type Liveness = 'heard' | 'silent' | 'dead';
+/** Heartbeats come, some were missed, or so many that the back end counts as dead. */
+export type Liveness = 'alive' | 'suspect' | 'dead';
+
+/** How log lines and metrics name each liveness. */
+export const LIVENESS_LABELS = {
+  alive: 'heard',
+  suspect: 'silent',
+  dead: 'dead',
+} as const satisfies Record<Liveness, string>;
 
 /** A judgement that is told to balancers. */
-export interface BackendJudgement {
+export interface LivenessChange {
   readonly backendId: string;
   readonly liveness: Liveness;
   /** How long nothing had been heard of the back end when it was judged, in milliseconds. */
@@ -27,7 +34,7 @@
 export function livenessOf(silentMs: number, heartbeatIntervalMs: number): Liveness {
   const intervals = silentMs / heartbeatIntervalMs;
   if (intervals <= SUSPECT_AFTER_INTERVALS) {
-    return 'heard';
+    return 'alive';
   }
-  return intervals <= DEAD_AFTER_INTERVALS ? 'silent' : 'dead';
+  return intervals <= DEAD_AFTER_INTERVALS ? 'suspect' : 'dead';
 }
--- a/src/registered/registry/heartbeat-registry.ts
+++ b/src/registered/registry/heartbeat-registry.ts
@@ -4,7 +4,7 @@
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { createAddressHolders, type AddressHolders } from './address-holders.js';
-import { livenessOf, type BackendJudgement, type Liveness } from './backend-liveness.js';
+import { livenessOf, type LivenessChange, type Liveness } from './backend-liveness.js';
 import type { BackendRecord } from './backend-record.js';
 
 /** A record with the time at which its heartbeat came. */
@@ -89,7 +89,7 @@
     heardAtMs: number,
     known: JudgedRecord | undefined,
   ): HeartbeatNews {
-    const liveness = known?.liveness ?? 'heard';
+    const liveness = known?.liveness ?? 'alive';
     this.records.set(record.id, { record, heardAtMs, liveness });
     return known !== undefined && tellsTheSame(known, record, heardAtMs) ? 'alive' : 'changed';
   }
@@ -99,8 +99,8 @@
    * @param listeningSinceMs since when this machine hears of all heartbeats; silence before does not count
    * @returns those that are judged otherwise than before
    */
-  judge(nowMs: number, listeningSinceMs: number): BackendJudgement[] {
-    const judgements: BackendJudgement[] = [];
+  judge(nowMs: number, listeningSinceMs: number): LivenessChange[] {
+    const judgements: LivenessChange[] = [];
     for (const [backendId, known] of this.records) {
       const silentMs = nowMs - Math.max(known.heardAtMs, listeningSinceMs);
       const liveness = this.isSuperseded(backendId)
--- a/src/registered/settings/token-settings.ts
+++ b/src/registered/settings/token-settings.ts
@@ -5,7 +5,7 @@
 import { z } from 'zod';
 import { parseAddress } from '../../shared/common/address.js';
 import { logLevels } from '../../shared/common/logger.js';
-import { defaultPolicy, policyChoices } from '../decisions/policy.js';
+import { defaultSwitches, switchValues } from '../decisions/mechanism-switches.js';
 
 const MIN_TOKEN_LENGTH = 8;
 
@@ -63,8 +63,8 @@
 });
 
 /** One mechanism of the policy, with its default. */
-function policyOption<Name extends keyof typeof policyChoices>(name: Name, description: string) {
-  return z.enum(policyChoices[name]).default(defaultPolicy[name]).describe(description);
+function policyOption<Name extends keyof typeof switchValues>(name: Name, description: string) {
+  return z.enum(switchValues[name]).default(defaultSwitches[name]).describe(description);
 }
 
 const coldBoundsSection = z.strictObject({
--- a/src/shared/common/stall-guard.ts
+++ b/src/shared/common/stall-guard.ts
@@ -16,7 +16,7 @@
 /** Watches the turns of a process. */
 export interface StallGuard {
   /** Notes that the process runs; called with each input and each tick, before anything is decided. */
-  noteTurn(nowMs: number): void;
+  recordTurn(nowMs: number): void;
   trustAt(nowMs: number): InputTrust;
 }
 
@@ -37,9 +37,9 @@
   let stalledForMs = 0;
   let trustedFromMs = Number.NEGATIVE_INFINITY;
 
-  return { noteTurn, trustAt };
+  return { recordTurn, trustAt };
 
-  function noteTurn(nowMs: number): void {
+  function recordTurn(nowMs: number): void {
     const pausedForMs = nowMs - (lastTurnAtMs ?? nowMs);
     lastTurnAtMs = nowMs;
     if (pausedForMs >= stallMs) {
--- a/src/shared/consensus/consensus-step.ts
+++ b/src/shared/consensus/consensus-step.ts
@@ -27,8 +27,8 @@
   handleSnapshotChunk,
   handleSnapshotChunkResponse,
   handleSnapshotTaken,
-} from './snapshot-transfer.js';
-import { startTransfer } from './transfer.js';
+} from './snapshot-install.js';
+import { startTransfer } from './leadership-transfer.js';
 
 /** Term of the membership with which a cluster begins; leaders have later ones. */
 const BOOTSTRAP_TERM = 1;
--- a/src/shared/consensus/replication.ts
+++ b/src/shared/consensus/replication.ts
@@ -21,8 +21,8 @@
 import type { AppendResponse, Sender } from './messages.js';
 import { confirmReads, releaseWaitingReads } from './read-index.js';
 import { advanceCommit, becomeFollower, sendNow } from './roles.js';
-import { resendSnapshotChunk, sendSnapshotChunk } from './snapshot-transfer.js';
-import { continueTransfer } from './transfer.js';
+import { resendSnapshotChunk, sendSnapshotChunk } from './snapshot-install.js';
+import { continueTransfer } from './leadership-transfer.js';
 
 /** How eagerly to send. */
 export interface SendOptions {
--- a/test/managed/balancer/deltas.test.ts
+++ b/test/managed/balancer/deltas.test.ts
@@ -7,7 +7,7 @@
   defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
-import type { ConfigDelta } from '../../../src/managed/control/config-update.js';
+import type { ConfigDelta } from '../../../src/managed/control/config-delta.js';
 
 const LENGTH = 8;
 
--- a/test/managed/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -2,7 +2,7 @@
  * @file Control machines and balancers on a virtual clock, with links that can be cut, processes that
  * can be paused, and clocks that run a little fast or slow.
  */
-import type { ConfigPosition } from '../../../src/managed/control/config-update.js';
+import type { ConfigPosition } from '../../../src/managed/control/config-delta.js';
 import { emptyRoutingConfig } from '../../../src/managed/control/cluster-state.js';
 import { isLeaseHeld } from '../../../src/managed/dissemination/lease.js';
 import {
--- a/test/managed/membership/membership-world.ts
+++ b/test/managed/gossip/membership-world.ts
@@ -2,21 +2,17 @@
  * @file Members of several zones on a virtual network that loses datagrams, and can be cut in parts.
  */
 import { formatAddress, type Address } from '../../../src/shared/common/address.js';
-import {
-  decodeGossip,
-  encodeGossip,
-  gossipKey,
-} from '../../../src/managed/membership/gossip-codec.js';
+import { decodeGossip, encodeGossip, gossipKey } from '../../../src/managed/gossip/gossip-codec.js';
 import {
   createMembership,
   zoneMembers,
   type GossipSendEffect,
   type MembershipState,
-} from '../../../src/managed/membership/membership-state.js';
+} from '../../../src/managed/gossip/membership-state.js';
 import {
   membershipStep,
   type MembershipEvent,
-} from '../../../src/managed/membership/membership-step.js';
+} from '../../../src/managed/gossip/membership-step.js';
 import { goodNetwork, VirtualNetwork } from '../flows/network.js';
 
 const TICK_MS = 100;
--- a/test/managed/membership/membership.test.ts
+++ b/test/managed/gossip/membership.test.ts
@@ -1,13 +1,9 @@
 /** @file Membership: joining, detection, refutation, cuts, leaving, and what it costs. */
 import fc from 'fast-check';
 import t from 'tap';
-import {
-  decodeGossip,
-  encodeGossip,
-  gossipKey,
-} from '../../../src/managed/membership/gossip-codec.js';
-import { supersedes, type MemberRecord } from '../../../src/managed/membership/member.js';
-import { liveBalancerCount } from '../../../src/managed/membership/membership-state.js';
+import { decodeGossip, encodeGossip, gossipKey } from '../../../src/managed/gossip/gossip-codec.js';
+import { supersedes, type MemberRecord } from '../../../src/managed/gossip/member.js';
+import { liveBalancerCount } from '../../../src/managed/gossip/membership-state.js';
 import { chooseByRendezvous } from '../../../src/shared/common/rendezvous.js';
 import { MembershipWorld } from './membership-world.js';
 
--- a/test/managed/health/probe-sharing.test.ts
+++ b/test/managed/health/probe-sharing.test.ts
@@ -16,11 +16,7 @@
   setProbeTarget,
   type ProbeSchedule,
 } from '../../../src/managed/health/probe-schedule.js';
-import {
-  decodeGossip,
-  encodeGossip,
-  gossipKey,
-} from '../../../src/managed/membership/gossip-codec.js';
+import { decodeGossip, encodeGossip, gossipKey } from '../../../src/managed/gossip/gossip-codec.js';
 import { addCommand } from '../control/control-world.js';
 import { TreeWorld } from '../dissemination/tree-world.js';
 
--- a/test/registered/decisions/backend-records.ts
+++ b/test/registered/decisions/backend-records.ts
@@ -24,7 +24,7 @@
 
 /** Lets a table take the first heartbeat of a back end. */
 export function takeIn(table: BackendTable, record: BackendRecord, nowMs: number): KnownBackend {
-  table.take({ record, ageMs: 0 }, nowMs);
+  table.applyRecord({ record, ageMs: 0 }, nowMs);
   const backend = table.find(record.id);
   if (backend === undefined) {
     throw new Error(`${record.id} was not taken.`);
--- a/test/registered/decisions/choice-load.ts
+++ b/test/registered/decisions/choice-load.ts
@@ -4,18 +4,18 @@
  */
 import { seededRandom } from '../../../src/shared/common/random.js';
 import { packLoads } from '../../../src/registered/load-exchange/backend-load.js';
-import { packSignals } from '../../../src/registered/load-exchange/backend-signals.js';
+import { packAnswerStats } from '../../../src/registered/load-exchange/answer-stats.js';
 import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
-import { createColdShare } from '../../../src/registered/decisions/cold-share.js';
+import { createSlowStart } from '../../../src/registered/decisions/slow-start.js';
 import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
 import { createPlacement } from '../../../src/registered/decisions/placement.js';
-import type { IngressPolicy } from '../../../src/registered/decisions/policy.js';
+import type { MechanismSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import { createZoneTable } from '../../../src/registered/ingress/zone-table.js';
 import { recordOf } from './backend-records.js';
 
 /** The load and who bears it. */
 export interface ChoiceLoad {
-  readonly policy: IngressPolicy;
+  readonly policy: MechanismSwitches;
   /** Of the back ends in turn: 2 works twice as fast as 1. */
   readonly speeds: readonly number[];
   readonly requestsPerS: number;
@@ -95,7 +95,7 @@
 
   function answer(backend: KnownBackend, took: number, nowMs: number): void {
     backend.own.busy -= 1;
-    backend.answers.noteAnswer(took, nowMs);
+    backend.answers.recordAnswer(took, nowMs);
     tookMs.push(took);
   }
 
@@ -107,12 +107,12 @@
   }
 }
 
-function createBalancer(policy: IngressPolicy, count: number): Balancer {
+function createBalancer(policy: MechanismSwitches, count: number): Balancer {
   const table = new BackendTable(1_200);
   for (let number = 1; number <= count; number += 1) {
-    table.take({ record: recordOf(number, { capacity: SLOTS }), ageMs: 0 }, 0);
+    table.applyRecord({ record: recordOf(number, { capacity: SLOTS }), ageMs: 0 }, 0);
   }
-  const coldShare = createColdShare({
+  const coldShare = createSlowStart({
     bounds: undefined,
     heartbeatIntervalMs: 1_200,
     zones: createZoneTable(),
@@ -130,7 +130,7 @@
     const others = fleet.filter((other) => other !== balancer);
     const rows = balancer.backends.map(({ token }, at) => {
       const seen = others.flatMap(({ backends }) => backends[at] ?? []);
-      const signals = seen.map(({ answers }) => answers.signals(nowMs));
+      const signals = seen.map(({ answers }) => answers.stats(nowMs));
       return {
         token,
         busy: sum(seen.map(({ own }) => own.busy)),
@@ -144,12 +144,12 @@
     });
     return {
       loads: packLoads(rows),
-      signals: packSignals(rows.map((row) => [row.token, row.signals])),
+      signals: packAnswerStats(rows.map((row) => [row.token, row.signals])),
     };
   });
   fleet.forEach(({ table }, at) => {
-    table.takeLoads(told[at]?.loads ?? []);
-    table.takeSignals(told[at]?.signals ?? []);
+    table.applyFleetLoads(told[at]?.loads ?? []);
+    table.applyFleetAnswerStats(told[at]?.signals ?? []);
   });
 }
 
--- a/test/registered/decisions/dead-flow.test.ts
+++ b/test/registered/decisions/dead-flow.test.ts
@@ -5,10 +5,13 @@
  */
 import t from 'tap';
 import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
-import { isSurelyDead } from '../../../src/registered/decisions/dead-flow.js';
+import { isProvenDead } from '../../../src/registered/decisions/dead-flow.js';
 import { FlowActivities } from '../../../src/registered/ingress/flow-activity.js';
 import { flowKeyOf, type PacketView } from '../../../src/registered/ingress/packet-view.js';
-import { defaultPolicy, parsePolicy } from '../../../src/registered/decisions/policy.js';
+import {
+  defaultSwitches,
+  parseSwitches,
+} from '../../../src/registered/decisions/mechanism-switches.js';
 import type { IngressFaultKind } from '../../../src/proof/sim-registered/ingress-faults.js';
 import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
@@ -27,13 +30,13 @@
 t.test('what proves that a back end is dead, and what does not', async (t) => {
   const backend = backendIn(new BackendTable(HEARTBEAT_MS), 1, 0);
   const is = (repeats: number, isReplaced = false, isFeedCurrent = true) =>
-    isSurelyDead(
+    isProvenDead(
       backend,
       { unanswered: { repeats, sinceMs: 1_000 }, isReplaced, isFeedCurrent },
-      defaultPolicy,
+      defaultSwitches,
     );
   t.notOk(is(5), 'its heartbeats come');
-  backend.liveness = 'silent';
+  backend.liveness = 'suspect';
   t.notOk(is(2), 'silent for a while, and two losses');
   t.ok(is(3));
   t.notOk(is(3, false, false), 'who tells may be cut off');
@@ -44,15 +47,15 @@
   t.ok(is(3));
   t.ok(is(0, true), 'another one runs at its address');
   t.notOk(
-    isSurelyDead(
+    isProvenDead(
       backend,
       { unanswered: { repeats: 9, sinceMs: 1_000 }, isReplaced: true, isFeedCurrent: true },
-      parsePolicy('deadFlows=left')._unsafeUnwrap(),
+      parseSwitches('deadFlows=left')._unsafeUnwrap(),
     ),
   );
-  backend.progressAtMs = 900;
+  backend.lastProgressAtMs = 900;
   t.ok(is(3), 'it went on for a while after its last heartbeat');
-  backend.progressAtMs = 1_100;
+  backend.lastProgressAtMs = 1_100;
   t.notOk(is(9, true), 'a client has got something from it meanwhile');
 });
 
@@ -61,14 +64,14 @@
   const backend = backendIn(table, 1, 0);
   const activities = new FlowActivities(() => 15_000, 100);
   const note = (atMs: number, packet: Partial<PacketView> = {}) =>
-    activities.note(KEY, backend, { ...PACKET, ...packet }, atMs)?.repeats;
+    activities.recordPacket(KEY, backend, { ...PACKET, ...packet }, atMs)?.repeats;
   t.equal(note(1_000), 0);
   t.equal(note(1_001), 0, 'doubled');
   t.equal(note(1_200), 1);
   t.equal(note(1_600), 2);
-  t.equal(backend.progressAtMs, Number.NEGATIVE_INFINITY, 'nothing came back');
+  t.equal(backend.lastProgressAtMs, Number.NEGATIVE_INFINITY, 'nothing came back');
   t.equal(note(2_000, { sequence: 600, acknowledged: 90 }), 0, 'the next request');
-  t.equal(backend.progressAtMs, 2_000);
+  t.equal(backend.lastProgressAtMs, 2_000);
 });
 
 t.test('a newcomer at the address is no proof while it is not heard of itself', async (t) => {
@@ -78,7 +81,7 @@
   const second = backendIn(table, 2, 5_000);
   t.ok(table.isReplaced(first));
   t.notOk(table.isReplaced(second));
-  second.liveness = 'silent';
+  second.liveness = 'suspect';
   t.notOk(table.isReplaced(first));
 });
 
@@ -163,7 +166,7 @@
     await isCaught((world) =>
       world.balancers.forEach(({ process }) => {
         if (process !== undefined) {
-          process.state.activities.note = () => ({ repeats: 9, sinceMs: Infinity });
+          process.state.activities.recordPacket = () => ({ repeats: 9, sinceMs: Infinity });
         }
       }),
     ),
@@ -176,14 +179,14 @@
       world.balancers.forEach(({ process }) => {
         if (process !== undefined) {
           const { activities } = process.state;
-          const note = activities.note.bind(activities);
-          activities.note = (key, backend, packet, nowMs) => {
+          const note = activities.recordPacket.bind(activities);
+          activities.recordPacket = (key, backend, packet, nowMs) => {
             const unanswered = note(key, backend, packet, nowMs);
             if (unanswered === undefined || unanswered.repeats === 0) {
               return unanswered;
             }
-            backend.liveness = 'silent';
-            backend.progressAtMs = Number.NEGATIVE_INFINITY;
+            backend.liveness = 'suspect';
+            backend.lastProgressAtMs = Number.NEGATIVE_INFINITY;
             return { ...unanswered, repeats: 3 };
           };
         }
--- a/test/registered/decisions/failing-backends.test.ts
+++ b/test/registered/decisions/failing-backends.test.ts
@@ -4,26 +4,26 @@
  */
 import t from 'tap';
 import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
-import { createFailingBackends } from '../../../src/registered/decisions/failing-backends.js';
-import { showAll } from '../../../src/registered/decisions/fleet-signals.js';
+import { createEjectionByAnswers } from '../../../src/registered/decisions/failing-backends.js';
+import { observeAll } from '../../../src/registered/decisions/fleet-answer-stats.js';
 import { recordOf } from './backend-records.js';
 
 function backends(count: number): KnownBackend[] {
   const table = new BackendTable(1_200);
   for (let number = 1; number <= count; number += 1) {
-    table.take({ record: recordOf(number), ageMs: 0 }, 0);
+    table.applyRecord({ record: recordOf(number), ageMs: 0 }, 0);
   }
   return [...table.all()];
 }
 
 /** @returns the numbers of those that are passed over */
 function passedOver(
-  failing: ReturnType<typeof createFailingBackends>,
+  failing: ReturnType<typeof createEjectionByAnswers>,
   all: readonly KnownBackend[],
   nowMs: number,
 ): number[] {
-  failing.judge(showAll(all, nowMs), nowMs);
-  const sound = new Set(failing.without(all, nowMs));
+  failing.detect(observeAll(all, nowMs), nowMs);
+  const sound = new Set(failing.withoutEjected(all, nowMs));
   return all.flatMap((backend, at) => (sound.has(backend) ? [] : [at + 1]));
 }
 
@@ -37,13 +37,13 @@
 
 t.test('half of what is in progress there stalls, at two balancers', async (t) => {
   const all = backends(10);
-  const failing = createFailingBackends();
-  Object.assign(one(all, 4).others, { stalled: 1, busy: 1 });
+  const failing = createEjectionByAnswers();
+  Object.assign(one(all, 4).fleet, { stalled: 1, busy: 1 });
   t.same(passedOver(failing, all, 0), [], 'one flow may have lost its packets');
   one(all, 4).answers.changeStalled(1);
   one(all, 4).own.busy = 1;
   t.same(passedOver(failing, all, 0), [4]);
-  Object.assign(one(all, 7).others, { stalled: 2, busy: 9 });
+  Object.assign(one(all, 7).fleet, { stalled: 2, busy: 9 });
   t.same(passedOver(failing, all, 0), [4], 'others get answers of a busy one');
 });
 
@@ -51,13 +51,13 @@
   'it is tried again, and each time that it stalls again is passed over for longer',
   async (t) => {
     const all = backends(10);
-    const failing = createFailingBackends();
+    const failing = createEjectionByAnswers();
     let nowMs = 0;
     const heldForMs: number[] = [];
     for (let round = 0; round < 6; round += 1) {
-      one(all, 4).others.stalled = 2;
+      one(all, 4).fleet.stalled = 2;
       t.same(passedOver(failing, all, nowMs), [4]);
-      one(all, 4).others.stalled = 0;
+      one(all, 4).fleet.stalled = 0;
       const sinceMs = nowMs;
       while (passedOver(failing, all, nowMs).length > 0) {
         nowMs += 100;
@@ -65,52 +65,52 @@
       heldForMs.push(nowMs - sinceMs);
     }
     t.same(heldForMs, [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]);
-    one(all, 4).others.stalled = 2;
+    one(all, 4).fleet.stalled = 2;
     t.same(passedOver(failing, all, nowMs), [4]);
-    one(all, 4).others.stalled = 0;
-    one(all, 4).progressAtMs = nowMs + 50;
+    one(all, 4).fleet.stalled = 0;
+    one(all, 4).lastProgressAtMs = nowMs + 50;
     t.same(passedOver(failing, all, nowMs + 100), [], 'somebody got something from it');
   },
 );
 
 t.test('what answers short is passed over, however fast it is', async (t) => {
   const all = backends(10);
-  const failing = createFailingBackends();
-  all.forEach(({ others }) => Object.assign(others, { answered: 20, answerMs: 600, short: 0.5 }));
+  const failing = createEjectionByAnswers();
+  all.forEach(({ fleet }) => Object.assign(fleet, { answered: 20, answerMs: 600, short: 0.5 }));
   t.same(passedOver(failing, all, 0), []);
-  Object.assign(one(all, 3).others, { answered: 10, answerMs: 30, short: 8 });
-  Object.assign(one(all, 5).others, { answered: 2, answerMs: 60, short: 2 });
+  Object.assign(one(all, 3).fleet, { answered: 10, answerMs: 30, short: 8 });
+  Object.assign(one(all, 5).fleet, { answered: 2, answerMs: 60, short: 2 });
   t.same(passedOver(failing, all, 0), [3], 'two are too few to say');
-  t.same([...failing.counts(0)], [['answers-short', 1]]);
+  t.same([...failing.ejectedByFailure(0)], [['answers-short', 1]]);
   const shown = { stalled: 0, busy: 0, answered: 10, answerMs: 30, short: 8 };
   const news = [{ backendId: 'backend-3', failure: 'answers-short', holdMs: 1_000, shown }];
-  t.same(failing.takeNews(), news, 'the logs say what it is held for');
+  t.same(failing.takeEjections(), news, 'the logs say what it is held for');
   passedOver(failing, all, 100);
-  t.same(failing.takeNews(), [], 'once');
+  t.same(failing.takeEjections(), [], 'once');
 });
 
 t.test('a route that is there for short answers has no back end that fails', async (t) => {
   const all = backends(10);
-  const failing = createFailingBackends();
-  all.forEach(({ others }) => Object.assign(others, { answered: 10, answerMs: 300, short: 8 }));
-  Object.assign(one(all, 3).others, { answered: 6, short: 12 });
+  const failing = createEjectionByAnswers();
+  all.forEach(({ fleet }) => Object.assign(fleet, { answered: 10, answerMs: 300, short: 8 }));
+  Object.assign(one(all, 3).fleet, { answered: 6, short: 12 });
   t.same(passedOver(failing, all, 0), []);
 });
 
 t.test('where most seem to fail, none is passed over', async (t) => {
   const all = backends(10);
-  const failing = createFailingBackends();
-  all.slice(0, 4).forEach(({ others }) => Object.assign(others, { stalled: 3, busy: 3 }));
+  const failing = createEjectionByAnswers();
+  all.slice(0, 4).forEach(({ fleet }) => Object.assign(fleet, { stalled: 3, busy: 3 }));
   t.same(passedOver(failing, all, 0), [1, 2, 3, 4]);
-  Object.assign(one(all, 5).others, { stalled: 3, busy: 3 });
+  Object.assign(one(all, 5).fleet, { stalled: 3, busy: 3 });
   t.same(passedOver(failing, all, 0), []);
 });
 
 t.test('what stalls on the way of other balancers is sound where answers come here', async (t) => {
   const all = backends(10);
-  const failing = createFailingBackends();
-  Object.assign(one(all, 4).others, { stalled: 4, busy: 4 });
-  one(all, 4).progressAtMs = 900;
+  const failing = createEjectionByAnswers();
+  Object.assign(one(all, 4).fleet, { stalled: 4, busy: 4 });
+  one(all, 4).lastProgressAtMs = 900;
   t.same(passedOver(failing, all, 1_000), []);
   t.same(passedOver(failing, all, 3_000), [4], 'nothing has come here for two seconds either');
 });
--- a/test/registered/decisions/outliers.test.ts
+++ b/test/registered/decisions/outliers.test.ts
@@ -5,12 +5,12 @@
 import t from 'tap';
 import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
 import { recordOf, takeIn } from './backend-records.js';
-import { withoutOutliers } from '../../../src/registered/decisions/outliers.js';
+import { withoutLoadOutliers } from '../../../src/registered/decisions/outliers.js';
 
 function backendsWith(busyOf: readonly number[]): KnownBackend[] {
   const table = new BackendTable(1_200);
   busyOf.forEach((busy, index) => {
-    takeIn(table, recordOf(index + 1), 0).others.busy = busy;
+    takeIn(table, recordOf(index + 1), 0).fleet.busy = busy;
   });
   return [...table.all()];
 }
@@ -18,7 +18,7 @@
 /** @returns the numbers of those that are left out */
 function leftOut(busyOf: readonly number[]): number[] {
   const all = backendsWith(busyOf);
-  const kept = new Set(withoutOutliers(all));
+  const kept = new Set(withoutLoadOutliers(all));
   return all.flatMap((backend, index) => (kept.has(backend) ? [] : [index + 1]));
 }
 
--- a/test/registered/decisions/placement.test.ts
+++ b/test/registered/decisions/placement.test.ts
@@ -9,11 +9,14 @@
 } from '../../../src/registered/ingress/ingress-state.js';
 import { decidePacket } from '../../../src/registered/ingress/packet-step.js';
 import type { PacketView } from '../../../src/registered/ingress/packet-view.js';
-import { createColdShare } from '../../../src/registered/decisions/cold-share.js';
+import { createSlowStart } from '../../../src/registered/decisions/slow-start.js';
 import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
 import { createPlacement } from '../../../src/registered/decisions/placement.js';
 import { createZoneTable } from '../../../src/registered/ingress/zone-table.js';
-import { defaultPolicy, parsePolicy } from '../../../src/registered/decisions/policy.js';
+import {
+  defaultSwitches,
+  parseSwitches,
+} from '../../../src/registered/decisions/mechanism-switches.js';
 import { PLAIN_PACKET } from '../ingress/client-packets.js';
 import { recordOf } from './backend-records.js';
 
@@ -24,12 +27,12 @@
   flowLifetimeMs: 60_000,
   feed: widestTiming.feed,
   maxCountedFlows: 1_000,
-  policy: defaultPolicy,
+  switches: defaultSwitches,
 };
 const OPEN: PacketView = { ...PLAIN_PACKET, isOpen: true, token: 0, sequence: 0, acknowledged: 0 };
 
 /** Nothing bounds what cold back ends are given. */
-const UNBOUNDED = createColdShare({
+const UNBOUNDED = createSlowStart({
   bounds: undefined,
   heartbeatIntervalMs: OPTIONS.heartbeatIntervalMs,
   zones: createZoneTable(),
@@ -39,7 +42,7 @@
 });
 
 function addBackend(table: BackendTable, number: number, zone: string, ageMs = 0): void {
-  table.take({ record: recordOf(number, { zone }), ageMs }, 0);
+  table.applyRecord({ record: recordOf(number, { zone }), ageMs }, 0);
 }
 
 function stateWith(count: number): IngressState {
@@ -99,8 +102,8 @@
 t.test('a back end that is silent for long is used only where no other is', async (t) => {
   const table = new BackendTable(OPTIONS.heartbeatIntervalMs);
   addBackend(table, 1, 'zone-a', 4_000);
-  const placement = createPlacement('zone-a', defaultPolicy, UNBOUNDED);
-  const choose = (flowHash: number) => placement.choose(table.staying('alpha'), flowHash, 0)?.id;
+  const placement = createPlacement('zone-a', defaultSwitches, UNBOUNDED);
+  const choose = (flowHash: number) => placement.choose(table.activeOf('alpha'), flowHash, 0)?.id;
   t.equal(choose(0), 'backend-1');
   addBackend(table, 2, 'zone-b');
   for (let hash = 0; hash < 4; hash += 1) {
@@ -129,16 +132,16 @@
 }
 
 function chosenFrom(table: BackendTable, policyText: string): Set<string | undefined> {
-  const placement = createPlacement('zone-a', parsePolicy(policyText)._unsafeUnwrap(), UNBOUNDED);
+  const placement = createPlacement('zone-a', parseSwitches(policyText)._unsafeUnwrap(), UNBOUNDED);
   const ids = Array.from({ length: 60 }, (_, flowHash) => {
-    return placement.choose(table.staying('alpha'), flowHash, 0)?.id;
+    return placement.choose(table.activeOf('alpha'), flowHash, 0)?.id;
   });
   return new Set(ids);
 }
 
 t.test('loads that are told do not draw all balancers to one back end', async (t) => {
   const table = twoZones();
-  table.takeLoads([1, 2].flatMap((number) => [tokenOf(table, number), 1]));
+  table.applyFleetLoads([1, 2].flatMap((number) => [tokenOf(table, number), 1]));
   t.same(chosenFrom(table, ''), new Set(['backend-1', 'backend-2', 'backend-3']));
   t.same(chosenFrom(table, 'toldLoads=backend'), new Set(['backend-3']));
 });
@@ -147,20 +150,20 @@
   'another zone takes flows while all back ends of the own zone are busy elsewhere',
   async (t) => {
     const table = twoZones();
-    table.takeLoads([1, 2, 3].flatMap((number) => [tokenOf(table, number), 2]));
+    table.applyFleetLoads([1, 2, 3].flatMap((number) => [tokenOf(table, number), 2]));
     const remote = new Set(['backend-4', 'backend-5', 'backend-6']);
     t.same(chosenFrom(table, ''), remote);
-    table.takeLoads([1, 2, 3, 4, 5, 6].flatMap((number) => [tokenOf(table, number), 2]));
+    table.applyFleetLoads([1, 2, 3, 4, 5, 6].flatMap((number) => [tokenOf(table, number), 2]));
     t.same(chosenFrom(table, ''), new Set(['backend-1', 'backend-2', 'backend-3']));
   },
 );
 
 t.test('each mechanism can be switched, and no other', async (t) => {
-  t.same(parsePolicy('')._unsafeUnwrap(), defaultPolicy);
-  const policy = parsePolicy('zones=any,warmUp=ignored')._unsafeUnwrap();
-  t.same(policy, { ...defaultPolicy, zones: 'any', warmUp: 'ignored' });
+  t.same(parseSwitches('')._unsafeUnwrap(), defaultSwitches);
+  const policy = parseSwitches('zones=any,warmUp=ignored')._unsafeUnwrap();
+  t.same(policy, { ...defaultSwitches, zones: 'any', warmUp: 'ignored' });
   for (const text of ['zones', 'zones=none', 'colour=red', 'zones=any,', '=']) {
-    t.equal(parsePolicy(text).isOk(), text === 'zones=any,', text);
+    t.equal(parseSwitches(text).isOk(), text === 'zones=any,', text);
   }
 });
 
@@ -176,7 +179,7 @@
       spoil: (table: BackendTable) => {
         addBackend(table, 2, 'zone-a');
         addBackend(table, 3, 'zone-b');
-        table.takeLoads([tokenOf(table, 2), 9]);
+        table.applyFleetLoads([tokenOf(table, 2), 9]);
       },
     },
   ];
@@ -187,11 +190,11 @@
     const chosenBy = (policyText: string) => {
       const placement = createPlacement(
         'zone-a',
-        parsePolicy(policyText)._unsafeUnwrap(),
+        parseSwitches(policyText)._unsafeUnwrap(),
         UNBOUNDED,
       );
       const ids = [0, 1, 2, 3].map((flowHash) => {
-        return placement.choose(table.staying('alpha'), flowHash, 0)?.id;
+        return placement.choose(table.activeOf('alpha'), flowHash, 0)?.id;
       });
       return new Set(ids).size;
     };
--- a/test/registered/decisions/speed-draw.test.ts
+++ b/test/registered/decisions/speed-draw.test.ts
@@ -3,10 +3,10 @@
  * of the time of the others, and the crest of the demand takes four tenths of all slots.
  */
 import t from 'tap';
-import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import { playChoiceLoad, type ChoiceOutcome } from './choice-load.js';
 
-const leastLoad = { ...defaultPolicy, choice: 'least-load' } as const;
+const leastLoad = { ...defaultSwitches, choice: 'least-load' } as const;
 const UNEQUAL = Array.from({ length: 30 }, (_, at) => [0.7, 0.7, 1.7][at % 3] ?? 1);
 const EQUAL = Array.from({ length: 30 }, () => 1);
 const SEEDS = [1, 2, 3];
@@ -22,7 +22,7 @@
 t.test('a crest of demand before a fast third: callers wait for less', async (t) => {
   for (const seed of SEEDS) {
     const load = { speeds: UNEQUAL, requestsPerS: 900, seed };
-    const one = playChoiceLoad({ ...load, policy: defaultPolicy });
+    const one = playChoiceLoad({ ...load, policy: defaultSwitches });
     const other = playChoiceLoad({ ...load, policy: leastLoad });
     t.ok(mean(one) < 0.8 * mean(other), `mean ${mean(one)} and ${mean(other)} ms`);
     const [late, lateOther] = [quantile(one, 0.99), quantile(other, 0.99)];
@@ -36,7 +36,7 @@
 t.test('equal back ends are used alike', async (t) => {
   for (const seed of SEEDS) {
     const load = { speeds: EQUAL, requestsPerS: 900, seed };
-    const one = playChoiceLoad({ ...load, policy: defaultPolicy });
+    const one = playChoiceLoad({ ...load, policy: defaultSwitches });
     const other = playChoiceLoad({ ...load, policy: leastLoad });
     t.ok(mean(one) < 1.05 * mean(other), `mean ${mean(one)} and ${mean(other)} ms`);
     t.ok(Math.max(...one.shares) < 1.6 / EQUAL.length, `${Math.max(...one.shares)}`);
@@ -51,13 +51,13 @@
       isSlow(backend) && nowMs > 5_000 && nowMs < 13_000 ? 0.2 : 1;
     for (const seed of SEEDS) {
       const load = { speeds: EQUAL, requestsPerS: 700, seed, changeOf };
-      const one = playChoiceLoad({ ...load, policy: defaultPolicy });
+      const one = playChoiceLoad({ ...load, policy: defaultSwitches });
       const other = playChoiceLoad({ ...load, policy: leastLoad });
       const [late, lateOther] = [one, other].map((outcome) => lateShare(outcome));
       t.ok((late ?? 1) < 0.5 * (lateOther ?? 0), `late ${late} and ${lateOther}`);
     }
     const longAfter = playChoiceLoad({
-      policy: defaultPolicy,
+      policy: defaultSwitches,
       speeds: EQUAL,
       requestsPerS: 700,
       seed: 4,
@@ -71,7 +71,7 @@
 
 t.test('a balancer that is told nothing serves by what it sees', async (t) => {
   const load = { speeds: UNEQUAL, requestsPerS: 900, seed: 1, isTold: false };
-  const one = playChoiceLoad({ ...load, policy: defaultPolicy });
+  const one = playChoiceLoad({ ...load, policy: defaultSwitches });
   const other = playChoiceLoad({ ...load, policy: leastLoad });
   t.ok(mean(one) < 1.05 * mean(other), `mean ${mean(one)} and ${mean(other)} ms`);
 });
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -23,16 +23,16 @@
   takeLoadSums,
 } from '../../../src/registered/group/load-duties.js';
 import {
-  eachSignal,
-  packSignals,
-  type BackendSignals,
-} from '../../../src/registered/load-exchange/backend-signals.js';
+  eachAnswerStats,
+  packAnswerStats,
+  type AnswerStats,
+} from '../../../src/registered/load-exchange/answer-stats.js';
 import { judgeBackends, takeRecord } from '../../../src/registered/group/registry-duties.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
 import { noteZoneChanged } from '../../../src/registered/group/zone-duties.js';
-import { takeFeed } from '../../../src/registered/ingress/feed-step.js';
+import { applyFeedMessage } from '../../../src/registered/ingress/feed-step.js';
 import { createIngressState, isReady } from '../../../src/registered/ingress/ingress-state.js';
-import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 import { recordOf } from '../decisions/backend-records.js';
@@ -122,7 +122,7 @@
   const [told] = messagesTo(FIRST, feedWilling(state, laterMs));
   t.equal(told?.records, undefined);
   t.equal(told?.judgements?.length, smallIngressWorld.backendCount - 1);
-  t.same(new Set(told?.judgements?.map(({ liveness }) => liveness)), new Set(['silent']));
+  t.same(new Set(told?.judgements?.map(({ liveness }) => liveness)), new Set(['suspect']));
   judgeBackends(state, laterMs);
   t.same(messagesTo(FIRST, feedWilling(state, laterMs)), []);
 });
@@ -195,12 +195,12 @@
   judgeBackends(state, cutOffMs);
   state.consensus.heardFromLeaderAtMs = cutOffMs;
   judgeBackends(state, cutOffMs);
-  t.same([...state.news.judged], []);
+  t.same([...state.pendingUpdates.judged], []);
   const { heartbeatIntervalMs } = state.options;
   const laterMs = cutOffMs + 2 * heartbeatIntervalMs;
   state.consensus.heardFromLeaderAtMs = laterMs;
   judgeBackends(state, laterMs);
-  t.equal(state.news.judged.size, smallIngressWorld.backendCount, 'but later silence is');
+  t.equal(state.pendingUpdates.judged.size, smallIngressWorld.backendCount, 'but later silence is');
 });
 
 t.test('balancers hear of those that come and go, not of all', async (t) => {
@@ -424,11 +424,11 @@
     flowLifetimeMs: smallIngressWorld.flowLifetimeMs,
     feed: widestTiming.feed,
     maxCountedFlows: 10,
-    policy: defaultPolicy,
+    switches: defaultSwitches,
   });
   t.notOk(isReady(balancer));
   if (first !== undefined) {
-    takeFeed(balancer, first, nowMs);
+    applyFeedMessage(balancer, first, nowMs);
   }
   t.ok(balancer.zones.isEvacuated('zone-a'));
   t.equal(balancer.firstCurrentAtMs, undefined, 'it does not place yet');
@@ -459,8 +459,8 @@
     subscribe(group, SECOND, 'second');
     feedWilling(state, nowMs);
     const token = 77;
-    const told: BackendSignals = { stalled: 1, answered: 2.5, answerMs: 75, short: 0.5 };
-    const signals = packSignals([[token, told]]);
+    const told: AnswerStats = { stalled: 1, answered: 2.5, answerMs: 75, short: 0.5 };
+    const signals = packAnswerStats([[token, told]]);
     takeLoadReport(state, FIRST, { type: 'load-report', loads: [token, 1], signals });
     state.subscribers.forEach((subscriber) => {
       subscriber.countedTaken = subscriber.countedSent;
@@ -477,8 +477,8 @@
     takeLoadSums(state, { type: 'load-sums', sender, loads: [], signals }, nowMs);
     const laterMs = nowMs + EXCHANGE_MS;
     const [both] = messagesTo(SECOND, feedLoads(state, laterMs));
-    const summed: Record<number, BackendSignals> = {};
-    eachSignal(both?.signals ?? [], (of, one) => {
+    const summed: Record<number, AnswerStats> = {};
+    eachAnswerStats(both?.signals ?? [], (of, one) => {
       summed[of] = one;
     });
     t.same(summed[token], { stalled: 2, answered: 5, answerMs: 150, short: 1 });
--- a/test/registered/group/feed-codec.test.ts
+++ b/test/registered/group/feed-codec.test.ts
@@ -38,7 +38,7 @@
   ...FLAGS,
   transfer: 'begins',
   records: Array.from({ length: 205 }, (_, at) => recordOf(at + 1)),
-  judgements: [{ backendId: 'i-1', liveness: 'silent', silentMs: 3_100 }],
+  judgements: [{ backendId: 'i-1', liveness: 'suspect', silentMs: 3_100 }],
   departures: [{ backendId: 'i-2', kind: 'draining' }],
   balancers: Array.from({ length: 195 }, (_, at) => ({
     name: `front-hall-${at % 5}-${at}`,
--- a/test/registered/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -5,7 +5,7 @@
  */
 import t from 'tap';
 import { createStallGuard } from '../../../src/shared/common/stall-guard.js';
-import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import { IngressFaults } from '../../../src/proof/sim-registered/ingress-faults.js';
 import type { IngressCheck } from '../../../src/proof/sim-registered/ingress-oracle.js';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
@@ -131,7 +131,7 @@
 });
 
 t.test('mutant: balancers give cold back ends what they give the others', async (t) => {
-  const policy = { ...defaultPolicy, warmUp: 'ignored' as const };
+  const policy = { ...defaultSwitches, warmUp: 'ignored' as const };
   const failed = await emptyZone(() => undefined, { ...busy, policy });
   t.ok(failed.has('cold'), [...failed].join(' '));
 });
@@ -187,7 +187,7 @@
       const all = [...(process?.state.backends.all() ?? [])];
       t.ok(all.length > 0, 'it knows back ends');
       const cold = all.filter((backend) =>
-        process?.state.coldShare.isCold(backend, world.clock.nowMs),
+        process?.state.slowStart.isCold(backend, world.clock.nowMs),
       );
       t.same(cold, [], 'none is cold');
     }
--- a/test/registered/ingress/feed-step.test.ts
+++ b/test/registered/ingress/feed-step.test.ts
@@ -2,12 +2,16 @@
 import t from 'tap';
 import type { FeedMessage } from '../../../src/registered/group/group-messages.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
-import { ingressSweep, ownReport, takeFeed } from '../../../src/registered/ingress/feed-step.js';
+import {
+  ingressSweep,
+  ownLoads,
+  applyFeedMessage,
+} from '../../../src/registered/ingress/feed-step.js';
 import {
   createIngressState,
   type IngressState,
 } from '../../../src/registered/ingress/ingress-state.js';
-import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import { recordOf } from '../decisions/backend-records.js';
 
 const LIFETIME_MS = 60_000;
@@ -20,7 +24,7 @@
     flowLifetimeMs: LIFETIME_MS,
     feed: widestTiming.feed,
     maxCountedFlows: 1_000,
-    policy: defaultPolicy,
+    switches: defaultSwitches,
   });
 }
 
@@ -34,7 +38,7 @@
 }
 
 function feed(state: IngressState, parts: Partial<FeedMessage>, nowMs: number): void {
-  takeFeed(
+  applyFeedMessage(
     state,
     { type: 'feed', isCurrent: true, isComplete: true, isCounted: false, ...parts },
     nowMs,
@@ -57,34 +61,34 @@
   );
   t.same(
     [1, 2, 3].map((number) => livenessOf(state, number)),
-    ['heard', 'silent', 'dead'],
+    ['alive', 'suspect', 'dead'],
   );
-  const judgement = { backendId: 'backend-1', liveness: 'silent', silentMs: 2_600 } as const;
+  const judgement = { backendId: 'backend-1', liveness: 'suspect', silentMs: 2_600 } as const;
   feed(state, { judgements: [judgement, { ...judgement, backendId: 'unknown' }] }, 5_000);
-  t.equal(livenessOf(state, 1), 'silent');
+  t.equal(livenessOf(state, 1), 'suspect');
   t.same(
     ingressSweep(state, 5_000).map(({ backend, from, to }) => [backend.id, from, to]),
     [
-      ['backend-1', 'heard', 'silent'],
-      ['backend-2', 'heard', 'silent'],
-      ['backend-3', 'heard', 'dead'],
+      ['backend-1', 'alive', 'suspect'],
+      ['backend-2', 'alive', 'suspect'],
+      ['backend-3', 'alive', 'dead'],
     ],
   );
   t.same(ingressSweep(state, 5_000), [], 'each change is noted once');
-  feed(state, { judgements: [{ ...judgement, liveness: 'heard', silentMs: 0 }] }, 6_000);
-  t.equal(livenessOf(state, 1), 'heard');
+  feed(state, { judgements: [{ ...judgement, liveness: 'alive', silentMs: 0 }] }, 6_000);
+  t.equal(livenessOf(state, 1), 'alive');
 });
 
 t.test('what a whole and current feed does not hold is doubted', async (t) => {
   const state = freshState();
   feed(state, { transfer: 'whole', records: [agedRecordOf(1), agedRecordOf(2)] }, 0);
   feed(state, { transfer: 'whole', isCurrent: false, records: [agedRecordOf(1)] }, 1_000);
-  t.equal(livenessOf(state, 2), 'heard', 'not by a machine that does not know what is current');
+  t.equal(livenessOf(state, 2), 'alive', 'not by a machine that does not know what is current');
   feed(state, { records: [agedRecordOf(1, 0, 2)] }, 1_000);
-  t.equal(livenessOf(state, 2), 'heard', 'not by changes');
+  t.equal(livenessOf(state, 2), 'alive', 'not by changes');
   feed(state, { transfer: 'whole', records: [agedRecordOf(1)] }, 2_000);
-  t.equal(livenessOf(state, 2), 'silent');
-  t.equal(livenessOf(state, 1), 'heard');
+  t.equal(livenessOf(state, 2), 'suspect');
+  t.equal(livenessOf(state, 1), 'alive');
   ingressSweep(state, 2_000 + LIFETIME_MS);
   t.ok(state.backends.find('backend-2'), 'its flows may still live');
   ingressSweep(state, 2_001 + LIFETIME_MS);
@@ -104,10 +108,10 @@
   const state = freshState();
   feed(state, { departures: [{ backendId: 'backend-1', kind: 'draining' }] }, 0);
   feed(state, { transfer: 'whole', records: [agedRecordOf(1)] }, 100);
-  t.same(state.backends.staying('alpha'), []);
-  const heard = { backendId: 'backend-1', liveness: 'heard', silentMs: 0 } as const;
+  t.same(state.backends.activeOf('alpha'), []);
+  const heard = { backendId: 'backend-1', liveness: 'alive', silentMs: 0 } as const;
   feed(state, { judgements: [heard] }, 200);
-  t.same(state.backends.staying('alpha'), []);
+  t.same(state.backends.activeOf('alpha'), []);
 });
 
 t.test('balancers of a whole feed replace those known, others are changes', async (t) => {
@@ -126,16 +130,16 @@
   const backend = state.backends.find('backend-1');
   const token = backend?.token ?? 0;
   feed(state, { loads: [token, 3, 12_345, 9] }, 0);
-  t.equal(backend?.others.busy, 3);
+  t.equal(backend?.fleet.busy, 3);
   feed(state, {}, 5_000);
   ingressSweep(state, 6_000);
-  t.equal(backend?.others.busy, 3, 'not told again, since it has not changed');
+  t.equal(backend?.fleet.busy, 3, 'not told again, since it has not changed');
   feed(state, { isCurrent: false }, 7_500);
   ingressSweep(state, 7_500);
-  t.equal(backend?.others.busy, 0, 'nobody has said for long that it holds');
+  t.equal(backend?.fleet.busy, 0, 'nobody has said for long that it holds');
   feed(state, { loads: [token, 2] }, 8_000);
   feed(state, { loads: [] }, 8_500);
-  t.equal(backend?.others.busy, 0);
+  t.equal(backend?.fleet.busy, 0);
 });
 
 t.test('a balancer reports what passes it, without back ends that are idle', async (t) => {
@@ -145,22 +149,22 @@
   if (backend === undefined) {
     throw new Error('No back end.');
   }
-  t.same(ownReport(state), []);
-  state.activities.open('flow', backend, 0);
-  t.same(ownReport(state), [backend.token, 1]);
+  t.same(ownLoads(state), []);
+  state.activities.recordOpen('flow', backend, 0);
+  t.same(ownLoads(state), [backend.token, 1]);
 });
 
 t.test('a state that comes in several messages doubts nothing before the last', async (t) => {
   const state = freshState();
   feed(state, { transfer: 'whole', records: [1, 2, 3].map((n) => agedRecordOf(n)) }, 0);
   feed(state, { transfer: 'begins', isComplete: false, records: [agedRecordOf(1)] }, 1_000);
-  t.equal(livenessOf(state, 3), 'heard');
+  t.equal(livenessOf(state, 3), 'alive');
   feed(state, { transfer: 'goes-on', isComplete: false }, 1_050);
-  t.equal(livenessOf(state, 3), 'heard');
+  t.equal(livenessOf(state, 3), 'alive');
   feed(state, { transfer: 'ends', records: [agedRecordOf(2)] }, 1_100);
   t.same(
     [1, 2, 3].map((number) => livenessOf(state, number)),
-    ['heard', 'heard', 'silent'],
+    ['alive', 'alive', 'suspect'],
   );
 });
 
@@ -169,7 +173,7 @@
   feed(state, { transfer: 'whole', records: [1, 2].map((n) => agedRecordOf(n)) }, 0);
   feed(state, { transfer: 'begins', isComplete: false, records: [agedRecordOf(2)] }, 1_000);
   feed(state, { transfer: 'whole', records: [agedRecordOf(1)] }, 2_000);
-  t.equal(livenessOf(state, 2), 'silent', 'the new one has not named it');
+  t.equal(livenessOf(state, 2), 'suspect', 'the new one has not named it');
 });
 
 const CONFIG = { baseVersion: 0, idleTimeoutMs: 15_000, warmUps: [] };
@@ -207,14 +211,21 @@
     const drop = [{ host: '198.18.0.1', port: 443, targets: undefined }];
     const change = { ...whole, version: 5, baseVersion: 4, changes: drop };
     const message = { type: 'feed', isCurrent: true, isComplete: true, isCounted: true } as const;
-    t.same(takeFeed(state, { ...message, config: change }, 100), { type: 'unfit' });
+    t.same(applyFeedMessage(state, { ...message, config: change }, 100), { type: 'unfit' });
     t.equal(state.routes.config?.version, 3);
     t.equal(state.routes.size, 1);
     t.equal(state.currentAtMs, 0, 'it may not say that a route is gone');
     const fitting = { ...change, baseVersion: 3 };
-    t.same(takeFeed(state, { ...message, config: fitting }, 200), { type: 'in-force', version: 5 });
+    t.same(applyFeedMessage(state, { ...message, config: fitting }, 200), {
+      type: 'in-force',
+      version: 5,
+    });
     t.equal(state.routes.size, 0);
     const older = { ...message, config: { ...change, version: 4, baseVersion: 0 } };
-    t.same(takeFeed(state, older, 300), { type: 'unchanged' }, 'an older one never follows');
+    t.same(
+      applyFeedMessage(state, older, 300),
+      { type: 'unchanged' },
+      'an older one never follows',
+    );
   },
 );
--- a/test/registered/ingress/frozen-balancer.test.ts
+++ b/test/registered/ingress/frozen-balancer.test.ts
@@ -41,9 +41,9 @@
 t.test('opens are doubted after a stall, and stale after a long one', async (t) => {
   const trustAfter = (pauseMs: number, laterMs = 0) => {
     const guard = createStallGuard({ stallMs: 300, rememberedMs: 2_000 });
-    guard.noteTurn(1_000);
-    guard.noteTurn(1_100);
-    guard.noteTurn(1_100 + pauseMs);
+    guard.recordTurn(1_000);
+    guard.recordTurn(1_100);
+    guard.recordTurn(1_100 + pauseMs);
     return guard.trustAt(1_100 + pauseMs + laterMs);
   };
   t.equal(trustAfter(100), 'fresh');
--- a/test/registered/ingress/mutants.test.ts
+++ b/test/registered/ingress/mutants.test.ts
@@ -30,7 +30,7 @@
     breakWorld: (world) =>
       world.balancers.forEach(({ process }) => {
         if (process !== undefined) {
-          process.state.backends.depart = () => undefined;
+          process.state.backends.applyDeparture = () => undefined;
         }
       }),
   },
--- a/test/registered/ingress/open-claims.test.ts
+++ b/test/registered/ingress/open-claims.test.ts
@@ -13,7 +13,7 @@
 import type { OpenMessage } from '../../../src/registered/group/message-schemas.js';
 import { createIngressState } from '../../../src/registered/ingress/ingress-state.js';
 import { createOpenClaims } from '../../../src/registered/ingress/open-claims.js';
-import { defaultPolicy } from '../../../src/registered/decisions/policy.js';
+import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import {
   flowKeyOf,
   type FlowKey,
@@ -61,9 +61,9 @@
       flowLifetimeMs: 60_000,
       feed: timingFor({ contactMs: 4_000, applyMs: 3_000, drainMs: 3_000 }).feed,
       maxCountedFlows: 100,
-      policy: defaultPolicy,
+      switches: defaultSwitches,
     });
-    state.peers.takeChanges(list, []);
+    state.peers.applyChanges(list, []);
     const send = (to: Address, message: OpenMessage) =>
       clock.after(0.5, () => sharings.get(to.host)?.take(message));
     const sharing = createOpenSharing({
--- a/test/registered/ingress/peer-table.test.ts
+++ b/test/registered/ingress/peer-table.test.ts
@@ -18,7 +18,7 @@
 
 function tableOf(ownNumber: number, balancers = all) {
   const table = createPeerTable(`balancer-${ownNumber}`);
-  table.takeChanges(balancers, []);
+  table.applyChanges(balancers, []);
   return table;
 }
 
@@ -28,7 +28,7 @@
 
 t.test('all balancers choose the same holders; one of them leaves itself out', async (t) => {
   const outside = createPeerTable('outside');
-  outside.takeChanges(all, []);
+  outside.applyChanges(all, []);
   for (let key = 0; key < 50; key += 1) {
     const holders = namesOf(outside.holdersOf(`flow-${key}`, ASKED_HOLDERS));
     t.equal(holders.length, ASKED_HOLDERS);
@@ -48,8 +48,8 @@
   for (let key = 0; key < KEYS; key += 1) {
     const told = namesOf(placing.holdersOf(`flow-${key}`, TOLD_HOLDERS));
     const [lost = ''] = told;
-    asking.takeChanges(all, []);
-    asking.takeChanges([], [lost]);
+    asking.applyChanges(all, []);
+    asking.applyChanges([], [lost]);
     const asked = new Set([
       ...namesOf(asking.holdersOf(`flow-${key}`, ASKED_HOLDERS)),
       'balancer-2',
@@ -64,7 +64,7 @@
 
 t.test('the memory is spread over all balancers', async (t) => {
   const table = createPeerTable('outside');
-  table.takeChanges(all, []);
+  table.applyChanges(all, []);
   const counts = new Map<string, number>();
   for (let key = 0; key < KEYS; key += 1) {
     for (const name of namesOf(table.holdersOf(`flow-${key}`, TOLD_HOLDERS))) {
@@ -80,8 +80,8 @@
   const table = createPeerTable('balancer-1');
   t.equal(table.size, 0);
   t.same(table.holdersOf('flow', ASKED_HOLDERS), []);
-  table.takeChanges([infoOf(1), infoOf(2)], []);
+  table.applyChanges([infoOf(1), infoOf(2)], []);
   t.equal(table.size, 1, 'without itself');
-  table.takeChanges([infoOf(3)], ['balancer-2']);
+  table.applyChanges([infoOf(3)], ['balancer-2']);
   t.same(namesOf(table.holdersOf('flow', ASKED_HOLDERS)), ['balancer-3']);
 });
--- a/test/registered/ingress/reborn-backend.test.ts
+++ b/test/registered/ingress/reborn-backend.test.ts
@@ -33,7 +33,7 @@
     first.deliverHeldUpHeartbeat();
     await world.run(TOLD_MS);
     t.same(livenessOf(world, id), ['dead'], 'after the late heartbeat');
-    t.same(livenessOf(world, next), ['heard']);
+    t.same(livenessOf(world, next), ['alive']);
     world.balancers[0]?.kill();
     world.balancers[0]?.start();
     await world.run(FORMATION_MS);
--- a/test/registered/ingress/zone-table.test.ts
+++ b/test/registered/ingress/zone-table.test.ts
@@ -1,7 +1,10 @@
 /** @file What a balancer believes of zones, and what it gives to cold back ends. */
 import t from 'tap';
 import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
-import { createColdShare, type ColdBounds } from '../../../src/registered/decisions/cold-share.js';
+import {
+  createSlowStart,
+  type SlowStartBounds,
+} from '../../../src/registered/decisions/slow-start.js';
 import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
 import { createZoneTable } from '../../../src/registered/ingress/zone-table.js';
 import { recordOf, takeIn } from '../decisions/backend-records.js';
@@ -11,18 +14,18 @@
 
 t.test('a control machine that lags behind takes nothing back', async (t) => {
   const zones = createZoneTable();
-  zones.take([{ zone: 'a', isEvacuated: true, orders: 3 }], 1_000);
-  zones.take([{ zone: 'a', isEvacuated: false, orders: 2 }], 1_100);
+  zones.applyUpdates([{ zone: 'a', isEvacuated: true, orders: 3 }], 1_000);
+  zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 2 }], 1_100);
   t.ok(zones.isEvacuated('a'));
   t.equal(zones.describeEvacuated(1_500), 'a:500ms');
-  zones.take([{ zone: 'a', isEvacuated: false, orders: 4, readmittedAgoMs: 50 }], 2_000);
+  zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 4, readmittedAgoMs: 50 }], 2_000);
   t.notOk(zones.isEvacuated('a'));
   t.equal(zones.readmittedAtMs('a'), 1_950);
   t.equal(zones.describeEvacuated(2_000), undefined);
 });
 
 /** Balancers that all know each other, before one back end that is cold until 2,000 ms. */
-function balancersWith(count: number, bounds: ColdBounds, coldRequestsPerS: number) {
+function balancersWith(count: number, bounds: SlowStartBounds, coldRequestsPerS: number) {
   const names = Array.from({ length: count }, (_, index) => `balancer-${index}`);
   const infos = names.map((name) => ({
     name,
@@ -32,8 +35,8 @@
   const backend = coldBackend();
   const shares = names.map((name) => {
     const peers = createPeerTable(name);
-    peers.takeChanges(infos, []);
-    return createColdShare({
+    peers.applyChanges(infos, []);
+    return createSlowStart({
       bounds,
       heartbeatIntervalMs: HEARTBEAT_MS,
       zones: createZoneTable(),
@@ -63,8 +66,8 @@
     const times: number[] = [];
     for (let nowMs = 0; nowMs < 2_000; nowMs += 5) {
       for (const share of shares) {
-        if (share.mayTake(backend, nowMs)) {
-          share.noteTaken(backend, nowMs);
+        if (share.admits(backend, nowMs)) {
+          share.recordPlacement(backend, nowMs);
           times.push(nowMs);
         }
       }
@@ -76,14 +79,14 @@
     t.ok(mostInASecond <= allowed / 2, `${mostInASecond} of ${allowed}`);
     t.ok(times.length >= Math.floor(allowed / 2), 'the share is given');
     t.ok(
-      shares.every((share) => share.mayTake(backend, 2_001)),
+      shares.every((share) => share.admits(backend, 2_001)),
       'warm now',
     );
   });
 }
 
 t.test('a balancer that does not know the others gives nothing to cold back ends', async (t) => {
-  const share = createColdShare({
+  const share = createSlowStart({
     bounds: { excess: 1.5, slackPerS: 500 },
     heartbeatIntervalMs: HEARTBEAT_MS,
     zones: createZoneTable(),
@@ -92,14 +95,14 @@
     knowsOthers: (nowMs) => nowMs < 1_000,
   });
   const backend = coldBackend();
-  t.ok(share.mayTake(backend, 500));
-  t.notOk(share.mayTake(backend, 1_000));
-  t.ok(share.mayTake(backend, 2_000), 'warm');
+  t.ok(share.admits(backend, 500));
+  t.notOk(share.admits(backend, 1_000));
+  t.ok(share.admits(backend, 2_000), 'warm');
 });
 
 t.test('back ends of a zone that is taken back are cold until they have surely told', async (t) => {
   const zones = createZoneTable();
-  const share = createColdShare({
+  const share = createSlowStart({
     bounds: { excess: 1, slackPerS: 0 },
     heartbeatIntervalMs: HEARTBEAT_MS,
     zones,
@@ -108,12 +111,12 @@
     knowsOthers: () => true,
   });
   const backend = coldBackend();
-  zones.take([{ zone: 'a', isEvacuated: false, orders: 2, readmittedAgoMs: 0 }], 10_000);
+  zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 2, readmittedAgoMs: 0 }], 10_000);
   t.ok(share.isCold(backend, 10_000));
-  backend.toldAtMs = 11_000;
+  backend.recordSentAtMs = 11_000;
   t.ok(share.isCold(backend, 12_000), 'that may have been sent before and held up');
-  backend.toldAtMs = 12_500;
+  backend.recordSentAtMs = 12_500;
   t.notOk(share.isCold(backend, 12_500));
-  backend.toldAtMs = 0;
+  backend.recordSentAtMs = 0;
   t.notOk(share.isCold(backend, 19_000), 'its warm-up is over, whatever it tells');
 });
--- a/test/registered/registry/heartbeat-registry.test.ts
+++ b/test/registered/registry/heartbeat-registry.test.ts
@@ -57,11 +57,11 @@
   const judge = (nowMs: number) =>
     registry.judge(nowMs, LISTENING_SINCE_MS).map(({ liveness, silentMs }) => [liveness, silentMs]);
   t.same(judge(2_500), []);
-  t.same(judge(2_600), [['silent', 2_600]]);
+  t.same(judge(2_600), [['suspect', 2_600]]);
   t.same(judge(3_000), []);
   t.same(judge(6_100), [['dead', 6_100]]);
   registry.take(recordWith({ sequence: 2 }), 7_000);
-  t.same(judge(7_100), [['heard', 100]]);
+  t.same(judge(7_100), [['alive', 100]]);
 });
 
 t.test('silence from before this machine heard of all heartbeats does not count', async (t) => {
@@ -69,7 +69,7 @@
   registry.take(recordWith({}), 0);
   t.same(registry.judge(10_000, 9_000), []);
   t.same(registry.judge(11_600, 9_000), [
-    { backendId: 'backend-1', liveness: 'silent', silentMs: 2_600 },
+    { backendId: 'backend-1', liveness: 'suspect', silentMs: 2_600 },
   ]);
 });
 
@@ -86,7 +86,7 @@
     const moved = { sequence: 2, address: { host: '10.0.2.9', port: 9_000 } };
     t.equal(registry.take(recordWith(moved), 300), 'changed');
     t.same(registry.judge(400, LISTENING_SINCE_MS), [
-      { backendId: 'backend-1', liveness: 'heard', silentMs: 100 },
+      { backendId: 'backend-1', liveness: 'alive', silentMs: 100 },
     ]);
   },
 );
