--- a/src/managed/language/statement.peggy
+++ b/src/managed/language/statement.peggy
@@ -9,7 +9,7 @@
     isTime,
   } from '../word-checks.js';
   import { MAX_PLAN_DELAY_MS } from '../../control/commands.js';
-  import { parseAddress } from '../../common/address.js';
+  import { parseAddress } from '../../../shared/common/address.js';
 
   function command(value) {
     return { kind: 'command', command: value };
