--- a/eslint.config.js
+++ b/eslint.config.js
@@ -183,6 +183,14 @@
   },
   {
     files: ['**/*.js', '**/*.mjs'],
-    languageOptions: { globals: { process: 'readonly', console: 'readonly' } },
+    languageOptions: {
+      globals: {
+        process: 'readonly',
+        console: 'readonly',
+        Buffer: 'readonly',
+        fetch: 'readonly',
+        AbortSignal: 'readonly',
+      },
+    },
   },
 );
