--- a/src/tools/cli/bench.ts
+++ b/src/tools/cli/bench.ts
@@ -8,7 +8,6 @@
 import type { Bench, BenchResult, BenchTable } from '../../proof/experiment/bench.js';
 import { controlBench } from '../../proof/experiment/bench-control.js';
 import { forwardBench } from '../../proof/experiment/bench-forward.js';
-import { hollowBench } from '../../proof/experiment/bench-hollow.js';
 import { inForceBench } from '../../proof/experiment/bench-in-force.js';
 import { probeBench } from '../../proof/experiment/bench-probe.js';
 import { placementBench } from '../../proof/experiment/bench-placement.js';
@@ -19,7 +18,6 @@
   placementBench,
   forwardBench,
   controlBench,
-  hollowBench,
   inForceBench,
   probeBench,
 ];
