--- a/src/tools/cli/bench.ts
+++ b/src/tools/cli/bench.ts
@@ -8,12 +8,11 @@
 import type { Bench, BenchResult, BenchTable } from '../../proof/experiment/bench.js';
 import { forwardBench } from '../../proof/experiment/bench-forward.js';
 import { inForceBench } from '../../proof/experiment/bench-in-force.js';
-import { probeBench } from '../../proof/experiment/bench-probe.js';
 import { placementBench } from '../../proof/experiment/bench-placement.js';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 
 /** Every bench, in the order of the help. */
-const benches: readonly Bench[] = [placementBench, forwardBench, inForceBench, probeBench];
+const benches: readonly Bench[] = [placementBench, forwardBench, inForceBench];
 
 const DEFAULT_SEED = 1;
 const MAX_ROUNDS = 1_000;
