--- a/src/tools/cli/fleet.ts
+++ b/src/tools/cli/fleet.ts
@@ -38,7 +38,7 @@
     })
     .option('--seconds <count>', 'Stretch or shrink the scenario to this length')
     .option('--seed <number>', 'Seed of the random faults', { default: 1 })
-    .option('--output <file>', 'Keep figures and timeline in this file, for `amberlift report`')
+    .option('--output <file>', 'Keep figures and timeline in this file')
     .option('--json', 'Print the figures as one line of JSON, last')
     .action(run);
 }
