--- a/src/proof/experiment/child-process.ts
+++ b/src/proof/experiment/child-process.ts
@@ -1,6 +1,5 @@
 /**
- * @file Processes that the demo and the fleet start in place of the platform, each ended by its own
- * process ID.
+ * @file Processes of `amberlift` that the demo and the benches start, each ended by its own process ID.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { once } from 'node:events';
@@ -22,7 +21,7 @@
 }
 
 /**
- * Starts `amberlift` with the given arguments and waits until it says that it is ready.
+ * Starts `amberlift` with the given arguments and waits until it announces that it is ready.
  * @param onLine called for each further line on its standard output
  */
 export async function startProcess(
--- a/src/proof/experiment/run-figures.ts
+++ b/src/proof/experiment/run-figures.ts
@@ -1,5 +1,5 @@
 /**
- * @file The figures with which a demo or a fleet run ends.
+ * @file The figures with which the demo ends.
  */
 import type { Cluster } from './cluster.js';
 import { collectRuns } from './cluster-status.js';
--- a/src/proof/sim-managed/simulated-fabric.ts
+++ b/src/proof/sim-managed/simulated-fabric.ts
@@ -24,7 +24,7 @@
     super(simulation, 'fabric', 'fabric', HOST, ZONE);
     // Delays between hosts are the network's; the fabric adds the way to the callers.
     const options = { zone: ZONE, crossZoneDelayMs: 0, callerDelayMs: 1 };
-    this.state = { options, balancers: [], cutOff: new Set() };
+    this.state = { options, balancers: [] };
   }
 
   addCaller(caller: SimulatedCaller): void {
--- a/src/tools/cli/main.ts
+++ b/src/tools/cli/main.ts
@@ -22,7 +22,6 @@
   { name: 'group', load: async () => (await import('./group.js')).registerGroup },
   { name: 'ctl', load: async () => (await import('./ctl.js')).registerCtl },
   { name: 'demo', load: async () => (await import('./demo.js')).registerDemo },
-  { name: 'fleet', load: async () => (await import('./fleet.js')).registerFleet },
   { name: 'bench', load: async () => (await import('./bench.js')).registerBench },
   { name: 'check', load: async () => (await import('./check.js')).registerCheck },
   { name: 'plan', load: async () => (await import('./plan.js')).registerPlan },
--- a/src/tools/settings-reference/settings-reference.ts
+++ b/src/tools/settings-reference/settings-reference.ts
@@ -24,8 +24,8 @@
 }
 
 const exitCodeMeanings: Readonly<Record<keyof typeof exitCodes, string>> = {
-  success: 'Done. Of `demo` and `fleet`: and all counts of harm are 0.',
-  failure: 'Failed in another way. Of `demo` and `fleet`: some count of harm is not 0.',
+  success: 'Done. Of `demo`: and all counts of harm are 0.',
+  failure: 'Failed in another way. Of `demo`: some count of harm is not 0.',
   usage: 'The command line or a statement is wrong.',
   settings: 'A settings file, deployment, scenario or flag is wrong; the message names the option.',
   refused: 'The cluster refused the command for good; the same command would be refused again.',
--- /dev/null
+++ b/test/tools/cli/examples.test.ts
@@ -0,0 +1,16 @@
+/** @file The example settings of operators are valid, and an unreadable file is refused with its name. */
+import t from 'tap';
+import { loadSettings } from '../../../src/shared/settings/load-settings.js';
+
+t.test('the example settings are valid', async (t) => {
+  const control = loadSettings({ file: 'examples/tarjeta-viva/control.yaml', overrides: [] });
+  const owners = control._unsafeUnwrap().control.operators.map(({ name }) => name);
+  t.same(owners, ['tarjeta']);
+  const balancer = loadSettings({ file: 'examples/tarjeta-viva/balancer.yaml', overrides: [] });
+  t.equal(balancer._unsafeUnwrap().clusterKey, control._unsafeUnwrap().clusterKey);
+});
+
+t.test('a settings file that is not there is refused', async (t) => {
+  const missing = loadSettings({ file: 'examples/none.yaml', overrides: [] });
+  t.equal(missing._unsafeUnwrapErr().kind, 'invalid-settings');
+});
