--- a/src/managed/balancer/balancer-events.ts
+++ b/src/managed/balancer/balancer-events.ts
@@ -58,7 +58,7 @@
 }
 
 /** Sends a datagram to another balancer. */
-export interface PeerDatagramEffect {
+interface PeerDatagramEffect {
   readonly type: 'gossip-send';
   readonly to: Address;
   readonly message: PeerDatagram;
--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -75,7 +75,7 @@
 } as const;
 
 /** How many balancers share the traffic, as far as this one knows. */
-export interface FleetSize {
+interface FleetSize {
   /** All live balancers, this one included. */
   balancerCount: number;
   /** Those of this one's zone, this one included. */
--- a/src/managed/balancer/service-groups.ts
+++ b/src/managed/balancer/service-groups.ts
@@ -68,7 +68,7 @@
  * @returns the back ends that may receive a new flow: those that are ready, or where none is, those
  *   that are busy; the same array until that changes
  */
-export function candidatesOf(group: ServiceGroup, nowMs: number): readonly BackendView[] {
+function candidatesOf(group: ServiceGroup, nowMs: number): readonly BackendView[] {
   const mayWait =
     group.candidates.length >= LARGE_FROM && nowMs - group.candidatesMadeAtMs < REBUILD_INTERVAL_MS;
   if (group.candidatesOutdated && !mayWait) {
--- a/src/managed/control/audit.ts
+++ b/src/managed/control/audit.ts
@@ -5,9 +5,9 @@
 import type { AuditEntry, OwnerState, Service, ServiceVersion } from './cluster-state.js';
 
 /** How many lines of the audit log are kept for one operator. */
-export const MAX_AUDIT_ENTRIES = 1_000;
+const MAX_AUDIT_ENTRIES = 1_000;
 /** How many revisions can be told to be in force or not; older ones count as in force. */
-export const MAX_REVISION_MARKS = 1_000;
+const MAX_REVISION_MARKS = 1_000;
 
 /**
  * Writes a line into the operator's audit log.
--- a/src/managed/control/backend-commands.ts
+++ b/src/managed/control/backend-commands.ts
@@ -17,7 +17,7 @@
 import { idInBlock } from './id-blocks.js';
 
 /** How many back ends one service may have. */
-export const MAX_BACKENDS_PER_SERVICE = 2_000;
+const MAX_BACKENDS_PER_SERVICE = 2_000;
 
 /** What the commands on one back end have in common. */
 interface BackendReference {
--- a/src/managed/control/cluster-state.ts
+++ b/src/managed/control/cluster-state.ts
@@ -130,7 +130,7 @@
 }
 
 /** The log index at which an operator's revision was accepted. */
-export interface RevisionMark {
+interface RevisionMark {
   readonly revision: number;
   readonly index: number;
   /** Undefined where the command changed no service. */
--- a/src/managed/control/command-records.ts
+++ b/src/managed/control/command-records.ts
@@ -13,11 +13,11 @@
 import { commandIssueTimeMs } from './command-id.js';
 
 /** How long the result of a command is kept, in milliseconds. */
-export const COMMAND_WINDOW_MS = 24 * 60 * 60 * 1000;
+const COMMAND_WINDOW_MS = 24 * 60 * 60 * 1000;
 /** How many results are kept for one operator; beyond it the window shrinks. */
-export const MAX_COMMAND_RECORDS = 20_000;
+const MAX_COMMAND_RECORDS = 20_000;
 /** How many IDs without time one operator may use, ever. */
-export const MAX_UNTIMED_COMMAND_IDS = 20_000;
+const MAX_UNTIMED_COMMAND_IDS = 20_000;
 /** Which part of the records goes at once when there are too many. */
 const EVICTED_PART = 0.1;
 
--- a/src/managed/control/commands.ts
+++ b/src/managed/control/commands.ts
@@ -77,7 +77,7 @@
 });
 
 /** Schema of the commands that change the configuration; each may also be planned. */
-export const changeCommandSchema = z.discriminatedUnion('type', [
+const changeCommandSchema = z.discriminatedUnion('type', [
   defineService,
   changeService,
   retireService,
@@ -117,7 +117,7 @@
   .refine((text) => parseAddressRange(text) !== undefined, 'such as 10.1.0.0/16:7000-7999');
 
 /** Schema of commands that the system itself puts into the log. */
-export const systemCommandSchema = z.discriminatedUnion('type', [
+const systemCommandSchema = z.discriminatedUnion('type', [
   z.strictObject({
     type: z.literal('set-operators'),
     operators: z.array(
@@ -189,7 +189,7 @@
 }
 
 /** What a refused command gave. */
-export interface RefusedOutcome {
+interface RefusedOutcome {
   readonly accepted: false;
   readonly error: AmberliftError;
   /** Operator address of the leader, where another machine leads. */
--- a/src/managed/control/config-lookup.ts
+++ b/src/managed/control/config-lookup.ts
@@ -8,7 +8,7 @@
 import { applyConfigChange, type ConfigChange } from './config-delta.js';
 
 /** Who uses an address. */
-export interface AddressUse {
+interface AddressUse {
   readonly usedBy: 'service' | 'backend';
   readonly id: number;
 }
--- a/src/managed/control/control-state.ts
+++ b/src/managed/control/control-state.ts
@@ -38,7 +38,7 @@
 export type RequestId = number;
 
 /** What a proposal in the log waits for. */
-export interface PendingProposal {
+interface PendingProposal {
   readonly term: number;
   /** Undefined for the leader's own commands. */
   readonly requestId: RequestId | undefined;
@@ -123,7 +123,7 @@
 }
 
 /** What applying an entry gave. */
-export interface EntryResult {
+interface EntryResult {
   readonly outcome: CommandOutcome;
   readonly sends: readonly LinkSendEffect[];
 }
--- a/src/managed/control/control-status.ts
+++ b/src/managed/control/control-status.ts
@@ -12,7 +12,7 @@
 import type { ControlState } from './control-state.js';
 
 /** A member, with what the leader knows of it. */
-export interface MemberStatus extends Member {
+interface MemberStatus extends Member {
   /** Highest index known to be on its disk; only at the leader. */
   readonly matchIndex?: number;
   /** Time since it was last heard from, in milliseconds; only at the leader. */
@@ -39,7 +39,7 @@
 }
 
 /** A balancer that reports to a control machine. */
-export interface ReportingBalancer {
+interface ReportingBalancer {
   readonly balancerId: string;
   readonly index: number;
 }
--- a/src/managed/control/decision.ts
+++ b/src/managed/control/decision.ts
@@ -71,7 +71,7 @@
 }
 
 /** A back end with its service. */
-export interface OwnedBackend {
+interface OwnedBackend {
   readonly backend: Backend;
   readonly service: Service;
 }
--- a/src/managed/control/first-commands.ts
+++ b/src/managed/control/first-commands.ts
@@ -12,7 +12,7 @@
 export type FirstOperator = Pick<Operator, 'name' | 'tokenHash' | 'addressRanges'>;
 
 /** What a new cluster begins with. */
-export interface FirstCommandContext {
+interface FirstCommandContext {
   /** From the settings. */
   readonly operators: readonly FirstOperator[];
   /** 16 random bytes from a cryptographic source. */
--- a/src/managed/control/leader-duties.ts
+++ b/src/managed/control/leader-duties.ts
@@ -16,7 +16,7 @@
 import { duePlannedChanges } from './plan-commands.js';
 
 /** What the leader knows when it looks for duties. */
-export interface DutyContext {
+interface DutyContext {
   /** Unix time in milliseconds on the leader's clock. */
   readonly nowMs: number;
   /** Every balancer has this log index in force. */
--- a/src/managed/control/peer-gate.ts
+++ b/src/managed/control/peer-gate.ts
@@ -10,7 +10,7 @@
 import type { PeerEnvelope, PeerMessage, PeerRefusal } from './peer-messages.js';
 
 /** What the door decided. */
-export type GateDecision = 'accept' | 'join-cluster' | 'ignore' | PeerRefusal;
+type GateDecision = 'accept' | 'join-cluster' | 'ignore' | PeerRefusal;
 
 /**
  * Decides on a message of the consensus protocol.
--- a/src/managed/control/plan-commands.ts
+++ b/src/managed/control/plan-commands.ts
@@ -9,7 +9,7 @@
 import type { CommandSource, DecisionResult } from './decision.js';
 
 /** How many planned changes may wait for one operator. */
-export const MAX_PLANNED_CHANGES = 1_000;
+const MAX_PLANNED_CHANGES = 1_000;
 
 /** Plans a change; whether it is allowed is decided when it is executed. */
 export function planChange(
@@ -40,7 +40,7 @@
 }
 
 /** A planned change with its owner. */
-export interface DuePlan {
+interface DuePlan {
   readonly operator: string;
   readonly planId: number;
   readonly atMs: number;
--- a/src/managed/control/service-commands.ts
+++ b/src/managed/control/service-commands.ts
@@ -16,7 +16,7 @@
 import { idInBlock } from './id-blocks.js';
 
 /** How many services one operator may have. */
-export const MAX_SERVICES_PER_OPERATOR = 5_000;
+const MAX_SERVICES_PER_OPERATOR = 5_000;
 
 /** Defines a service. */
 export function defineService(
--- a/src/managed/control/system-commands.ts
+++ b/src/managed/control/system-commands.ts
@@ -15,7 +15,7 @@
 import { decideKeyCommand } from './key-rotation.js';
 
 /** A command of the system that needs no operator. */
-export type PlainSystemCommand = Exclude<SystemCommand, { type: 'run-planned-change' }>;
+type PlainSystemCommand = Exclude<SystemCommand, { type: 'run-planned-change' }>;
 
 /**
  * Applies a command of the system.
--- a/src/managed/control/views/answer-query.ts
+++ b/src/managed/control/views/answer-query.ts
@@ -23,7 +23,7 @@
 import type { BackendView, QueryResult, RollingChangeView } from './view-types.js';
 
 /** An answer, or why there is none. */
-export type QueryOutcome = Result<QueryResult, AmberliftError>;
+type QueryOutcome = Result<QueryResult, AmberliftError>;
 
 /**
  * @returns the answer to the operator's query, or `not-found`
--- a/src/managed/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -24,7 +24,7 @@
 const STOP_POLL_INTERVAL_MS = 50;
 
 /** A running balancer daemon. */
-export interface BalancerDaemon {
+interface BalancerDaemon {
   readonly frontAddress: Address;
   readonly gossipAddress: Address;
   /** The state; to be read only. */
--- a/src/managed/daemon/http-json.ts
+++ b/src/managed/daemon/http-json.ts
@@ -88,6 +88,7 @@
   try {
     return ok(text === '' ? undefined : (JSON.parse(text) as unknown));
   } catch {
+    // JSON.parse throws for a body that is no JSON; its text may hold a secret, so it isn't repeated.
     return err(amberliftError('invalid-command', 'The body is no JSON.'));
   }
 }
--- a/src/managed/daemon/member-api.ts
+++ b/src/managed/daemon/member-api.ts
@@ -25,7 +25,7 @@
 });
 
 /** What the interface needs of the control machine. */
-export interface MemberApiOptions {
+interface MemberApiOptions {
   readonly state: ControlState;
   /** Undefined where changes are not allowed. */
   readonly adminToken: string | undefined;
--- a/src/managed/daemon/operator-api.ts
+++ b/src/managed/daemon/operator-api.ts
@@ -37,7 +37,7 @@
 const queryRequestSchema = z.strictObject({ query: operatorQuerySchema });
 
 /** What the interface needs of the control machine. */
-export interface OperatorApiOptions {
+interface OperatorApiOptions {
   readonly state: ClusterState;
   propose(entry: CommandEntry): Promise<CommandOutcome>;
   /** Resolves once a quorum has confirmed that the state here is current, or with why it may not be. */
--- a/src/managed/daemon/peer-sockets.ts
+++ b/src/managed/daemon/peer-sockets.ts
@@ -18,7 +18,7 @@
 import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
 /** Who takes what comes in. */
-export interface PeerSocketsOwner {
+interface PeerSocketsOwner {
   step(event: BalancerEvent): void;
   countTraffic(direction: TrafficDirection, kind: string, bytes: number): void;
 }
--- a/src/managed/dissemination/lease-authority.ts
+++ b/src/managed/dissemination/lease-authority.ts
@@ -17,7 +17,7 @@
 const FLOOR_DELAY_MS = 2_000;
 
 /** A log index at a time. */
-export interface IndexAt {
+interface IndexAt {
   readonly index: number;
   readonly atMs: number;
 }
@@ -39,7 +39,7 @@
 }
 
 /** What the consensus says of this machine. */
-export interface LeadershipView {
+interface LeadershipView {
   /** True for a leader that knows what is committed. */
   readonly isLeading: boolean;
   readonly term: number;
--- a/src/managed/dissemination/link-messages.ts
+++ b/src/managed/dissemination/link-messages.ts
@@ -45,19 +45,19 @@
 }
 
 /** Control to balancer: an update of the configuration. */
-export interface UpdateMessage {
+interface UpdateMessage {
   readonly type: 'update';
   readonly update: ConfigUpdate;
 }
 
 /** Control to balancer: the subscription is refused. */
-export interface LinkRefusedMessage {
+interface LinkRefusedMessage {
   readonly type: 'link-refused';
   readonly kind: 'wrong-cluster';
 }
 
 /** From a balancer to one that joins: what is known of back ends. */
-export interface HealthStateMessage {
+interface HealthStateMessage {
   readonly type: 'health-state';
   readonly results: readonly SharedResult[];
 }
--- a/src/managed/dissemination/link-plan.ts
+++ b/src/managed/dissemination/link-plan.ts
@@ -28,7 +28,7 @@
 /**
  * @returns the names of the zone's relays, the same at all that know the same members
  */
-export function zoneRelays(zone: string, members: readonly MemberRecord[]): string[] {
+function zoneRelays(zone: string, members: readonly MemberRecord[]): string[] {
   const names = members.filter(({ status }) => status === 'alive').map(({ id }) => id);
   return chooseByRendezvous(`relay/${zone}`, names, RELAYS_PER_ZONE);
 }
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -43,7 +43,7 @@
 export type LinkId = number;
 
 /** A balancer that is linked here. */
-export interface Subscriber {
+interface Subscriber {
   readonly balancerId: string;
   readonly zone: string;
 }
@@ -56,7 +56,7 @@
 }
 
 /** Where a publisher takes the leases from that it grants. */
-export type LeaseSource =
+type LeaseSource =
   | { readonly type: 'authority'; readonly authority: LeaseAuthority }
   /** A balancer's own lease, of which it passes on what is left. */
   | { readonly type: 'held'; readonly lease: Lease };
@@ -163,7 +163,7 @@
 }
 
 /** How far the configuration has come. */
-export interface DisseminationStatus {
+interface DisseminationStatus {
   /** Every balancer that is not past its lease has this log index in force. */
   readonly inForceIndex: number;
   /** Every balancer has this log index in force, or is past its lease. */
--- a/src/managed/dissemination/subscription.ts
+++ b/src/managed/dissemination/subscription.ts
@@ -38,7 +38,7 @@
 const GATHER_MS = 200;
 
 /** Options of a subscription. */
-export interface SubscriptionOptions {
+interface SubscriptionOptions {
   readonly controlAddresses: readonly Address[];
   readonly clusterKey: string;
   readonly balancerId: string;
@@ -109,7 +109,7 @@
     };
 
 /** What a message from above leads to. */
-export interface SubscriptionReaction {
+interface SubscriptionReaction {
   /** An update that the balancer should apply before the effects are performed. */
   readonly update?: ConfigUpdate;
   /** What another balancer knows of back ends. */
--- a/src/managed/dissemination/subtree-report.ts
+++ b/src/managed/dissemination/subtree-report.ts
@@ -11,7 +11,7 @@
 export const MAX_LAGGARDS = 20;
 
 /** A balancer below the sender of a report. */
-export interface ReportedMember {
+interface ReportedMember {
   readonly balancerId: string;
   readonly zone: string;
   /** False where its link is closed and nobody knows yet where it went. */
@@ -19,7 +19,7 @@
 }
 
 /** A balancer that lags behind the others of a report. */
-export interface Laggard {
+interface Laggard {
   readonly balancerId: string;
   readonly index: number;
 }
@@ -70,7 +70,7 @@
 }
 
 /** One report of a linked balancer. */
-export interface IncomingReport {
+interface IncomingReport {
   readonly balancerId: string;
   readonly zone: string;
   readonly index: number;
--- a/src/managed/dissemination/traffic.ts
+++ b/src/managed/dissemination/traffic.ts
@@ -3,7 +3,7 @@
  */
 
 /** Messages of one kind and their bytes. */
-export interface TrafficCount {
+interface TrafficCount {
   messages: number;
   bytes: number;
 }
@@ -40,10 +40,3 @@
   count.bytes += bytes;
   counts.set(kind, count);
 }
-
-/**
- * @returns all bytes of one direction
- */
-export function totalBytes(traffic: Traffic, direction: TrafficDirection): number {
-  return [...traffic[direction].values()].reduce((sum, { bytes }) => sum + bytes, 0);
-}
--- a/src/managed/flow/envelope.ts
+++ b/src/managed/flow/envelope.ts
@@ -22,7 +22,7 @@
 /**
  * An envelope as it comes out of the decoder, before addresses become text: what the hot path needs.
  */
-export interface PackedEnvelope {
+interface PackedEnvelope {
   readonly clientHost: PackedHost;
   readonly clientPort: number;
   readonly serviceHost: PackedHost;
@@ -72,6 +72,7 @@
   try {
     fields = packr.unpack(datagram);
   } catch {
+    // The decoder throws for any bytes from the network that are no MessagePack; the caller counts the error.
     return err(amberliftError('malformed-datagram', 'Envelope is no MessagePack.'));
   }
   if (!Array.isArray(fields) || fields.length !== FIELD_COUNT) {
--- a/src/managed/flow/header.ts
+++ b/src/managed/flow/header.ts
@@ -7,7 +7,7 @@
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
 /** The only version spoken: "AMB1" in ASCII. */
-export const AMBERLIFT_VERSION = 0x414d4231;
+const AMBERLIFT_VERSION = 0x414d4231;
 /** Length in bytes of the flow ID that a caller chooses. */
 export const FLOW_ID_LENGTH_BYTES = 8;
 
@@ -19,14 +19,14 @@
 export const SHORT_HEADER_ID_OFFSET = 1;
 
 /** A parsed long-header packet; the fields are views into the packet, not copies. */
-export interface LongHeaderPacket {
+interface LongHeaderPacket {
   readonly destinationId: Uint8Array;
   readonly sourceId: Uint8Array;
   readonly body: Uint8Array;
 }
 
 /** A parsed short-header packet; the fields are views into the packet, not copies. */
-export interface ShortHeaderPacket {
+interface ShortHeaderPacket {
   readonly destinationId: Uint8Array;
   readonly body: Uint8Array;
 }
--- a/src/managed/flow/messages.ts
+++ b/src/managed/flow/messages.ts
@@ -123,8 +123,6 @@
 export type Message = z.infer<typeof messageSchema>;
 /** Asks for a flow. */
 export type OpenMessage = z.infer<typeof openSchema>;
-/** Grants a flow. */
-export type AcceptMessage = z.infer<typeof acceptSchema>;
 /** Refuses an open or a request. */
 export type RefuseMessage = z.infer<typeof refuseSchema>;
 /** Asks for work under a flow. */
@@ -151,6 +149,7 @@
   try {
     value = packr.unpack(body);
   } catch {
+    // The decoder throws for any bytes from the network that are no MessagePack; the caller counts the error.
     return err(amberliftError('malformed-datagram', 'Body is no MessagePack.'));
   }
   const parsed = messageSchema.safeParse(value);
--- a/src/managed/gossip/failure-detector.ts
+++ b/src/managed/gossip/failure-detector.ts
@@ -11,13 +11,13 @@
 import { nextSummaries } from './zone-summaries.js';
 
 /** Time between two rounds, in milliseconds. */
-export const ROUND_INTERVAL_MS = 1_000;
+const ROUND_INTERVAL_MS = 1_000;
 /** How long the target may take before others are asked, in milliseconds. */
 const PING_TIMEOUT_MS = 300;
 /** How many others are asked. */
 const INDIRECT_PROBES = 3;
 /** How long a suspected member has to refute, in milliseconds. */
-export const SUSPICION_MS = 4_000;
+const SUSPICION_MS = 4_000;
 /** How long a dead member is remembered, in milliseconds: ten minutes. */
 const REMEMBER_DEAD_MS = 600_000;
 /** A gap between ticks beyond which this process was paused and blames nobody, in milliseconds. */
--- a/src/managed/gossip/gossip-codec.ts
+++ b/src/managed/gossip/gossip-codec.ts
@@ -116,6 +116,7 @@
   try {
     return packr.unpack(body);
   } catch {
+    // The decoder throws for bytes that are no MessagePack; the schema refuses undefined as malformed.
     return undefined;
   }
 }
--- a/src/managed/gossip/gossip-messages.ts
+++ b/src/managed/gossip/gossip-messages.ts
@@ -33,7 +33,7 @@
 }
 
 /** Asks for an acknowledgement. */
-export interface PingMessage extends GossipHeader {
+interface PingMessage extends GossipHeader {
   readonly type: 'ping';
   readonly sequence: number;
   /** Digest of the sender's member list, by which lists that differ are noticed. */
@@ -41,7 +41,7 @@
 }
 
 /** Asks the receiver to ping `target`, which did not answer the sender. */
-export interface PingRequestMessage extends GossipHeader {
+interface PingRequestMessage extends GossipHeader {
   readonly type: 'ping-request';
   readonly sequence: number;
   readonly target: MemberAddresses;
@@ -55,7 +55,7 @@
 }
 
 /** A part of the sender's whole member list, in `updates`. */
-export interface SyncMessage extends GossipHeader {
+interface SyncMessage extends GossipHeader {
   readonly type: 'sync';
   /** True where the receiver should send its own list back. */
   readonly wantsAnswer: boolean;
--- a/src/managed/gossip/member-list.ts
+++ b/src/managed/gossip/member-list.ts
@@ -8,7 +8,7 @@
 const SPREAD_FACTOR = 3;
 
 /** A member with what this balancer notes about it. */
-export interface KnownMember {
+interface KnownMember {
   record: MemberRecord;
   /** Since when the status is what it is, in milliseconds. */
   changedAtMs: number;
--- a/src/managed/gossip/membership-state.ts
+++ b/src/managed/gossip/membership-state.ts
@@ -8,7 +8,7 @@
 import { createMemberList, presentMembers, type MemberList } from './member-list.js';
 
 /** A summary of another zone that has not been renewed for this time is not counted, in ms. */
-export const ZONE_LIFETIME_MS = 60_000;
+const ZONE_LIFETIME_MS = 60_000;
 
 /** Options of a member. */
 export interface MembershipOptions extends MemberAddresses {
@@ -21,7 +21,7 @@
 }
 
 /** The ping that waits for an acknowledgement. */
-export interface PendingPing {
+interface PendingPing {
   readonly targetId: string;
   readonly sequence: number;
   readonly sentAtMs: number;
@@ -30,14 +30,14 @@
 }
 
 /** A ping on behalf of another member. */
-export interface ForwardedPing {
+interface ForwardedPing {
   readonly origin: Address;
   readonly originSequence: number;
   readonly expiresAtMs: number;
 }
 
 /** A summary of a zone and when its version last rose. */
-export interface KnownZone {
+interface KnownZone {
   readonly summary: ZoneSummary;
   readonly renewedAtMs: number;
 }
--- a/src/managed/gossip/zone-summaries.ts
+++ b/src/managed/gossip/zone-summaries.ts
@@ -26,7 +26,7 @@
 /**
  * @returns the names of the balancers that speak for the own zone
  */
-export function representatives(state: MembershipState): string[] {
+function representatives(state: MembershipState): string[] {
   const names = zoneMembers(state).map(({ id }) => id);
   return chooseByRendezvous(`zone/${state.options.zone}`, names, REPRESENTATIVES);
 }
--- a/src/managed/health/explanation.ts
+++ b/src/managed/health/explanation.ts
@@ -7,7 +7,7 @@
 import type { Judgement, JudgedState, JudgementReason } from './judgement-state.js';
 
 /** One change of state; `agoMs` is how long ago it was, in milliseconds. */
-export interface ExplainedTransition {
+interface ExplainedTransition {
   readonly agoMs: number;
   readonly from: JudgedState;
   readonly to: JudgedState;
--- a/src/managed/health/judgement.ts
+++ b/src/managed/health/judgement.ts
@@ -32,7 +32,7 @@
 export type OpenOutcome = 'accepted' | 'refused' | 'timed-out';
 
 /** What one probe brought; each part is undefined where it brought none. */
-export interface ProbeEvidence {
+interface ProbeEvidence {
   readonly health: HealthReport | undefined;
   readonly load: LoadReport | undefined;
 }
--- a/src/managed/language/command-reference.ts
+++ b/src/managed/language/command-reference.ts
@@ -134,7 +134,7 @@
 ];
 
 /** One option of the client. */
-export interface OptionReference {
+interface OptionReference {
   readonly flag: string;
   readonly meaning: string;
 }
--- a/src/managed/language/complete-statement.ts
+++ b/src/managed/language/complete-statement.ts
@@ -4,7 +4,7 @@
 import { parseStatement } from './parse-statement.js';
 
 /** What may come next in a statement. */
-export interface Completion {
+interface Completion {
   /** The word that is being written; empty after a space. */
   readonly partialWord: string;
   /** Words of the language that fit the partial word, with all values that fit. */
--- a/src/managed/language/parse-statement.ts
+++ b/src/managed/language/parse-statement.ts
@@ -8,12 +8,12 @@
 import { parse, SyntaxError as GrammarError } from './generated/statement-parser.js';
 
 /** What a statement means. */
-export type Statement =
+type Statement =
   | { readonly kind: 'command'; readonly command: OperatorCommand }
   | { readonly kind: 'query'; readonly query: OperatorQuery };
 
 /** Why a text is no statement. */
-export interface StatementError {
+interface StatementError {
   /** Position of the word at fault in the text, in UTF-16 units; the text's length where it ends early. */
   readonly offset: number;
   /** The word at fault; empty where the text ends early. */
--- a/src/managed/limits/open-limits.ts
+++ b/src/managed/limits/open-limits.ts
@@ -26,7 +26,7 @@
 export const OVERLOAD_RETRY_AFTER_MS = 500;
 
 /** The limits that hold for a whole balancer. */
-export interface BalancerOpenLimits {
+interface BalancerOpenLimits {
   /** Bound of pending opens; each owner has an equal part. */
   readonly maxPendingOpens: number;
   /** Opens a second; each owner has an equal part, and what others leave unused. */
@@ -57,7 +57,7 @@
 }
 
 /** What a decision on an open depends on, besides the state. */
-export interface OpenSurroundings {
+interface OpenSurroundings {
   /** How many balancers share the traffic of the cluster. */
   readonly liveBalancerCount: number;
   readonly limits: BalancerOpenLimits;
--- a/src/managed/routing/slow-start.ts
+++ b/src/managed/routing/slow-start.ts
@@ -4,9 +4,9 @@
  */
 
 /** How long slow start lasts, in milliseconds. */
-export const SLOW_START_MS = 10_000;
+const SLOW_START_MS = 10_000;
 /** The share at its beginning. */
-export const SLOW_START_MIN_WEIGHT = 0.1;
+const SLOW_START_MIN_WEIGHT = 0.1;
 
 /**
  * @param slowStartAtMs when it began; undefined where the back end is warm
