--- a/src/managed/balancer/backend-view.ts
+++ b/src/managed/balancer/backend-view.ts
@@ -1,7 +1,7 @@
 /**
  * @file What a balancer knows of one back end.
  */
-import type { Backend } from '../control/cluster-state.js';
+import type { Backend } from '../control/routing-config.js';
 import type { HealthReport } from '../health/backend-report.js';
 import { createJudgement, type Judgement } from '../health/judgement-state.js';
 import { createLoadEstimate, type LoadEstimate } from '../routing/load-estimate.js';
--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -10,7 +10,7 @@
   type PlacementPolicyName,
   type RoutingConfig,
   type Service,
-} from '../control/cluster-state.js';
+} from '../control/routing-config.js';
 import {
   applyConfigChange,
   isNewerPosition,
--- a/src/managed/balancer/open-handling.ts
+++ b/src/managed/balancer/open-handling.ts
@@ -7,7 +7,7 @@
 import type { Address } from '../../shared/common/address.js';
 import { addressKey, formatAddress } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
-import type { Service } from '../control/cluster-state.js';
+import type { Service } from '../control/routing-config.js';
 import { decodeEnvelope, encodeEnvelope, type Envelope } from '../flow/envelope.js';
 import {
   amberliftError,
--- a/src/managed/control/audit.ts
+++ b/src/managed/control/audit.ts
@@ -2,7 +2,8 @@
  * @file What an operator can look up of their own past: the audit log, and which log index carried
  * each of their revisions. Both are bounded.
  */
-import type { AuditEntry, OwnerState, Service, ServiceVersion } from './cluster-state.js';
+import type { AuditEntry, OwnerState, ServiceVersion } from './cluster-state.js';
+import type { Service } from './routing-config.js';
 
 /** How many lines of the audit log are kept for one operator. */
 const MAX_AUDIT_ENTRIES = 1_000;
--- a/src/managed/control/backend-commands.ts
+++ b/src/managed/control/backend-commands.ts
@@ -3,7 +3,8 @@
  */
 import { err, ok } from 'neverthrow';
 import { amberliftError } from '../../shared/common/error-kinds.js';
-import type { Backend, BackendAdminState, ClusterState } from './cluster-state.js';
+import type { ClusterState } from './cluster-state.js';
+import type { Backend, BackendAdminState } from './routing-config.js';
 import type { ChangeCommand } from './commands.js';
 import {
   checkAddressFree,
--- a/src/managed/control/cluster-snapshot.ts
+++ b/src/managed/control/cluster-snapshot.ts
@@ -4,17 +4,15 @@
  */
 import { Packr } from 'msgpackr';
 import type {
-  Backend,
   ClusterState,
   CommandRecord,
   Operator,
   OwnerState,
   PlannedChange,
   QuarantinedAddress,
-  Service,
-  TokenKey,
   TokenKeyAge,
 } from './cluster-state.js';
+import type { Backend, Service, TokenKey } from './routing-config.js';
 import { buildConfigLookup } from './config-lookup.js';
 
 const packr = new Packr({ useRecords: false, variableMapSize: true });
--- a/src/managed/control/commands.ts
+++ b/src/managed/control/commands.ts
@@ -7,7 +7,7 @@
 import type { Address } from '../../shared/common/address.js';
 import { parseAddressRange } from '../../shared/common/address-range.js';
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
-import { placementPolicyNames } from './cluster-state.js';
+import { placementPolicyNames } from './routing-config.js';
 
 /** Length of the longest name of a service, zone or operator. */
 export const MAX_NAME_LENGTH = 63;
--- a/src/managed/control/config-delta.ts
+++ b/src/managed/control/config-delta.ts
@@ -3,7 +3,7 @@
  * that it leads to. A receiver takes only newer ones.
  */
 import { match } from 'ts-pattern';
-import type { Backend, RoutingConfig, Service, TokenKey } from './cluster-state.js';
+import type { Backend, RoutingConfig, Service, TokenKey } from './routing-config.js';
 
 /** A position in the replicated log. */
 export interface ConfigPosition {
--- a/src/managed/control/config-lookup.ts
+++ b/src/managed/control/config-lookup.ts
@@ -4,7 +4,7 @@
  */
 import { match } from 'ts-pattern';
 import { formatAddress } from '../../shared/common/address.js';
-import type { Backend, RoutingConfig, Service } from './cluster-state.js';
+import type { Backend, RoutingConfig, Service } from './routing-config.js';
 import { applyConfigChange, type ConfigChange } from './config-delta.js';
 
 /** Who uses an address. */
--- a/src/managed/control/decision.ts
+++ b/src/managed/control/decision.ts
@@ -10,14 +10,13 @@
 } from '../../shared/common/address-range.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type {
-  Backend,
   ClusterState,
   Operator,
   OwnerState,
   PlannedChange,
   QuarantinedAddress,
-  Service,
 } from './cluster-state.js';
+import type { Backend, Service } from './routing-config.js';
 import { serviceNameKey } from './config-lookup.js';
 import type { ConfigChange } from './config-delta.js';
 
--- a/src/managed/control/key-rotation.ts
+++ b/src/managed/control/key-rotation.ts
@@ -6,7 +6,8 @@
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { MAX_TOKEN_KEY_ID, TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
-import type { ClusterState, TokenKey } from './cluster-state.js';
+import type { ClusterState } from './cluster-state.js';
+import type { TokenKey } from './routing-config.js';
 import type { SystemCommand } from './commands.js';
 import type { ConfigChange } from './config-delta.js';
 
--- a/src/managed/control/service-commands.ts
+++ b/src/managed/control/service-commands.ts
@@ -3,7 +3,8 @@
  */
 import { err, ok } from 'neverthrow';
 import { amberliftError } from '../../shared/common/error-kinds.js';
-import type { ClusterState, Service } from './cluster-state.js';
+import type { ClusterState } from './cluster-state.js';
+import type { Service } from './routing-config.js';
 import type { ChangeCommand } from './commands.js';
 import { serviceNameKey } from './config-lookup.js';
 import {
--- a/src/managed/control/views/entity-views.ts
+++ b/src/managed/control/views/entity-views.ts
@@ -2,14 +2,8 @@
  * @file Views of single services, back ends, planned changes and lines of the audit log.
  */
 import { formatCommand } from '../../language/format-command.js';
-import type {
-  AuditEntry,
-  Backend,
-  ClusterState,
-  OwnerState,
-  PlannedChange,
-  Service,
-} from '../cluster-state.js';
+import type { AuditEntry, ClusterState, OwnerState, PlannedChange } from '../cluster-state.js';
+import type { Backend, Service } from '../routing-config.js';
 import { operatorCommandSchema, type CommandOutcome } from '../commands.js';
 import type { LoadView } from './backend-load.js';
 import { versionInForceEverywhere, type InForceView } from './in-force.js';
--- a/src/managed/control/views/in-force.ts
+++ b/src/managed/control/views/in-force.ts
@@ -3,7 +3,8 @@
  * so that it tells nothing of another operator's changes.
  */
 import { revisionAt, serviceVersionAt } from '../audit.js';
-import type { OwnerState, Service } from '../cluster-state.js';
+import type { OwnerState } from '../cluster-state.js';
+import type { Service } from '../routing-config.js';
 
 /** What one balancer has in force. */
 export interface BalancerInForce {
--- a/src/managed/control/views/view-types.ts
+++ b/src/managed/control/views/view-types.ts
@@ -4,7 +4,7 @@
  */
 import type { Address } from '../../../shared/common/address.js';
 import type { AmberliftError } from '../../../shared/common/error-kinds.js';
-import type { BackendAdminState, PlacementPolicyName, ServiceLimits } from '../cluster-state.js';
+import type { BackendAdminState, PlacementPolicyName, ServiceLimits } from '../routing-config.js';
 import type { BackendLoad } from './backend-load.js';
 import type { InForceSummary, LaggingBalancer } from './in-force.js';
 
--- a/src/managed/daemon/health-probe.ts
+++ b/src/managed/daemon/health-probe.ts
@@ -1,7 +1,7 @@
 /**
  * @file One health probe of a back end over HTTP.
  */
-import type { Backend } from '../control/cluster-state.js';
+import type { Backend } from '../control/routing-config.js';
 import {
   healthReportSchema,
   loadReportSchema,
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -5,7 +5,7 @@
  * acknowledges what it has in force.
  */
 import type { Address } from '../../shared/common/address.js';
-import type { RoutingConfig } from '../control/cluster-state.js';
+import type { RoutingConfig } from '../control/routing-config.js';
 import {
   snapshotOf,
   type ConfigChange,
--- a/src/managed/health/judgement-state.ts
+++ b/src/managed/health/judgement-state.ts
@@ -1,7 +1,7 @@
 /**
  * @file The judged state of a back end, the evidence that it follows from, and its history.
  */
-import type { BackendAdminState } from '../control/cluster-state.js';
+import type { BackendAdminState } from '../control/routing-config.js';
 import type { HealthReport } from './backend-report.js';
 import { createReportTrust, type ReportTrust } from './report-trust.js';
 
--- a/src/managed/health/judgement.ts
+++ b/src/managed/health/judgement.ts
@@ -2,7 +2,7 @@
  * @file The judgement of back ends: takes probes, answers to own opens and the operators' wishes as
  * evidence, and follows the rules from one state to the next.
  */
-import type { BackendAdminState } from '../control/cluster-state.js';
+import type { BackendAdminState } from '../control/routing-config.js';
 import type { HealthReport, LoadReport } from './backend-report.js';
 import { probesFail, verdictOn, type Verdict } from './judgement-rules.js';
 import type { Judgement, JudgementGroup, JudgementTransition } from './judgement-state.js';
--- a/src/managed/health/probe-schedule.ts
+++ b/src/managed/health/probe-schedule.ts
@@ -4,7 +4,7 @@
  * their results. A balancer probes by itself what it has had no result for. The rate of probes is
  * bounded, so that the interval grows with the back ends and no balancer does work for all at once.
  */
-import type { Backend } from '../control/cluster-state.js';
+import type { Backend } from '../control/routing-config.js';
 import { hashText, rendezvousScore } from '../../shared/common/rendezvous.js';
 
 /** Balancers of a zone that probe one back end. */
--- a/src/managed/language/format-command.ts
+++ b/src/managed/language/format-command.ts
@@ -4,7 +4,7 @@
  */
 import { match, P } from 'ts-pattern';
 import { formatAddress } from '../../shared/common/address.js';
-import type { ServiceLimits } from '../control/cluster-state.js';
+import type { ServiceLimits } from '../control/routing-config.js';
 import type { OperatorCommand } from '../control/commands.js';
 
 const DELAY_UNITS = [
--- a/src/managed/limits/backend-limits.ts
+++ b/src/managed/limits/backend-limits.ts
@@ -1,7 +1,7 @@
 /**
  * @file How many connections a back end may hold by the service's limit.
  */
-import type { ServiceLimits } from '../control/cluster-state.js';
+import type { ServiceLimits } from '../control/routing-config.js';
 import type { PlacementCandidate } from '../routing/placement-policy.js';
 
 /**
--- a/src/managed/limits/open-limits.ts
+++ b/src/managed/limits/open-limits.ts
@@ -2,7 +2,7 @@
  * @file Whether a balancer takes an open: bounds of pending opens and of opens a second, by service
  * and by owner. What is refused is refused at once, with the time after which to come back.
  */
-import type { Service } from '../control/cluster-state.js';
+import type { Service } from '../control/routing-config.js';
 import type { ErrorKind } from '../../shared/common/error-kinds.js';
 import { createOwnerShares, takeFromShare, type OwnerShares } from './owner-shares.js';
 import {
--- a/src/managed/routing/placement-policy.ts
+++ b/src/managed/routing/placement-policy.ts
@@ -3,7 +3,7 @@
  * name, see `policy-registry.ts`.
  */
 import type { StepContext } from '../../shared/common/step.js';
-import type { Backend } from '../control/cluster-state.js';
+import type { Backend } from '../control/routing-config.js';
 import type { Judgement } from '../health/judgement-state.js';
 import type { LoadEstimate } from './load-estimate.js';
 
--- a/src/managed/routing/policy-registry.ts
+++ b/src/managed/routing/policy-registry.ts
@@ -2,7 +2,7 @@
  * @file The placement policies by name.
  */
 import { match } from 'ts-pattern';
-import type { PlacementPolicyName } from '../control/cluster-state.js';
+import type { PlacementPolicyName } from '../control/routing-config.js';
 import { AdaptivePolicy } from './adaptive-policy.js';
 import { LeastReportedPolicy } from './least-reported-policy.js';
 import { MaglevPolicy } from './maglev-policy.js';
--- a/src/proof/experiment/bench-forward-config.ts
+++ b/src/proof/experiment/bench-forward-config.ts
@@ -3,7 +3,7 @@
  * all back ends at loopback numbers of their own and one port, so that one socket receives for all.
  */
 import type { Address } from '../../shared/common/address.js';
-import type { Backend, Service, TokenKey } from '../../managed/control/cluster-state.js';
+import type { Backend, Service, TokenKey } from '../../managed/control/routing-config.js';
 import type {
   ConfigChange,
   ConfigDelta,
--- a/src/proof/experiment/bench-placement.ts
+++ b/src/proof/experiment/bench-placement.ts
@@ -2,7 +2,7 @@
  * @file `amberlift bench placement`: all placement policies in the same tenfold surges, through the
  * decision code of the daemon and in virtual time.
  */
-import { placementPolicyNames } from '../../managed/control/cluster-state.js';
+import { placementPolicyNames } from '../../managed/control/routing-config.js';
 import {
   median,
   refuseUnknownSettings,
--- a/src/proof/experiment/bench-probe.ts
+++ b/src/proof/experiment/bench-probe.ts
@@ -3,7 +3,7 @@
  * the back end's, over loopback.
  */
 import type { Address } from '../../shared/common/address.js';
-import type { Backend } from '../../managed/control/cluster-state.js';
+import type { Backend } from '../../managed/control/routing-config.js';
 import { probeBackend } from '../../managed/daemon/health-probe.js';
 import { median, refuseUnknownSettings, type Bench } from './bench.js';
 import { startProcess } from './child-process.js';
--- a/src/proof/experiment/deployment.ts
+++ b/src/proof/experiment/deployment.ts
@@ -7,7 +7,7 @@
 import { err, ok, Result } from 'neverthrow';
 import { parse } from 'yaml';
 import { z } from 'zod';
-import { placementPolicyNames } from '../../managed/control/cluster-state.js';
+import { placementPolicyNames } from '../../managed/control/routing-config.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import { loadSettings } from '../../shared/settings/load-settings.js';
 import type { Settings } from '../../managed/settings/settings-schema.js';
--- a/src/proof/experiment/hollow/hollow-balancer.ts
+++ b/src/proof/experiment/hollow/hollow-balancer.ts
@@ -17,7 +17,7 @@
 } from '../../../managed/dissemination/link-messages.js';
 import type { PeerDatagram } from '../../../managed/gossip/gossip-messages.js';
 import { gossipAddress, type MemberAddresses } from '../../../managed/gossip/member.js';
-import type { Backend } from '../../../managed/control/cluster-state.js';
+import type { Backend } from '../../../managed/control/routing-config.js';
 import type { ProbeResult } from '../../../managed/health/backend-report.js';
 import { HollowLink, type LinkClient, type LinkServerEnd } from './hollow-link.js';
 import type { HollowRole } from './meter.js';
--- a/src/proof/experiment/placement-backend.ts
+++ b/src/proof/experiment/placement-backend.ts
@@ -2,7 +2,7 @@
  * @file A back end of the placement bench: connections, slots, a queue, and load reports that lag.
  */
 import type { RandomSource } from '../../shared/common/step.js';
-import type { Backend } from '../../managed/control/cluster-state.js';
+import type { Backend } from '../../managed/control/routing-config.js';
 import type { LoadReport } from '../../managed/health/backend-report.js';
 import type { VirtualAgenda } from './virtual-agenda.js';
 
--- a/src/proof/experiment/placement-choice-cost.ts
+++ b/src/proof/experiment/placement-choice-cost.ts
@@ -16,7 +16,7 @@
 } from '../../managed/balancer/candidates.js';
 import type { Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
-import type { Backend, Service } from '../../managed/control/cluster-state.js';
+import type { Backend, Service } from '../../managed/control/routing-config.js';
 
 const ADDRESS: Address = { host: '10.1.0.1', port: 5000 };
 const ZONES = 3;
--- a/src/proof/experiment/placement-world.ts
+++ b/src/proof/experiment/placement-world.ts
@@ -26,7 +26,7 @@
   PlacementPolicyName,
   Service,
   TokenKey,
-} from '../../managed/control/cluster-state.js';
+} from '../../managed/control/routing-config.js';
 import type { ConfigSnapshot } from '../../managed/control/config-delta.js';
 import { encodeShortHeader } from '../../managed/flow/header.js';
 import { mintToken, prepareTokenKey } from '../../managed/flow/token.js';
--- a/src/proof/sim-managed/config-digest.ts
+++ b/src/proof/sim-managed/config-digest.ts
@@ -3,7 +3,7 @@
  * same.
  */
 import { createHash } from 'node:crypto';
-import type { RoutingConfig } from '../../managed/control/cluster-state.js';
+import type { RoutingConfig } from '../../managed/control/routing-config.js';
 
 const DIGEST_LENGTH = 16;
 
--- a/src/proof/sim-managed/scenarios/operator-changes.ts
+++ b/src/proof/sim-managed/scenarios/operator-changes.ts
@@ -2,7 +2,7 @@
  * @file What operators do in scenarios: changes of services and back ends, questions, and changes that
  * race each other.
  */
-import type { PlacementPolicyName } from '../../../managed/control/cluster-state.js';
+import type { PlacementPolicyName } from '../../../managed/control/routing-config.js';
 import { between, pick, type ScenarioScope } from './scenario.js';
 
 const MIN_ACTIVE_BACKENDS = 2;
--- a/src/tools/toolbox/state-export.ts
+++ b/src/tools/toolbox/state-export.ts
@@ -9,9 +9,9 @@
 import {
   emptyClusterState,
   emptyOwnerState,
-  placementPolicyNames,
   type ClusterState,
 } from '../../managed/control/cluster-state.js';
+import { placementPolicyNames } from '../../managed/control/routing-config.js';
 import { idInBlock } from '../../managed/control/id-blocks.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
--- a/test/managed/balancer/balancer-world.ts
+++ b/test/managed/balancer/balancer-world.ts
@@ -10,7 +10,7 @@
 import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
 import type { Address } from '../../../src/shared/common/address.js';
 import { seededRandom } from '../../../src/shared/common/random.js';
-import type { Backend, Service, TokenKey } from '../../../src/managed/control/cluster-state.js';
+import type { Backend, Service, TokenKey } from '../../../src/managed/control/routing-config.js';
 import type { ConfigChange } from '../../../src/managed/control/config-delta.js';
 import { decodeEnvelope, encodeEnvelope } from '../../../src/managed/flow/envelope.js';
 import type { ErrorKind } from '../../../src/shared/common/error-kinds.js';
--- a/test/managed/balancer/candidates.test.ts
+++ b/test/managed/balancer/candidates.test.ts
@@ -15,7 +15,7 @@
   takeBackendChanges,
 } from '../../../src/managed/balancer/candidates.js';
 import { seededRandom } from '../../../src/shared/common/random.js';
-import type { Backend, Service } from '../../../src/managed/control/cluster-state.js';
+import type { Backend, Service } from '../../../src/managed/control/routing-config.js';
 
 const OPENS = 60;
 const address = { host: '127.0.0.1', port: 5000 };
--- a/test/managed/balancer/config-tables.test.ts
+++ b/test/managed/balancer/config-tables.test.ts
@@ -8,7 +8,7 @@
   defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
-import type { Backend, Service, TokenKey } from '../../../src/managed/control/cluster-state.js';
+import type { Backend, Service, TokenKey } from '../../../src/managed/control/routing-config.js';
 import { snapshotOf, type ConfigChange } from '../../../src/managed/control/config-delta.js';
 
 const small = fc.integer({ min: 1, max: 4 });
--- a/test/managed/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -3,7 +3,7 @@
  * can be paused, and clocks that run a little fast or slow.
  */
 import type { ConfigPosition } from '../../../src/managed/control/config-delta.js';
-import { emptyRoutingConfig } from '../../../src/managed/control/cluster-state.js';
+import { emptyRoutingConfig } from '../../../src/managed/control/routing-config.js';
 import { isLeaseHeld } from '../../../src/managed/dissemination/lease.js';
 import {
   createLeaseAuthority,
--- a/test/managed/flows/world.ts
+++ b/test/managed/flows/world.ts
@@ -14,7 +14,7 @@
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
 import { formatAddress, type Address } from '../../../src/shared/common/address.js';
-import type { Backend, Service } from '../../../src/managed/control/cluster-state.js';
+import type { Backend, Service } from '../../../src/managed/control/routing-config.js';
 import type { BackendOptions } from '../../../src/proof/standins/backend-options.js';
 import {
   createBackendState,
--- a/test/managed/health/probe-sharing.test.ts
+++ b/test/managed/health/probe-sharing.test.ts
@@ -1,6 +1,6 @@
 /** @file Health probes shared out over the balancers of a zone. */
 import t from 'tap';
-import type { Backend } from '../../../src/managed/control/cluster-state.js';
+import type { Backend } from '../../../src/managed/control/routing-config.js';
 import type { ProbeResult } from '../../../src/managed/health/backend-report.js';
 import {
   createHealthSharing,
--- a/test/managed/language/statement.test.ts
+++ b/test/managed/language/statement.test.ts
@@ -3,7 +3,7 @@
 import { isDeepStrictEqual } from 'node:util';
 import fc from 'fast-check';
 import t from 'tap';
-import { placementPolicyNames } from '../../../src/managed/control/cluster-state.js';
+import { placementPolicyNames } from '../../../src/managed/control/routing-config.js';
 import {
   operatorCommandSchema,
   type OperatorCommand,
--- a/test/managed/routing/policies.test.ts
+++ b/test/managed/routing/policies.test.ts
@@ -1,5 +1,5 @@
 import { test } from 'tap';
-import { placementPolicyNames } from '../../../src/managed/control/cluster-state.js';
+import { placementPolicyNames } from '../../../src/managed/control/routing-config.js';
 import { estimateFailure, estimateOpen } from '../../../src/managed/routing/load-estimate.js';
 import { buildMaglevTable, MAGLEV_TABLE_SIZE } from '../../../src/managed/routing/maglev-table.js';
 import type {
--- a/test/proof/sim-managed/fuzz-commands.ts
+++ b/test/proof/sim-managed/fuzz-commands.ts
@@ -1,6 +1,6 @@
 /** @file Commands of the stateful fuzzing: faults of any process at any moment, and operators at work. */
 import fc from 'fast-check';
-import type { PlacementPolicyName } from '../../../src/managed/control/cluster-state.js';
+import type { PlacementPolicyName } from '../../../src/managed/control/routing-config.js';
 import type { Faults } from '../../../src/proof/sim-managed/faults.js';
 import type { World } from '../../../src/proof/sim-managed/world.js';
 
