--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -34,11 +34,7 @@
   type ProbeSchedule,
 } from '../health/probe-schedule.js';
 import { createOpenLimits, type OpenLimitsState } from '../limits/open-limits.js';
-import {
-  createMembership,
-  type MembershipOptions,
-  type MembershipState,
-} from '../gossip/membership-state.js';
+import { createGossip, type GossipOptions, type GossipState } from '../gossip/gossip-state.js';
 import type { PlacementPolicy } from '../routing/placement-policy.js';
 import { createPolicy } from '../routing/policy-registry.js';
 import { createBackendView, type BackendView } from './backend-view.js';
@@ -62,7 +58,7 @@
   readonly controlAddresses: readonly Address[];
   readonly clusterKey: string;
   /** Absent where the balancer takes no part in membership; then it links to control machines only. */
-  readonly membership?: Omit<MembershipOptions, 'id' | 'zone'>;
+  readonly gossip?: Omit<GossipOptions, 'id' | 'zone'>;
 }
 
 /** Options that apply where settings give none. */
@@ -119,9 +115,9 @@
   readonly subscription: SubscriptionState;
   /** Passes the configuration on to balancers that are linked to this one. */
   readonly publisher: PublisherState;
-  readonly membership: MembershipState | undefined;
+  readonly gossip: GossipState | undefined;
   /** Version of the members for which the links were planned last. */
-  plannedVersion: number;
+  linkPlanVersion: number;
   /** Messages of the control plane; counted by whoever sends and receives them. */
   readonly traffic: Traffic;
   readonly probes: ProbeSchedule;
@@ -129,7 +125,7 @@
   readonly probers: { group: ProberGroup; plannedVersion: number };
   readonly sharing: HealthSharing;
   /** When results were last told to others. */
-  sharedAtMs: number;
+  resultsSharedAtMs: number;
   nextFleetCountAtMs: number;
   healthTickAtMs: number | undefined;
   /** Before this time other balancers' results are not taken. */
@@ -143,7 +139,7 @@
  * @returns the state of a balancer that has no configuration yet
  */
 export function createBalancerState(options: BalancerOptions): BalancerState {
-  const { balancerId, zone, clusterKey, membership } = options;
+  const { balancerId, zone, clusterKey, gossip } = options;
   const subscription = createSubscription(options);
   return {
     options,
@@ -163,8 +159,8 @@
     errorCounts: new Map(),
     subscription,
     publisher: createPublisher(clusterKey, { type: 'held', lease: subscription.lease }),
-    membership: membership && createMembership({ ...membership, id: balancerId, zone }),
-    plannedVersion: -1,
+    gossip: gossip && createGossip({ ...gossip, id: balancerId, zone }),
+    linkPlanVersion: -1,
     traffic: createTraffic(),
     probes: createProbeSchedule(options.probeIntervalMs, zone),
     probers: {
@@ -172,7 +168,7 @@
       plannedVersion: -1,
     },
     sharing: createHealthSharing(),
-    sharedAtMs: 0,
+    resultsSharedAtMs: 0,
     nextFleetCountAtMs: 0,
     healthTickAtMs: undefined,
     distrustUntilMs: 0,
@@ -251,10 +247,10 @@
 function applyChange(state: BalancerState, change: ConfigChange): void {
   const { config } = state;
   if (change.type === 'service-set') {
-    forgetServiceAddress(state, change.service.id);
+    removeServiceAddress(state, change.service.id);
     state.servicesByAddress.set(addressKey(change.service.address), change.service);
   } else if (change.type === 'service-removed') {
-    forgetServiceAddress(state, change.serviceId);
+    removeServiceAddress(state, change.serviceId);
   }
   applyConfigChange(config, change);
   match(change)
@@ -266,7 +262,7 @@
 }
 
 /** Another service may have taken the address already. */
-function forgetServiceAddress(state: BalancerState, serviceId: number): void {
+function removeServiceAddress(state: BalancerState, serviceId: number): void {
   const known = state.config.services.get(serviceId);
   const key = known === undefined ? undefined : addressKey(known.address);
   if (key !== undefined && state.servicesByAddress.get(key)?.id === serviceId) {
--- a/src/managed/balancer/balancer-step.ts
+++ b/src/managed/balancer/balancer-step.ts
@@ -11,15 +11,15 @@
 import type { BalancerEffect, BalancerEvent } from './balancer-events.js';
 import {
   controlLinksTick,
-  gossipReceived,
-  leaveMembership,
-  linkMessage,
-  linkOpened,
-  peerClosed,
-  peerMessage,
+  handlePeerDatagram,
+  leaveGossip,
+  handleUplinkMessage,
+  handleUplinkOpened,
+  handlePeerClosed,
+  handlePeerMessage,
 } from './control-links.js';
 import { routePacket } from './forwarding.js';
-import { ownProbeEnded, probesDue, sharedHealthTick } from './shared-health.js';
+import { handleProbeResult, probesDue, sharedHealthTick } from './shared-health.js';
 import { expireOpens, handleOpen, handleOpenReply } from './open-handling.js';
 
 /**
@@ -37,9 +37,9 @@
   }
   return match(event)
     .with({ type: 'backend-datagram' }, ({ datagram }) => handleOpenReply(state, datagram, context))
-    .with({ type: 'link-opened' }, ({ linkId }) => linkOpened(state, linkId, context))
+    .with({ type: 'link-opened' }, ({ linkId }) => handleUplinkOpened(state, linkId, context))
     .with({ type: 'link-message' }, ({ linkId, message }) => {
-      const { effects, hasChanged } = linkMessage(state, linkId, message, context);
+      const { effects, hasChanged } = handleUplinkMessage(state, linkId, message, context);
       return hasChanged ? [...effects, ...probesDue(state, context)] : effects;
     })
     .with({ type: 'link-closed' }, ({ linkId }) => {
@@ -47,21 +47,23 @@
       return [];
     })
     .with({ type: 'peer-message' }, ({ linkId, message }) =>
-      peerMessage(state, linkId, message, context),
+      handlePeerMessage(state, linkId, message, context),
     )
     .with({ type: 'peer-closed' }, ({ linkId }) => {
-      peerClosed(state, linkId);
+      handlePeerClosed(state, linkId);
       return [];
     })
-    .with({ type: 'gossip' }, ({ message, from }) => gossipReceived(state, message, from, context))
+    .with({ type: 'gossip' }, ({ message, from }) =>
+      handlePeerDatagram(state, message, from, context),
+    )
     .with({ type: 'probe-result' }, ({ result }) => {
-      ownProbeEnded(state, result, context);
+      handleProbeResult(state, result, context);
       return [];
     })
     .with({ type: 'tick' }, () => handleTick(state, context))
     .with({ type: 'stop' }, () => {
       state.stopping = true;
-      return leaveMembership(state, context);
+      return leaveGossip(state, context);
     })
     .exhaustive();
 }
--- a/src/managed/balancer/candidates.ts
+++ b/src/managed/balancer/candidates.ts
@@ -5,7 +5,7 @@
 import type { StepContext } from '../../shared/common/step.js';
 import type { ProbeResult } from '../health/backend-report.js';
 import { explainJudgement, type BackendExplanation } from '../health/explanation.js';
-import { judgeOutcome, judgeProbe, type OpenOutcome } from '../health/judgement.js';
+import { updateOnOpenOutcome, updateOnProbe, type OpenOutcome } from '../health/judgement.js';
 import { fullBackendIds } from '../limits/backend-limits.js';
 import {
   estimateFailure,
@@ -18,7 +18,7 @@
 import { policyFor, type BalancerState, type PendingOpen } from './balancer-state.js';
 import {
   groupOf,
-  noteChange,
+  recordTransition,
   usableCandidatesOf,
   type BackendChange,
   type ServiceGroup,
@@ -60,15 +60,15 @@
     return;
   }
   const group = groupOf(state, view.backend.serviceId, context.nowMs);
-  noteIncarnation(view, result.health?.incarnation);
+  resetEstimateOnRestart(view, result.health?.incarnation);
   const distrustBefore = view.judgement.trust.distrust;
-  const change = judgeProbe(view.judgement, result, group.judgements, context.nowMs);
+  const change = updateOnProbe(view.judgement, result, group.judgements, context.nowMs);
   view.health = view.judgement.health;
-  noteChange(state, group, view, change);
+  recordTransition(state, group, view, change);
   if (distrustBefore === undefined && view.judgement.trust.distrust !== undefined) {
     raiseToMean(view, group);
   }
-  noteLoad(view, result, group, context);
+  recordLoad(view, result, group, context);
 }
 
 /**
@@ -76,7 +76,7 @@
  */
 export function recordAttempt(state: BalancerState, view: BackendView, context: StepContext): void {
   view.pendingOpens += 1;
-  estimateOpen(view.estimate, balancersLike(state, view), context.nowMs);
+  estimateOpen(view.estimate, balancersSendingTo(state, view), context.nowMs);
 }
 
 /**
@@ -92,14 +92,20 @@
 ): void {
   view.pendingOpens = Math.max(0, view.pendingOpens - 1);
   if (outcome !== 'accepted') {
-    estimateFailure(view.estimate, balancersLike(state, view), context.nowMs);
+    estimateFailure(view.estimate, balancersSendingTo(state, view), context.nowMs);
   }
   const group = groupOf(state, view.backend.serviceId, context.nowMs);
-  noteIncarnation(view, incarnation);
+  resetEstimateOnRestart(view, incarnation);
   const { judgement } = view;
-  const change = judgeOutcome(judgement, outcome, incarnation, group.judgements, context.nowMs);
+  const change = updateOnOpenOutcome(
+    judgement,
+    outcome,
+    incarnation,
+    group.judgements,
+    context.nowMs,
+  );
   view.health = judgement.health;
-  noteChange(state, group, view, change);
+  recordTransition(state, group, view, change);
 }
 
 /**
@@ -121,7 +127,7 @@
   return state.backendChanges.splice(0);
 }
 
-function noteIncarnation(view: BackendView, incarnation: number | undefined): void {
+function resetEstimateOnRestart(view: BackendView, incarnation: number | undefined): void {
   const known = view.health?.incarnation;
   if (known !== undefined && incarnation !== undefined && known !== incarnation) {
     resetEstimate(view.estimate);
@@ -136,7 +142,7 @@
 }
 
 /** A report that is not believed is replaced by the typical one of the service. */
-function noteLoad(
+function recordLoad(
   view: BackendView,
   { load }: ProbeResult,
   group: ServiceGroup,
@@ -156,6 +162,6 @@
 }
 
 /** How many balancers send their flows as this one does: those of the zone for a local back end. */
-function balancersLike({ options, fleet }: BalancerState, { backend }: BackendView): number {
+function balancersSendingTo({ options, fleet }: BalancerState, { backend }: BackendView): number {
   return backend.zone === options.zone ? fleet.localBalancerCount : fleet.balancerCount;
 }
--- a/src/managed/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -27,11 +27,11 @@
 import { expireReports } from '../dissemination/subtree-report.js';
 import type { PeerDatagram } from '../gossip/gossip-messages.js';
 import { allSharedResults } from '../health/health-sharing.js';
-import { liveBalancerCount, zoneMembers } from '../gossip/membership-state.js';
-import { membershipStep } from '../gossip/membership-step.js';
+import { liveBalancerCount, zoneMembers } from '../gossip/gossip-state.js';
+import { gossipStep } from '../gossip/gossip-step.js';
 import type { BalancerEffect, PeerSendEffect } from './balancer-events.js';
 import { applyConfigUpdate, type BalancerState } from './balancer-state.js';
-import { takeHealthState, takeSharedResults } from './shared-health.js';
+import { applyHealthState, applySharedResults } from './shared-health.js';
 
 /** Time between two counts of the live balancers, in milliseconds. */
 const FLEET_COUNT_INTERVAL_MS = 500;
@@ -39,7 +39,7 @@
 /**
  * The link upwards stands.
  */
-export function linkOpened(
+export function handleUplinkOpened(
   state: BalancerState,
   linkId: number,
   { nowMs }: StepContext,
@@ -51,7 +51,7 @@
  * Takes a message over the link upwards, and passes on an update that is new.
  * @returns the effects, and whether the configuration changed
  */
-export function linkMessage(
+export function handleUplinkMessage(
   state: BalancerState,
   linkId: number,
   message: ControlToBalancerMessage,
@@ -63,7 +63,7 @@
   const reaction = handleControlMessage(subscription, linkId, message, source, nowMs);
   const { update, results, effects } = reaction;
   if (results !== undefined) {
-    takeHealthState(state, results, context);
+    applyHealthState(state, results, context);
   }
   if (update === undefined) {
     return { effects, hasChanged: false };
@@ -77,7 +77,7 @@
 /**
  * Takes a message of a balancer that is linked to this one.
  */
-export function peerMessage(
+export function handlePeerMessage(
   state: BalancerState,
   linkId: LinkId,
   message: BalancerToControlMessage,
@@ -94,64 +94,61 @@
 /**
  * The link of another balancer is closed.
  */
-export function peerClosed(state: BalancerState, linkId: LinkId): void {
+export function handlePeerClosed(state: BalancerState, linkId: LinkId): void {
   handleSubscriberGone(state.publisher, linkId);
 }
 
 /**
  * Takes a datagram of another balancer.
  */
-export function gossipReceived(
+export function handlePeerDatagram(
   state: BalancerState,
   message: PeerDatagram,
   from: Address,
   context: StepContext,
 ): BalancerEffect[] {
-  const { membership } = state;
+  const { gossip } = state;
   if (message.type === 'health') {
-    takeSharedResults(state, message, context);
+    applySharedResults(state, message, context);
     return [];
   }
-  return membership === undefined
-    ? []
-    : membershipStep(membership, { type: 'gossip', message, from }, context);
+  return gossip === undefined ? [] : gossipStep(gossip, { type: 'gossip', message, from }, context);
 }
 
 /**
  * Time has passed.
  */
 export function controlLinksTick(state: BalancerState, context: StepContext): BalancerEffect[] {
-  const { membership, subscription, publisher } = state;
-  const gossip =
-    membership === undefined ? [] : membershipStep(membership, { type: 'tick' }, context);
+  const { gossip, subscription, publisher } = state;
+  const datagrams = gossip === undefined ? [] : gossipStep(gossip, { type: 'tick' }, context);
   replanLinks(state);
   countFleet(state, context.nowMs);
   expireReports(publisher.reports, context.nowMs);
-  return [...gossip, ...subscriptionTick(subscription, reportSource(state), context.nowMs)];
+  return [...datagrams, ...subscriptionTick(subscription, reportSource(state), context.nowMs)];
 }
 
 /**
  * A planned stop begins: the others needn't find out.
  */
-export function leaveMembership(state: BalancerState, context: StepContext): BalancerEffect[] {
-  const { membership } = state;
-  return membership === undefined ? [] : membershipStep(membership, { type: 'leave' }, context);
+export function leaveGossip(state: BalancerState, context: StepContext): BalancerEffect[] {
+  const { gossip } = state;
+  return gossip === undefined ? [] : gossipStep(gossip, { type: 'leave' }, context);
 }
 
 function replanLinks(state: BalancerState): void {
-  const { membership, subscription, options } = state;
-  if (membership !== undefined && membership.list.version !== state.plannedVersion) {
-    state.plannedVersion = membership.list.version;
-    setLinkPlan(subscription, planLinks(membership, options.controlAddresses));
+  const { gossip, subscription, options } = state;
+  if (gossip !== undefined && gossip.list.version !== state.linkPlanVersion) {
+    state.linkPlanVersion = gossip.list.version;
+    setLinkPlan(subscription, planLinks(gossip, options.controlAddresses));
   }
 }
 
 function countFleet(state: BalancerState, nowMs: number): void {
-  const { membership, fleet } = state;
-  if (membership !== undefined && nowMs >= state.nextFleetCountAtMs) {
+  const { gossip, fleet } = state;
+  if (gossip !== undefined && nowMs >= state.nextFleetCountAtMs) {
     state.nextFleetCountAtMs = nowMs + FLEET_COUNT_INTERVAL_MS;
-    fleet.balancerCount = liveBalancerCount(membership, nowMs);
-    fleet.localBalancerCount = zoneMembers(membership).length;
+    fleet.balancerCount = liveBalancerCount(gossip, nowMs);
+    fleet.localBalancerCount = zoneMembers(gossip).length;
   }
 }
 
--- a/src/managed/balancer/open-handling.ts
+++ b/src/managed/balancer/open-handling.ts
@@ -32,7 +32,7 @@
 import {
   admitOpen,
   admitRetry,
-  noteServices,
+  updateServices,
   OVERLOAD_RETRY_AFTER_MS,
   releaseOpen,
   type OpenRefusal,
@@ -262,7 +262,7 @@
   service: Service,
   { nowMs }: StepContext,
 ): OpenRefusal | undefined {
-  noteServices(state.limits, state.config.services, state.position.index);
+  updateServices(state.limits, state.config.services, state.position.index);
   const { options: limits, fleet } = state;
   const surroundings = { liveBalancerCount: fleet.balancerCount, limits, nowMs };
   return admitOpen(state.limits, service, surroundings);
--- a/src/managed/balancer/service-groups.ts
+++ b/src/managed/balancer/service-groups.ts
@@ -5,7 +5,7 @@
 import { isLeaseHeld } from '../dissemination/lease.js';
 import type { JudgementGroup, JudgementTransition } from '../health/judgement-state.js';
 import { probesFail } from '../health/judgement-rules.js';
-import { judgeAdminState } from '../health/judgement.js';
+import { updateAdminState } from '../health/judgement.js';
 import type { BackendView } from './backend-view.js';
 import { isBackendUsable, type BalancerState } from './balancer-state.js';
 
@@ -105,7 +105,7 @@
  * Keeps a change of state for the log, and the list of candidates up to date.
  * @param change undefined where there was none
  */
-export function noteChange(
+export function recordTransition(
   state: BalancerState,
   group: ServiceGroup,
   view: BackendView,
@@ -130,7 +130,7 @@
     addToGroup(groups, view);
   }
   for (const [serviceId, group] of groups.byServiceId) {
-    settleGroup(state, group, previous.get(serviceId), nowMs);
+    inheritGroup(state, group, previous.get(serviceId), nowMs);
   }
 }
 
@@ -154,7 +154,7 @@
 }
 
 /** Takes over what stays, so that an unchanged list of candidates remains the same array. */
-function settleGroup(
+function inheritGroup(
   state: BalancerState,
   group: ServiceGroup,
   previous: ServiceGroup | undefined,
@@ -167,11 +167,11 @@
   for (const view of views) {
     const { judgement, backend } = view;
     if (judgement.adminState !== backend.adminState) {
-      noteChange(
+      recordTransition(
         state,
         group,
         view,
-        judgeAdminState(judgement, backend.adminState, judgements, nowMs),
+        updateAdminState(judgement, backend.adminState, judgements, nowMs),
       );
     }
   }
--- a/src/managed/balancer/shared-health.ts
+++ b/src/managed/balancer/shared-health.ts
@@ -5,23 +5,23 @@
 import type { StepContext } from '../../shared/common/step.js';
 import { isLeaseHeld } from '../dissemination/lease.js';
 import type { ProbeResult } from '../health/backend-report.js';
-import { noteResult, resultsToShare, type SharedResult } from '../health/health-sharing.js';
+import { recordResult, resultsToShare, type SharedResult } from '../health/health-sharing.js';
 import {
   dueProbes,
-  noteObservation,
-  probeEnded,
+  recordObservation,
+  endProbe,
   type ProberGroup,
 } from '../health/probe-schedule.js';
 import type { HealthMessage } from '../gossip/gossip-messages.js';
 import { gossipAddress } from '../gossip/member.js';
 import { presentMembers } from '../gossip/member-list.js';
-import { zoneMembers } from '../gossip/membership-state.js';
+import { zoneMembers } from '../gossip/gossip-state.js';
 import type { BalancerEffect } from './balancer-events.js';
 import { recordIdentity, type BalancerState } from './balancer-state.js';
 import { recordProbe } from './candidates.js';
 
 /** Time between two messages to others, in milliseconds: with news, and without. */
-const NEWS_INTERVAL_MS = 500;
+const CHANGES_INTERVAL_MS = 500;
 const IDLE_INTERVAL_MS = 1_000;
 /** How many others are told at a time. */
 const SHARE_FANOUT = 2;
@@ -33,38 +33,38 @@
 /**
  * Takes the outcome of an own probe.
  */
-export function ownProbeEnded(
+export function handleProbeResult(
   state: BalancerState,
   result: ProbeResult,
   context: StepContext,
 ): void {
-  const startedAtMs = probeEnded(state.probes, result.backendId);
+  const startedAtMs = endProbe(state.probes, result.backendId);
   recordProbe(state, result, context);
   recordIdentity(state, result, startedAtMs);
   if (startedAtMs !== undefined) {
-    noteResult(state.sharing, result, startedAtMs, tellingsOf(state));
+    recordResult(state.sharing, result, startedAtMs, sendsPerChange(state));
   }
 }
 
 /**
  * Takes results of another balancer of the zone, those that are later than what is known.
  */
-export function takeSharedResults(
+export function applySharedResults(
   state: BalancerState,
   message: HealthMessage,
   context: StepContext,
 ): void {
   const { nowMs } = context;
-  noteGap(state, nowMs);
+  detectPause(state, nowMs);
   if (message.zone !== state.options.zone || nowMs < state.distrustUntilMs) {
     return;
   }
   for (const { ageMs, ...result } of message.results) {
     const observedAtMs = nowMs - ageMs;
-    if (noteObservation(state.probes, result.backendId, observedAtMs)) {
+    if (recordObservation(state.probes, result.backendId, observedAtMs)) {
       recordProbe(state, result, { ...context, nowMs: observedAtMs });
       recordIdentity(state, result, observedAtMs);
-      noteResult(state.sharing, result, observedAtMs, tellingsOf(state));
+      recordResult(state.sharing, result, observedAtMs, sendsPerChange(state));
     }
   }
 }
@@ -73,14 +73,14 @@
  * Takes what another balancer told over a link when this one joined. A link may have held it up for
  * long, so it confirms no identity and is not told on.
  */
-export function takeHealthState(
+export function applyHealthState(
   state: BalancerState,
   results: readonly SharedResult[],
   context: StepContext,
 ): void {
   for (const { ageMs, ...result } of results) {
     const observedAtMs = context.nowMs - ageMs;
-    if (noteObservation(state.probes, result.backendId, observedAtMs)) {
+    if (recordObservation(state.probes, result.backendId, observedAtMs)) {
       recordProbe(state, result, { ...context, nowMs: observedAtMs });
     }
   }
@@ -90,9 +90,9 @@
  * Begins the probes that are due, and tells others what is known.
  */
 export function sharedHealthTick(state: BalancerState, context: StepContext): BalancerEffect[] {
-  noteGap(state, context.nowMs);
+  detectPause(state, context.nowMs);
   state.healthTickAtMs = context.nowMs;
-  return [...probesDue(state, context), ...share(state, context)];
+  return [...probesDue(state, context), ...shareResults(state, context)];
 }
 
 /**
@@ -104,32 +104,32 @@
 }
 
 /** Datagrams that waited while this process was paused tell a past for the present. */
-function noteGap(state: BalancerState, nowMs: number): void {
+function detectPause(state: BalancerState, nowMs: number): void {
   if (nowMs - (state.healthTickAtMs ?? nowMs) > PAUSE_LIMIT_MS) {
     state.distrustUntilMs = nowMs + DISTRUST_AFTER_PAUSE_MS;
   }
 }
 
-function proberGroup({ membership, options, plannedVersion, probers }: BalancerState): ProberGroup {
-  if (membership === undefined) {
+function proberGroup({ gossip, options, linkPlanVersion, probers }: BalancerState): ProberGroup {
+  if (gossip === undefined) {
     return probers.group;
   }
-  if (probers.plannedVersion !== plannedVersion) {
-    const ids = zoneMembers(membership).map(({ id }) => id);
-    probers.plannedVersion = plannedVersion;
-    probers.group = { selfId: options.balancerId, ids, version: plannedVersion };
+  if (probers.plannedVersion !== linkPlanVersion) {
+    const ids = zoneMembers(gossip).map(({ id }) => id);
+    probers.plannedVersion = linkPlanVersion;
+    probers.group = { selfId: options.balancerId, ids, version: linkPlanVersion };
   }
   return probers.group;
 }
 
-function share(state: BalancerState, { nowMs, random }: StepContext): BalancerEffect[] {
-  const { membership, options } = state;
-  const intervalMs = state.sharing.news.size > 0 ? NEWS_INTERVAL_MS : IDLE_INTERVAL_MS;
-  if (membership === undefined || nowMs < state.sharedAtMs + intervalMs) {
+function shareResults(state: BalancerState, { nowMs, random }: StepContext): BalancerEffect[] {
+  const { gossip, options } = state;
+  const intervalMs = state.sharing.changed.size > 0 ? CHANGES_INTERVAL_MS : IDLE_INTERVAL_MS;
+  if (gossip === undefined || nowMs < state.resultsSharedAtMs + intervalMs) {
     return [];
   }
-  state.sharedAtMs = nowMs;
-  const others = presentMembers(membership.list);
+  state.resultsSharedAtMs = nowMs;
+  const others = presentMembers(gossip.list);
   const effects: BalancerEffect[] = [];
   for (let count = Math.min(SHARE_FANOUT, others.length); count > 0; count -= 1) {
     const [receiver] = others.splice(random.nextInt(others.length), 1);
@@ -143,7 +143,7 @@
 }
 
 /** Enough for a piece of news to reach all members, each telling it on. */
-function tellingsOf({ membership }: BalancerState): number {
-  const others = membership?.list.members.size ?? 0;
+function sendsPerChange({ gossip }: BalancerState): number {
+  const others = gossip?.list.members.size ?? 0;
   return others === 0 ? 0 : Math.ceil(Math.log2(others + 1)) + 2;
 }
--- a/src/managed/control/cluster-join.ts
+++ b/src/managed/control/cluster-join.ts
@@ -54,7 +54,7 @@
 /**
  * Notes an announcement.
  */
-export function noteAnnouncement(
+export function applyAnnouncement(
   join: JoinState,
   consensus: ConsensusState,
   envelope: PeerEnvelope,
--- a/src/managed/control/control-step.ts
+++ b/src/managed/control/control-step.ts
@@ -12,7 +12,7 @@
   RefusalKind,
 } from '../../shared/consensus/consensus-events.js';
 import type { MemberChange } from '../../shared/consensus/membership.js';
-import { leaseAuthorityTick, takeConfirmation } from '../dissemination/lease-authority.js';
+import { leaseAuthorityTick, applyConfirmation } from '../dissemination/lease-authority.js';
 import {
   disseminationStatus,
   handleSubscriberGone,
@@ -23,7 +23,7 @@
   bootstrapEvent,
   isAnnouncementDue,
   machinesToAdd,
-  noteAnnouncement,
+  applyAnnouncement,
 } from './cluster-join.js';
 import { encodeClusterState } from './cluster-snapshot.js';
 import { encodeCommandEntry } from './command-codec.js';
@@ -78,7 +78,7 @@
     .with({ type: 'change-members' }, ({ requestId, command }) =>
       changeMembers(state, requestId, command, context),
     )
-    .with({ type: 'peer-message' }, ({ envelope }) => takeEnvelope(state, envelope, context))
+    .with({ type: 'peer-message' }, ({ envelope }) => handleEnvelope(state, envelope, context))
     .with({ type: 'persisted' }, { type: 'persist-failed' }, (ended) =>
       runConsensus(state, ended, context),
     )
@@ -156,7 +156,7 @@
   return { type, member: { nodeId, storageId, linkAddress, operatorAddress } };
 }
 
-function takeEnvelope(
+function handleEnvelope(
   state: ControlState,
   envelope: PeerEnvelope,
   context: StepContext,
@@ -167,7 +167,7 @@
     return [];
   }
   if (message.type === 'announcement' && envelope.proof === state.proof) {
-    noteAnnouncement(state.join, state.consensus, envelope, message, context.nowMs);
+    applyAnnouncement(state.join, state.consensus, envelope, message, context.nowMs);
     return message.wantsAnswer ? [announce(state, replyTo, from, false)] : [];
   }
   const decision = decideAtGate(state, envelope);
@@ -269,11 +269,11 @@
   context: StepContext,
 ): ControlEffect[] {
   const effects = consensusStep(state.consensus, event, context);
-  const taken = effects.flatMap((effect) => takeConsensusEffect(state, effect));
-  return [...taken, ...takeSnapshotWhereDue(state, context)];
+  const taken = effects.flatMap((effect) => handleConsensusEffect(state, effect));
+  return [...taken, ...snapshotIfDue(state, context)];
 }
 
-function takeConsensusEffect(state: ControlState, effect: ConsensusEffect): ControlEffect[] {
+function handleConsensusEffect(state: ControlState, effect: ConsensusEffect): ControlEffect[] {
   return match(effect)
     .with({ type: 'persist' }, { type: 'persist-snapshot' }, { type: 'role-changed' }, (same) => [
       same,
@@ -298,7 +298,7 @@
       replyTo(proposalId, refusedOutcome(state, kind, reason)),
     )
     .with({ type: 'read-ready' }, ({ readId }): ControlEffect[] =>
-      takeConfirmation(state.leaseAuthority, readId)
+      applyConfirmation(state.leaseAuthority, readId)
         ? []
         : [{ type: 'query-reply', requestId: readId }],
     )
@@ -367,7 +367,7 @@
     .exhaustive();
 }
 
-function takeSnapshotWhereDue(state: ControlState, context: StepContext): ControlEffect[] {
+function snapshotIfDue(state: ControlState, context: StepContext): ControlEffect[] {
   const { consensus, cluster } = state;
   const since = cluster.index - (consensus.snapshot?.index ?? 0);
   if (since < state.snapshotIntervalEntries || cluster.index > consensus.commitIndex) {
--- a/src/managed/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -46,7 +46,7 @@
     balancerId: nodeId,
     zone,
     clusterKey,
-    membership: {
+    gossip: {
       ...peers.addresses,
       incarnation: Math.floor(Date.now() / MILLISECONDS_PER_SECOND),
       seeds: balancer.seeds,
--- a/src/managed/daemon/control-edge.ts
+++ b/src/managed/daemon/control-edge.ts
@@ -61,7 +61,7 @@
 
   /** Puts a command into the log; resolves with its outcome. */
   propose(entry: CommandEntry): Promise<CommandOutcome> {
-    const requestId = this.takeRequestId();
+    const requestId = this.allocateRequestId();
     return new Promise((resolve) => {
       this.commands.set(requestId, resolve);
       this.step({ type: 'propose', requestId, entry });
@@ -70,7 +70,7 @@
 
   /** Changes the control machines; resolves with the outcome. */
   changeMembers(command: MemberCommand): Promise<CommandOutcome> {
-    const requestId = this.takeRequestId();
+    const requestId = this.allocateRequestId();
     return new Promise((resolve) => {
       this.commands.set(requestId, resolve);
       this.step({ type: 'change-members', requestId, command });
@@ -79,7 +79,7 @@
 
   /** Resolves once a quorum has confirmed that this machine leads, or with why it does not. */
   query(): Promise<QueryAnswer> {
-    const requestId = this.takeRequestId();
+    const requestId = this.allocateRequestId();
     return new Promise((resolve) => {
       this.queries.set(requestId, resolve);
       this.step({ type: 'query', requestId });
@@ -125,7 +125,7 @@
     }
   }
 
-  private takeRequestId(): RequestId {
+  private allocateRequestId(): RequestId {
     const requestId = this.nextRequestId;
     this.nextRequestId += 1;
     return requestId;
@@ -144,7 +144,7 @@
         this.queries.get(requestId)?.(answer);
         this.queries.delete(requestId);
       })
-      .with({ type: 'role-changed' }, () => this.noteRole())
+      .with({ type: 'role-changed' }, () => this.logRole())
       .exhaustive();
   }
 
@@ -160,7 +160,7 @@
     );
   }
 
-  private noteRole(): void {
+  private logRole(): void {
     const { role, term, leaderId } = this.state.consensus;
     this.logger.info(`Now ${role.name} in term ${term}; leader ${leaderId ?? 'not known'}.`);
   }
--- a/src/managed/dissemination/lease-authority.ts
+++ b/src/managed/dissemination/lease-authority.ts
@@ -86,7 +86,7 @@
  * A quorum has confirmed a read.
  * @returns true where the read was one of this authority's
  */
-export function takeConfirmation(authority: LeaseAuthority, readId: number): boolean {
+export function applyConfirmation(authority: LeaseAuthority, readId: number): boolean {
   if (authority.round?.readId === readId) {
     authority.confirmedAtMs = authority.round.startedAtMs;
     authority.round = undefined;
--- a/src/managed/dissemination/lease.ts
+++ b/src/managed/dissemination/lease.ts
@@ -54,7 +54,7 @@
  * @param positionIndex the log index in force
  * @returns true where it extended the lease
  */
-export function takeGrant(lease: Lease, grant: LeaseGrant, positionIndex: number): boolean {
+export function applyGrant(lease: Lease, grant: LeaseGrant, positionIndex: number): boolean {
   const expiresAtMs = grant.askedAtMs + Math.min(grant.remainingMs, LEASE_DURATION_MS);
   if (positionIndex < grant.floorIndex || expiresAtMs <= lease.expiresAtMs) {
     return false;
--- a/src/managed/dissemination/link-plan.ts
+++ b/src/managed/dissemination/link-plan.ts
@@ -3,11 +3,7 @@
  * first, of which it takes the first that works.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
-import {
-  otherZoneContacts,
-  zoneMembers,
-  type MembershipState,
-} from '../gossip/membership-state.js';
+import { otherZoneContacts, zoneMembers, type GossipState } from '../gossip/gossip-state.js';
 import { linkAddress, type MemberRecord } from '../gossip/member.js';
 import { chooseByRendezvous, hashText } from '../../shared/common/rendezvous.js';
 
@@ -38,10 +34,7 @@
  * other balancers come last, for when no control machine can be reached.
  * @param controlAddresses in the settings' order
  */
-export function planLinks(
-  membership: MembershipState,
-  controlAddresses: readonly Address[],
-): LinkPlan {
+export function planLinks(membership: GossipState, controlAddresses: readonly Address[]): LinkPlan {
   const { id, zone } = membership.options;
   const members = zoneMembers(membership);
   const relays = zoneRelays(zone, members);
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -31,7 +31,7 @@
   dropLink,
   expireReports,
   lowestIndex,
-  takeReport,
+  applyReport,
   type BalancerReport,
   type SubtreeReports,
 } from './subtree-report.js';
@@ -150,7 +150,7 @@
   }
   const { position, sentAtMs, subtree } = message;
   const report = { ...subscriber, index: position.index, ...(subtree && { subtree }) };
-  takeReport(state.reports, linkId, report, nowMs);
+  applyReport(state.reports, linkId, report, nowMs);
   return [...updates, heartbeat(state, linkId, sentAtMs, nowMs)];
 }
 
--- a/src/managed/dissemination/subscription.ts
+++ b/src/managed/dissemination/subscription.ts
@@ -6,7 +6,7 @@
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { ConfigPosition, ConfigUpdate } from '../control/config-delta.js';
 import type { SharedResult } from '../health/health-sharing.js';
-import { expiredLease, takeGrant, type Lease } from './lease.js';
+import { expiredLease, applyGrant, type Lease } from './lease.js';
 import type {
   AcknowledgeMessage,
   BalancerToControlMessage,
@@ -27,13 +27,13 @@
 /** The same while there is no configuration yet. */
 const JOIN_SILENCE_LIMIT_MS = 300;
 /** A link that extends no lease for this time is given up for another candidate, in milliseconds. */
-const BARREN_LIMIT_MS = 6_000;
+const NO_LEASE_LIMIT_MS = 6_000;
 /** How long a leader whose link failed is not tried again, in milliseconds. */
 const LEADER_RETRY_INTERVAL_MS = 5_000;
 /** Time until a better candidate is tried again, in milliseconds. */
 const PREFERRED_RETRY_INTERVAL_MS = 30_000;
 /** The same at a candidate that has extended no lease yet. */
-const BARREN_RETRY_INTERVAL_MS = 1_500;
+const NO_LEASE_RETRY_INTERVAL_MS = 1_500;
 /** How long reports from below are gathered before they are passed on, in milliseconds. */
 const GATHER_MS = 200;
 
@@ -79,7 +79,7 @@
   /** The highest committed position that was heard of. */
   committed: ConfigPosition;
   /** When a message last came, or the link was opened. */
-  heardAtMs: number;
+  receivedAtMs: number;
   /** True once a message has come over the link. */
   hasAnswered: boolean;
   /** When the lease was last extended, or the link was opened. */
@@ -146,7 +146,7 @@
     leader: undefined,
     failedLeader: undefined,
     committed: { term: 0, index: 0 },
-    heardAtMs: 0,
+    receivedAtMs: 0,
     hasAnswered: false,
     extendedAtMs: 0,
     hasExtended: false,
@@ -185,7 +185,7 @@
   source: ReportSource,
   nowMs: number,
 ): SubscriptionEffect[] {
-  if (state.linked && isUseless(state, source, nowMs)) {
+  if (state.linked && isLinkUseless(state, source, nowMs)) {
     handleLinkClosed(state, state.linkId, nowMs);
   }
   if (!state.linked) {
@@ -255,12 +255,12 @@
   if (linkId !== state.linkId) {
     return { effects: [] };
   }
-  state.heardAtMs = nowMs;
+  state.receivedAtMs = nowMs;
   state.hasAnswered = true;
   return match(message)
     .with({ type: 'update' }, ({ update }): SubscriptionReaction => ({ update, effects: [] }))
     .with({ type: 'heartbeat' }, (heartbeat): SubscriptionReaction => ({
-      effects: takeHeartbeat(state, heartbeat, source, nowMs),
+      effects: applyHeartbeat(state, heartbeat, source, nowMs),
     }))
     .with({ type: 'health-state' }, ({ results }): SubscriptionReaction => ({
       results,
@@ -329,21 +329,25 @@
   return nowMs - state.sentAtMs >= (hasNews ? GATHER_MS : RENEW_INTERVAL_MS);
 }
 
-function isUseless(state: SubscriptionState, { position }: ReportSource, nowMs: number): boolean {
+function isLinkUseless(
+  state: SubscriptionState,
+  { position }: ReportSource,
+  nowMs: number,
+): boolean {
   const isFirst = position.index === 0;
   const firstLimitMs = isFirst ? JOIN_SILENCE_LIMIT_MS : FIRST_SILENCE_LIMIT_MS;
   const silenceLimitMs = state.hasAnswered ? SILENCE_LIMIT_MS : firstLimitMs;
   const hasOthers = state.plan.candidates.length > 1;
   return (
-    nowMs - state.heardAtMs > silenceLimitMs ||
-    (hasOthers && nowMs - state.extendedAtMs > BARREN_LIMIT_MS)
+    nowMs - state.receivedAtMs > silenceLimitMs ||
+    (hasOthers && nowMs - state.extendedAtMs > NO_LEASE_LIMIT_MS)
   );
 }
 
 function shouldRetryPreferred(state: SubscriptionState, nowMs: number): boolean {
   const { plan, cursor, preferredRetryAtMs, hasExtended, extendedAtMs } = state;
   const isPreferred = cursor < plan.preferredCount;
-  const dueAtMs = hasExtended ? preferredRetryAtMs : extendedAtMs + BARREN_RETRY_INTERVAL_MS;
+  const dueAtMs = hasExtended ? preferredRetryAtMs : extendedAtMs + NO_LEASE_RETRY_INTERVAL_MS;
   return !isPreferred && plan.preferredCount > 0 && nowMs >= dueAtMs;
 }
 
@@ -372,7 +376,7 @@
   state.linkId += 1;
   state.linked = true;
   state.address = address;
-  state.heardAtMs = nowMs;
+  state.receivedAtMs = nowMs;
   state.hasAnswered = false;
   state.extendedAtMs = nowMs;
   state.hasExtended = false;
@@ -383,7 +387,7 @@
   return [{ type: 'link-open', linkId: state.linkId, address }];
 }
 
-function takeHeartbeat(
+function applyHeartbeat(
   state: SubscriptionState,
   heartbeat: HeartbeatMessage,
   source: ReportSource,
@@ -393,7 +397,7 @@
   const { position } = source;
   state.committed = committed;
   state.refused = false;
-  if (lease !== undefined && takeGrant(state.lease, lease, position.index)) {
+  if (lease !== undefined && applyGrant(state.lease, lease, position.index)) {
     state.extendedAtMs = nowMs;
     state.hasExtended = true;
     state.returnTo = undefined;
--- a/src/managed/dissemination/subtree-report.ts
+++ b/src/managed/dissemination/subtree-report.ts
@@ -93,7 +93,7 @@
 /**
  * Takes a report. Who reports over several links counts where it was linked last.
  */
-export function takeReport(
+export function applyReport(
   reports: SubtreeReports,
   linkId: number,
   report: IncomingReport,
@@ -104,7 +104,7 @@
   const link = known ?? newLink(balancerId, zone);
   if (known === undefined) {
     reports.links.set(linkId, link);
-    claim(reports, linkId, balancerId);
+    removeElsewhere(reports, linkId, balancerId);
     reports.membersVersion += 1;
   }
   if (link.index !== index || hasOtherIndexes(link, subtree)) {
@@ -233,7 +233,7 @@
     const { balancerId, isLinked } = member;
     // Whoever lost a balancer's link does not know where it went; the one it is linked to does.
     if (isLinked || !isKnownElsewhere(reports, linkId, balancerId)) {
-      claim(reports, linkId, balancerId);
+      removeElsewhere(reports, linkId, balancerId);
       link.members.set(balancerId, member);
     }
   }
@@ -250,7 +250,7 @@
 }
 
 /** Removes a balancer from wherever else it was known. */
-function claim(reports: SubtreeReports, linkId: number, balancerId: string): void {
+function removeElsewhere(reports: SubtreeReports, linkId: number, balancerId: string): void {
   reports.unlinked.delete(balancerId);
   for (const [otherId, other] of reports.links) {
     if (otherId === linkId) {
--- a/src/managed/gossip/failure-detector.ts
+++ b/src/managed/gossip/failure-detector.ts
@@ -6,8 +6,8 @@
 import type { StepContext } from '../../shared/common/step.js';
 import { MAX_RECORDS, type AckMessage, type GossipHeader } from './gossip-messages.js';
 import { isPresent, type MemberRecord } from './member.js';
-import { forgetMember, presentMembers, recordHash, setStatus, takeNews } from './member-list.js';
-import { sendTo, type GossipSendEffect, type MembershipState } from './membership-state.js';
+import { forgetMember, presentMembers, recordHash, setStatus, nextUpdates } from './member-list.js';
+import { sendTo, type GossipSendEffect, type GossipState } from './gossip-state.js';
 import { nextSummaries } from './zone-summaries.js';
 
 /** Time between two rounds, in milliseconds. */
@@ -31,11 +31,11 @@
  * @returns what every datagram to a member of the zone carries
  * @param receiverId where known, so that it hears what is believed of it
  */
-export function zoneHeader(state: MembershipState, receiverId?: string): GossipHeader {
+export function zoneHeader(state: GossipState, receiverId?: string): GossipHeader {
   return {
     zone: state.options.zone,
     sender: state.self,
-    updates: takeNews(state.list, MAX_RECORDS, receiverId),
+    updates: nextUpdates(state.list, MAX_RECORDS, receiverId),
     zones: nextSummaries(state, 1),
   };
 }
@@ -43,12 +43,12 @@
 /**
  * Runs the rounds.
  */
-export function detectorTick(state: MembershipState, context: StepContext): GossipSendEffect[] {
+export function detectorTick(state: GossipState, context: StepContext): GossipSendEffect[] {
   const { nowMs } = context;
-  forgivePause(state, nowMs);
-  endSuspicions(state, nowMs);
+  compensatePause(state, nowMs);
+  expireStatuses(state, nowMs);
   expireForwarded(state, nowMs);
-  const effects = askOthers(state, context);
+  const effects = sendIndirectPings(state, context);
   if (nowMs >= state.nextRoundAtMs) {
     state.nextRoundAtMs = nowMs + ROUND_INTERVAL_MS;
     endRound(state, nowMs);
@@ -60,8 +60,8 @@
 /**
  * @returns a ping to a member or to an address whose member is not known
  */
-export function pingMessage(state: MembershipState, receiverId?: string) {
-  const sequence = takeSequence(state);
+export function pingMessage(state: GossipState, receiverId?: string) {
+  const sequence = allocateSequence(state);
   const header = zoneHeader(state, receiverId);
   return { type: 'ping' as const, ...header, sequence, digest: ownDigest(state) };
 }
@@ -69,18 +69,14 @@
 /**
  * @returns the answer to a ping
  */
-export function ackMessage(
-  state: MembershipState,
-  sequence: number,
-  receiverId?: string,
-): AckMessage {
+export function ackMessage(state: GossipState, sequence: number, receiverId?: string): AckMessage {
   return { type: 'ack', ...zoneHeader(state, receiverId), sequence, digest: ownDigest(state) };
 }
 
 /**
  * Takes an acknowledgement: for the own ping, or for one on behalf of another.
  */
-export function takeAck(state: MembershipState, message: AckMessage): GossipSendEffect[] {
+export function handleAck(state: GossipState, message: AckMessage): GossipSendEffect[] {
   const { pending } = state;
   if (pending?.sequence === message.sequence) {
     pending.acknowledged = true;
@@ -98,7 +94,7 @@
  * Pings a member on behalf of another.
  */
 export function forwardPing(
-  state: MembershipState,
+  state: GossipState,
   request: { readonly sequence: number; readonly target: Parameters<typeof sendTo>[0] },
   origin: GossipSendEffect['to'],
   nowMs: number,
@@ -118,12 +114,12 @@
 /**
  * @returns a digest of all members, the sender among them, that is equal where the lists are
  */
-export function ownDigest(state: MembershipState): number {
+export function ownDigest(state: GossipState): number {
   return (state.list.digest ^ recordHash(state.self)) >>> 0;
 }
 
 /** After a pause, answers that came late blame nobody. */
-function forgivePause(state: MembershipState, nowMs: number): void {
+function compensatePause(state: GossipState, nowMs: number): void {
   const gapMs = nowMs - (state.lastTickAtMs ?? nowMs);
   state.lastTickAtMs = nowMs;
   if (gapMs <= PAUSE_LIMIT_MS) {
@@ -137,7 +133,7 @@
   }
 }
 
-function endSuspicions(state: MembershipState, nowMs: number): void {
+function expireStatuses(state: GossipState, nowMs: number): void {
   for (const [id, { record, changedAtMs }] of state.list.members) {
     const ageMs = nowMs - changedAtMs;
     if (record.status === 'suspect' && ageMs >= SUSPICION_MS) {
@@ -150,7 +146,7 @@
   }
 }
 
-function expireForwarded(state: MembershipState, nowMs: number): void {
+function expireForwarded(state: GossipState, nowMs: number): void {
   for (const [sequence, { expiresAtMs }] of state.forwarded) {
     if (expiresAtMs <= nowMs) {
       state.forwarded.delete(sequence);
@@ -158,18 +154,18 @@
   }
 }
 
-function askOthers(state: MembershipState, context: StepContext): GossipSendEffect[] {
+function sendIndirectPings(state: GossipState, context: StepContext): GossipSendEffect[] {
   const { pending } = state;
   const isDue =
     pending !== undefined &&
     !pending.acknowledged &&
-    !pending.askedOthers &&
+    !pending.indirectPingsSent &&
     context.nowMs - pending.sentAtMs >= PING_TIMEOUT_MS;
   const target = isDue ? state.list.members.get(pending.targetId)?.record : undefined;
   if (!isDue || target === undefined) {
     return [];
   }
-  pending.askedOthers = true;
+  pending.indirectPingsSent = true;
   const others = presentMembers(state.list).filter(({ id }) => id !== target.id);
   const { host, gossipPort, linkPort } = target;
   return shuffled(others, context)
@@ -184,7 +180,7 @@
     );
 }
 
-function endRound(state: MembershipState, nowMs: number): void {
+function endRound(state: GossipState, nowMs: number): void {
   const { pending } = state;
   state.pending = undefined;
   const isSilent = pending !== undefined && !pending.acknowledged;
@@ -193,7 +189,7 @@
   }
 }
 
-function beginRound(state: MembershipState, context: StepContext): GossipSendEffect[] {
+function beginRound(state: GossipState, context: StepContext): GossipSendEffect[] {
   const target = nextTarget(state, context);
   if (target === undefined) {
     return [];
@@ -203,14 +199,14 @@
     targetId: target.id,
     sequence: message.sequence,
     sentAtMs: context.nowMs,
-    askedOthers: false,
+    indirectPingsSent: false,
     acknowledged: false,
   };
   return [sendTo(target, message)];
 }
 
 /** Each present member once a turn, in an order drawn anew for each turn. */
-function nextTarget(state: MembershipState, context: StepContext): MemberRecord | undefined {
+function nextTarget(state: GossipState, context: StepContext): MemberRecord | undefined {
   if (state.turn.length === 0) {
     state.turn = shuffled(presentMembers(state.list), context).map(({ id }) => id);
   }
@@ -223,7 +219,7 @@
   return undefined;
 }
 
-function takeSequence(state: MembershipState): number {
+function allocateSequence(state: GossipState): number {
   const sequence = state.nextSequence;
   state.nextSequence += 1;
   return sequence;
--- a/src/managed/gossip/membership-state.ts
+++ b/src/managed/gossip/gossip-state.ts
@@ -11,7 +11,7 @@
 const ZONE_LIFETIME_MS = 60_000;
 
 /** Options of a member. */
-export interface MembershipOptions extends MemberAddresses {
+export interface GossipOptions extends MemberAddresses {
   readonly id: string;
   readonly zone: string;
   /** Above that of any earlier run of this balancer, such as the Unix time of the start in seconds. */
@@ -25,7 +25,7 @@
   readonly targetId: string;
   readonly sequence: number;
   readonly sentAtMs: number;
-  askedOthers: boolean;
+  indirectPingsSent: boolean;
   acknowledged: boolean;
 }
 
@@ -43,8 +43,8 @@
 }
 
 /** The state of a member. */
-export interface MembershipState {
-  readonly options: MembershipOptions;
+export interface GossipState {
+  readonly options: GossipOptions;
   self: MemberRecord;
   readonly list: MemberList;
   readonly zones: Map<string, KnownZone>;
@@ -76,7 +76,7 @@
 /**
  * @returns a member that knows only itself
  */
-export function createMembership(options: MembershipOptions): MembershipState {
+export function createGossip(options: GossipOptions): GossipState {
   const { id, host, gossipPort, linkPort, incarnation } = options;
   return {
     options,
@@ -101,7 +101,7 @@
 /**
  * @returns the members of the own zone that are believed to be alive, with this balancer
  */
-export function zoneMembers(state: MembershipState): MemberRecord[] {
+export function zoneMembers(state: GossipState): MemberRecord[] {
   const others = presentMembers(state.list);
   return state.self.status === 'alive' ? [state.self, ...others] : others;
 }
@@ -109,7 +109,7 @@
 /**
  * @returns how many balancers are alive, in all zones; the other zones' part may lag by a minute
  */
-export function liveBalancerCount(state: MembershipState, nowMs: number): number {
+export function liveBalancerCount(state: GossipState, nowMs: number): number {
   let count = zoneMembers(state).length;
   for (const [zone, { summary, renewedAtMs }] of state.zones) {
     if (zone !== state.options.zone && nowMs - renewedAtMs < ZONE_LIFETIME_MS) {
@@ -122,7 +122,7 @@
 /**
  * @returns addresses of balancers in other zones, those of zones heard of last first
  */
-export function otherZoneContacts(state: MembershipState): MemberAddresses[] {
+export function otherZoneContacts(state: GossipState): MemberAddresses[] {
   return [...state.zones]
     .filter(([zone]) => zone !== state.options.zone)
     .sort(([, one], [, other]) => other.renewedAtMs - one.renewedAtMs)
--- a/src/managed/gossip/membership-step.ts
+++ b/src/managed/gossip/gossip-step.ts
@@ -11,14 +11,14 @@
   ownDigest,
   pingMessage,
   shuffled,
-  takeAck,
+  handleAck,
   zoneHeader,
 } from './failure-detector.js';
 import { MAX_RECORDS, type GossipMessage } from './gossip-messages.js';
 import { gossipAddress, type MemberRecord } from './member.js';
-import { presentMembers, takeRecord } from './member-list.js';
-import { sendTo, type GossipSendEffect, type MembershipState } from './membership-state.js';
-import { summaryOf, takeSummaries, zonesMessage, zonesTick } from './zone-summaries.js';
+import { presentMembers, applyRecord } from './member-list.js';
+import { sendTo, type GossipSendEffect, type GossipState } from './gossip-state.js';
+import { summaryOf, applySummaries, zonesMessage, zonesTick } from './zone-summaries.js';
 
 /** Time between two tries to find members, in milliseconds: while alone, and otherwise. */
 const LONELY_SEED_INTERVAL_MS = 500;
@@ -31,7 +31,7 @@
 const LEAVE_MESSAGES = 5;
 
 /** What can happen to a member. */
-export type MembershipEvent =
+export type GossipEvent =
   | { readonly type: 'gossip'; readonly message: GossipMessage; readonly from: Address }
   /** Time has passed; comes at least every 100 ms. */
   | { readonly type: 'tick' }
@@ -42,9 +42,9 @@
  * Takes one event.
  * @returns the datagrams to send
  */
-export function membershipStep(
-  state: MembershipState,
-  event: MembershipEvent,
+export function gossipStep(
+  state: GossipState,
+  event: GossipEvent,
   context: StepContext,
 ): GossipSendEffect[] {
   return match(event)
@@ -54,7 +54,7 @@
     .exhaustive();
 }
 
-function tick(state: MembershipState, context: StepContext): GossipSendEffect[] {
+function tick(state: GossipState, context: StepContext): GossipSendEffect[] {
   if (state.self.status === 'left') {
     return [];
   }
@@ -66,27 +66,27 @@
 }
 
 function handleGossip(
-  state: MembershipState,
+  state: GossipState,
   message: GossipMessage,
   from: Address,
   context: StepContext,
 ): GossipSendEffect[] {
-  takeSummaries(state, message.zones, context.nowMs);
+  applySummaries(state, message.zones, context.nowMs);
   if (message.zone !== state.options.zone) {
     return handleOtherZone(state, message, from, context);
   }
   [message.sender, ...message.updates].forEach((record) =>
-    takeNewsOf(state, record, context.nowMs),
+    applyUpdate(state, record, context.nowMs),
   );
   return match(message)
     .with({ type: 'ping' }, ({ sequence, sender, digest }) => [
       reply(from, ackMessage(state, sequence, sender.id)),
-      ...syncWhereDifferent(state, digest, from, context),
+      ...syncIfDifferent(state, digest, from, context),
     ])
     .with({ type: 'ping-request' }, (request) => forwardPing(state, request, from, context.nowMs))
     .with({ type: 'ack' }, (ack) => [
-      ...takeAck(state, ack),
-      ...syncWhereDifferent(state, ack.digest, from, context),
+      ...handleAck(state, ack),
+      ...syncIfDifferent(state, ack.digest, from, context),
     ])
     .with({ type: 'sync' }, ({ wantsAnswer }) =>
       wantsAnswer ? sendWholeList(state, from, false) : [],
@@ -97,7 +97,7 @@
 
 /** A balancer of another zone learns about zones, and where its own zone is. */
 function handleOtherZone(
-  state: MembershipState,
+  state: GossipState,
   message: GossipMessage,
   from: Address,
   context: StepContext,
@@ -106,7 +106,7 @@
   const { host, gossipPort, linkPort } = sender;
   const contacts = [{ host, gossipPort, linkPort }];
   // Taken only where nothing is known of the zone.
-  takeSummaries(state, [{ zone, version: 0, liveCount: 1, contacts }], context.nowMs);
+  applySummaries(state, [{ zone, version: 0, liveCount: 1, contacts }], context.nowMs);
   const wantsAnswer = message.type === 'ping' || (message.type === 'zones' && message.wantsAnswer);
   if (!wantsAnswer) {
     return [];
@@ -118,10 +118,10 @@
 }
 
 /** What others say of this very balancer is refuted by a higher incarnation. */
-function takeNewsOf(state: MembershipState, record: MemberRecord, nowMs: number): void {
+function applyUpdate(state: GossipState, record: MemberRecord, nowMs: number): void {
   const { self } = state;
   if (record.id !== self.id) {
-    takeRecord(state.list, asTaken(state, record), nowMs);
+    applyRecord(state.list, deathAsSuspicion(state, record), nowMs);
     return;
   }
   const isLater = record.incarnation > self.incarnation;
@@ -135,15 +135,15 @@
  * A member that is alive here gets its time to refute, whoever believes it dead: after a cut, both
  * sides hear such news from each other.
  */
-function asTaken(state: MembershipState, record: MemberRecord): MemberRecord {
+function deathAsSuspicion(state: GossipState, record: MemberRecord): MemberRecord {
   const known = state.list.members.get(record.id)?.record;
   return record.status === 'dead' && known?.status === 'alive'
     ? { ...record, status: 'suspect' }
     : record;
 }
 
-function syncWhereDifferent(
-  state: MembershipState,
+function syncIfDifferent(
+  state: GossipState,
   digest: number,
   to: Address,
   { nowMs }: StepContext,
@@ -156,11 +156,7 @@
 }
 
 /** The dead are sent too: a list without them would be taken for one that has not heard of them. */
-function sendWholeList(
-  state: MembershipState,
-  to: Address,
-  wantsAnswer: boolean,
-): GossipSendEffect[] {
+function sendWholeList(state: GossipState, to: Address, wantsAnswer: boolean): GossipSendEffect[] {
   const records = [...state.list.members.values()].map(({ record }) => record);
   const parts = Math.max(1, Math.ceil(records.length / MAX_RECORDS));
   const header = zoneHeader(state);
@@ -178,7 +174,7 @@
  * Looks for members: among the seeds, and among those believed dead, so that parts of a zone that
  * believe each other dead find together again.
  */
-function findMembers(state: MembershipState, context: StepContext): GossipSendEffect[] {
+function findMembers(state: GossipState, context: StepContext): GossipSendEffect[] {
   if (context.nowMs < state.nextSeedAtMs) {
     return [];
   }
@@ -195,14 +191,14 @@
     .map((to) => reply(to, pingMessage(state)));
 }
 
-function candidateAddresses(state: MembershipState): Address[] {
+function candidateAddresses(state: GossipState): Address[] {
   const dead = [...state.list.members.values()]
     .map(({ record }) => record)
     .filter(({ status }) => status === 'dead');
   return [...state.options.seeds, ...[...dead, ...state.ownZoneContacts].map(gossipAddress)];
 }
 
-function leave(state: MembershipState, context: StepContext): GossipSendEffect[] {
+function leave(state: GossipState, context: StepContext): GossipSendEffect[] {
   state.self = { ...state.self, status: 'left' };
   return shuffled(presentMembers(state.list), context)
     .slice(0, LEAVE_MESSAGES)
--- a/src/managed/gossip/member-list.ts
+++ b/src/managed/gossip/member-list.ts
@@ -15,7 +15,7 @@
 }
 
 /** News that is being spread. */
-interface News {
+interface PendingUpdate {
   sentCount: number;
 }
 
@@ -23,7 +23,7 @@
 export interface MemberList {
   readonly members: Map<string, KnownMember>;
   /** News by member ID; the record is the list's. */
-  readonly news: Map<string, News>;
+  readonly pendingUpdates: Map<string, PendingUpdate>;
   /** Combines the hashes of all records, whatever their order. */
   digest: number;
   /** Counts the changes of who is present or where; dependants recompute when it differs. */
@@ -34,21 +34,21 @@
  * @returns a list without members
  */
 export function createMemberList(): MemberList {
-  return { members: new Map(), news: new Map(), digest: 0, version: 0 };
+  return { members: new Map(), pendingUpdates: new Map(), digest: 0, version: 0 };
 }
 
 /**
  * Takes a record where it is later knowledge.
  * @returns true where it was taken
  */
-export function takeRecord(list: MemberList, record: MemberRecord, nowMs: number): boolean {
+export function applyRecord(list: MemberList, record: MemberRecord, nowMs: number): boolean {
   const known = list.members.get(record.id);
   if (known !== undefined && !supersedes(record, known.record)) {
     return false;
   }
   const before = known?.record;
   list.members.set(record.id, { record, changedAtMs: nowMs });
-  list.news.set(record.id, { sentCount: 0 });
+  list.pendingUpdates.set(record.id, { sentCount: 0 });
   list.digest = (list.digest ^ recordHash(before) ^ recordHash(record)) >>> 0;
   if (changesPresence(before, record)) {
     list.version += 1;
@@ -62,7 +62,7 @@
 export function setStatus(list: MemberList, id: string, status: MemberStatus, nowMs: number): void {
   const known = list.members.get(id);
   if (known !== undefined) {
-    takeRecord(list, { ...known.record, status }, nowMs);
+    applyRecord(list, { ...known.record, status }, nowMs);
   }
 }
 
@@ -73,7 +73,7 @@
   const known = list.members.get(id);
   if (known !== undefined) {
     list.members.delete(id);
-    list.news.delete(id);
+    list.pendingUpdates.delete(id);
     list.digest = (list.digest ^ recordHash(known.record)) >>> 0;
   }
 }
@@ -89,10 +89,10 @@
  * Takes the news that was sent least often, and counts it as sent once more.
  * @param first a member whose record goes first, such as the receiver, so that it may refute it
  */
-export function takeNews(list: MemberList, bound: number, first?: string): MemberRecord[] {
+export function nextUpdates(list: MemberList, bound: number, first?: string): MemberRecord[] {
   const limit = SPREAD_FACTOR * Math.ceil(Math.log2(list.members.size + 2));
-  const urgent = first !== undefined && isDoubted(list, first) ? [first] : [];
-  const rest = [...list.news]
+  const urgent = first !== undefined && isNotAlive(list, first) ? [first] : [];
+  const rest = [...list.pendingUpdates]
     .filter(([id]) => id !== urgent[0])
     .sort(([, one], [, other]) => one.sentCount - other.sentCount)
     .map(([id]) => id);
@@ -111,19 +111,19 @@
   return hashText(`${record.id}/${record.incarnation}`);
 }
 
-function isDoubted(list: MemberList, id: string): boolean {
+function isNotAlive(list: MemberList, id: string): boolean {
   const known = list.members.get(id);
   return known !== undefined && known.record.status !== 'alive';
 }
 
 function countSent(list: MemberList, id: string, limit: number): void {
-  const news = list.news.get(id);
+  const news = list.pendingUpdates.get(id);
   if (news === undefined) {
     return;
   }
   news.sentCount += 1;
   if (news.sentCount >= limit) {
-    list.news.delete(id);
+    list.pendingUpdates.delete(id);
   }
 }
 
--- a/src/managed/gossip/zone-summaries.ts
+++ b/src/managed/gossip/zone-summaries.ts
@@ -6,12 +6,7 @@
 import type { StepContext } from '../../shared/common/step.js';
 import { MAX_CONTACTS, MAX_ZONES, type ZonesMessage, type ZoneSummary } from './gossip-messages.js';
 import type { MemberAddresses } from './member.js';
-import {
-  sendTo,
-  zoneMembers,
-  type GossipSendEffect,
-  type MembershipState,
-} from './membership-state.js';
+import { sendTo, zoneMembers, type GossipSendEffect, type GossipState } from './gossip-state.js';
 import { chooseByRendezvous } from '../../shared/common/rendezvous.js';
 
 /** Balancers of a zone that speak for it. */
@@ -26,7 +21,7 @@
 /**
  * @returns the names of the balancers that speak for the own zone
  */
-function representatives(state: MembershipState): string[] {
+function representatives(state: GossipState): string[] {
   const names = zoneMembers(state).map(({ id }) => id);
   return chooseByRendezvous(`zone/${state.options.zone}`, names, REPRESENTATIVES);
 }
@@ -34,14 +29,14 @@
 /**
  * Takes summaries that are of a higher version than known.
  */
-export function takeSummaries(
-  state: MembershipState,
+export function applySummaries(
+  state: GossipState,
   summaries: readonly ZoneSummary[],
   nowMs: number,
 ): void {
   for (const summary of summaries) {
     if (summary.zone === state.options.zone) {
-      noteOwnZone(state, summary);
+      updateOwnZoneContacts(state, summary);
     }
     const known = state.zones.get(summary.zone)?.summary;
     if (known === undefined) {
@@ -55,7 +50,7 @@
 }
 
 /** Whoever is still alone in its zone calls on the contacts at once. */
-function noteOwnZone(state: MembershipState, { contacts }: ZoneSummary): void {
+function updateOwnZoneContacts(state: GossipState, { contacts }: ZoneSummary): void {
   const isFirst = state.ownZoneContacts.length === 0;
   state.ownZoneContacts = contacts;
   if (isFirst && state.list.members.size === 0) {
@@ -66,7 +61,7 @@
 /**
  * @returns the next summaries in turn, for a datagram to any member
  */
-export function nextSummaries(state: MembershipState, bound: number): ZoneSummary[] {
+export function nextSummaries(state: GossipState, bound: number): ZoneSummary[] {
   const known = [...state.zones.values()];
   const count = Math.min(bound, known.length);
   const chosen = Array.from({ length: count }, (_, offset) => {
@@ -81,7 +76,7 @@
  * Renews the own zone's summary and talks to another zone, where this balancer speaks for its zone and
  * it is time.
  */
-export function zonesTick(state: MembershipState, context: StepContext): GossipSendEffect[] {
+export function zonesTick(state: GossipState, context: StepContext): GossipSendEffect[] {
   const { nowMs } = context;
   if (nowMs < state.nextSummaryAtMs && nowMs < state.nextZonesAtMs) {
     return [];
@@ -98,13 +93,13 @@
     return [];
   }
   state.nextZonesAtMs = nowMs + ZONES_INTERVAL_MS;
-  return isRepresentative ? talkToOtherZone(state, context) : [];
+  return isRepresentative ? sendToOtherZone(state, context) : [];
 }
 
 /**
  * @returns what is told to a balancer of another zone
  */
-export function zonesMessage(state: MembershipState, wantsAnswer: boolean): ZonesMessage {
+export function zonesMessage(state: GossipState, wantsAnswer: boolean): ZonesMessage {
   return {
     type: 'zones',
     zone: state.options.zone,
@@ -118,12 +113,12 @@
 /**
  * @returns the summary of a zone, so that a balancer of it finds its neighbours
  */
-export function summaryOf(state: MembershipState, zone: string): ZoneSummary[] {
+export function summaryOf(state: GossipState, zone: string): ZoneSummary[] {
   const known = state.zones.get(zone);
   return known === undefined ? [] : [known.summary];
 }
 
-function renewSummary(state: MembershipState, { nowMs, random }: StepContext): void {
+function renewSummary(state: GossipState, { nowMs, random }: StepContext): void {
   const { zone, id } = state.options;
   const members = zoneMembers(state);
   const ids = members.map((member) => member.id);
@@ -142,7 +137,7 @@
   state.zones.set(zone, { summary, renewedAtMs: nowMs });
 }
 
-function talkToOtherZone(state: MembershipState, context: StepContext): GossipSendEffect[] {
+function sendToOtherZone(state: GossipState, context: StepContext): GossipSendEffect[] {
   const others = [...state.zones.keys()].filter((zone) => zone !== state.options.zone);
   const zone = others[context.random.nextInt(Math.max(1, others.length))];
   const contact = zone === undefined ? undefined : randomContact(state, zone, context);
@@ -156,7 +151,7 @@
 }
 
 function randomContact(
-  state: MembershipState,
+  state: GossipState,
   zone: string,
   { random }: StepContext,
 ): MemberAddresses | undefined {
@@ -164,7 +159,7 @@
   return contacts[random.nextInt(Math.max(1, contacts.length))];
 }
 
-function forgetOldZones(state: MembershipState, nowMs: number): void {
+function forgetOldZones(state: GossipState, nowMs: number): void {
   for (const [zone, { renewedAtMs }] of state.zones) {
     if (nowMs - renewedAtMs > FORGET_ZONE_AFTER_MS) {
       state.zones.delete(zone);
--- a/src/managed/health/health-sharing.ts
+++ b/src/managed/health/health-sharing.ts
@@ -14,7 +14,7 @@
 /** Connections must have changed by this share of the limit to be news; coarse on purpose. */
 const CONNECTION_STEP = 0.02;
 /** A result that was observed longer ago is not told any more, in milliseconds. */
-const MAX_TOLD_AGE_MS = 60_000;
+const MAX_SHARED_AGE_MS = 60_000;
 
 /** A result of another balancer or the own one. */
 export interface SharedResult {
@@ -29,16 +29,16 @@
 interface KnownResult {
   readonly result: ProbeResult;
   readonly observedAtMs: number;
-  tellings: number;
+  sendsLeft: number;
   /** When this very observation was told last. */
-  toldAtMs: number;
+  sentAtMs: number;
 }
 
 /** The results that a balancer knows. */
 export interface HealthSharing {
   readonly known: Map<number, KnownResult>;
   /** Back ends with news, the oldest first. */
-  readonly news: Set<number>;
+  readonly changed: Set<number>;
   cursor: Iterator<[number, KnownResult]>;
 }
 
@@ -47,14 +47,14 @@
  */
 export function createHealthSharing(): HealthSharing {
   const known = new Map<number, KnownResult>();
-  return { known, news: new Set(), cursor: known.entries() };
+  return { known, changed: new Set(), cursor: known.entries() };
 }
 
 /**
  * Takes the latest result of a back end.
  * @param tellings how often it is told where it is news
  */
-export function noteResult(
+export function recordResult(
   sharing: HealthSharing,
   result: ProbeResult,
   observedAtMs: number,
@@ -63,10 +63,10 @@
   const { backendId } = result;
   const before = sharing.known.get(backendId);
   const isNews = before === undefined || differs(before.result, result);
-  const left = isNews ? tellings : before.tellings;
-  sharing.known.set(backendId, { result, observedAtMs, tellings: left, toldAtMs: -Infinity });
+  const left = isNews ? tellings : before.sendsLeft;
+  sharing.known.set(backendId, { result, observedAtMs, sendsLeft: left, sentAtMs: -Infinity });
   if (left > 0) {
-    sharing.news.add(backendId);
+    sharing.changed.add(backendId);
   }
 }
 
@@ -75,7 +75,7 @@
  */
 export function forgetResult(sharing: HealthSharing, backendId: number): void {
   sharing.known.delete(backendId);
-  sharing.news.delete(backendId);
+  sharing.changed.delete(backendId);
 }
 
 /**
@@ -83,18 +83,18 @@
  */
 export function resultsToShare(sharing: HealthSharing, nowMs: number): SharedResult[] {
   const chosen = new Map<number, KnownResult>();
-  for (const backendId of [...sharing.news].slice(0, MAX_SHARED_RESULTS)) {
+  for (const backendId of [...sharing.changed].slice(0, MAX_SHARED_RESULTS)) {
     const known = sharing.known.get(backendId);
     if (known !== undefined) {
       chosen.set(backendId, known);
-      countTelling(sharing, backendId, known);
+      countSend(sharing, backendId, known);
     }
   }
   const bound = Math.min(MAX_REPEATED_RESULTS, MAX_SHARED_RESULTS - chosen.size);
   repeatedInTurn(sharing)
     .slice(0, bound)
     .forEach(([backendId, known]) => chosen.set(backendId, known));
-  chosen.forEach((known) => (known.toldAtMs = nowMs));
+  chosen.forEach((known) => (known.sentAtMs = nowMs));
   return sharedResults(chosen.values(), nowMs);
 }
 
@@ -107,7 +107,7 @@
 
 function sharedResults(results: Iterable<KnownResult>, nowMs: number): SharedResult[] {
   return [...results]
-    .filter(({ observedAtMs }) => nowMs - observedAtMs < MAX_TOLD_AGE_MS)
+    .filter(({ observedAtMs }) => nowMs - observedAtMs < MAX_SHARED_AGE_MS)
     .map(({ result, observedAtMs }) => ({
       backendId: result.backendId,
       ageMs: Math.ceil(nowMs - observedAtMs),
@@ -116,11 +116,11 @@
     }));
 }
 
-function countTelling(sharing: HealthSharing, backendId: number, known: KnownResult): void {
-  known.tellings -= 1;
-  sharing.news.delete(backendId);
-  if (known.tellings > 0) {
-    sharing.news.add(backendId);
+function countSend(sharing: HealthSharing, backendId: number, known: KnownResult): void {
+  known.sendsLeft -= 1;
+  sharing.changed.delete(backendId);
+  if (known.sendsLeft > 0) {
+    sharing.changed.add(backendId);
   }
 }
 
@@ -136,7 +136,7 @@
   }
   return candidates.sort(
     ([, one], [, other]) =>
-      compareTimes(one.toldAtMs, other.toldAtMs) || other.observedAtMs - one.observedAtMs,
+      compareTimes(one.sentAtMs, other.sentAtMs) || other.observedAtMs - one.observedAtMs,
   );
 }
 
--- a/src/managed/health/judgement.ts
+++ b/src/managed/health/judgement.ts
@@ -6,7 +6,7 @@
 import type { HealthReport, LoadReport } from './backend-report.js';
 import { probesFail, verdictOn, type Verdict } from './judgement-rules.js';
 import type { Judgement, JudgementGroup, JudgementTransition } from './judgement-state.js';
-import { createReportTrust, weighAnswer, weighReport } from './report-trust.js';
+import { createReportTrust, updateTrustOnAnswer, updateTrustOnReport } from './report-trust.js';
 
 const HISTORY_LENGTH = 16;
 const MAX_UNREADY_TIMES = 8;
@@ -41,7 +41,7 @@
  * Takes what a probe brought.
  * @returns the change of state, if any
  */
-export function judgeProbe(
+export function updateOnProbe(
   judgement: Judgement,
   { health, load }: ProbeEvidence,
   group: JudgementGroup,
@@ -52,16 +52,16 @@
     judgement.failedProbes += 1;
     judgement.readyProbes = 0;
   } else {
-    noteIncarnation(judgement, health.incarnation, nowMs);
+    resetOnRestart(judgement, health.incarnation, nowMs);
     judgement.health = health;
     judgement.failedProbes = 0;
     judgement.readyProbes = health.state === 'ready' ? judgement.readyProbes + 1 : 0;
   }
   if (load !== undefined) {
-    weighReport(judgement.trust, load);
+    updateTrustOnReport(judgement.trust, load);
   }
   group.failingProbes += Number(probesFail(judgement)) - Number(failedBefore);
-  return settle(judgement, group, nowMs);
+  return updateState(judgement, group, nowMs);
 }
 
 /**
@@ -69,7 +69,7 @@
  * @param incarnation the back end's present one, where its answer told it
  * @returns the change of state, if any
  */
-export function judgeOutcome(
+export function updateOnOpenOutcome(
   judgement: Judgement,
   outcome: OpenOutcome,
   incarnation: number | undefined,
@@ -77,35 +77,35 @@
   nowMs: number,
 ): JudgementTransition | undefined {
   if (incarnation !== undefined && judgement.health !== undefined) {
-    noteIncarnation(judgement, incarnation, nowMs);
+    resetOnRestart(judgement, incarnation, nowMs);
     judgement.health = { ...judgement.health, incarnation };
   }
-  noteOutcome(judgement, outcome, nowMs);
+  recordOutcome(judgement, outcome, nowMs);
   if (timesOut(judgement) && mayEject(judgement, group)) {
     eject(judgement, nowMs);
   }
   if (outcome === 'refused' && judgement.refusedInRow >= REFUSALS_FOR_BUSY) {
     holdBusy(judgement, nowMs);
   }
-  return settle(judgement, group, nowMs);
+  return updateState(judgement, group, nowMs);
 }
 
 /**
  * Takes what the operators want of the back end.
  * @returns the change of state, if any
  */
-export function judgeAdminState(
+export function updateAdminState(
   judgement: Judgement,
   adminState: BackendAdminState,
   group: JudgementGroup,
   nowMs: number,
 ): JudgementTransition | undefined {
   judgement.adminState = adminState;
-  return settle(judgement, group, nowMs);
+  return updateState(judgement, group, nowMs);
 }
 
 /** A new process at the same address: the evidence on the last one no longer holds. */
-function noteIncarnation(judgement: Judgement, incarnation: number, nowMs: number): void {
+function resetOnRestart(judgement: Judgement, incarnation: number, nowMs: number): void {
   if (judgement.health === undefined || judgement.health.incarnation === incarnation) {
     return;
   }
@@ -119,7 +119,7 @@
   judgement.slowStartAtMs = nowMs;
 }
 
-function noteOutcome(judgement: Judgement, outcome: OpenOutcome, nowMs: number): void {
+function recordOutcome(judgement: Judgement, outcome: OpenOutcome, nowMs: number): void {
   const timedOut = outcome === 'timed-out';
   judgement.outcomes += 1;
   judgement.timeoutShare += TIMEOUT_SHARE_GAIN * (Number(timedOut) - judgement.timeoutShare);
@@ -127,7 +127,7 @@
   if (timedOut) {
     return;
   }
-  weighAnswer(judgement.trust, outcome === 'accepted');
+  updateTrustOnAnswer(judgement.trust, outcome === 'accepted');
   if (outcome === 'accepted') {
     judgement.refusedInRow = 0;
     judgement.busyRepeats = 0;
@@ -171,14 +171,14 @@
   judgement.busyRepeats += 1;
 }
 
-function settle(
+function updateState(
   judgement: Judgement,
   group: JudgementGroup,
   nowMs: number,
 ): JudgementTransition | undefined {
   const verdict = verdictOn(judgement, group, nowMs);
   if (verdict.state === judgement.state) {
-    setReason(judgement, verdict, group);
+    updateReason(judgement, verdict, group);
     return undefined;
   }
   const transition = {
@@ -187,8 +187,8 @@
     to: verdict.state,
     reason: verdict.reason,
   };
-  noteReadiness(judgement, verdict, nowMs);
-  setReason(judgement, verdict, group);
+  recordReadiness(judgement, verdict, nowMs);
+  updateReason(judgement, verdict, group);
   judgement.state = verdict.state;
   judgement.sinceMs = nowMs;
   pushBounded(judgement.history, transition, HISTORY_LENGTH);
@@ -196,13 +196,13 @@
 }
 
 /** Keeps the group's count of ejected back ends. */
-function setReason(judgement: Judgement, { reason }: Verdict, group: JudgementGroup): void {
+function updateReason(judgement: Judgement, { reason }: Verdict, group: JudgementGroup): void {
   group.ejected +=
     Number(reason === 'opens-time-out') - Number(judgement.reason === 'opens-time-out');
   judgement.reason = reason;
 }
 
-function noteReadiness(judgement: Judgement, verdict: Verdict, nowMs: number): void {
+function recordReadiness(judgement: Judgement, verdict: Verdict, nowMs: number): void {
   const tookFlows = judgement.state === 'ready' || judgement.state === 'busy';
   const takesFlows = verdict.state === 'ready' || verdict.state === 'busy';
   if (tookFlows && !takesFlows && verdict.state !== 'draining') {
--- a/src/managed/health/probe-schedule.ts
+++ b/src/managed/health/probe-schedule.ts
@@ -136,7 +136,7 @@
   group: ProberGroup,
   nowMs: number,
 ): ProbeEffect[] {
-  takeGroup(schedule, group);
+  updateGroup(schedule, group);
   const elapsedMs = nowMs - (schedule.lastCallAtMs ?? nowMs);
   schedule.lastCallAtMs = nowMs;
   const maxFallback = schedule.hasLease
@@ -155,12 +155,12 @@
  * Notes that a probe has ended.
  * @returns when it began; undefined where none was under way
  */
-export function probeEnded(schedule: ProbeSchedule, backendId: number): number | undefined {
+export function endProbe(schedule: ProbeSchedule, backendId: number): number | undefined {
   const target = findTarget(schedule, backendId);
   const startedAtMs = target?.startedAtMs;
   if (target !== undefined && startedAtMs !== undefined) {
     target.startedAtMs = undefined;
-    noteObservation(schedule, backendId, startedAtMs);
+    recordObservation(schedule, backendId, startedAtMs);
   }
   return startedAtMs;
 }
@@ -170,7 +170,7 @@
  * @param observedAtMs when the back end was asked
  * @returns false where a later one is known
  */
-export function noteObservation(
+export function recordObservation(
   schedule: ProbeSchedule,
   backendId: number,
   observedAtMs: number,
@@ -196,7 +196,7 @@
   return local.targets.get(backendId) ?? remote.targets.get(backendId);
 }
 
-function takeGroup(schedule: ProbeSchedule, { selfId, ids, version }: ProberGroup): void {
+function updateGroup(schedule: ProbeSchedule, { selfId, ids, version }: ProberGroup): void {
   if (version !== schedule.group.version) {
     schedule.group = { version, hashes: ids.map(hashText), ownHash: hashText(selfId) };
   }
--- a/src/managed/health/report-trust.ts
+++ b/src/managed/health/report-trust.ts
@@ -52,7 +52,7 @@
 /**
  * Takes a load report.
  */
-export function weighReport(trust: ReportTrust, report: LoadReport): void {
+export function updateTrustOnReport(trust: ReportTrust, report: LoadReport): void {
   const isEqual = trust.lastReport !== undefined && sameLoad(trust.lastReport, report);
   trust.lastReport = report;
   if (isEqual) {
@@ -74,7 +74,7 @@
 /**
  * Takes the answer to an own open.
  */
-export function weighAnswer(trust: ReportTrust, accepted: boolean): void {
+export function updateTrustOnAnswer(trust: ReportTrust, accepted: boolean): void {
   if (accepted) {
     trust.acceptedSinceChange += 1;
     trust.acceptedInRow += 1;
--- a/src/managed/limits/open-limits.ts
+++ b/src/managed/limits/open-limits.ts
@@ -134,7 +134,7 @@
  * Takes over the services in force; does nothing where they are those of the last call.
  * @param configIndex log index of the configuration
  */
-export function noteServices(
+export function updateServices(
   state: OpenLimitsState,
   services: ReadonlyMap<number, Service>,
   configIndex: number,
--- a/src/proof/experiment/hollow/hollow-balancer.ts
+++ b/src/proof/experiment/hollow/hollow-balancer.ts
@@ -153,7 +153,7 @@
       zone: this.place.zone,
       controlAddresses,
       clusterKey,
-      membership: { ...addresses, incarnation, seeds },
+      gossip: { ...addresses, incarnation, seeds },
     });
   }
 
--- a/src/proof/sim-managed/simulated-balancer.ts
+++ b/src/proof/sim-managed/simulated-balancer.ts
@@ -111,7 +111,7 @@
       zone,
       controlAddresses,
       clusterKey,
-      membership: { ...this.peers.addresses, incarnation, seeds },
+      gossip: { ...this.peers.addresses, incarnation, seeds },
     });
   }
 
--- a/test/managed/balancer/cut-off.test.ts
+++ b/test/managed/balancer/cut-off.test.ts
@@ -9,7 +9,7 @@
 import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
 import { routeEstablished } from '../../../src/managed/balancer/forwarding.js';
 import { seededRandom } from '../../../src/shared/common/random.js';
-import { IDENTITY_LIFETIME_MS, takeGrant } from '../../../src/managed/dissemination/lease.js';
+import { IDENTITY_LIFETIME_MS, applyGrant } from '../../../src/managed/dissemination/lease.js';
 import { encodeShortHeader, FLOW_ID_LENGTH_BYTES } from '../../../src/managed/flow/header.js';
 import { mintToken, prepareTokenKey } from '../../../src/managed/flow/token.js';
 
@@ -105,14 +105,14 @@
     balancerStep(state, { type: 'tick' }, { nowMs, random }).filter(({ type }) => type === 'probe');
   t.match(probesAt(1_000), [{ isAuthoritative: false }]);
   const grant = { askedAtMs: 1_000, remainingMs: 9_500, floorIndex: 1 };
-  takeGrant(state.subscription.lease, grant, state.position.index);
+  applyGrant(state.subscription.lease, grant, state.position.index);
   t.match(probesAt(10_000), [{ isAuthoritative: true }]);
 });
 
 t.test('with a lease, silence of the back end changes nothing', async (t) => {
   const state = balancerWithoutLease();
   const grant = { askedAtMs: 0, remainingMs: 5_000, floorIndex: 1 };
-  takeGrant(state.subscription.lease, grant, state.position.index);
+  applyGrant(state.subscription.lease, grant, state.position.index);
   t.equal(route(state, 4_999), 'forwarded');
   t.equal(route(state, 5_000), 'lease-expired');
 });
--- a/test/managed/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -8,7 +8,7 @@
 import {
   createLeaseAuthority,
   leaseAuthorityTick,
-  takeConfirmation,
+  applyConfirmation,
   type LeaseAuthority,
 } from '../../../src/managed/dissemination/lease-authority.js';
 import {
@@ -203,7 +203,7 @@
       nowMs: this.nowMs,
     });
     if (readId !== undefined && hasQuorum) {
-      takeConfirmation(authority, readId);
+      applyConfirmation(authority, readId);
     }
   }
 
--- a/test/managed/dissemination/lease.test.ts
+++ b/test/managed/dissemination/lease.test.ts
@@ -9,7 +9,7 @@
   LEASE_MARGIN_MS,
   mayUseBackend,
   passOnLease,
-  takeGrant,
+  applyGrant,
 } from '../../../src/managed/dissemination/lease.js';
 import { LeaseWorld } from './lease-world.js';
 
@@ -18,20 +18,20 @@
 
 t.test('a lease is counted from when it was asked for', async (t) => {
   const lease = expiredLease();
-  takeGrant(lease, { askedAtMs: 1_000, remainingMs: 4_000, floorIndex: 7 }, 7);
+  applyGrant(lease, { askedAtMs: 1_000, remainingMs: 4_000, floorIndex: 7 }, 7);
   t.ok(isLeaseHeld(lease, 4_999));
   t.notOk(isLeaseHeld(lease, 5_000));
 
-  takeGrant(lease, { askedAtMs: 500, remainingMs: 4_000, floorIndex: 7 }, 7);
+  applyGrant(lease, { askedAtMs: 500, remainingMs: 4_000, floorIndex: 7 }, 7);
   t.equal(lease.expiresAtMs, 5_000, 'an earlier grant does not shorten it');
-  takeGrant(lease, { askedAtMs: 3_000, remainingMs: 4_000, floorIndex: 8 }, 7);
+  applyGrant(lease, { askedAtMs: 3_000, remainingMs: 4_000, floorIndex: 8 }, 7);
   t.equal(lease.expiresAtMs, 5_000, 'a grant for a later index is not taken');
 });
 
 t.test('what is left of a lease can be passed on, and no more', async (t) => {
   const lease = expiredLease();
   t.equal(passOnLease(lease, 9, 0), undefined);
-  takeGrant(lease, { askedAtMs: 1_000, remainingMs: 4_000, floorIndex: 7 }, 7);
+  applyGrant(lease, { askedAtMs: 1_000, remainingMs: 4_000, floorIndex: 7 }, 7);
   t.same(passOnLease(lease, 9, 3_000), { askedAtMs: 9, remainingMs: 2_000, floorIndex: 7 });
   t.equal(passOnLease(lease, 9, 5_000), undefined);
 });
@@ -41,7 +41,7 @@
   t.ok(mayUseBackend(lease, 1_000, 1_000 + IDENTITY_LIFETIME_MS - 1));
   t.notOk(mayUseBackend(lease, 1_000, 1_000 + IDENTITY_LIFETIME_MS));
   t.notOk(mayUseBackend(lease, Number.NEGATIVE_INFINITY, 1_000));
-  takeGrant(lease, { askedAtMs: 0, remainingMs: 4_000, floorIndex: 0 }, 0);
+  applyGrant(lease, { askedAtMs: 0, remainingMs: 4_000, floorIndex: 0 }, 0);
   t.ok(mayUseBackend(lease, Number.NEGATIVE_INFINITY, 1_000));
 });
 
--- a/test/managed/dissemination/subtree-report.test.ts
+++ b/test/managed/dissemination/subtree-report.test.ts
@@ -10,7 +10,7 @@
   MAX_LAGGARDS,
   REPORT_LIFETIME_MS,
   subtreeReport,
-  takeReport,
+  applyReport,
   type SubtreeReport,
   type SubtreeReports,
 } from '../../../src/managed/dissemination/subtree-report.js';
@@ -20,7 +20,7 @@
 function relayWith(indexes: readonly number[]): SubtreeReports {
   const reports = createSubtreeReports();
   indexes.forEach((index, number) =>
-    takeReport(reports, number, { balancerId: `child-${number}`, zone: ZONE, index }, 0),
+    applyReport(reports, number, { balancerId: `child-${number}`, zone: ZONE, index }, 0),
   );
   return reports;
 }
@@ -40,7 +40,7 @@
       const relay = relayWith(below);
       const control = createSubtreeReports();
       const subtree = report(relay);
-      takeReport(control, 1, { balancerId: 'relay', zone: ZONE, index: 50, subtree }, 0);
+      applyReport(control, 1, { balancerId: 'relay', zone: ZONE, index: 50, subtree }, 0);
       const reported = new Map(allReports(control).map((one) => [one.balancerId, one.index]));
       return (
         subtree.laggards.length <= MAX_LAGGARDS &&
@@ -70,15 +70,15 @@
     index: 9,
     subtree: report(reports),
   });
-  takeReport(control, 1, relay('former', former), 0);
+  applyReport(control, 1, relay('former', former), 0);
   t.equal(lowestIndex(control, 9), 7);
 
   const next = relayWith([9]);
-  takeReport(control, 2, relay('next', next), 0);
+  applyReport(control, 2, relay('next', next), 0);
   t.equal(lowestIndex(control, 9), 9, 'the former relay still names it, but does not count');
 
   dropLink(former, 0);
-  takeReport(control, 1, relay('former', former), 0);
+  applyReport(control, 1, relay('former', former), 0);
   t.equal(lowestIndex(control, 9), 9, 'nor when it has lost it');
   t.equal(allReports(control).filter(({ balancerId }) => balancerId === 'child-0').length, 1);
 });
--- a/test/managed/dissemination/tree-world.ts
+++ b/test/managed/dissemination/tree-world.ts
@@ -86,7 +86,7 @@
       zone,
       controlAddresses: [CONTROL_ADDRESS],
       clusterKey: 'test-cluster-key',
-      membership: {
+      gossip: {
         host,
         gossipPort: GOSSIP_PORT,
         linkPort: LINK_PORT,
--- a/test/managed/gossip/membership-world.ts
+++ b/test/managed/gossip/membership-world.ts
@@ -4,15 +4,12 @@
 import { formatAddress, type Address } from '../../../src/shared/common/address.js';
 import { decodeGossip, encodeGossip, gossipKey } from '../../../src/managed/gossip/gossip-codec.js';
 import {
-  createMembership,
+  createGossip,
   zoneMembers,
   type GossipSendEffect,
-  type MembershipState,
-} from '../../../src/managed/gossip/membership-state.js';
-import {
-  membershipStep,
-  type MembershipEvent,
-} from '../../../src/managed/gossip/membership-step.js';
+  type GossipState,
+} from '../../../src/managed/gossip/gossip-state.js';
+import { gossipStep, type GossipEvent } from '../../../src/managed/gossip/gossip-step.js';
 import { goodNetwork, VirtualNetwork } from '../flows/network.js';
 
 const TICK_MS = 100;
@@ -20,7 +17,7 @@
 const KEY = gossipKey('test-cluster-key');
 
 export interface Node {
-  state: MembershipState;
+  state: GossipState;
   readonly address: Address;
   isRunning: boolean;
   /** Nodes of different parts don't reach each other. */
@@ -56,16 +53,16 @@
     this.network.runUntil(this.network.nowMs + durationMs);
   }
 
-  step(node: Node, event: MembershipEvent): void {
+  step(node: Node, event: GossipEvent): void {
     if (node.isRunning) {
-      const effects = membershipStep(node.state, event, this.network.context);
+      const effects = gossipStep(node.state, event, this.network.context);
       effects.forEach((effect) => this.send(node, effect));
     }
   }
 
   /** Starts a node again, with nothing but its settings. */
   restart(node: Node, incarnation: number): void {
-    node.state = createMembership({ ...node.state.options, incarnation });
+    node.state = createGossip({ ...node.state.options, incarnation });
     node.isRunning = true;
   }
 
@@ -107,7 +104,7 @@
     const number = this.nodes.length;
     const address = { host: `10.${Math.floor(number / 250)}.${number % 250}.1`, port: 7000 };
     const seeds = this.nodes[0] === undefined ? [] : [this.nodes[0].address];
-    const state = createMembership({
+    const state = createGossip({
       id: `balancer-${number}`,
       zone,
       incarnation: 1,
--- a/test/managed/gossip/membership.test.ts
+++ b/test/managed/gossip/membership.test.ts
@@ -3,7 +3,7 @@
 import t from 'tap';
 import { decodeGossip, encodeGossip, gossipKey } from '../../../src/managed/gossip/gossip-codec.js';
 import { supersedes, type MemberRecord } from '../../../src/managed/gossip/member.js';
-import { liveBalancerCount } from '../../../src/managed/gossip/membership-state.js';
+import { liveBalancerCount } from '../../../src/managed/gossip/gossip-state.js';
 import { chooseByRendezvous } from '../../../src/shared/common/rendezvous.js';
 import { MembershipWorld } from './membership-world.js';
 
--- a/test/managed/health/judgement.test.ts
+++ b/test/managed/health/judgement.test.ts
@@ -2,9 +2,9 @@
 import type { HealthReport, LoadReport } from '../../../src/managed/health/backend-report.js';
 import { explainJudgement } from '../../../src/managed/health/explanation.js';
 import {
-  judgeAdminState,
-  judgeOutcome,
-  judgeProbe,
+  updateAdminState,
+  updateOnOpenOutcome,
+  updateOnProbe,
   type OpenOutcome,
 } from '../../../src/managed/health/judgement.js';
 import {
@@ -41,7 +41,7 @@
       const health = state === undefined ? undefined : { incarnation: 1, state };
       const told = given ?? { ...load, connections: load.connections + this.reports };
       const evidence = { health, load: state === undefined ? undefined : told };
-      judgeProbe(this.judgement, evidence, this.group, this.nowMs);
+      updateOnProbe(this.judgement, evidence, this.group, this.nowMs);
     }
     return this;
   }
@@ -49,7 +49,7 @@
   opens(outcome: OpenOutcome, count: number): this {
     for (let number = 0; number < count; number += 1) {
       this.nowMs += 1;
-      judgeOutcome(this.judgement, outcome, undefined, this.group, this.nowMs);
+      updateOnOpenOutcome(this.judgement, outcome, undefined, this.group, this.nowMs);
     }
     return this;
   }
@@ -64,7 +64,7 @@
   t.equal(subject.probe('draining').state, 'draining');
   const warm = new Subject().probe('ready');
   t.equal(warm.judgement.slowStartAtMs, undefined, 'one that others use already is warm');
-  judgeAdminState(warm.judgement, 'draining', warm.group, warm.nowMs);
+  updateAdminState(warm.judgement, 'draining', warm.group, warm.nowMs);
   t.equal(warm.state, 'draining', 'as soon as the operators want it');
   t.equal(warm.probe('ready', 5).state, 'draining', 'also where it ignores the drain');
 });
@@ -170,7 +170,7 @@
 
 test('a new process at the same address', async (t) => {
   const subject = new Subject().probe('ready').opens('timed-out', 2).opens('refused', 2);
-  judgeOutcome(subject.judgement, 'refused', 2, subject.group, subject.nowMs);
+  updateOnOpenOutcome(subject.judgement, 'refused', 2, subject.group, subject.nowMs);
   t.equal(subject.state, 'ready', 'what its predecessor did is forgotten');
   t.equal(subject.judgement.slowStartAtMs, subject.nowMs);
 });
--- a/test/managed/health/probe-sharing.test.ts
+++ b/test/managed/health/probe-sharing.test.ts
@@ -5,14 +5,14 @@
 import {
   createHealthSharing,
   MAX_SHARED_RESULTS,
-  noteResult,
+  recordResult,
   resultsToShare,
 } from '../../../src/managed/health/health-sharing.js';
 import {
   createProbeSchedule,
   dueProbes,
-  noteObservation,
-  probeEnded,
+  recordObservation,
+  endProbe,
   setProbeTarget,
   type ProbeSchedule,
 } from '../../../src/managed/health/probe-schedule.js';
@@ -49,7 +49,7 @@
   for (let nowMs = fromMs; nowMs < fromMs + durationMs; nowMs += TICK_MS) {
     for (const { backend } of dueProbes(schedule, { selfId, ids, version: ids.length }, nowMs)) {
       counts.set(backend.id, (counts.get(backend.id) ?? 0) + 1);
-      probeEnded(schedule, backend.id);
+      endProbe(schedule, backend.id);
     }
   }
   return counts;
@@ -100,7 +100,7 @@
   const ids = memberIds(20);
   const own = probesOf(schedule, 'balancer-0', ids, 0, 2_000);
   for (let nowMs = 2_000; nowMs < 12_000; nowMs += 1_000) {
-    backends.forEach(({ id }) => noteObservation(schedule, id, nowMs));
+    backends.forEach(({ id }) => recordObservation(schedule, id, nowMs));
     const counts = probesOf(schedule, 'balancer-0', ids, nowMs, 1_000);
     t.same([...counts.keys()].sort(), [...own.keys()].sort());
   }
@@ -121,10 +121,10 @@
     },
   });
   for (let id = 1; id <= 100; id += 1) {
-    noteResult(sharing, result(id, 'ready'), 0, 0);
+    recordResult(sharing, result(id, 'ready'), 0, 0);
   }
-  noteResult(sharing, result(77, 'draining'), 100, 2);
-  noteResult(sharing, result(77, 'draining'), 200, 2);
+  recordResult(sharing, result(77, 'draining'), 100, 2);
+  recordResult(sharing, result(77, 'draining'), 200, 2);
   const first = resultsToShare(sharing, 300);
   t.match(first[0], { backendId: 77, ageMs: 100, health: { state: 'draining' } });
   t.equal(resultsToShare(sharing, 350)[0]?.backendId, 77);
@@ -137,7 +137,7 @@
   t.equal(told.size, 100);
 
   for (let id = 1; id <= 100; id += 1) {
-    noteResult(sharing, result(1_000_000_000 + id, 'draining'), 0, 2);
+    recordResult(sharing, result(1_000_000_000 + id, 'draining'), 0, 2);
   }
   const many = resultsToShare(sharing, 50_000);
   t.equal(many.length, MAX_SHARED_RESULTS);
