--- a/src/managed/balancer/candidates.ts
+++ b/src/managed/balancer/candidates.ts
@@ -1,123 +1,104 @@
 /**
- * @file What a balancer learns of back ends, and its choice among those that may receive a new flow,
- * by the service's placement policy.
+ * @file Which back ends of a service may receive a new flow? Those that are judged ready; where none is ready, those that
+ * are busy; none that is starting, draining or down. Without a lease only those of them that confirmed their identity a
+ * moment ago.
+ *
+ * Inputs: the judged state of each back end, the lease, and the time of the step in milliseconds. Returns a list that stays
+ * the same array until it changes, since placement policies keep what they derive from it.
+ *
+ * This module owns the groups of `service-groups.ts`: an index by service that is made once per configuration, so that an
+ * open looks at no other service's back ends. It also keeps the changes of judged state until the daemon logs them.
  */
-import type { StepContext } from '../../shared/common/step.js';
-import type { ProbeResult } from '../health/backend-report.js';
-import { explainJudgement, type BackendExplanation } from '../health/explanation.js';
-import { updateOnOpenOutcome, updateOnProbe, type OpenOutcome } from '../health/judgement.js';
-import { fullBackendIds } from '../limits/backend-limits.js';
-import {
-  estimateFailure,
-  estimateOpen,
-  estimateReport,
-  resetEstimate,
-} from '../routing/load-estimate.js';
-import type { PlacementRequest } from '../routing/placement-policy.js';
+import { isLeaseHeld } from '../dissemination/lease.js';
+import type { JudgementTransition } from '../health/judgement-state.js';
+import { probesFail } from '../health/judgement-rules.js';
+import { updateAdminState } from '../health/judgement.js';
+import { isBackendUsable } from './backend-identity.js';
 import type { BackendView } from './backend-view.js';
-import { policyFor, type BalancerState, type PendingOpen } from './balancer-state.js';
+import type { BalancerState } from './balancer-state.js';
 import {
-  groupOf,
-  recordTransition,
-  usableCandidatesOf,
+  createGroup,
   type BackendChange,
   type ServiceGroup,
+  type ServiceGroups,
 } from './service-groups.js';
 
-/** Weight of the newest report in the typical use of a service's back ends. */
-const TYPICAL_USE_GAIN = 0.1;
-
-/** How an attempt ended. */
-export type AttemptOutcome = OpenOutcome;
-
 /**
- * @returns the back end for the next attempt of an open, or undefined where none is left
+ * In a large service the list of candidates is made anew at most this often, in milliseconds, so that
+ * many changes of state in a row don't each cost a pass over all back ends.
  */
-export function chooseBackend(
-  state: BalancerState,
-  open: PendingOpen,
-  context: StepContext,
-): BackendView | undefined {
-  const group = groupOf(state, open.service.id, context.nowMs);
-  const candidates = usableCandidatesOf(state, group, context.nowMs);
-  const request: PlacementRequest = {
-    flowId: open.flowId,
-    localZone: state.options.zone,
-    balancerCount: state.fleet.balancerCount,
-    localBalancerCount: state.fleet.localBalancerCount,
-    triedBackendIds: [...open.triedBackendIds, ...fullBackendIds(candidates, open.service.limits)],
-  };
-  const chosen = policyFor(state, open.service.policy).choose(candidates, request, context);
-  return chosen === undefined ? undefined : state.views.get(chosen.backend.id);
-}
+const REBUILD_INTERVAL_MS = 20;
+/** Number of back ends from which a service is large. */
+const LARGE_FROM = 256;
+
+/** Changes of state that wait to be logged; further ones push out the oldest. */
+const MAX_UNLOGGED_CHANGES = 1_000;
 
 /**
- * Takes the outcome of a health probe.
+ * @returns the back ends of the service under the configuration in force
  */
-export function recordProbe(state: BalancerState, result: ProbeResult, context: StepContext): void {
-  const view = state.views.get(result.backendId);
-  if (view === undefined) {
-    return;
+export function groupOf(state: BalancerState, serviceId: number, nowMs: number): ServiceGroup {
+  if (state.groups.configIndex !== state.position.index) {
+    rebuildGroups(state, nowMs);
   }
-  const group = groupOf(state, view.backend.serviceId, context.nowMs);
-  resetEstimateOnRestart(view, result.health?.incarnation);
-  const distrustBefore = view.judgement.trust.distrust;
-  const change = updateOnProbe(view.judgement, result, group.judgements, context.nowMs);
-  view.health = view.judgement.health;
-  recordTransition(state, group, view, change);
-  if (distrustBefore === undefined && view.judgement.trust.distrust !== undefined) {
-    raiseToMean(view, group);
-  }
-  recordLoad(view, result, group, context);
+  return state.groups.byServiceId.get(serviceId) ?? createGroup();
 }
 
 /**
- * An attempt to open a flow there begins.
+ * @returns the back ends that may receive a new flow: those that are ready, or where none is, those
+ *   that are busy; the same array until that changes
  */
-export function recordAttempt(state: BalancerState, view: BackendView, context: StepContext): void {
-  view.pendingOpens += 1;
-  estimateOpen(view.estimate, balancersSendingTo(state, view), context.nowMs);
+function candidatesOf(group: ServiceGroup, nowMs: number): readonly BackendView[] {
+  const mayWait =
+    group.candidates.length >= LARGE_FROM && nowMs - group.candidatesMadeAtMs < REBUILD_INTERVAL_MS;
+  if (group.candidatesOutdated && !mayWait) {
+    const ready = group.views.filter(({ judgement }) => judgement.state === 'ready');
+    group.candidates =
+      ready.length > 0 ? ready : group.views.filter(({ judgement }) => judgement.state === 'busy');
+    group.candidatesOutdated = false;
+    group.candidatesMadeAtMs = nowMs;
+  }
+  return group.candidates;
 }
 
 /**
- * An attempt to open a flow there has ended.
- * @param incarnation the back end's present incarnation, where it told it
+ * @returns those candidates that packets may be sent to: all while the lease is held, else those that
+ *   have confirmed their identity of late
  */
-export function recordAttemptEnd(
+export function usableCandidatesOf(
   state: BalancerState,
-  view: BackendView,
-  outcome: AttemptOutcome,
-  incarnation: number | undefined,
-  context: StepContext,
-): void {
-  view.pendingOpens = Math.max(0, view.pendingOpens - 1);
-  if (outcome !== 'accepted') {
-    estimateFailure(view.estimate, balancersSendingTo(state, view), context.nowMs);
+  group: ServiceGroup,
+  nowMs: number,
+): readonly BackendView[] {
+  const candidates = candidatesOf(group, nowMs);
+  if (isLeaseHeld(state.subscription.lease, nowMs)) {
+    return candidates;
+  }
+  const usable = candidates.filter((view) => isBackendUsable(state, view, nowMs));
+  if (!isSameList(usable, group.usableCandidates)) {
+    group.usableCandidates = usable;
   }
-  const group = groupOf(state, view.backend.serviceId, context.nowMs);
-  resetEstimateOnRestart(view, incarnation);
-  const { judgement } = view;
-  const change = updateOnOpenOutcome(
-    judgement,
-    outcome,
-    incarnation,
-    group.judgements,
-    context.nowMs,
-  );
-  view.health = judgement.health;
-  recordTransition(state, group, view, change);
+  return group.usableCandidates;
 }
 
 /**
- * @returns why the back end is in its judged state, or undefined where it is not known
+ * Keeps a change of state for the log, and the list of candidates up to date.
+ * @param change undefined where there was none
  */
-export function explainBackend(
+export function recordTransition(
   state: BalancerState,
-  backendId: number,
-  nowMs: number,
-): BackendExplanation | undefined {
-  const view = state.views.get(backendId);
-  return view === undefined ? undefined : explainJudgement(backendId, view.judgement, nowMs);
+  group: ServiceGroup,
+  view: BackendView,
+  change: JudgementTransition | undefined,
+): void {
+  if (change === undefined) {
+    return;
+  }
+  group.candidatesOutdated = true;
+  state.backendChanges.push({ backendId: view.backend.id, ...change });
+  if (state.backendChanges.length > MAX_UNLOGGED_CHANGES) {
+    state.backendChanges.shift();
+  }
 }
 
 /**
@@ -127,41 +108,61 @@
   return state.backendChanges.splice(0);
 }
 
-function resetEstimateOnRestart(view: BackendView, incarnation: number | undefined): void {
-  const known = view.health?.incarnation;
-  if (known !== undefined && incarnation !== undefined && known !== incarnation) {
-    resetEstimate(view.estimate);
+function rebuildGroups(state: BalancerState, nowMs: number): void {
+  const { groups } = state;
+  const previous = new Map(groups.byServiceId);
+  groups.byServiceId.clear();
+  groups.configIndex = state.position.index;
+  for (const view of state.views.values()) {
+    addToGroup(groups, view);
+  }
+  for (const [serviceId, group] of groups.byServiceId) {
+    inheritGroup(state, group, previous.get(serviceId), nowMs);
   }
 }
 
-/** What reports that are now not believed have drawn the estimate down by is made good. */
-function raiseToMean({ estimate }: BackendView, { views }: ServiceGroup): void {
-  const uses = views.map(({ estimate: one }) => one.connections / one.connectionLimit);
-  const meanUse = uses.reduce((sum, use) => sum + use, 0) / Math.max(1, uses.length);
-  estimate.connections = Math.max(estimate.connections, meanUse * estimate.connectionLimit);
+function addToGroup({ byServiceId }: ServiceGroups, view: BackendView): void {
+  const { serviceId } = view.backend;
+  const group = byServiceId.get(serviceId) ?? createGroup();
+  group.views.push(view);
+  byServiceId.set(serviceId, group);
 }
 
-/** A report that is not believed is replaced by the typical one of the service. */
-function recordLoad(
-  view: BackendView,
-  { load }: ProbeResult,
+/** Takes over what stays, so that an unchanged list of candidates remains the same array. */
+function inheritGroup(
+  state: BalancerState,
   group: ServiceGroup,
-  { nowMs }: StepContext,
+  previous: ServiceGroup | undefined,
+  nowMs: number,
 ): void {
-  if (load === undefined) {
-    return;
+  const { views, judgements } = group;
+  judgements.size = views.length;
+  judgements.ejected = countWhere(views, ({ judgement }) => judgement.reason === 'opens-time-out');
+  judgements.failingProbes = countWhere(views, ({ judgement }) => probesFail(judgement));
+  for (const view of views) {
+    const { judgement, backend } = view;
+    if (judgement.adminState !== backend.adminState) {
+      recordTransition(
+        state,
+        group,
+        view,
+        updateAdminState(judgement, backend.adminState, judgements, nowMs),
+      );
+    }
   }
-  const limit = Math.max(1, load.connectionLimit);
-  if (view.judgement.trust.distrust === undefined) {
-    group.typicalUse += TYPICAL_USE_GAIN * (load.connections / limit - group.typicalUse);
-    estimateReport(view.estimate, load, nowMs);
-  } else {
-    const connections = group.typicalUse * limit;
-    estimateReport(view.estimate, { ...load, connections, queuedRequests: 0 }, nowMs);
+  group.typicalUse = previous?.typicalUse ?? 0;
+  if (previous !== undefined && isSameList(candidatesOf(group, nowMs), previous.candidates)) {
+    group.candidates = previous.candidates;
   }
 }
 
-/** How many balancers send their flows as this one does: those of the zone for a local back end. */
-function balancersSendingTo({ options, fleet }: BalancerState, { backend }: BackendView): number {
-  return backend.zone === options.zone ? fleet.localBalancerCount : fleet.balancerCount;
+function countWhere(
+  views: readonly BackendView[],
+  condition: (view: BackendView) => boolean,
+): number {
+  return views.reduce((count, view) => count + Number(condition(view)), 0);
+}
+
+function isSameList(left: readonly BackendView[], right: readonly BackendView[]): boolean {
+  return left.length === right.length && left.every((view, index) => view === right[index]);
 }
--- a/src/managed/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -30,7 +30,8 @@
 import { liveBalancerCount, zoneMembers } from '../gossip/gossip-state.js';
 import { gossipStep } from '../gossip/gossip-step.js';
 import type { BalancerEffect, PeerSendEffect } from './balancer-events.js';
-import { applyConfigUpdate, type BalancerState } from './balancer-state.js';
+import type { BalancerState } from './balancer-state.js';
+import { applyConfigUpdate } from './config-tables.js';
 import { applyHealthState, applySharedResults } from './shared-health.js';
 
 /** Time between two counts of the live balancers, in milliseconds. */
--- a/src/managed/balancer/forwarding.ts
+++ b/src/managed/balancer/forwarding.ts
@@ -14,7 +14,8 @@
   readServiceId,
   TOKEN_LENGTH_BYTES,
 } from '../flow/token.js';
-import { isBackendUsable, type BalancerState } from './balancer-state.js';
+import type { BalancerState } from './balancer-state.js';
+import { isBackendUsable } from './backend-identity.js';
 
 const TOKEN_START = SHORT_HEADER_ID_OFFSET;
 const MIN_PACKET_BYTES = TOKEN_START + TOKEN_LENGTH_BYTES;
--- a/src/managed/balancer/open-handling.ts
+++ b/src/managed/balancer/open-handling.ts
@@ -29,6 +29,7 @@
   readKeyId,
   TOKEN_LENGTH_BYTES,
 } from '../flow/token.js';
+import type { OpenOutcome } from '../health/judgement.js';
 import {
   admitOpen,
   admitRetry,
@@ -38,13 +39,10 @@
   type OpenRefusal,
 } from '../limits/open-limits.js';
 import type { BalancerEffect, SendEffect } from './balancer-events.js';
-import { countError, type BalancerState, type PendingOpen } from './balancer-state.js';
-import {
-  chooseBackend,
-  recordAttempt,
-  recordAttemptEnd,
-  type AttemptOutcome,
-} from './candidates.js';
+import { countError, type BalancerState } from './balancer-state.js';
+import type { PendingOpen } from './pending-open.js';
+import { recordAttempt, recordAttemptEnd } from './backend-evidence.js';
+import { chooseBackend } from './choose-backend.js';
 import { recordOpenLatency } from './open-latencies.js';
 
 const EMPTY_ID = new Uint8Array(0);
@@ -247,7 +245,7 @@
 function endAttempt(
   state: BalancerState,
   open: PendingOpen,
-  outcome: AttemptOutcome,
+  outcome: OpenOutcome,
   incarnation: number | undefined,
   context: StepContext,
 ): void {
--- a/src/managed/balancer/service-groups.ts
+++ b/src/managed/balancer/service-groups.ts
@@ -1,24 +1,9 @@
 /**
- * @file The back ends of each service, and which of them may receive new flows: an index that is
- * made once per configuration, so that an open looks at no other service's back ends.
+ * @file The back ends of each service as one balancer groups them. `candidates.ts` changes these records; the rest of
+ * the balancer reads them.
  */
-import { isLeaseHeld } from '../dissemination/lease.js';
 import type { JudgementGroup, JudgementTransition } from '../health/judgement-state.js';
-import { probesFail } from '../health/judgement-rules.js';
-import { updateAdminState } from '../health/judgement.js';
 import type { BackendView } from './backend-view.js';
-import { isBackendUsable, type BalancerState } from './balancer-state.js';
-
-/**
- * In a large service the list of candidates is made anew at most this often, in milliseconds, so that
- * many changes of state in a row don't each cost a pass over all back ends.
- */
-const REBUILD_INTERVAL_MS = 20;
-/** Number of back ends from which a service is large. */
-const LARGE_FROM = 256;
-
-/** Changes of state that wait to be logged; further ones push out the oldest. */
-const MAX_UNLOGGED_CHANGES = 1_000;
 
 /** A change of a back end's judged state. */
 export interface BackendChange extends JudgementTransition {
@@ -55,93 +40,9 @@
 }
 
 /**
- * @returns the back ends of the service under the configuration in force
- */
-export function groupOf(state: BalancerState, serviceId: number, nowMs: number): ServiceGroup {
-  if (state.groups.configIndex !== state.position.index) {
-    rebuildGroups(state, nowMs);
-  }
-  return state.groups.byServiceId.get(serviceId) ?? createGroup();
-}
-
-/**
- * @returns the back ends that may receive a new flow: those that are ready, or where none is, those
- *   that are busy; the same array until that changes
- */
-function candidatesOf(group: ServiceGroup, nowMs: number): readonly BackendView[] {
-  const mayWait =
-    group.candidates.length >= LARGE_FROM && nowMs - group.candidatesMadeAtMs < REBUILD_INTERVAL_MS;
-  if (group.candidatesOutdated && !mayWait) {
-    const ready = group.views.filter(({ judgement }) => judgement.state === 'ready');
-    group.candidates =
-      ready.length > 0 ? ready : group.views.filter(({ judgement }) => judgement.state === 'busy');
-    group.candidatesOutdated = false;
-    group.candidatesMadeAtMs = nowMs;
-  }
-  return group.candidates;
-}
-
-/**
- * @returns those candidates that packets may be sent to: all while the lease is held, else those that
- *   have confirmed their identity of late
- */
-export function usableCandidatesOf(
-  state: BalancerState,
-  group: ServiceGroup,
-  nowMs: number,
-): readonly BackendView[] {
-  const candidates = candidatesOf(group, nowMs);
-  if (isLeaseHeld(state.subscription.lease, nowMs)) {
-    return candidates;
-  }
-  const usable = candidates.filter((view) => isBackendUsable(state, view, nowMs));
-  if (!isSameList(usable, group.usableCandidates)) {
-    group.usableCandidates = usable;
-  }
-  return group.usableCandidates;
-}
-
-/**
- * Keeps a change of state for the log, and the list of candidates up to date.
- * @param change undefined where there was none
+ * @returns the group of a service without back ends
  */
-export function recordTransition(
-  state: BalancerState,
-  group: ServiceGroup,
-  view: BackendView,
-  change: JudgementTransition | undefined,
-): void {
-  if (change === undefined) {
-    return;
-  }
-  group.candidatesOutdated = true;
-  state.backendChanges.push({ backendId: view.backend.id, ...change });
-  if (state.backendChanges.length > MAX_UNLOGGED_CHANGES) {
-    state.backendChanges.shift();
-  }
-}
-
-function rebuildGroups(state: BalancerState, nowMs: number): void {
-  const { groups } = state;
-  const previous = new Map(groups.byServiceId);
-  groups.byServiceId.clear();
-  groups.configIndex = state.position.index;
-  for (const view of state.views.values()) {
-    addToGroup(groups, view);
-  }
-  for (const [serviceId, group] of groups.byServiceId) {
-    inheritGroup(state, group, previous.get(serviceId), nowMs);
-  }
-}
-
-function addToGroup({ byServiceId }: ServiceGroups, view: BackendView): void {
-  const { serviceId } = view.backend;
-  const group = byServiceId.get(serviceId) ?? createGroup();
-  group.views.push(view);
-  byServiceId.set(serviceId, group);
-}
-
-function createGroup(): ServiceGroup {
+export function createGroup(): ServiceGroup {
   return {
     views: [],
     judgements: { size: 0, ejected: 0, failingProbes: 0 },
@@ -152,42 +53,3 @@
     typicalUse: 0,
   };
 }
-
-/** Takes over what stays, so that an unchanged list of candidates remains the same array. */
-function inheritGroup(
-  state: BalancerState,
-  group: ServiceGroup,
-  previous: ServiceGroup | undefined,
-  nowMs: number,
-): void {
-  const { views, judgements } = group;
-  judgements.size = views.length;
-  judgements.ejected = countWhere(views, ({ judgement }) => judgement.reason === 'opens-time-out');
-  judgements.failingProbes = countWhere(views, ({ judgement }) => probesFail(judgement));
-  for (const view of views) {
-    const { judgement, backend } = view;
-    if (judgement.adminState !== backend.adminState) {
-      recordTransition(
-        state,
-        group,
-        view,
-        updateAdminState(judgement, backend.adminState, judgements, nowMs),
-      );
-    }
-  }
-  group.typicalUse = previous?.typicalUse ?? 0;
-  if (previous !== undefined && isSameList(candidatesOf(group, nowMs), previous.candidates)) {
-    group.candidates = previous.candidates;
-  }
-}
-
-function countWhere(
-  views: readonly BackendView[],
-  condition: (view: BackendView) => boolean,
-): number {
-  return views.reduce((count, view) => count + Number(condition(view)), 0);
-}
-
-function isSameList(left: readonly BackendView[], right: readonly BackendView[]): boolean {
-  return left.length === right.length && left.every((view, index) => view === right[index]);
-}
--- a/src/managed/balancer/shared-health.ts
+++ b/src/managed/balancer/shared-health.ts
@@ -17,8 +17,9 @@
 import { presentMembers } from '../gossip/member-list.js';
 import { zoneMembers } from '../gossip/gossip-state.js';
 import type { BalancerEffect } from './balancer-events.js';
-import { recordIdentity, type BalancerState } from './balancer-state.js';
-import { recordProbe } from './candidates.js';
+import type { BalancerState } from './balancer-state.js';
+import { recordIdentity } from './backend-identity.js';
+import { recordProbe } from './backend-evidence.js';
 
 /** Time between two messages to others, in milliseconds: with news, and without. */
 const CHANGES_INTERVAL_MS = 500;
--- a/src/managed/settings/settings-schema.ts
+++ b/src/managed/settings/settings-schema.ts
@@ -6,7 +6,7 @@
 import { parseAddress } from '../../shared/common/address.js';
 import { logLevels } from '../../shared/common/logger.js';
 import { addressRangeText, nameSchema } from '../control/commands.js';
-import { defaultBalancerOptions } from '../balancer/balancer-state.js';
+import { defaultBalancerOptions } from '../balancer/balancer-options.js';
 
 const MIN_KEY_LENGTH = 8;
 
--- a/src/proof/experiment/bench-forward-memory.ts
+++ b/src/proof/experiment/bench-forward-memory.ts
@@ -2,11 +2,9 @@
  * @file Memory per established flow of the balancer's decision step, against a flow table. The
  * process runs with `--expose-gc`, so that heap in use is counted after a full collection.
  */
-import {
-  applyConfigUpdate,
-  createBalancerState,
-  defaultBalancerOptions,
-} from '../../managed/balancer/balancer-state.js';
+import { createBalancerState } from '../../managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../managed/balancer/config-tables.js';
+import { defaultBalancerOptions } from '../../managed/balancer/balancer-options.js';
 import { balancerStep } from '../../managed/balancer/balancer-step.js';
 import { formatAddress } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
--- a/src/proof/experiment/hollow/hollow-balancer.ts
+++ b/src/proof/experiment/hollow/hollow-balancer.ts
@@ -7,9 +7,9 @@
 import type { BalancerEffect, BalancerEvent } from '../../../managed/balancer/balancer-events.js';
 import {
   createBalancerState,
-  defaultBalancerOptions,
   type BalancerState,
 } from '../../../managed/balancer/balancer-state.js';
+import { defaultBalancerOptions } from '../../../managed/balancer/balancer-options.js';
 import { balancerStep } from '../../../managed/balancer/balancer-step.js';
 import type {
   BalancerToControlMessage,
--- a/src/proof/experiment/hollow/node-memory.ts
+++ b/src/proof/experiment/hollow/node-memory.ts
@@ -3,10 +3,8 @@
  * where hollow nodes of one world share what they have decoded.
  */
 import { Packr } from 'msgpackr';
-import {
-  createBalancerState,
-  defaultBalancerOptions,
-} from '../../../managed/balancer/balancer-state.js';
+import { createBalancerState } from '../../../managed/balancer/balancer-state.js';
+import { defaultBalancerOptions } from '../../../managed/balancer/balancer-options.js';
 import { balancerStep } from '../../../managed/balancer/balancer-step.js';
 import { seededRandom } from '../../../shared/common/random.js';
 import { noMembers } from '../../../shared/consensus/membership.js';
--- a/src/proof/experiment/placement-choice-cost.ts
+++ b/src/proof/experiment/placement-choice-cost.ts
@@ -2,18 +2,15 @@
  * @file What one choice of a back end costs, against the number of back ends.
  */
 import { createBackendView } from '../../managed/balancer/backend-view.js';
+import { createBalancerState, type BalancerState } from '../../managed/balancer/balancer-state.js';
+import type { PendingOpen } from '../../managed/balancer/pending-open.js';
+import { defaultBalancerOptions } from '../../managed/balancer/balancer-options.js';
 import {
-  createBalancerState,
-  defaultBalancerOptions,
-  type BalancerState,
-  type PendingOpen,
-} from '../../managed/balancer/balancer-state.js';
-import {
-  chooseBackend,
   recordAttempt,
   recordAttemptEnd,
   recordProbe,
-} from '../../managed/balancer/candidates.js';
+} from '../../managed/balancer/backend-evidence.js';
+import { chooseBackend } from '../../managed/balancer/choose-backend.js';
 import type { Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
 import type { Backend, Service } from '../../managed/control/routing-config.js';
--- a/src/proof/experiment/placement-world.ts
+++ b/src/proof/experiment/placement-world.ts
@@ -3,19 +3,16 @@
  * the decision code of the daemon: they choose back ends, mint tokens and route by them.
  */
 import { match } from 'ts-pattern';
+import { createBalancerState, type BalancerState } from '../../managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../managed/balancer/config-tables.js';
+import type { PendingOpen } from '../../managed/balancer/pending-open.js';
+import { defaultBalancerOptions } from '../../managed/balancer/balancer-options.js';
 import {
-  applyConfigUpdate,
-  createBalancerState,
-  defaultBalancerOptions,
-  type BalancerState,
-  type PendingOpen,
-} from '../../managed/balancer/balancer-state.js';
-import {
-  chooseBackend,
   recordAttempt,
   recordAttemptEnd,
   recordProbe,
-} from '../../managed/balancer/candidates.js';
+} from '../../managed/balancer/backend-evidence.js';
+import { chooseBackend } from '../../managed/balancer/choose-backend.js';
 import { routeEstablished } from '../../managed/balancer/forwarding.js';
 import type { BackendView } from '../../managed/balancer/backend-view.js';
 import type { Address } from '../../shared/common/address.js';
--- a/src/proof/sim-managed/simulated-balancer.ts
+++ b/src/proof/sim-managed/simulated-balancer.ts
@@ -3,11 +3,8 @@
  */
 import { match } from 'ts-pattern';
 import type { BalancerEffect, BalancerEvent } from '../../managed/balancer/balancer-events.js';
-import {
-  createBalancerState,
-  defaultBalancerOptions,
-  type BalancerState,
-} from '../../managed/balancer/balancer-state.js';
+import { createBalancerState, type BalancerState } from '../../managed/balancer/balancer-state.js';
+import { defaultBalancerOptions } from '../../managed/balancer/balancer-options.js';
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { ControlToBalancerMessage } from '../../managed/dissemination/link-messages.js';
 import type { ProbeEffect } from '../../managed/health/probe-schedule.js';
--- a/test/managed/balancer/balancer-world.ts
+++ b/test/managed/balancer/balancer-world.ts
@@ -1,12 +1,14 @@
 /** @file One balancer with its services and ready back ends, and the packets of callers. */
 import type { BalancerEffect, SendEffect } from '../../../src/managed/balancer/balancer-events.js';
 import {
-  applyConfigUpdate,
   createBalancerState,
-  defaultBalancerOptions,
-  type BalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../../src/managed/balancer/config-tables.js';
+import {
+  defaultBalancerOptions,
+  type BalancerOptions,
+} from '../../../src/managed/balancer/balancer-options.js';
 import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
 import type { Address } from '../../../src/shared/common/address.js';
 import { seededRandom } from '../../../src/shared/common/random.js';
--- a/test/managed/balancer/candidates.test.ts
+++ b/test/managed/balancer/candidates.test.ts
@@ -1,19 +1,19 @@
 /** @file Which back ends a balancer considers for an open, as configuration and judgement change. */
 import { test } from 'tap';
 import {
-  applyConfigUpdate,
   createBalancerState,
-  defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../../src/managed/balancer/config-tables.js';
+import { defaultBalancerOptions } from '../../../src/managed/balancer/balancer-options.js';
+import { takeBackendChanges } from '../../../src/managed/balancer/candidates.js';
 import {
-  chooseBackend,
   explainBackend,
   recordAttempt,
   recordAttemptEnd,
   recordProbe,
-  takeBackendChanges,
-} from '../../../src/managed/balancer/candidates.js';
+} from '../../../src/managed/balancer/backend-evidence.js';
+import { chooseBackend } from '../../../src/managed/balancer/choose-backend.js';
 import { seededRandom } from '../../../src/shared/common/random.js';
 import type { Backend, Service } from '../../../src/managed/control/routing-config.js';
 
--- a/test/managed/balancer/config-tables.test.ts
+++ b/test/managed/balancer/config-tables.test.ts
@@ -3,11 +3,11 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-  applyConfigUpdate,
   createBalancerState,
-  defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../../src/managed/balancer/config-tables.js';
+import { defaultBalancerOptions } from '../../../src/managed/balancer/balancer-options.js';
 import type { Backend, Service, TokenKey } from '../../../src/managed/control/routing-config.js';
 import { snapshotOf, type ConfigChange } from '../../../src/managed/control/config-delta.js';
 
--- a/test/managed/balancer/cut-off.test.ts
+++ b/test/managed/balancer/cut-off.test.ts
@@ -1,11 +1,11 @@
 /** @file What a balancer without a lease does with packets and opens. */
 import t from 'tap';
 import {
-  applyConfigUpdate,
   createBalancerState,
-  defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../../src/managed/balancer/config-tables.js';
+import { defaultBalancerOptions } from '../../../src/managed/balancer/balancer-options.js';
 import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
 import { routeEstablished } from '../../../src/managed/balancer/forwarding.js';
 import { seededRandom } from '../../../src/shared/common/random.js';
--- a/test/managed/balancer/deltas.test.ts
+++ b/test/managed/balancer/deltas.test.ts
@@ -2,11 +2,11 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-  applyConfigUpdate,
   createBalancerState,
-  defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../../src/managed/balancer/config-tables.js';
+import { defaultBalancerOptions } from '../../../src/managed/balancer/balancer-options.js';
 import type { ConfigDelta } from '../../../src/managed/control/config-delta.js';
 
 const LENGTH = 8;
--- a/test/managed/dissemination/tree-world.ts
+++ b/test/managed/dissemination/tree-world.ts
@@ -9,9 +9,9 @@
 } from '../../../src/managed/balancer/balancer-events.js';
 import {
   createBalancerState,
-  defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
+import { defaultBalancerOptions } from '../../../src/managed/balancer/balancer-options.js';
 import { balancerStep } from '../../../src/managed/balancer/balancer-step.js';
 import type { ProbeResult } from '../../../src/managed/health/backend-report.js';
 import { SingleControl } from '../control/single-control.js';
--- a/test/managed/flows/world.ts
+++ b/test/managed/flows/world.ts
@@ -8,11 +8,11 @@
   BalancerEvent,
 } from '../../../src/managed/balancer/balancer-events.js';
 import {
-  applyConfigUpdate,
   createBalancerState,
-  defaultBalancerOptions,
   type BalancerState,
 } from '../../../src/managed/balancer/balancer-state.js';
+import { applyConfigUpdate } from '../../../src/managed/balancer/config-tables.js';
+import { defaultBalancerOptions } from '../../../src/managed/balancer/balancer-options.js';
 import { formatAddress, type Address } from '../../../src/shared/common/address.js';
 import type { Backend, Service } from '../../../src/managed/control/routing-config.js';
 import type { BackendOptions } from '../../../src/proof/standins/backend-options.js';
