--- a/src/managed/balancer/open-handling.ts
+++ b/src/managed/balancer/open-handling.ts
@@ -7,7 +7,7 @@
 import type { Address } from '../../shared/common/address.js';
 import { addressKey, formatAddress } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
-import type { Service } from '../control/cluster-state.js';
+import type { Service } from '../control/routing-config.js';
 import { decodeEnvelope, encodeEnvelope, type Envelope } from '../flow/envelope.js';
 import {
   amberliftError,
@@ -29,22 +29,20 @@
   readKeyId,
   TOKEN_LENGTH_BYTES,
 } from '../flow/token.js';
+import type { OpenOutcome } from '../health/judgement.js';
 import {
   admitOpen,
   admitRetry,
-  noteServices,
+  updateServices,
   OVERLOAD_RETRY_AFTER_MS,
   releaseOpen,
   type OpenRefusal,
 } from '../limits/open-limits.js';
 import type { BalancerEffect, SendEffect } from './balancer-events.js';
-import { countError, type BalancerState, type PendingOpen } from './balancer-state.js';
-import {
-  chooseBackend,
-  recordAttempt,
-  recordAttemptEnd,
-  type AttemptOutcome,
-} from './candidates.js';
+import { countError, type BalancerState } from './balancer-state.js';
+import type { PendingOpen } from './pending-open.js';
+import { recordAttempt, recordAttemptEnd } from './backend-evidence.js';
+import { chooseBackend } from './choose-backend.js';
 import { recordOpenLatency } from './open-latencies.js';
 
 const EMPTY_ID = new Uint8Array(0);
@@ -247,7 +245,7 @@
 function endAttempt(
   state: BalancerState,
   open: PendingOpen,
-  outcome: AttemptOutcome,
+  outcome: OpenOutcome,
   incarnation: number | undefined,
   context: StepContext,
 ): void {
@@ -262,7 +260,7 @@
   service: Service,
   { nowMs }: StepContext,
 ): OpenRefusal | undefined {
-  noteServices(state.limits, state.config.services, state.position.index);
+  updateServices(state.limits, state.config.services, state.position.index);
   const { options: limits, fleet } = state;
   const surroundings = { liveBalancerCount: fleet.balancerCount, limits, nowMs };
   return admitOpen(state.limits, service, surroundings);
