--- a/src/managed/control/control-status.ts
+++ b/src/managed/control/control-status.ts
@@ -83,5 +83,5 @@
   const progress = role.progress.get(member.nodeId);
   return progress === undefined
     ? member
-    : { ...member, matchIndex: progress.matchIndex, silentMs: nowMs - progress.heardAtMs };
+    : { ...member, matchIndex: progress.matchIndex, silentMs: nowMs - progress.receivedAtMs };
 }
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -159,7 +159,7 @@
       sendToPeer: (to, message) => peerLinks.send(to, message),
       sendFeed: (linkId, message) => this.feedLinks.find(linkId)?.send(packFeed(message)),
       persist: (effect) => this.persist(storage, effect, generation),
-      note: (name, fields) => {
+      logDecision: (name, fields) => {
         this.parts.note(this.address.host, name, fields);
         this.noteLeader(state.consensus);
       },
@@ -212,9 +212,9 @@
       return false;
     }
     if (isBalancerLinkMessage(parsed)) {
-      this.process?.takeBalancerMessage(this.feedLinks.idOf(link), parsed);
+      this.process?.handleBalancerMessage(this.feedLinks.idOf(link), parsed);
     } else {
-      this.process?.takePeerMessage(parsed);
+      this.process?.handlePeerMessage(parsed);
     }
     return true;
   }
--- a/src/proof/sim-registered/simulated-ingress-balancer.ts
+++ b/src/proof/sim-registered/simulated-ingress-balancer.ts
@@ -79,18 +79,18 @@
               this.gate.whenRunning(generation, () => handlers.onClose(link, reason)),
           }),
         after: (delayMs, run) => clock.after(delayMs, () => this.gate.whenRunning(generation, run)),
-        note: (name, fields) => this.parts.note(host, name, fields),
-        packetLog: { note: () => undefined, flush: () => undefined },
+        logDecision: (name, fields) => this.parts.note(host, name, fields),
+        packetLog: { log: () => undefined, flush: () => undefined },
       },
     );
     this.process = process;
     wires.onDatagram(this.packetAddress, (bytes) =>
-      this.gate.whenRunning(generation, () => process.takePacket(bytes)),
+      this.gate.whenRunning(generation, () => process.handlePacket(bytes)),
     );
     wires.onDatagram(peerAddress, (bytes) => {
       const message = parseBalancerMessage(packr.unpack(bytes));
       if (message !== undefined) {
-        this.gate.whenRunning(generation, () => process.takeBalancerMessage(message));
+        this.gate.whenRunning(generation, () => process.handleBalancerMessage(message));
       }
     });
     this.tick(process, generation);
--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -44,7 +44,7 @@
   /** Counts bytes that went over the machine's link. */
   charge(bytes: number): void;
   /** Takes the line of a decision that changed what this balancer believes. */
-  readonly note: (name: string, fields: DecisionFields) => void;
+  readonly logDecision: (name: string, fields: DecisionFields) => void;
   /** Takes lines that may be many. */
   readonly packetLog: RequestLog;
 }
@@ -54,7 +54,7 @@
   /** Does what is due: opens or gives up the link, tells loads. */
   tick(nowMs: number): void;
   /** Takes other control machines to look for. */
-  takeSeeds(seeds: readonly Address[]): void;
+  updateSeeds(seeds: readonly Address[]): void;
   /** @returns how long ago a control machine said that what it told is current, in milliseconds */
   feedAgeMs(): number | undefined;
 }
@@ -80,7 +80,7 @@
 
   return {
     tick,
-    takeSeeds: (seeds) => source.takeSeeds(seeds),
+    updateSeeds: (seeds) => source.takeSeeds(seeds),
     feedAgeMs: () => feedAgeMs(state, options.nowMs()),
   };
 
@@ -92,7 +92,7 @@
   function follow(nowMs: number): void {
     const action = source.act(nowMs);
     if (action.type === 'close') {
-      packetLog.note('feed left', { why: action.why });
+      packetLog.log('feed left', { why: action.why });
       followed?.link.close();
     } else if (action.type === 'connect') {
       subscribe(action.address);
@@ -126,7 +126,7 @@
 
   /** @returns false where the control machine must begin anew, on a new link */
   function take(message: FeedMessage, nowMs: number): boolean {
-    const isFit = takeMessage(options, message, nowMs);
+    const isFit = applyAndLog(options, message, nowMs);
     if (!isFit) {
       isConfigDoubted = true;
       state.assembly.clear();
@@ -146,7 +146,7 @@
     }
     const { to } = followed;
     followed = undefined;
-    noteClosed(options, source.closed(options.nowMs()), to, reason);
+    logClosed(options, source.closed(options.nowMs()), to, reason);
     options.after(FEED_RETRY_AFTER_MS, () => follow(options.nowMs()));
   }
 
@@ -181,37 +181,37 @@
 }
 
 /** @returns false where the message does not follow what is held here */
-function takeMessage(
-  { state, note }: FeedFollowerOptions,
+function applyAndLog(
+  { state, logDecision }: FeedFollowerOptions,
   message: FeedMessage,
   nowMs: number,
 ): boolean {
   const wasReady = isReady(state);
   const taken = applyFeedMessage(state, message, nowMs);
   if (taken.type === 'in-force') {
-    note('config in force', { version: taken.version });
+    logDecision('config in force', { version: taken.version });
   }
   if (isReady(state) !== wasReady) {
-    note('ready', { backends: state.backends.size });
+    logDecision('ready', { backends: state.backends.size });
   }
   if (taken.type === 'unfit') {
     const { version, baseVersion } = message.config ?? {};
-    note('config unfit', { version, baseVersion });
+    logDecision('config unfit', { version, baseVersion });
   }
   return taken.type !== 'unfit';
 }
 
 /** Control machines that can't be reached are tried many times a second: those lines have a budget. */
-function noteClosed(
-  { state, note, packetLog, nowMs }: FeedFollowerOptions,
+function logClosed(
+  { state, logDecision, packetLog, nowMs }: FeedFollowerOptions,
   hadFeed: boolean,
   to: Address,
   reason: string,
 ): void {
   const fields = { control: formatAddress(to), reason, feedAgeMs: feedAgeMs(state, nowMs()) };
   if (hadFeed) {
-    note('feed lost', fields);
+    logDecision('feed lost', fields);
   } else {
-    packetLog.note('feed not reached', fields);
+    packetLog.log('feed not reached', fields);
   }
 }
--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -55,7 +55,7 @@
   readonly socket: Socket;
   /** Closes the link; its owner hears why. */
   giveUp(reason: string): void;
-  heardAtMs: number;
+  receivedAtMs: number;
   sentAtMs: number;
 }
 
@@ -125,7 +125,7 @@
     let reason = 'The other end closed the link.';
     const link: OpenLink = {
       socket,
-      heardAtMs: now,
+      receivedAtMs: now,
       sentAtMs: now,
       send: (message) => this.sendFrame(link, encodeFrame(message)),
       sendFrame: (frame) => this.sendFrame(link, frame),
@@ -142,7 +142,7 @@
     this.links.add(link);
     socket.setNoDelay(true);
     socket.on('data', (chunk) => {
-      link.heardAtMs = performance.now();
+      link.receivedAtMs = performance.now();
       const decoded = decoder.push(chunk);
       if (decoded.type === 'malformed') {
         refuse(decoded.reason);
@@ -182,7 +182,7 @@
   private keepAlive(): void {
     const now = performance.now();
     for (const link of this.links) {
-      if (now - link.heardAtMs > this.options.silentAfterMs) {
+      if (now - link.receivedAtMs > this.options.silentAfterMs) {
         link.giveUp(`Nothing came for ${this.options.silentAfterMs} ms.`);
       } else if (now - link.sentAtMs >= this.options.pulseIntervalMs / 2 && link.socket.writable) {
         link.sentAtMs = now;
--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -56,7 +56,7 @@
       sendToPeer: (to, message) => this.peers.send(to, message),
       sendFeed: (linkId, message) => this.feedLinks.find(linkId)?.sendFrame(frameOf(message)),
       persist: (effect) => persist(storage, effect),
-      note: (name, fields) => logDecision('control', name, fields),
+      logDecision: (name, fields) => logDecision('control', name, fields),
     };
     this.group = new GroupProcess(createGroupState(options, storage.recovered), surroundings);
   }
@@ -85,7 +85,7 @@
   }
 
   /** Takes other seeds, by which this machine finds the group. */
-  takeSeeds(seeds: readonly Address[]): void {
+  updateSeeds(seeds: readonly Address[]): void {
     this.group.state.seeds = seeds;
   }
 
@@ -114,9 +114,9 @@
       return false;
     }
     if (isBalancerLinkMessage(parsed)) {
-      this.group.takeBalancerMessage(this.feedLinks.idOf(link), parsed);
+      this.group.handleBalancerMessage(this.feedLinks.idOf(link), parsed);
     } else {
-      this.group.takePeerMessage(parsed);
+      this.group.handlePeerMessage(parsed);
     }
     return true;
   }
--- a/src/registered/daemon/group-process.ts
+++ b/src/registered/daemon/group-process.ts
@@ -28,7 +28,7 @@
   /** Resolves once the write lasts; never rejects. */
   persist(effect: PersistEffect): Promise<void>;
   /** Takes the line of a decision. */
-  note(name: string, fields: DecisionFields): void;
+  logDecision(name: string, fields: DecisionFields): void;
 }
 
 /** Hears of latencies, for metrics. */
@@ -60,18 +60,18 @@
     this.nextNumber += 1;
     const startedAtMs = this.surroundings.context().nowMs;
     this.calls.set(requestId, (reply) => {
-      this.noteAnswer(call.type, reply.type, this.surroundings.context().nowMs - startedAtMs);
+      this.recordReply(call.type, reply.type, this.surroundings.context().nowMs - startedAtMs);
       answer(reply);
     });
     this.step({ ...call, requestId });
   }
 
-  takePeerMessage(message: PeerMessage): void {
+  handlePeerMessage(message: PeerMessage): void {
     this.step({ type: 'peer-message', message });
   }
 
   /** Takes a message of a balancer: it wants the feed on its link, or tells its load. */
-  takeBalancerMessage(linkId: LinkId, message: BalancerLinkMessage): void {
+  handleBalancerMessage(linkId: LinkId, message: BalancerLinkMessage): void {
     switch (message.type) {
       case 'subscribe':
         this.step({ type: 'subscribe', linkId, message });
@@ -98,7 +98,7 @@
     this.step({ type: 'stop' });
   }
 
-  private noteAnswer(call: GroupCall['type'], answer: string, latencyMs: number): void {
+  private recordReply(call: GroupCall['type'], answer: string, latencyMs: number): void {
     const name = `${call} ${answer}`;
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
     this.observer?.onAnswered(call, latencyMs);
@@ -130,7 +130,7 @@
         this.calls.delete(effect.requestId);
         return;
       case 'decision':
-        this.surroundings.note(effect.name, effect.fields);
+        this.surroundings.logDecision(effect.name, effect.fields);
         return;
       case 'persist':
       case 'persist-snapshot':
--- a/src/registered/daemon/ingress-daemon.ts
+++ b/src/registered/daemon/ingress-daemon.ts
@@ -44,7 +44,7 @@
       sendToBalancer: (to, message) => this.sendToBalancer(to, message),
       connectControl: (to, handlers) => this.links.connect(to, handlers),
       after: (delayMs, run) => setTimeout(run, delayMs),
-      note: (name, fields) => logDecision('balancer', name, fields),
+      logDecision: (name, fields) => logDecision('balancer', name, fields),
       packetLog: createRequestLog({
         nowMs: () => performance.now(),
         write: (name, text) => logLine('balancer', name, text),
@@ -59,11 +59,11 @@
     daemon.peerSocket = await bindUdp(options.peerAddress, (datagram) => {
       const message = decodeBalancerMessage(datagram);
       if (message !== undefined) {
-        daemon.process.takeBalancerMessage(message);
+        daemon.process.handleBalancerMessage(message);
       }
     });
     daemon.packets = await bindUdp(options.packetAddress, (datagram) =>
-      daemon.process.takePacket(datagram),
+      daemon.process.handlePacket(datagram),
     );
     daemon.timer = setInterval(() => daemon.process.tick(), TICK_INTERVAL_MS);
     daemon.process.tick();
@@ -82,8 +82,8 @@
   }
 
   /** Takes other control machines to look for. */
-  takeSeeds(seeds: readonly Address[]): void {
-    this.process.takeSeeds(seeds);
+  updateSeeds(seeds: readonly Address[]): void {
+    this.process.updateSeeds(seeds);
   }
 
   /**
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -46,7 +46,7 @@
   connectControl(to: Address, handlers: ControlLinkHandlers): ControlLink;
   after(delayMs: number, run: () => void): void;
   /** Takes the line of a decision that changed what this balancer believes. */
-  note(name: string, fields: DecisionFields): void;
+  logDecision(name: string, fields: DecisionFields): void;
   /** Takes the lines of decisions on packets. */
   readonly packetLog: RequestLog;
 }
@@ -82,7 +82,7 @@
   /** Sends all packets; read by metrics. */
   readonly sender: PacedSender;
   private nextSweepAtMs = 0;
-  private notedZonesVersion = 0;
+  private loggedZonesVersion = 0;
 
   constructor(
     private readonly options: IngressProcessOptions,
@@ -98,7 +98,7 @@
       send: (datagram, to) => surroundings.sendPacket(datagram, to),
       onDropped: (reason, { flow }) => {
         this.count(`dropped:${reason}`);
-        surroundings.packetLog.note('dropped', { reason, flow });
+        surroundings.packetLog.log('dropped', { reason, flow });
       },
     });
     this.feed = createFeedFollower({
@@ -109,7 +109,7 @@
       after: (delayMs, run) => surroundings.after(delayMs, run),
       connectControl: (to, handlers) => surroundings.connectControl(to, handlers),
       charge: (bytes) => this.sender.charge(bytes),
-      note: (name, fields) => surroundings.note(name, fields),
+      logDecision: (name, fields) => surroundings.logDecision(name, fields),
       packetLog: surroundings.packetLog,
     });
     this.zones = createZoneGossip({
@@ -141,8 +141,8 @@
   }
 
   /** Takes other control machines to look for. */
-  takeSeeds(seeds: readonly Address[]): void {
-    this.feed.takeSeeds(seeds);
+  updateSeeds(seeds: readonly Address[]): void {
+    this.feed.updateSeeds(seeds);
   }
 
   /** Not ready from now on; packets are forwarded as before. */
@@ -151,7 +151,7 @@
   }
 
   /** Takes a datagram of a client. */
-  takePacket(datagram: Uint8Array): void {
+  handlePacket(datagram: Uint8Array): void {
     const packet = this.codec.read(datagram);
     if (packet === undefined) {
       this.count('malformed');
@@ -164,16 +164,16 @@
   }
 
   /** Takes a message of another balancer. */
-  takeBalancerMessage(message: BalancerMessage): void {
+  handleBalancerMessage(message: BalancerMessage): void {
     switch (message.type) {
       case 'find-zones':
-        this.zones.answer(message.replyTo);
+        this.zones.handleQuery(message.replyTo);
         return;
       case 'zones-known':
-        this.zones.take(message.zones);
+        this.zones.applyUpdates(message.zones);
         return;
       default:
-        this.opens.take(message);
+        this.opens.handleMessage(message);
     }
   }
 
@@ -190,7 +190,7 @@
         this.refuse('dropped', decision.reason, packet);
         return;
       case 'ask-peers':
-        this.opens.ask(decision.key, { datagram: Uint8Array.from(datagram), packet });
+        this.opens.askHolders(decision.key, { datagram: Uint8Array.from(datagram), packet });
         return;
     }
   }
@@ -202,12 +202,12 @@
     this.count('forwarded');
     if (foundBy !== undefined) {
       this.count(`opened:${foundBy.type}`);
-      this.tellOthers(foundBy, token);
-      this.surroundings.packetLog.note('placed', this.placementFields(packet, backend, foundBy));
+      this.publishPlacement(foundBy, token);
+      this.surroundings.packetLog.log('placed', this.placementFields(packet, backend, foundBy));
       return;
     }
     if (packet.dataLength > 0) {
-      this.noteRequest(datagram, packet, backend);
+      this.logRequest(datagram, packet, backend);
     }
   }
 
@@ -215,9 +215,9 @@
     this.sender.send(datagram, to, () => labelOf(packet));
   }
 
-  private tellOthers(foundBy: FoundBy, token: number): void {
+  private publishPlacement(foundBy: FoundBy, token: number): void {
     if (foundBy.type === 'chosen' && this.options.ingress.switches.opens === 'shared') {
-      this.opens.tell(foundBy.key, token);
+      this.opens.publishPlacement(foundBy.key, token);
     }
   }
 
@@ -245,10 +245,10 @@
   }
 
   /** Ties the ID of a request to its flow. */
-  private noteRequest(datagram: Uint8Array, packet: PacketView, backend: KnownBackend): void {
+  private logRequest(datagram: Uint8Array, packet: PacketView, backend: KnownBackend): void {
     const request = this.codec.requestIdOf(datagram);
     if (request !== undefined) {
-      this.surroundings.packetLog.note('request', {
+      this.surroundings.packetLog.log('request', {
         request,
         flow: describeFlow(packet),
         seq: packet.sequence,
@@ -261,7 +261,7 @@
   private refuse(outcome: string, reason: DropReason, packet: PacketView): void {
     this.count(`${outcome}:${reason}`);
     if (packet.isOpen || reason === 'unknown-token' || reason === 'backend-dead') {
-      this.surroundings.packetLog.note(outcome, {
+      this.surroundings.packetLog.log(outcome, {
         reason,
         flow: describeFlow(packet),
         seq: packet.sequence,
@@ -280,13 +280,13 @@
     this.state.stallGuard.recordTurn(nowMs);
     this.feed.tick(nowMs);
     this.zones.tick(nowMs);
-    this.noteZones(nowMs);
-    this.noteFailing();
+    this.logZones(nowMs);
+    this.logEjections();
     if (nowMs >= this.nextSweepAtMs) {
       this.nextSweepAtMs = nowMs + SWEEP_INTERVAL_MS;
       ingressSweep(this.state, nowMs).forEach(({ backend, from, to }) => {
         const silentMs = Math.round(nowMs - backend.lastHeartbeatAtMs);
-        this.surroundings.note('backend judged', {
+        this.surroundings.logDecision('backend judged', {
           backend: backend.id,
           from: LIVENESS_LABELS[from],
           to: LIVENESS_LABELS[to],
@@ -298,16 +298,16 @@
   }
 
   /** Whoever told of them. */
-  private noteZones(nowMs: number): void {
+  private logZones(nowMs: number): void {
     const { zones } = this.state;
-    if (zones.version !== this.notedZonesVersion) {
-      this.notedZonesVersion = zones.version;
+    if (zones.version !== this.loggedZonesVersion) {
+      this.loggedZonesVersion = zones.version;
       const evacuated = zones.describeEvacuated(nowMs) ?? 'none';
-      this.surroundings.note('zones', { evacuated, feedAgeMs: this.feed.feedAgeMs() });
+      this.surroundings.logDecision('zones', { evacuated, feedAgeMs: this.feed.feedAgeMs() });
     }
   }
 
-  private noteFailing(): void {
+  private logEjections(): void {
     for (const {
       backendId,
       failure,
@@ -318,7 +318,7 @@
       const answered = Math.round(evidence.answered);
       const short = Math.round(evidence.short);
       const fields = { backend: backendId, failure, holdMs, stalled, busy, answered, short };
-      this.surroundings.note('backend passed over', fields);
+      this.surroundings.logDecision('backend passed over', fields);
     }
   }
 
--- a/src/registered/daemon/metrics/group-metrics.ts
+++ b/src/registered/daemon/metrics/group-metrics.ts
@@ -70,11 +70,11 @@
 }
 
 function contactAgeMs({ consensus }: GroupState, nowMs: number): number {
-  const { role, heardFromLeaderAtMs } = consensus;
+  const { role, leaderContactAtMs } = consensus;
   if (role.name !== 'leader') {
-    return Math.max(0, nowMs - heardFromLeaderAtMs);
+    return Math.max(0, nowMs - leaderContactAtMs);
   }
-  const heardAtMs = [...role.progress.values()].map((progress) => progress.heardAtMs);
+  const heardAtMs = [...role.progress.values()].map((progress) => progress.receivedAtMs);
   return Math.max(0, nowMs - Math.min(nowMs, ...heardAtMs));
 }
 
--- a/src/registered/daemon/open-sharing.ts
+++ b/src/registered/daemon/open-sharing.ts
@@ -34,11 +34,11 @@
 /** Shares the memory of opens with other balancers. */
 export interface OpenSharing {
   /** Tells the holders where an open was placed. */
-  tell(key: FlowKey, token: number): void;
+  publishPlacement(key: FlowKey, token: number): void;
   /** Holds an open and asks the holders; passes over one that is held already. */
-  ask(key: FlowKey, held: HeldOpen): void;
+  askHolders(key: FlowKey, held: HeldOpen): void;
   /** Takes a message of another balancer. */
-  take(message: OpenMessage): void;
+  handleMessage(message: OpenMessage): void;
 }
 
 /** How long other balancers may take to say that they know of an open, in milliseconds. */
@@ -60,13 +60,13 @@
   const held = new Map<FlowKey, WaitingOpen>();
   const claims = createOpenClaims();
 
-  return { tell, ask, take };
+  return { publishPlacement, askHolders, handleMessage };
 
-  function tell(key: FlowKey, token: number): void {
+  function publishPlacement(key: FlowKey, token: number): void {
     sendToHolders(key, TOLD_HOLDERS, { type: 'open-placed', key, token });
   }
 
-  function ask(key: FlowKey, open: HeldOpen): void {
+  function askHolders(key: FlowKey, open: HeldOpen): void {
     if (held.has(key) || held.size >= MAX_HELD) {
       return;
     }
@@ -82,13 +82,13 @@
 
   function endWait(waiting: WaitingOpen, key: FlowKey): void {
     if (options.nowMs() - waiting.askedAtMs > LATE_MS) {
-      ask(key, waiting);
+      askHolders(key, waiting);
     } else {
       options.onUnknown(waiting);
     }
   }
 
-  function take(message: OpenMessage): void {
+  function handleMessage(message: OpenMessage): void {
     switch (message.type) {
       case 'open-placed':
         takePlacement(message.key, message.token);
--- a/src/registered/daemon/paced-sender.ts
+++ b/src/registered/daemon/paced-sender.ts
@@ -122,11 +122,11 @@
       options.onDropped(released.reason, label);
       return;
     }
-    noteWait(released.waitedMs);
+    recordWait(released.waitedMs);
     options.send(bytes, to);
   }
 
-  function noteWait(ms: number): void {
+  function recordWait(ms: number): void {
     const bound = WAIT_BOUNDS_MS.find((boundMs) => ms <= boundMs) ?? Number.POSITIVE_INFINITY;
     waitedMs.set(bound, (waitedMs.get(bound) ?? 0) + 1);
   }
--- a/src/registered/daemon/request-log.ts
+++ b/src/registered/daemon/request-log.ts
@@ -20,7 +20,7 @@
 
 /** Takes decisions on packets and requests. */
 export interface RequestLog {
-  note(name: string, fields: DecisionFields): void;
+  log(name: string, fields: DecisionFields): void;
   /** Tells what was left out in the seconds before; called on each tick of the process. */
   flush(): void;
 }
@@ -44,9 +44,9 @@
   const { budget } = options;
   const windows = new Map<string, Window>();
 
-  return { note, flush };
+  return { log, flush };
 
-  function note(name: string, fields: DecisionFields): void {
+  function log(name: string, fields: DecisionFields): void {
     const nowMs = options.nowMs();
     const text = formatFields(fields);
     const window = windowOf(name, nowMs);
--- a/src/registered/daemon/zone-gossip.ts
+++ b/src/registered/daemon/zone-gossip.ts
@@ -24,9 +24,9 @@
   /** Asks others while nothing current comes from control. */
   tick(nowMs: number): void;
   /** Answers another balancer that asks. */
-  answer(replyTo: Address): void;
+  handleQuery(replyTo: Address): void;
   /** Takes what another balancer knows. */
-  take(zones: readonly ZoneUpdate[]): void;
+  applyUpdates(zones: readonly ZoneUpdate[]): void;
 }
 
 /**
@@ -43,7 +43,7 @@
   let nextAtMs = Number.NEGATIVE_INFINITY;
   let turn = 0;
 
-  return { tick, answer, take };
+  return { tick, handleQuery, applyUpdates };
 
   function tick(nowMs: number): void {
     if (nowMs < nextAtMs || knowsCurrent(state, nowMs)) {
@@ -56,14 +56,14 @@
     turn += ASKED_BALANCERS;
   }
 
-  function answer(to: Address): void {
+  function handleQuery(to: Address): void {
     const zones = state.zones.updates(options.nowMs());
     if (zones.length > 0) {
       sendToBalancer(to, { type: 'zones-known', zones });
     }
   }
 
-  function take(zones: readonly ZoneUpdate[]): void {
+  function applyUpdates(zones: readonly ZoneUpdate[]): void {
     state.zones.applyUpdates(zones, options.nowMs());
   }
 }
--- a/src/registered/egress/flow-queues.ts
+++ b/src/registered/egress/flow-queues.ts
@@ -147,7 +147,7 @@
     queue.arrivals.shift();
     queue.bytes -= packet.bytes;
     bytes -= packet.bytes;
-    served.note(flow, packet.bytes, nowMs);
+    served.record(flow, packet.bytes, nowMs);
     if (queue.packets.length === 0) {
       queues.delete(flow);
     }
@@ -174,7 +174,7 @@
 /** What the link has taken lately of each flow that had to wait. */
 interface ServedBytes {
   bytesOf(flow: string, nowMs: number): number;
-  note(flow: string, bytes: number, nowMs: number): void;
+  record(flow: string, bytes: number, nowMs: number): void;
 }
 
 interface Served {
@@ -186,14 +186,14 @@
   // The flow that was served last at the end.
   const byFlow = new Map<string, Served>();
 
-  return { bytesOf, note };
+  return { bytesOf, record };
 
   function bytesOf(flow: string, nowMs: number): number {
     const served = byFlow.get(flow);
     return served === undefined || nowMs - served.atMs > REST_MS ? 0 : served.bytes;
   }
 
-  function note(flow: string, bytes: number, nowMs: number): void {
+  function record(flow: string, bytes: number, nowMs: number): void {
     const total = bytesOf(flow, nowMs) + bytes;
     byFlow.delete(flow);
     byFlow.set(flow, { bytes: total, atMs: nowMs });
--- a/src/registered/egress/packet-scheduler.ts
+++ b/src/registered/egress/packet-scheduler.ts
@@ -161,7 +161,7 @@
         released.push({ type: 'dropped', payload, reason: 'too-old' });
       } else {
         budget.spend(bytes, nowMs);
-        sentCopies.note(packet, nowMs);
+        sentCopies.record(packet, nowMs);
         released.push({ type: 'send', payload, waitedMs });
       }
     }
--- a/src/registered/egress/sent-copies.ts
+++ b/src/registered/egress/sent-copies.ts
@@ -9,7 +9,7 @@
 
 /** What left lately. */
 export interface SentCopies {
-  note(packet: WaitingPacket<unknown>, nowMs: number): void;
+  record(packet: WaitingPacket<unknown>, nowMs: number): void;
   has(packet: WaitingPacket<unknown>, nowMs: number): boolean;
 }
 
@@ -25,9 +25,9 @@
     maxEntries: MAX_REMEMBERED,
   });
 
-  return { note, has };
+  return { record, has };
 
-  function note({ flow, content }: WaitingPacket<unknown>, nowMs: number): void {
+  function record({ flow, content }: WaitingPacket<unknown>, nowMs: number): void {
     if (content !== undefined) {
       leftAtMs.set(keyOf(flow, content), nowMs, nowMs);
     }
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -323,10 +323,10 @@
  * @returns true where this machine leads a quorum, or follows a leader that it has heard lately
  */
 export function isCurrent(state: GroupState, nowMs: number): boolean {
-  const { role, leaderId, heardFromLeaderAtMs, options, commitIndex } = state.consensus;
+  const { role, leaderId, leaderContactAtMs, options, commitIndex } = state.consensus;
   if (role.name === 'leader') {
     return commitIndex >= role.termStartIndex;
   }
   const isFollowing = leaderId !== undefined;
-  return isFollowing && nowMs - heardFromLeaderAtMs <= options.electionTimeoutMs;
+  return isFollowing && nowMs - leaderContactAtMs <= options.electionTimeoutMs;
 }
--- a/src/registered/group/membership-duties.ts
+++ b/src/registered/group/membership-duties.ts
@@ -82,7 +82,7 @@
   const isSettled =
     consensus.role.name === 'leader' ||
     (isVoter(consensus) &&
-      nowMs - consensus.heardFromLeaderAtMs < 2 * options.timing.consensus.electionTimeoutMs);
+      nowMs - consensus.leaderContactAtMs < 2 * options.timing.consensus.electionTimeoutMs);
   if (isSettled || state.isStopping || nowMs < state.nextAnnounceAtMs) {
     return [];
   }
@@ -195,7 +195,7 @@
 ): MemberChange | undefined {
   const { removeVoterAfterMs } = state.options;
   const silent = votersOf(currentMembership(state.consensus)).find(({ nodeId }) => {
-    const heardAtMs = role.progress.get(nodeId)?.heardAtMs ?? nowMs;
+    const heardAtMs = role.progress.get(nodeId)?.receivedAtMs ?? nowMs;
     return nodeId !== state.consensus.nodeId && nowMs - heardAtMs > removeVoterAfterMs;
   });
   return silent !== undefined && hasSpareVoter(state)
@@ -217,7 +217,7 @@
   nowMs: number,
 ): MemberChange | undefined {
   const silent = currentMembership(state.consensus).members.find(({ nodeId, role: memberRole }) => {
-    const heardAtMs = role.progress.get(nodeId)?.heardAtMs ?? nowMs;
+    const heardAtMs = role.progress.get(nodeId)?.receivedAtMs ?? nowMs;
     return memberRole === 'learner' && nowMs - heardAtMs > LEARNER_SILENT_MS;
   });
   return silent === undefined ? undefined : { type: 'remove-member', nodeId: silent.nodeId };
--- a/src/shared/common/dialed-links.ts
+++ b/src/shared/common/dialed-links.ts
@@ -85,13 +85,13 @@
 
   function open(to: Address, peer: Peer<Link>): void {
     const openedAtMs = options.nowMs();
-    peer.link = options.dial(to, () => noteBroken(peer, openedAtMs));
+    peer.link = options.dial(to, () => recordClosed(peer, openedAtMs));
     if (peer.link === undefined) {
-      noteBroken(peer, openedAtMs);
+      recordClosed(peer, openedAtMs);
     }
   }
 
-  function noteBroken(peer: Peer<Link>, openedAtMs: number): void {
+  function recordClosed(peer: Peer<Link>, openedAtMs: number): void {
     const nowMs = options.nowMs();
     const hasLasted = nowMs - openedAtMs > maxRetryDelayMs;
     peer.link = undefined;
--- a/src/shared/consensus/consensus-state.ts
+++ b/src/shared/consensus/consensus-state.ts
@@ -62,7 +62,7 @@
   inFlight: number[];
   /** Highest confirmation round that the member has echoed. */
   ackedRound: number;
-  heardAtMs: number;
+  receivedAtMs: number;
   sending: OutgoingSnapshot | undefined;
 }
 
@@ -93,7 +93,8 @@
   pendingReads: PendingRead[];
   nextHeartbeatAtMs: number;
   /** Leadership is being handed to this voter; no proposals are taken meanwhile. */
-  transfer: { readonly target: NodeId; readonly deadlineMs: number; asked: boolean } | undefined;
+  leadershipTransfer:
+    { readonly target: NodeId; readonly deadlineMs: number; asked: boolean } | undefined;
 }
 
 /** The role of a member. */
@@ -127,7 +128,7 @@
   /** True where the next write replaces the log by snapshot and rest. */
   snapshotIsDue: boolean;
   /** Commit index last written. */
-  notedCommitIndex: number;
+  queuedCommitIndex: number;
 }
 
 /** A membership and the index of the entry that set it. */
@@ -168,7 +169,7 @@
   /** True after a failed write: this member takes part in nothing until it is restarted. */
   storageFailed: boolean;
   /** When a message from the leader of `term` last came. */
-  heardFromLeaderAtMs: number;
+  leaderContactAtMs: number;
   /** When to campaign; undefined until the first tick. */
   electionDeadlineMs: number | undefined;
   incomingSnapshot: IncomingSnapshot | undefined;
@@ -204,10 +205,10 @@
       records: [],
       deferred: [],
       snapshotIsDue: false,
-      notedCommitIndex: 0,
+      queuedCommitIndex: 0,
     },
     storageFailed: false,
-    heardFromLeaderAtMs: Number.NEGATIVE_INFINITY,
+    leaderContactAtMs: Number.NEGATIVE_INFINITY,
     electionDeadlineMs: undefined,
     incomingSnapshot: undefined,
   };
@@ -256,7 +257,7 @@
   const known = Math.max(state.commitIndex, snapshot?.index ?? 0);
   state.commitIndex = Math.min(known, log.last.index);
   state.persistedIndex = log.last.index;
-  state.persistence.notedCommitIndex = state.commitIndex;
+  state.persistence.queuedCommitIndex = state.commitIndex;
   for (const entry of log.slice((snapshot?.index ?? 0) + 1, log.last.index)) {
     if (entry.content.type === 'membership') {
       state.memberships.push({ index: entry.index, membership: entry.content.membership });
--- a/src/shared/consensus/consensus-step.ts
+++ b/src/shared/consensus/consensus-step.ts
@@ -28,7 +28,7 @@
   handleSnapshotChunkResponse,
   handleSnapshotTaken,
 } from './snapshot-install.js';
-import { startTransfer } from './leadership-transfer.js';
+import { startLeadershipTransfer } from './leadership-transfer.js';
 
 /** Term of the membership with which a cluster begins; leaders have later ones. */
 const BOOTSTRAP_TERM = 1;
@@ -54,7 +54,7 @@
       handleBootstrap(scope, clusterId, membership),
     )
     .with({ type: 'join-cluster' }, ({ clusterId }) => joinCluster(state, clusterId))
-    .with({ type: 'transfer-leadership' }, () => startTransfer(scope))
+    .with({ type: 'transfer-leadership' }, () => startLeadershipTransfer(scope))
     .with({ type: 'snapshot-taken' }, ({ index, data }) => handleSnapshotTaken(state, index, data))
     .with({ type: 'persisted' }, ({ writeId }) => handlePersisted(scope, writeId))
     .with({ type: 'persist-failed' }, () => handlePersistFailed(scope))
@@ -104,7 +104,7 @@
 ): void {
   const { state } = scope;
   if (request.term < state.term) {
-    tellNewerTerm(scope, from);
+    sendNewerTerm(scope, from);
     return;
   }
   followLeader(scope, from, request.term);
@@ -116,7 +116,7 @@
 }
 
 /** A leader of an earlier term steps down when it hears of a later one. */
-function tellNewerTerm(scope: StepScope, from: Sender): void {
+function sendNewerTerm(scope: StepScope, from: Sender): void {
   sendPersisted(scope, from.nodeId, {
     type: 'append-response',
     term: scope.state.term,
--- a/src/shared/consensus/election.ts
+++ b/src/shared/consensus/election.ts
@@ -108,7 +108,7 @@
   const { state } = scope;
   const granted =
     request.term > state.term &&
-    !hearsFromLeader(scope) &&
+    !hasLeaderContact(scope) &&
     isUpToDate(state, request.lastIndex, request.lastTerm);
   const term = granted ? request.term : state.term;
   sendPersisted(scope, from.nodeId, { type: 'pre-vote-response', term, granted });
@@ -139,7 +139,7 @@
  */
 export function handleVoteRequest(scope: StepScope, from: Sender, request: VoteRequest): void {
   const { state } = scope;
-  const isRefused = request.term < state.term || (!request.isTransfer && hearsFromLeader(scope));
+  const isRefused = request.term < state.term || (!request.isTransfer && hasLeaderContact(scope));
   if (!isRefused && request.term > state.term) {
     becomeFollower(scope, request.term, undefined);
   }
@@ -187,7 +187,7 @@
     round: 0,
     pendingReads: [],
     nextHeartbeatAtMs: context.nowMs + state.options.heartbeatIntervalMs,
-    transfer: undefined,
+    leadershipTransfer: undefined,
   };
   state.leaderId = state.nodeId;
   appendOwnEntry(state, { type: 'no-op' });
@@ -195,11 +195,11 @@
   scope.effects.push({ type: 'role-changed' });
 }
 
-function hearsFromLeader({ state, context }: StepScope): boolean {
+function hasLeaderContact({ state, context }: StepScope): boolean {
   if (state.role.name === 'leader') {
     return true;
   }
-  const silentMs = context.nowMs - state.heardFromLeaderAtMs;
+  const silentMs = context.nowMs - state.leaderContactAtMs;
   return state.leaderId !== undefined && silentMs < state.options.electionTimeoutMs;
 }
 
--- a/src/shared/consensus/follower.ts
+++ b/src/shared/consensus/follower.ts
@@ -24,7 +24,7 @@
   if (term > state.term || !isFollowing || state.leaderId !== from.nodeId) {
     becomeFollower(scope, term, from.nodeId);
   }
-  state.heardFromLeaderAtMs = context.nowMs;
+  state.leaderContactAtMs = context.nowMs;
   resetElectionDeadline(scope);
 }
 
@@ -45,7 +45,7 @@
     });
     return;
   }
-  takeEntries(state, request.entries);
+  storeEntries(state, request.entries);
   const matchIndex = previousIndex + request.entries.length;
   advanceCommit(scope, Math.min(request.commitIndex, matchIndex));
   sendPersisted(scope, from.nodeId, {
@@ -71,7 +71,7 @@
   return Math.max(commitIndex, log.firstIndexOfTermAt(rejectedIndex) - 1);
 }
 
-function takeEntries(state: ConsensusState, entries: readonly LogEntry[]): void {
+function storeEntries(state: ConsensusState, entries: readonly LogEntry[]): void {
   const { log } = state;
   const firstNew = entries.findIndex(
     ({ index, term }) => index > log.base.index && log.termAt(index) !== term,
--- a/src/shared/consensus/leadership-transfer.ts
+++ b/src/shared/consensus/leadership-transfer.ts
@@ -12,36 +12,36 @@
 /**
  * Begins to hand over to the voter that is furthest along; no proposals are taken meanwhile.
  */
-export function startTransfer(scope: StepScope): void {
+export function startLeadershipTransfer(scope: StepScope): void {
   const { state, context } = scope;
   const { role } = state;
-  if (role.name !== 'leader' || role.transfer !== undefined) {
+  if (role.name !== 'leader' || role.leadershipTransfer !== undefined) {
     return;
   }
   const target = bestSuccessor(scope, role);
   if (target !== undefined) {
     const deadlineMs = context.nowMs + state.options.electionTimeoutMs;
-    role.transfer = { target, deadlineMs, asked: false };
-    continueTransfer(scope);
+    role.leadershipTransfer = { target, deadlineMs, asked: false };
+    continueLeadershipTransfer(scope);
   }
 }
 
 /**
  * Asks the successor to campaign once it has the whole log; gives up at the deadline.
  */
-export function continueTransfer(scope: StepScope): void {
+export function continueLeadershipTransfer(scope: StepScope): void {
   const { state, context } = scope;
   const { role } = state;
-  if (role.name !== 'leader' || role.transfer === undefined) {
+  if (role.name !== 'leader' || role.leadershipTransfer === undefined) {
     return;
   }
-  const { target, deadlineMs, asked } = role.transfer;
+  const { target, deadlineMs, asked } = role.leadershipTransfer;
   if (context.nowMs >= deadlineMs) {
-    role.transfer = undefined;
+    role.leadershipTransfer = undefined;
     return;
   }
   if (!asked && role.progress.get(target)?.matchIndex === state.log.last.index) {
-    role.transfer.asked = true;
+    role.leadershipTransfer.asked = true;
     sendNow(scope, target, { type: 'timeout-now', term: state.term });
   }
 }
@@ -51,6 +51,6 @@
   const matchOf = (nodeId: NodeId) => role.progress.get(nodeId)?.matchIndex ?? 0;
   const others = votersOf(currentMembership(state))
     .map(({ nodeId }) => nodeId)
-    .filter((nodeId) => (role.progress.get(nodeId)?.heardAtMs ?? -Infinity) >= since);
+    .filter((nodeId) => (role.progress.get(nodeId)?.receivedAtMs ?? -Infinity) >= since);
   return others.sort((a, b) => matchOf(b) - matchOf(a))[0];
 }
--- a/src/shared/consensus/persistence.ts
+++ b/src/shared/consensus/persistence.ts
@@ -81,7 +81,7 @@
     const writeId = startWrite(scope.state);
     scope.effects.push({ type: 'persist-snapshot', writeId, snapshot, records });
   } else if (persistence.records.length > 0) {
-    noteCommitIndex(scope.state);
+    queueCommitIndex(scope.state);
     const { records } = persistence;
     const writeId = startWrite(scope.state);
     scope.effects.push({ type: 'persist', writeId, records });
@@ -118,9 +118,9 @@
 }
 
 /** The commit index costs no write of its own; it spares a restarted member the wait for a leader. */
-function noteCommitIndex(state: ConsensusState): void {
-  if (state.commitIndex > state.persistence.notedCommitIndex) {
-    state.persistence.notedCommitIndex = state.commitIndex;
+function queueCommitIndex(state: ConsensusState): void {
+  if (state.commitIndex > state.persistence.queuedCommitIndex) {
+    state.persistence.queuedCommitIndex = state.commitIndex;
     queueRecord(state, { type: 'commit', index: state.commitIndex });
   }
 }
@@ -129,7 +129,7 @@
 function wholeLogRecords(state: ConsensusState): LogRecord[] {
   const { log, clusterId, term, votedFor, commitIndex } = state;
   const { base, last } = log;
-  state.persistence.notedCommitIndex = commitIndex;
+  state.persistence.queuedCommitIndex = commitIndex;
   return [
     { type: 'base', base },
     ...(clusterId === undefined ? [] : [{ type: 'cluster' as const, clusterId }]),
--- a/src/shared/consensus/proposals.ts
+++ b/src/shared/consensus/proposals.ts
@@ -11,7 +11,7 @@
   type Membership,
   type NodeId,
 } from './membership.js';
-import { hasHeardFromQuorum, replicateToAll } from './replication.js';
+import { hasQuorumContact, replicateToAll } from './replication.js';
 import { appendOwnEntry, refreshProgress } from './roles.js';
 
 /** How far a learner may lag behind to be promoted, in entries. */
@@ -69,7 +69,7 @@
   if (isPromotion && !hasCaughtUp(state, role, change.nodeId)) {
     return `Member ${change.nodeId} has not caught up.`;
   }
-  if (!hasHeardFromQuorum(scope, role, membership)) {
+  if (!hasQuorumContact(scope, role, membership)) {
     return 'Too few of the voters that this leaves answer now.';
   }
   return undefined;
@@ -93,7 +93,7 @@
 
 function leaderWhichTakesProposals(scope: StepScope, proposalId: number): LeaderRole | undefined {
   const { role, storageFailed } = scope.state;
-  if (role.name === 'leader' && role.transfer === undefined) {
+  if (role.name === 'leader' && role.leadershipTransfer === undefined) {
     return role;
   }
   if (storageFailed) {
--- a/src/shared/consensus/replication.ts
+++ b/src/shared/consensus/replication.ts
@@ -22,7 +22,7 @@
 import { confirmReads, releaseWaitingReads } from './read-index.js';
 import { advanceCommit, becomeFollower, sendNow } from './roles.js';
 import { resendSnapshotChunk, sendSnapshotChunk } from './snapshot-install.js';
-import { continueTransfer } from './leadership-transfer.js';
+import { continueLeadershipTransfer } from './leadership-transfer.js';
 
 /** How eagerly to send. */
 export interface SendOptions {
@@ -140,22 +140,22 @@
   if (progress === undefined || member?.storageId !== from.storageId) {
     return;
   }
-  progress.heardAtMs = context.nowMs;
+  progress.receivedAtMs = context.nowMs;
   progress.ackedRound = Math.max(progress.ackedRound, response.round);
   if (response.success) {
-    takeMatch(progress, response.matchIndex);
+    recordMatch(progress, response.matchIndex);
   } else {
-    takeMismatch(progress, response.rejectedIndex, response.hintIndex);
+    recordMismatch(progress, response.rejectedIndex, response.hintIndex);
   }
   commitByCounting(scope);
   confirmReads(scope);
   if (scope.state.role === role) {
     replicateTo(scope, role, from.nodeId, { evenIfEmpty: false });
-    continueTransfer(scope);
+    continueLeadershipTransfer(scope);
   }
 }
 
-function takeMatch(progress: Progress, matchIndex: number): void {
+function recordMatch(progress: Progress, matchIndex: number): void {
   progress.matchIndex = Math.max(progress.matchIndex, matchIndex);
   progress.inFlight = progress.inFlight.filter((lastIndex) => lastIndex > progress.matchIndex);
   const hasSnapshot =
@@ -172,7 +172,7 @@
   progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
 }
 
-function takeMismatch(progress: Progress, rejectedIndex: number, hintIndex: number): void {
+function recordMismatch(progress: Progress, rejectedIndex: number, hintIndex: number): void {
   const isStale = rejectedIndex <= progress.matchIndex || rejectedIndex >= progress.nextIndex;
   if (isStale || progress.mode === 'snapshot') {
     return;
@@ -230,7 +230,7 @@
   if (role.name !== 'leader') {
     return;
   }
-  if (!hasHeardFromQuorum(scope, role, currentMembership(state))) {
+  if (!hasQuorumContact(scope, role, currentMembership(state))) {
     becomeFollower(scope, state.term, undefined, 'no-quorum');
     return;
   }
@@ -238,20 +238,21 @@
     role.nextHeartbeatAtMs = context.nowMs + options.heartbeatIntervalMs;
     replicateToAll(scope, { evenIfEmpty: true });
   }
-  continueTransfer(scope);
+  continueLeadershipTransfer(scope);
 }
 
 /**
  * @returns true where enough voters of a membership have answered within an election timeout
  */
-export function hasHeardFromQuorum(
+export function hasQuorumContact(
   { state, context }: StepScope,
   role: LeaderRole,
   membership: Membership,
 ): boolean {
   const since = context.nowMs - state.options.electionTimeoutMs;
   const heard = votersOf(membership).filter(
-    ({ nodeId }) => nodeId === state.nodeId || (role.progress.get(nodeId)?.heardAtMs ?? 0) >= since,
+    ({ nodeId }) =>
+      nodeId === state.nodeId || (role.progress.get(nodeId)?.receivedAtMs ?? 0) >= since,
   );
   return heard.length >= quorumSize(membership);
 }
--- a/src/shared/consensus/roles.ts
+++ b/src/shared/consensus/roles.ts
@@ -20,7 +20,7 @@
  */
 export function resetElectionDeadline({ state, context }: StepScope): void {
   const { electionTimeoutMs, firstElectionTimeoutMs = electionTimeoutMs } = state.options;
-  const isFirst = state.heardFromLeaderAtMs === Number.NEGATIVE_INFINITY;
+  const isFirst = state.leaderContactAtMs === Number.NEGATIVE_INFINITY;
   const timeoutMs = isFirst ? firstElectionTimeoutMs : electionTimeoutMs;
   state.electionDeadlineMs = context.nowMs + timeoutMs + context.random.nextFloat() * timeoutMs;
 }
@@ -102,7 +102,7 @@
     nextIndex: state.log.last.index + 1,
     inFlight: [],
     ackedRound: 0,
-    heardAtMs: nowMs,
+    receivedAtMs: nowMs,
     sending: undefined,
   };
 }
--- a/src/shared/consensus/snapshot-install.ts
+++ b/src/shared/consensus/snapshot-install.ts
@@ -87,7 +87,7 @@
   if (progress?.sending === undefined || member?.storageId !== from.storageId) {
     return;
   }
-  progress.heardAtMs = context.nowMs;
+  progress.receivedAtMs = context.nowMs;
   const { sending } = progress;
   const isNext =
     response.snapshotIndex === sending.snapshot.index && response.nextOffset !== sending.offset;
--- a/test/registered/daemon/request-log.test.ts
+++ b/test/registered/daemon/request-log.test.ts
@@ -16,9 +16,9 @@
 t.test('a flood of one kind leaves the others alone, and is summed', async (t) => {
   const { lines, clock, log } = createLog(3);
   for (let number = 0; number < 415; number += 1) {
-    log.note('placed', { number });
+    log.log('placed', { number });
   }
-  log.note('reset', { reason: 'no-route' });
+  log.log('reset', { reason: 'no-route' });
   t.same(lines, ['placed number=0', 'placed number=1', 'placed number=2', 'reset reason=no-route']);
   clock.nowMs = 999;
   log.flush();
@@ -26,23 +26,23 @@
   clock.nowMs = 1_000;
   log.flush();
   t.equal(lines.at(-1), 'skipped kind=placed lines=412');
-  log.note('placed', { number: 1_000 });
+  log.log('placed', { number: 1_000 });
   t.equal(lines.at(-1), 'placed number=1000', 'a new second has a new budget');
 });
 
 t.test('the next line of a kind closes the second before it', async (t) => {
   const { lines, clock, log } = createLog(1);
-  log.note('placed', { number: 0 });
-  log.note('placed', { number: 1 });
+  log.log('placed', { number: 0 });
+  log.log('placed', { number: 1 });
   clock.nowMs = 5_000;
-  log.note('placed', { number: 2 });
+  log.log('placed', { number: 2 });
   t.same(lines, ['placed number=0', 'skipped kind=placed lines=1', 'placed number=2']);
 });
 
 t.test('long lines use up the bytes', async (t) => {
   const { lines, clock, log } = createLog(100, 40);
-  log.note('placed', { flow: 'x'.repeat(30) });
-  log.note('placed', { flow: 'x'.repeat(30) });
+  log.log('placed', { flow: 'x'.repeat(30) });
+  log.log('placed', { flow: 'x'.repeat(30) });
   clock.nowMs = 1_000;
   log.flush();
   t.same(lines.slice(1), ['skipped kind=placed lines=1']);
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -116,7 +116,7 @@
 
   // The other back ends fall silent; the machine goes on hearing its leader.
   const laterMs = nowMs + LONG_MS;
-  state.consensus.heardFromLeaderAtMs = laterMs;
+  state.consensus.leaderContactAtMs = laterMs;
   takeRecord(state, { record: { ...record, sequence: record.sequence + 1 }, ageMs: 0 }, laterMs);
   judgeBackends(state, laterMs);
   const [told] = messagesTo(FIRST, feedWilling(state, laterMs));
@@ -181,7 +181,7 @@
   t.notOk(isCurrent(state, cutOffMs));
   const [first] = messagesTo(FIRST, subscribe({ state, nowMs: cutOffMs }, FIRST, 'first'));
   t.equal(first?.isCurrent, false);
-  state.consensus.heardFromLeaderAtMs = cutOffMs;
+  state.consensus.leaderContactAtMs = cutOffMs;
   const [second] = messagesTo(FIRST, feedWilling(state, cutOffMs));
   t.equal(second?.transfer, 'whole');
   t.equal(second?.isCurrent, true);
@@ -193,12 +193,12 @@
   const { state, nowMs } = await formedGroup();
   const cutOffMs = nowMs + LONG_MS;
   judgeBackends(state, cutOffMs);
-  state.consensus.heardFromLeaderAtMs = cutOffMs;
+  state.consensus.leaderContactAtMs = cutOffMs;
   judgeBackends(state, cutOffMs);
   t.same([...state.pendingUpdates.judged], []);
   const { heartbeatIntervalMs } = state.options;
   const laterMs = cutOffMs + 2 * heartbeatIntervalMs;
-  state.consensus.heardFromLeaderAtMs = laterMs;
+  state.consensus.leaderContactAtMs = laterMs;
   judgeBackends(state, laterMs);
   t.equal(state.pendingUpdates.judged.size, smallIngressWorld.backendCount, 'but later silence is');
 });
--- a/test/registered/ingress/open-claims.test.ts
+++ b/test/registered/ingress/open-claims.test.ts
@@ -65,7 +65,7 @@
     });
     state.peers.applyChanges(list, []);
     const send = (to: Address, message: OpenMessage) =>
-      clock.after(0.5, () => sharings.get(to.host)?.take(message));
+      clock.after(0.5, () => sharings.get(to.host)?.handleMessage(message));
     const sharing = createOpenSharing({
       state,
       replyTo: addressOf(name),
@@ -75,7 +75,7 @@
       onUnknown: () => {
         outcomes.push(`${name} places`);
         state.opens.remember(KEY, TOKEN, clock.nowMs);
-        sharing.tell(KEY, TOKEN);
+        sharing.publishPlacement(KEY, TOKEN);
       },
       onClaimed: () => outcomes.push(`${name} leaves it`),
       onFound: () => outcomes.push(`${name} follows`),
@@ -100,8 +100,8 @@
       t.test(`${first} asks, ${second} asks ${apartMs} ms later`, async (t) => {
         const clock = new VirtualClock();
         const { outcomes, sharingOf } = createBalancers(clock);
-        sharingOf(first).ask(KEY, held);
-        clock.after(apartMs, () => sharingOf(second).ask(KEY, held));
+        sharingOf(first).askHolders(KEY, held);
+        clock.after(apartMs, () => sharingOf(second).askHolders(KEY, held));
         await clock.runUntil(WAIT_MS);
         const placed = outcomes.filter((outcome) => outcome.endsWith('places'));
         t.ok(placed.length <= 1, outcomes.join(', '));
@@ -114,8 +114,8 @@
 t.test('a placement that is heard of while holders are asked is followed at once', async (t) => {
   const clock = new VirtualClock();
   const { outcomes, sharingOf } = createBalancers(clock);
-  sharingOf('one').ask(KEY, held);
-  sharingOf('one').take({ type: 'open-placed', key: KEY, token: TOKEN });
+  sharingOf('one').askHolders(KEY, held);
+  sharingOf('one').handleMessage({ type: 'open-placed', key: KEY, token: TOKEN });
   t.same(outcomes, ['one follows']);
   await clock.runUntil(WAIT_MS);
   t.same(outcomes, ['one follows']);
