--- /dev/null
+++ b/src/managed/settings/load-settings.ts
@@ -0,0 +1,14 @@
+/**
+ * @file The settings of `balancer` and `control`, from a YAML file and flags.
+ */
+import type { Result } from 'neverthrow';
+import type { AmberliftError } from '../../shared/common/error-kinds.js';
+import { loadSettingsAs, type SettingsSource } from '../../shared/settings/load-settings.js';
+import { settingsSchema, type Settings } from './settings-schema.js';
+
+/**
+ * @returns the checked settings, or `invalid-settings`
+ */
+export function loadSettings(source: SettingsSource): Result<Settings, AmberliftError> {
+  return loadSettingsAs(settingsSchema, source);
+}
--- a/src/proof/experiment/bench-control-cluster.ts
+++ b/src/proof/experiment/bench-control-cluster.ts
@@ -11,7 +11,7 @@
 import { timedCommandId } from '../../managed/control/command-id.js';
 import type { CommandOutcome, OperatorCommand } from '../../managed/control/commands.js';
 import { startControlDaemon, type ControlDaemon } from '../../managed/daemon/control-daemon.js';
-import { loadSettings } from '../../shared/settings/load-settings.js';
+import { loadSettings } from '../../managed/settings/load-settings.js';
 import type { Settings } from '../../managed/settings/settings-schema.js';
 import { ADMIN_TOKEN, addVoter } from './bench-control-members.js';
 import { startProcess, type ManagedProcess } from './child-process.js';
--- a/src/proof/experiment/deployment.ts
+++ b/src/proof/experiment/deployment.ts
@@ -9,7 +9,7 @@
 import { z } from 'zod';
 import { placementPolicyNames } from '../../managed/control/cluster-state.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
-import { loadSettings } from '../../shared/settings/load-settings.js';
+import { loadSettings } from '../../managed/settings/load-settings.js';
 import type { Settings } from '../../managed/settings/settings-schema.js';
 
 const count = z.number().int().positive();
--- a/src/proof/experiment/hollow/event-queue.ts
+++ b/src/proof/experiment/hollow/event-queue.ts
@@ -1,7 +1,7 @@
 /**
  * @file Virtual time for hollow worlds: events run one after the other in the order of their times.
  */
-import { TimedQueue } from '../../../shared/common/timed-queue.js';
+import { TimedQueue } from '../../virtual/timed-queue.js';
 
 /** Runs events in the order of virtual time. */
 export class EventQueue {
--- a/src/proof/virtual/virtual-clock.ts
+++ b/src/proof/virtual/virtual-clock.ts
@@ -3,7 +3,7 @@
  * are equal, so that one seed gives one order.
  */
 import { setImmediate as drainMicrotasks } from 'node:timers/promises';
-import { TimedQueue } from '../../shared/common/timed-queue.js';
+import { TimedQueue } from './timed-queue.js';
 
 /** A clock with a queue of actions; times in milliseconds. */
 export class VirtualClock {
--- a/src/registered/daemon/call-listener.ts
+++ b/src/registered/daemon/call-listener.ts
@@ -77,7 +77,7 @@
 /**
  * @returns the answer that the table of errors gives for a kind
  */
-export function errorAnswer(kind: ErrorKind, message: string): HttpAnswer {
+function errorAnswer(kind: ErrorKind, message: string): HttpAnswer {
   const error = amberliftError(kind, message);
   return { status: answerFor(kind).httpStatus, body: JSON.stringify({ error }) };
 }
--- a/src/shared/common/address-range.ts
+++ b/src/shared/common/address-range.ts
@@ -3,9 +3,8 @@
  * Text form: `10.1.0.0/16`, or `10.1.0.0/16:7000-7999` for a part of the ports.
  */
 import { isIP } from 'node:net';
-import type { Address } from './address.js';
+import { MAX_PORT, type Address } from './address.js';
 
-const MAX_PORT = 65_535;
 const IPV4_BITS = 32;
 const IPV6_BITS = 128;
 const IPV4_FAMILY = 4;
--- a/src/shared/common/frame-codec.ts
+++ b/src/shared/common/frame-codec.ts
@@ -9,7 +9,7 @@
 const LENGTH_BYTES = 4;
 
 /** The longest frame that is taken, in bytes. */
-export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
+const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
 /** Set in the length of a frame whose content is compressed. */
 const COMPRESSED_FLAG = 0x8000_0000;
--- a/src/shared/common/logger.ts
+++ b/src/shared/common/logger.ts
@@ -4,7 +4,7 @@
 import loglevel from 'loglevel';
 
 /** The parts of the system that write logs; each has one fixed prefix. */
-export const logParts = [
+const logParts = [
   'balancer',
   'control',
   'consensus',
--- a/src/shared/consensus/consensus-step.ts
+++ b/src/shared/consensus/consensus-step.ts
@@ -4,6 +4,9 @@
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../common/step.js';
+import { handleAppendResponse } from './acknowledgements.js';
+import { leaderTick } from './check-quorum.js';
+import { commitByCounting } from './commit-rule.js';
 import type { ConsensusEffect, ConsensusEvent, StepScope } from './consensus-events.js';
 import { restingRole, type ConsensusState } from './consensus-state.js';
 import {
@@ -21,7 +24,6 @@
 import { finishWrite, flushWrites, queueRecord } from './persistence.js';
 import { handleChangeMembership, handlePropose } from './proposals.js';
 import { handleRead } from './read-index.js';
-import { commitByCounting, handleAppendResponse, leaderTick } from './replication.js';
 import { appendEntries, becomeFollower, sendNow, sendPersisted } from './roles.js';
 import {
   handleSnapshotChunk,
--- a/src/shared/consensus/log.ts
+++ b/src/shared/consensus/log.ts
@@ -29,7 +29,7 @@
 /**
  * @returns about how many bytes an entry takes in a message
  */
-export function entrySizeBytes(entry: LogEntry): number {
+function entrySizeBytes(entry: LogEntry): number {
   const { content } = entry;
   return ENTRY_OVERHEAD_BYTES + (content.type === 'command' ? content.data.length : 0);
 }
--- a/src/shared/consensus/membership.ts
+++ b/src/shared/consensus/membership.ts
@@ -79,6 +79,22 @@
   return Math.max(quorumSize(membership), Math.min(minimumCopies, voters));
 }
 
+/**
+ * @param count how many voters must have reached a value
+ * @param valueOf what a voter has reached: an index, a round
+ * @returns the highest value that so many voters have reached; 0 where there are fewer voters
+ */
+export function reachedByVoters(
+  membership: Membership,
+  count: number,
+  valueOf: (nodeId: NodeId) => number,
+): number {
+  const values = votersOf(membership)
+    .map(({ nodeId }) => valueOf(nodeId))
+    .sort((a, b) => b - a);
+  return values[count - 1] ?? 0;
+}
+
 /**
  * @returns members ordered by node ID
  */
--- a/src/shared/consensus/proposals.ts
+++ b/src/shared/consensus/proposals.ts
@@ -1,6 +1,7 @@
 /**
  * @file Proposals of commands and of membership changes, at the leader.
  */
+import { hasQuorumContact } from './check-quorum.js';
 import type { RefusalKind, StepScope } from './consensus-events.js';
 import { currentMembership, type ConsensusState, type LeaderRole } from './consensus-state.js';
 import type { EntryContent } from './log.js';
@@ -11,7 +12,7 @@
   type Membership,
   type NodeId,
 } from './membership.js';
-import { hasQuorumContact, replicateToAll } from './replication.js';
+import { replicateToAll } from './replication.js';
 import { appendOwnEntry, refreshProgress } from './roles.js';
 
 /** How far a learner may lag behind to be promoted, in entries. */
--- a/src/shared/consensus/read-index.ts
+++ b/src/shared/consensus/read-index.ts
@@ -1,14 +1,20 @@
 /**
- * @file Reads that never answer from the past: a leader answers one only after a quorum has confirmed,
- * by echoing a round that began after the read came, that no later leader exists.
+ * @file When may a read be answered?
+ *
+ * Inputs: the confirmation round that each voter has echoed last, the commit index, and the index at which the term
+ * began. A leader answers a read only once a quorum has echoed a round that began after the read came: then no later
+ * leader existed at that time, and the answer is not out of date (read index of Raft). It holds reads until an entry of
+ * its own term is committed, since it does not know what is committed before.
+ *
+ * Owns `LeaderRole.round` and `LeaderRole.pendingReads`.
  */
 import type { StepScope } from './consensus-events.js';
 import { currentMembership, type ConsensusState, type LeaderRole } from './consensus-state.js';
-import { quorumSize, votersOf } from './membership.js';
+import { quorumSize, reachedByVoters, type NodeId } from './membership.js';
 import { replicateToAll } from './replication.js';
 
 /**
- * Takes a read.
+ * Begins a read; answered by `read-ready` or `read-refused`.
  */
 export function handleRead(scope: StepScope, readId: number): void {
   const { state, effects } = scope;
@@ -64,12 +70,10 @@
   confirmReads(scope);
 }
 
+/** The leader itself has confirmed each round that it began. */
 function confirmedRound(state: ConsensusState, role: LeaderRole): number {
   const membership = currentMembership(state);
-  const rounds = votersOf(membership)
-    .map(({ nodeId }) =>
-      nodeId === state.nodeId ? role.round : (role.progress.get(nodeId)?.ackedRound ?? 0),
-    )
-    .sort((a, b) => b - a);
-  return rounds[quorumSize(membership) - 1] ?? 0;
+  const roundOf = (nodeId: NodeId) =>
+    nodeId === state.nodeId ? role.round : (role.progress.get(nodeId)?.ackedRound ?? 0);
+  return reachedByVoters(membership, quorumSize(membership), roundOf);
 }
--- a/src/shared/consensus/replication.ts
+++ b/src/shared/consensus/replication.ts
@@ -1,32 +1,20 @@
 /**
- * @file The leader's side of replication: sends entries with bounded batches under way, learns how far
- * each member is, and commits what a quorum has on disk.
+ * @file What a leader sends to each member: the entries that it lacks, in batches of which a bounded number is under
+ * way, a heartbeat where it lacks none, or a snapshot where the log no longer holds what it lacks.
+ *
+ * Owns the sending part of a member's `Progress` (`nextIndex`, `inFlight`, `mode` towards `snapshot`); what comes back
+ * is recorded by `acknowledgements.ts`.
  */
 import type { StepScope } from './consensus-events.js';
-import {
-  currentMembership,
-  type ConsensusState,
-  type LeaderRole,
-  type Progress,
-} from './consensus-state.js';
+import type { LeaderRole, Progress } from './consensus-state.js';
 import type { LogEntry } from './log.js';
-import {
-  commitSize,
-  findMember,
-  quorumSize,
-  votersOf,
-  type Membership,
-  type NodeId,
-} from './membership.js';
-import type { AppendResponse, Sender } from './messages.js';
-import { confirmReads, releaseWaitingReads } from './read-index.js';
-import { advanceCommit, becomeFollower, sendNow } from './roles.js';
+import type { NodeId } from './membership.js';
+import { sendNow } from './roles.js';
 import { resendSnapshotChunk, sendSnapshotChunk } from './snapshot-install.js';
-import { continueLeadershipTransfer } from './leadership-transfer.js';
 
-/** How eagerly to send. */
+/** What is sent to a member that lacks nothing. */
 export interface SendOptions {
-  /** Send also where there is no new entry, as a heartbeat or to tell a new commit index. */
+  /** Send also where there is no new entry: as a heartbeat, or since the commit index has changed. */
   readonly evenIfEmpty: boolean;
 }
 
@@ -42,7 +30,10 @@
   }
 }
 
-function replicateTo(
+/**
+ * Sends one member what it lacks.
+ */
+export function replicateTo(
   scope: StepScope,
   role: LeaderRole,
   nodeId: NodeId,
@@ -121,138 +112,3 @@
     round: role.round,
   });
 }
-
-/**
- * Takes a member's answer to entries or a heartbeat.
- */
-export function handleAppendResponse(
-  scope: StepScope,
-  from: Sender,
-  response: AppendResponse,
-): void {
-  const { state, context } = scope;
-  const { role } = state;
-  const member = findMember(currentMembership(state), from.nodeId);
-  if (role.name !== 'leader' || response.term !== state.term) {
-    return;
-  }
-  const progress = role.progress.get(from.nodeId);
-  if (progress === undefined || member?.storageId !== from.storageId) {
-    return;
-  }
-  progress.receivedAtMs = context.nowMs;
-  progress.ackedRound = Math.max(progress.ackedRound, response.round);
-  if (response.success) {
-    recordMatch(progress, response.matchIndex);
-  } else {
-    recordMismatch(progress, response.rejectedIndex, response.hintIndex);
-  }
-  commitByCounting(scope);
-  confirmReads(scope);
-  if (scope.state.role === role) {
-    replicateTo(scope, role, from.nodeId, { evenIfEmpty: false });
-    continueLeadershipTransfer(scope);
-  }
-}
-
-function recordMatch(progress: Progress, matchIndex: number): void {
-  progress.matchIndex = Math.max(progress.matchIndex, matchIndex);
-  progress.inFlight = progress.inFlight.filter((lastIndex) => lastIndex > progress.matchIndex);
-  const hasSnapshot =
-    progress.sending !== undefined && progress.matchIndex >= progress.sending.snapshot.index;
-  if (progress.mode === 'snapshot' && !hasSnapshot) {
-    return;
-  }
-  if (progress.mode !== 'replicate') {
-    progress.mode = 'replicate';
-    progress.sending = undefined;
-    progress.inFlight = [];
-    progress.nextIndex = progress.matchIndex + 1;
-  }
-  progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
-}
-
-function recordMismatch(progress: Progress, rejectedIndex: number, hintIndex: number): void {
-  const isStale = rejectedIndex <= progress.matchIndex || rejectedIndex >= progress.nextIndex;
-  if (isStale || progress.mode === 'snapshot') {
-    return;
-  }
-  progress.mode = 'probe';
-  progress.inFlight = [];
-  progress.nextIndex = Math.max(progress.matchIndex, Math.min(rejectedIndex - 1, hintIndex)) + 1;
-}
-
-/**
- * Commits the highest index of the own term that a quorum of voters has on disk; older entries are
- * committed along with it, never by counting.
- */
-export function commitByCounting(scope: StepScope): void {
-  const { state } = scope;
-  const { role } = state;
-  if (role.name !== 'leader') {
-    return;
-  }
-  const membership = currentMembership(state);
-  const matches = votersOf(membership)
-    .map((voter) => matchOf(state, role, voter.nodeId))
-    .sort((a, b) => b - a);
-  const index = matches[commitSize(membership, state.options.minimumCopies ?? 1) - 1] ?? 0;
-  if (index > state.commitIndex && state.log.termAt(index) === state.term) {
-    advanceCommit(scope, index);
-    releaseWaitingReads(scope);
-    replicateToAll(scope, { evenIfEmpty: true });
-    stepDownWhereRemoved(scope);
-  }
-}
-
-function matchOf(state: ConsensusState, role: LeaderRole, nodeId: NodeId): number {
-  return nodeId === state.nodeId
-    ? state.persistedIndex
-    : (role.progress.get(nodeId)?.matchIndex ?? 0);
-}
-
-/** A leader that a committed change removed leads on until then, and no longer. */
-function stepDownWhereRemoved(scope: StepScope): void {
-  const { state } = scope;
-  const last = state.memberships.at(-1);
-  const isMember = findMember(currentMembership(state), state.nodeId)?.role === 'voter';
-  if (last !== undefined && last.index <= state.commitIndex && !isMember) {
-    becomeFollower(scope, state.term, undefined);
-  }
-}
-
-/**
- * Sends heartbeats, and steps down where no quorum was heard from within an election timeout.
- */
-export function leaderTick(scope: StepScope): void {
-  const { state, context } = scope;
-  const { role, options } = state;
-  if (role.name !== 'leader') {
-    return;
-  }
-  if (!hasQuorumContact(scope, role, currentMembership(state))) {
-    becomeFollower(scope, state.term, undefined, 'no-quorum');
-    return;
-  }
-  if (context.nowMs >= role.nextHeartbeatAtMs) {
-    role.nextHeartbeatAtMs = context.nowMs + options.heartbeatIntervalMs;
-    replicateToAll(scope, { evenIfEmpty: true });
-  }
-  continueLeadershipTransfer(scope);
-}
-
-/**
- * @returns true where enough voters of a membership have answered within an election timeout
- */
-export function hasQuorumContact(
-  { state, context }: StepScope,
-  role: LeaderRole,
-  membership: Membership,
-): boolean {
-  const since = context.nowMs - state.options.electionTimeoutMs;
-  const heard = votersOf(membership).filter(
-    ({ nodeId }) =>
-      nodeId === state.nodeId || (role.progress.get(nodeId)?.receivedAtMs ?? 0) >= since,
-  );
-  return heard.length >= quorumSize(membership);
-}
--- a/src/shared/settings/load-settings.ts
+++ b/src/shared/settings/load-settings.ts
@@ -1,13 +1,12 @@
 /**
- * @file Reads settings: a YAML file, overridden by flags, checked by the schema. An error names the
- * file, the path in it, what was found and what is allowed; nothing starts on an error.
+ * @file Reads the settings of a process: a YAML file, overridden by flags, checked by the schema of that process.
+ * An error names the file, the path in it, what was found and what is allowed.
  */
 import { readFileSync } from 'node:fs';
 import { err, ok, Result } from 'neverthrow';
 import { parse } from 'yaml';
 import type { z } from 'zod';
 import { amberliftError, type AmberliftError } from '../common/error-kinds.js';
-import { settingsSchema, type Settings } from '../../managed/settings/settings-schema.js';
 
 /** A plain object, as YAML gives it. */
 type PlainObject = Record<string, unknown>;
@@ -20,13 +19,6 @@
   readonly overrides: readonly string[];
 }
 
-/**
- * @returns the checked settings, or `invalid-settings`
- */
-export function loadSettings(source: SettingsSource): Result<Settings, AmberliftError> {
-  return loadSettingsAs(settingsSchema, source);
-}
-
 /**
  * @param schema what the settings of the process must look like
  * @returns the checked settings, or `invalid-settings`
@@ -102,8 +94,8 @@
     (current, key) => (isPlainObject(current) ? current[String(key)] : undefined),
     value,
   );
-  const shown = found === undefined ? 'nothing' : JSON.stringify(found);
-  return `${file}: ${path}: found ${shown}; ${issue.message}`;
+  const foundText = found === undefined ? 'nothing' : JSON.stringify(found);
+  return `${file}: ${path}: found ${foundText}; ${issue.message}`;
 }
 
 function isPlainObject(value: unknown): value is PlainObject {
--- a/src/tools/cli/check.ts
+++ b/src/tools/cli/check.ts
@@ -6,7 +6,7 @@
 import type { CAC } from 'cac';
 import Table from 'cli-table3';
 import { exitCodes } from '../../shared/common/error-kinds.js';
-import { loadSettings } from '../../shared/settings/load-settings.js';
+import { loadSettings } from '../../managed/settings/load-settings.js';
 import { checkStatements, type StatementCheck } from '../toolbox/check.js';
 import { parseStateExport, stateOf } from '../toolbox/state-export.js';
 import { reportError } from './daemon-command.js';
--- a/test/managed/daemon/control-daemon.test.ts
+++ b/test/managed/daemon/control-daemon.test.ts
@@ -14,7 +14,7 @@
   type ControlDaemon,
 } from '../../../src/managed/daemon/control-daemon.js';
 import { sendJson } from '../../../src/managed/daemon/http-json.js';
-import { loadSettings } from '../../../src/shared/settings/load-settings.js';
+import { loadSettings } from '../../../src/managed/settings/load-settings.js';
 
 const ADMIN_TOKEN = 'admin-token';
 const OPERATOR_TOKEN = 'operator-token';
--- a/test/shared/consensus/control-network.ts
+++ b/test/shared/consensus/control-network.ts
@@ -16,7 +16,7 @@
 } from '../../../src/managed/control/control-step.js';
 import type { PeerEnvelope } from '../../../src/managed/control/peer-messages.js';
 import type { AmberliftError } from '../../../src/shared/common/error-kinds.js';
-import { TimedQueue } from '../../../src/shared/common/timed-queue.js';
+import { TimedQueue } from '../../../src/proof/virtual/timed-queue.js';
 import { Invariants } from './invariants.js';
 import { VirtualDisk } from './virtual-disk.js';
 
