--- a/src/tools/cli/group.ts
+++ b/src/tools/cli/group.ts
@@ -5,6 +5,7 @@
 import { createCallListener } from '../../registered/daemon/call-listener.js';
 import { createDeclaredApi } from '../../registered/daemon/declared-api.js';
 import { GroupDaemon } from '../../registered/daemon/group-daemon.js';
+import { groupDurability } from '../../registered/daemon/group-durability.js';
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { groupMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
 import type { DeclaredConfig } from '../../registered/declared/declared-config.js';
@@ -22,8 +23,6 @@
 
 /** A caller has gone on to another control machine after this time, in milliseconds. */
 const REQUEST_DEADLINE_MS = 2_000;
-/** Part of the time that a new machine has until it counts. */
-const REMOVE_VOTER_SHARE = 0.5;
 
 /**
  * Registers the subcommand.
@@ -42,7 +41,7 @@
     return;
   }
   logWithoutWaiting();
-  const { linkAddress, callAddress, tolerableLosses, operatorToken } = settings;
+  const { linkAddress, callAddress, operatorToken } = settings;
   const daemon = await GroupDaemon.start(
     {
       linkAddress,
@@ -50,15 +49,13 @@
       zones: settings.zones,
       seeds: settings.seeds,
       isFirstStart: settings.isFirstStart,
-      tolerableLosses,
+      ...groupDurability(settings.tolerableLosses, settings.catchUpMs),
       heartbeatIntervalMs: settings.heartbeatIntervalMs,
       forgetBackendAfterMs: settings.flowLifetimeMs,
-      removeVoterAfterMs: settings.catchUpMs * REMOVE_VOTER_SHARE,
       requestDeadlineMs: REQUEST_DEADLINE_MS,
       // The text was checked and written by `declared-api.ts` before it came into the log.
       readDocument: ({ text }) => JSON.parse(text) as DeclaredConfig,
       timing: timingFor(settings.bounds),
-      minimumCopies: tolerableLosses + 1,
     },
     settings.dataFolder,
     settings.listenAddress ?? linkAddress,
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -4,6 +4,7 @@
 import type { CAC } from 'cac';
 import { bytesPerMsOf } from '../../shared/common/bandwidth.js';
 import { IngressDaemon } from '../../registered/daemon/ingress-daemon.js';
+import { createReadyListener } from '../../registered/daemon/ready-listener.js';
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { ingressMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
 import { timingFor } from '../../registered/group/timing.js';
@@ -58,10 +59,10 @@
     },
     tokenPacketCodec,
   );
-  const ready = await listenHttp(readyAddress, (_request, response) => {
-    response.writeHead(daemon.isReady ? 200 : 503, { 'content-length': 0 });
-    response.end();
-  });
+  const ready = await listenHttp(
+    readyAddress,
+    createReadyListener(() => daemon.isReady),
+  );
   const metrics =
     settings.metricsAddress &&
     (await listenHttp(settings.metricsAddress, ingressMetricsListener(daemon)));
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -1,13 +1,7 @@
 /** @file The settings of the platform are checked, unknown fields passed over. */
 import fc from 'fast-check';
 import t from 'tap';
-import {
-  internalAddress,
-  parseSettings,
-  seedAddresses,
-  settingsTiming,
-  unknownContracts,
-} from '../../platform/settings.js';
+import { parseSettings } from '../../platform/settings.js';
 
 const SETTINGS = {
   nodeName: 'front-1',
@@ -37,8 +31,8 @@
 
 t.test('good settings', async (t) => {
   const settings = parseSettings(SETTINGS)._unsafeUnwrap();
-  t.same(internalAddress(settings), { host: '10.1.0.10', port: 7_720 });
-  t.same(seedAddresses(settings), [
+  t.same(settings.internalAddress, { host: '10.1.0.10', port: 7_720 });
+  t.same(settings.controlSeeds, [
     { host: '10.1.0.12', port: 7_720 },
     { host: '10.2.0.43', port: 7_720 },
   ]);
@@ -46,9 +40,8 @@
 
 t.test('narrow bounds make times shorter, wide ones none longer', async (t) => {
   const timingOf = (bounds: object) =>
-    settingsTiming(
-      parseSettings({ ...SETTINGS, bounds: { ...SETTINGS.bounds, ...bounds } })._unsafeUnwrap(),
-    );
+    parseSettings({ ...SETTINGS, bounds: { ...SETTINGS.bounds, ...bounds } })._unsafeUnwrap()
+      .timing;
   const usual = timingOf({});
   t.same(timingOf({ contactMs: 40_000 }), usual);
   t.equal(timingOf({ contactMs: 2_000 }).links.silentAfterMs, usual.links.silentAfterMs / 2);
@@ -59,7 +52,7 @@
 
 t.test('parts of the rules that are not known are named', async (t) => {
   const settings = parseSettings({ ...SETTINGS, contracts: ['base', 'tides'] })._unsafeUnwrap();
-  t.same(unknownContracts(settings), ['tides']);
+  t.same(settings.unknownRules, ['tides']);
 });
 
 t.test('bad settings name the field', async (t) => {
