--- a/src/registered/declared/declared-config.ts
+++ b/src/registered/declared/declared-config.ts
@@ -4,7 +4,7 @@
  */
 
 /** How the requests on a route may be repeated. */
-export type RequestKind = 'repeatable' | 'at-most-once';
+type RequestKind = 'repeatable' | 'at-most-once';
 
 /** A service that takes a share of the new flows of a route. */
 export interface WeightedTarget {
--- a/src/registered/group/balancer-feed.ts
+++ b/src/registered/group/balancer-feed.ts
@@ -29,7 +29,7 @@
   /** Whether anything is left to be told after it. */
   readonly isComplete: boolean;
   readonly isCounted: boolean;
-  readonly news: PendingUpdates;
+  readonly updates: PendingUpdates;
   readonly transfer?: FullSyncStage;
   readonly config?: ConfigPart;
 }
@@ -59,7 +59,7 @@
     pendingUpdates: createPendingUpdates(),
     isInFullSync: false,
     countedSent: 0,
-    countedTaken: 0,
+    countedApplied: 0,
     wasSentCurrent: false,
     nextPulseAtMs: Number.NEGATIVE_INFINITY,
     loads: { version: -1, outlet: createLoadOutlet() },
@@ -94,7 +94,7 @@
 /**
  * Takes the word of a balancer that it has taken what it was sent.
  */
-export function noteTaken(
+export function applyFeedTaken(
   state: GroupState,
   linkId: LinkId,
   count: number,
@@ -104,15 +104,15 @@
   if (subscriber === undefined) {
     return [];
   }
-  subscriber.countedTaken = Math.min(count, subscriber.countedSent);
+  subscriber.countedApplied = Math.min(count, subscriber.countedSent);
   return isBehind(state, subscriber) ? feedOne(state, linkId, nowMs) : [];
 }
 
 /**
  * @returns true where a balancer has not yet taken what was sent to it, so that nothing more should be
  */
-export function isBusy({ countedSent, countedTaken }: Subscriber): boolean {
-  return countedSent - countedTaken >= MAX_UNDER_WAY;
+export function isBusy({ countedSent, countedApplied }: Subscriber): boolean {
+  return countedSent - countedApplied >= MAX_UNDER_WAY;
 }
 
 /**
@@ -140,8 +140,8 @@
   nowMs: number,
 ): GroupEffect[] {
   const current = isCurrent(state, nowMs);
-  if (lacksWhole(subscriber, current)) {
-    beginTransfer(state, subscriber, current);
+  if (needsFullSync(subscriber, current)) {
+    beginFullSync(state, subscriber, current);
   }
   const plans: MessagePlan[] = [];
   while (!isBusy(subscriber) && isBehind(state, subscriber)) {
@@ -164,7 +164,7 @@
     isCurrent: current,
     isComplete: !isBehind(state, subscriber),
     isCounted: false,
-    news: createPendingUpdates(),
+    updates: createPendingUpdates(),
   };
 }
 
@@ -176,35 +176,36 @@
   return message;
 }
 
-function keyOfPlan({ news, config, ...plan }: MessagePlan): string {
-  const { registered, judged, departed, balancers, areControlsChanged, areZonesChanged } = news;
-  const names = [registered, judged, departed, balancers].map((set) => [...set].join(' '));
+function keyOfPlan({ updates, config, ...plan }: MessagePlan): string {
+  const { registered, livenessChanged, departed, balancers, areControlsChanged, areZonesChanged } =
+    updates;
+  const names = [registered, livenessChanged, departed, balancers].map((set) => [...set].join(' '));
   const part = config && [config.baseVersion, config.version, config.firstChange];
   return JSON.stringify([plan, names, areControlsChanged, areZonesChanged, part]);
 }
 
 function makeMessage(state: GroupState, plan: MessagePlan, nowMs: number): FeedMessage {
-  const { news, transfer, config, ...flags } = plan;
+  const { updates, transfer, config, ...flags } = plan;
   return {
     type: 'feed',
     ...flags,
-    ...feedParts(state, news, nowMs),
+    ...feedParts(state, updates, nowMs),
     ...(transfer && { transfer }),
     ...(config && { config }),
   };
 }
 
-function lacksWhole({ phase }: Subscriber, current: boolean): boolean {
+function needsFullSync({ phase }: Subscriber, current: boolean): boolean {
   return phase === 'new' || (phase === 'provisional' && current);
 }
 
 /** All that there is becomes news. */
-function beginTransfer(state: GroupState, subscriber: Subscriber, current: boolean): void {
+function beginFullSync(state: GroupState, subscriber: Subscriber, current: boolean): void {
   const { registry, publishedBalancers } = state;
   subscriber.pendingUpdates = {
     registered: new Set([...registry.all()].map(({ record }) => record.id)),
-    judged: new Set(),
-    departed: new Set(departedForTransfer(state)),
+    livenessChanged: new Set(),
+    departed: new Set(departuresForFullSync(state)),
     balancers: new Set(publishedBalancers.keys()),
     areControlsChanged: true,
     areZonesChanged: true,
@@ -218,7 +219,7 @@
  * record and takes flows meanwhile. Of those that are not told any more, the newest come; a balancer that still
  * knows an older one takes it for silent at the end of the transfer.
  */
-function departedForTransfer({ registry, replicated }: GroupState): string[] {
+function departuresForFullSync({ registry, replicated }: GroupState): string[] {
   const ofRecords = [...registry.all()].map(({ record }) => record.id);
   const departed = replicated.allDepartures().map(({ backendId }) => backendId);
   const others = departed.filter((id) => registry.get(id) === undefined);
@@ -236,31 +237,33 @@
   { pendingUpdates, configVersion, phase }: Subscriber,
 ): boolean {
   return (
-    isTransfer(phase) || !hasNoUpdates(pendingUpdates) || configVersion < state.configs.version
+    isFullSync(phase) || !hasNoUpdates(pendingUpdates) || configVersion < state.configs.version
   );
 }
 
-function isTransfer(phase: Subscriber['phase']): boolean {
+function isFullSync(phase: Subscriber['phase']): boolean {
   return phase === 'transfer-current' || phase === 'transfer-provisional';
 }
 
 /** Back ends come before routes: placement waits for both, and routes may be many. */
 function planNext(state: GroupState, subscriber: Subscriber, current: boolean): MessagePlan {
-  const news = takeUpdates(subscriber.pendingUpdates, MAX_NAMES);
+  const updates = takeUpdates(subscriber.pendingUpdates, MAX_NAMES);
   const hasAllNews = hasNoUpdates(subscriber.pendingUpdates);
-  const transfer = isTransfer(subscriber.phase) ? nextTransfer(subscriber, hasAllNews) : undefined;
+  const transfer = isFullSync(subscriber.phase)
+    ? nextFullSyncStage(subscriber, hasAllNews)
+    : undefined;
   const config = hasAllNews ? nextConfigPart(state, subscriber) : undefined;
   return {
     isCurrent: current,
     isComplete: !isBehind(state, subscriber),
     isCounted: true,
-    news,
+    updates,
     ...(transfer && { transfer }),
     ...(config && { config }),
   };
 }
 
-function nextTransfer(subscriber: Subscriber, isLast: boolean): FullSyncStage {
+function nextFullSyncStage(subscriber: Subscriber, isLast: boolean): FullSyncStage {
   const isFirst = !subscriber.isInFullSync;
   subscriber.isInFullSync = !isLast;
   if (isLast) {
--- a/src/registered/group/balancer-list.ts
+++ b/src/registered/group/balancer-list.ts
@@ -42,7 +42,7 @@
 /**
  * Takes the balancers that another control machine feeds, and where that machine runs.
  */
-export function takeBalancers(
+export function applyPeerBalancers(
   state: GroupState,
   { sender: address, zone, balancers }: BalancersMessage,
   nowMs: number,
@@ -59,7 +59,7 @@
 /**
  * Forgets the balancers of control machines that have been silent for long.
  */
-export function forgetOldBalancers(state: GroupState, nowMs: number): void {
+export function forgetSilentPeers(state: GroupState, nowMs: number): void {
   for (const [sender, { receivedAtMs }] of state.peerBalancers) {
     if (nowMs - receivedAtMs > BALANCERS_LIFETIME_MS) {
       state.peerBalancers.delete(sender);
--- a/src/registered/group/config-history.ts
+++ b/src/registered/group/config-history.ts
@@ -17,7 +17,7 @@
   /** The version that holds; `NO_VERSION` for none. */
   readonly version: number;
   /** Takes the configuration that holds from now on. */
-  take(config: DeclaredConfig): void;
+  apply(config: DeclaredConfig): void;
   /**
    * @param version what a balancer holds
    * @returns what it lacks; undefined where it lacks nothing
@@ -45,11 +45,11 @@
     get version() {
       return config?.version ?? NO_VERSION;
     },
-    take,
+    apply,
     updateFrom,
   };
 
-  function take(next: DeclaredConfig): void {
+  function apply(next: DeclaredConfig): void {
     if (config !== undefined) {
       steps = withinBounds([...steps, updateBetween(config, next)]);
     }
--- a/src/registered/group/feed-parts.ts
+++ b/src/registered/group/feed-parts.ts
@@ -24,9 +24,10 @@
  * @returns what a message says of each
  */
 export function feedParts(state: GroupState, news: PendingUpdates, nowMs: number): FeedParts {
-  const { registered, judged, departed, balancers, areControlsChanged, areZonesChanged } = news;
+  const { registered, livenessChanged, departed, balancers, areControlsChanged, areZonesChanged } =
+    news;
   const records = [...registered].flatMap((id) => agedRecordOf(state, id, nowMs));
-  const judgements = [...new Set([...judged, ...registered])].flatMap((id) =>
+  const judgements = [...new Set([...livenessChanged, ...registered])].flatMap((id) =>
     isTellingByAge(state, registered, id) ? [] : judgementOf(state, id, nowMs),
   );
   const departures = [...departed].flatMap((id) => departureOf(state, id));
@@ -61,7 +62,7 @@
   const known = state.registry.get(id);
   return known === undefined
     ? []
-    : [{ record: known.record, ageMs: silenceOf(state, known.heardAtMs, nowMs) }];
+    : [{ record: known.record, ageMs: silenceOf(state, known.lastHeartbeatAtMs, nowMs) }];
 }
 
 /** The age of a record tells how it is judged, but for one whose address another one holds. */
@@ -74,9 +75,9 @@
   if (known === undefined) {
     return [];
   }
-  const { heardAtMs } = known;
+  const { lastHeartbeatAtMs } = known;
   const liveness = state.registry.isSuperseded(backendId) ? 'dead' : known.liveness;
-  return [{ backendId, liveness, silentMs: silenceOf(state, heardAtMs, nowMs) }];
+  return [{ backendId, liveness, silentMs: silenceOf(state, lastHeartbeatAtMs, nowMs) }];
 }
 
 function departureOf({ replicated }: GroupState, backendId: string): Departure[] {
--- a/src/registered/group/group-consensus.ts
+++ b/src/registered/group/group-consensus.ts
@@ -15,7 +15,7 @@
 import type { GroupState } from './group-state.js';
 import { finishCall, finishRead, refused } from './leader-requests.js';
 import { decodeGroupCommand, type AppliedChange } from './replicated-state.js';
-import { noteZoneChanged } from './zone-duties.js';
+import { recordZoneChange } from './zone-duties.js';
 
 /** Proposal ID of the leader's own changes of the membership, for which nobody waits. */
 export const OWN_PROPOSAL = 0;
@@ -33,11 +33,11 @@
   context: StepContext,
 ): GroupEffect[] {
   const effects = consensusStep(state.consensus, event, context);
-  const taken = effects.flatMap((effect) => takeConsensusEffect(state, effect, context.nowMs));
+  const taken = effects.flatMap((effect) => handleConsensusEffect(state, effect, context.nowMs));
   return [...taken, ...takeSnapshotWhereDue(state, context)];
 }
 
-function takeConsensusEffect(
+function handleConsensusEffect(
   state: GroupState,
   consensusEffect: ConsensusEffect,
   nowMs: number,
@@ -95,7 +95,7 @@
     return [];
   }
   const change = state.replicated.apply(decodeGroupCommand(content.data));
-  const decisions = noteChange(state, change, nowMs);
+  const decisions = recordChange(state, change, nowMs);
   const proposal = state.proposals.get(index);
   state.proposals.delete(index);
   if (proposal?.term !== term) {
@@ -110,11 +110,11 @@
     : { type: 'committed' };
 }
 
-function noteChange(state: GroupState, applied: AppliedChange, nowMs: number): GroupEffect[] {
+function recordChange(state: GroupState, applied: AppliedChange, nowMs: number): GroupEffect[] {
   return match(applied)
     .with({ type: 'config-changed' }, ({ document }): GroupEffect[] => {
       const config = state.options.readDocument(document);
-      state.configs.take(config);
+      state.configs.apply(config);
       const fields = { version: document.version, routes: config.routes.length };
       return [{ type: 'decision', name: 'config in force', fields }];
     })
@@ -122,7 +122,7 @@
       state.pendingUpdates.departed.add(departure.backendId);
       return [{ type: 'decision', name: 'departure', fields: { ...departure } }];
     })
-    .with({ type: 'zone-changed' }, ({ status }) => noteZoneChanged(state, status, nowMs))
+    .with({ type: 'zone-changed' }, ({ status }) => recordZoneChange(state, status, nowMs))
     .with({ type: 'order-outdated' }, ({ order }): GroupEffect[] => [
       { type: 'decision', name: 'order outdated', fields: { ...order } },
     ])
@@ -134,7 +134,7 @@
   state.replicated.restore(data);
   const { config } = state.replicated;
   if (config !== undefined) {
-    state.configs.take(state.options.readDocument(config));
+    state.configs.apply(state.options.readDocument(config));
   }
   for (const { backendId } of state.replicated.allDepartures()) {
     state.pendingUpdates.departed.add(backendId);
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -84,7 +84,7 @@
 }
 
 /** A machine that asks to be taken in. */
-export interface Announced {
+export interface Announcement {
   readonly nodeId: NodeId;
   readonly storageId: string;
   readonly linkAddress: Address;
@@ -106,7 +106,7 @@
   /** Messages that were sent and that it answers. */
   countedSent: number;
   /** How many of them it has taken. */
-  countedTaken: number;
+  countedApplied: number;
   /** True where the last message said that this machine was current. */
   wasSentCurrent: boolean;
   /** When it gets a message though nothing has changed, in milliseconds. */
@@ -163,7 +163,7 @@
   /** True once the list of back ends that was found on disk is in the registry. */
   isRegistrySeeded: boolean;
   nextProposalId: number;
-  readonly announced: Map<NodeId, Announced>;
+  readonly announced: Map<NodeId, Announcement>;
   /** Where machines outside the membership are answered. */
   readonly replyAddresses: Map<NodeId, Address>;
   nextAnnounceAtMs: number;
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -13,28 +13,28 @@
   addSubscriber,
   feedOne,
   feedSubscribers,
-  noteTaken,
+  applyFeedTaken,
   removeSubscriber,
 } from './balancer-feed.js';
-import { forgetOldBalancers, shareBalancers, takeBalancers } from './balancer-list.js';
+import { forgetSilentPeers, shareBalancers, applyPeerBalancers } from './balancer-list.js';
 import { OWN_PROPOSAL, runConsensus } from './group-consensus.js';
 import type { GroupEffect, GroupEvent, RequestId } from './group-events.js';
 import type { AgedRecord, PeerMessage } from './group-messages.js';
 import { isCurrent, leaderAddress, type GroupState } from './group-state.js';
-import { expireCalls, startCall, takeForward, takeForwardReply } from './leader-requests.js';
+import { expireCalls, startCall, handleForward, handleForwardReply } from './leader-requests.js';
 import {
   announceWhereDue,
   firstMembershipEvent,
   hasSpareVoter,
   nextMemberChange,
-  noteAnnouncement,
+  handleAnnouncement,
 } from './membership-duties.js';
-import { feedLoads, shareLoadSums, takeLoadReport, takeLoadSums } from './load-duties.js';
+import { publishLoads, shareLoadSums, applyLoadReport, applyLoadSums } from './load-duties.js';
 import {
-  judgeBackends,
+  updateLiveness,
   nextRegistryCommand,
   shareHeartbeats,
-  takeRecord,
+  applyHeartbeat,
 } from './registry-duties.js';
 import { encodeGroupCommand } from './replicated-state.js';
 import { orderZone } from './zone-duties.js';
@@ -52,9 +52,9 @@
   state.stallGuard.recordTurn(nowMs);
   const run = (consensusEvent: ConsensusEvent) => runConsensus(state, consensusEvent, context);
   return match(event)
-    .with({ type: 'heartbeat' }, (call) => takeHeartbeat(state, call, context))
+    .with({ type: 'heartbeat' }, (call) => handleHeartbeat(state, call, context))
     .with({ type: 'deregister' }, ({ requestId, backendId }) =>
-      noteDeparture(state, requestId, { backendId, kind: 'gone' }, context),
+      handleDeparture(state, requestId, { backendId, kind: 'gone' }, context),
     )
     .with({ type: 'declare-config' }, ({ requestId, document }) =>
       startCall(
@@ -72,19 +72,19 @@
     .with({ type: 'read-zones' }, ({ requestId }) =>
       startCall(state, requestId, { type: 'read-zones' }, nowMs, run),
     )
-    .with({ type: 'peer-message' }, ({ message }) => takePeerMessage(state, message, context))
+    .with({ type: 'peer-message' }, ({ message }) => handlePeerMessage(state, message, context))
     .with({ type: 'subscribe' }, ({ linkId, message }) => {
       addSubscriber(state, linkId, message);
       return feedOne(state, linkId, nowMs);
     })
     .with({ type: 'load-report' }, ({ linkId, message }) => {
       if (state.subscribers.has(linkId)) {
-        takeLoadReport(state, linkId, message);
+        applyLoadReport(state, linkId, message);
       }
       return [];
     })
     .with({ type: 'feed-taken' }, ({ linkId, message }) =>
-      noteTaken(state, linkId, message.count, nowMs),
+      applyFeedTaken(state, linkId, message.count, nowMs),
     )
     .with({ type: 'link-closed' }, ({ linkId }) => {
       removeSubscriber(state, linkId);
@@ -96,7 +96,7 @@
     .exhaustive();
 }
 
-function takeHeartbeat(
+function handleHeartbeat(
   state: GroupState,
   call: Extract<GroupEvent, { type: 'heartbeat' }>,
   context: StepContext,
@@ -107,12 +107,12 @@
   }
   const registered = registrationDecision(state, record);
   const aged: AgedRecord = { record, ageMs: 0 };
-  if (takeRecord(state, aged, context.nowMs)) {
+  if (applyHeartbeat(state, aged, context.nowMs)) {
     state.heartbeatsToShare.push(aged);
   }
   if (isDraining) {
     const departure = { backendId: record.id, kind: 'draining' } as const;
-    return [...registered, ...noteDeparture(state, requestId, departure, context)];
+    return [...registered, ...handleDeparture(state, requestId, departure, context)];
   }
   return [...registered, { type: 'reply', requestId, reply: { type: 'accepted' } }];
 }
@@ -136,7 +136,7 @@
 }
 
 /** What is committed already needs no leader: a departure is final. */
-function noteDeparture(
+function handleDeparture(
   state: GroupState,
   requestId: RequestId,
   departure: { readonly backendId: string; readonly kind: 'draining' | 'gone' },
@@ -155,7 +155,7 @@
   );
 }
 
-function takePeerMessage(
+function handlePeerMessage(
   state: GroupState,
   peerMessage: PeerMessage,
   context: StepContext,
@@ -163,8 +163,8 @@
   const { nowMs } = context;
   const run = (event: ConsensusEvent) => runConsensus(state, event, context);
   return match(peerMessage)
-    .with({ type: 'consensus' }, (message) => takeConsensusMessage(state, message, context))
-    .with({ type: 'announce' }, (message) => noteAnnouncement(state, message, nowMs))
+    .with({ type: 'consensus' }, (message) => handleConsensusMessage(state, message, context))
+    .with({ type: 'announce' }, (message) => handleAnnouncement(state, message, nowMs))
     .with({ type: 'leave' }, ({ from }) => {
       const member = findMember(currentMembership(state.consensus), from.nodeId);
       return member?.role === 'voter' && hasSpareVoter(state)
@@ -176,23 +176,23 @@
         : [];
     })
     .with({ type: 'heartbeats' }, ({ records }) => {
-      records.forEach((aged) => takeRecord(state, aged, nowMs));
+      records.forEach((aged) => applyHeartbeat(state, aged, nowMs));
       return [];
     })
     .with({ type: 'balancers' }, (message) => {
-      takeBalancers(state, message, nowMs);
+      applyPeerBalancers(state, message, nowMs);
       return [];
     })
     .with({ type: 'load-sums' }, (message) => {
-      takeLoadSums(state, message, nowMs);
+      applyLoadSums(state, message, nowMs);
       return [];
     })
-    .with({ type: 'forward' }, (message) => takeForward(state, message, run))
-    .with({ type: 'forward-reply' }, (message) => takeForwardReply(state, message))
+    .with({ type: 'forward' }, (message) => handleForward(state, message, run))
+    .with({ type: 'forward-reply' }, (message) => handleForwardReply(state, message))
     .exhaustive();
 }
 
-function takeConsensusMessage(
+function handleConsensusMessage(
   state: GroupState,
   message: Extract<PeerMessage, { type: 'consensus' }>,
   context: StepContext,
@@ -230,13 +230,13 @@
   effects.push(...changeMembers(state, context));
   effects.push(...keepBackendList(state, context));
   effects.push(...expireCalls(state, nowMs));
-  judgeBackends(state, nowMs);
-  forgetOldBalancers(state, nowMs);
+  updateLiveness(state, nowMs);
+  forgetSilentPeers(state, nowMs);
   effects.push(...shareHeartbeats(state));
   effects.push(...shareBalancers(state, nowMs));
   effects.push(...shareLoadSums(state, nowMs));
   effects.push(...feedSubscribers(state, nowMs));
-  effects.push(...feedLoads(state, nowMs));
+  effects.push(...publishLoads(state, nowMs));
   state.registry.forgetSilent(nowMs, state.options.forgetBackendAfterMs);
   return effects;
 }
--- a/src/registered/group/leader-requests.ts
+++ b/src/registered/group/leader-requests.ts
@@ -47,7 +47,7 @@
 /**
  * Takes a call that another machine passed on.
  */
-export function takeForward(
+export function handleForward(
   state: GroupState,
   message: Extract<PeerMessage, { type: 'forward' }>,
   run: RunConsensus,
@@ -66,7 +66,7 @@
 /**
  * Takes the leader's answer to a call that was passed on.
  */
-export function takeForwardReply(
+export function handleForwardReply(
   state: GroupState,
   message: Extract<PeerMessage, { type: 'forward-reply' }>,
 ): GroupEffect[] {
@@ -129,10 +129,10 @@
  */
 export function finishRead(state: GroupState, readId: number): GroupEffect[] {
   const request = state.pendingReplies.get(readId)?.request;
-  return request === undefined ? [] : finishCall(state, readId, answerToRead(state, request));
+  return request === undefined ? [] : finishCall(state, readId, replyToRead(state, request));
 }
 
-function answerToRead(state: GroupState, request: LeaderRequest): LeaderReply {
+function replyToRead(state: GroupState, request: LeaderRequest): LeaderReply {
   return match(request)
     .with({ type: 'read-config' }, (): LeaderReply => ({
       type: 'config',
--- a/src/registered/group/load-duties.ts
+++ b/src/registered/group/load-duties.ts
@@ -5,7 +5,7 @@
 import { isBehind, isBusy } from './balancer-feed.js';
 import type { LinkId } from '../../shared/common/link-table.js';
 import { formatAddress } from '../../shared/common/address.js';
-import { offered } from '../load-exchange/load-outlet.js';
+import { rowsToSend } from '../load-exchange/load-outlet.js';
 import type { LoadTotals } from '../load-exchange/load-totals.js';
 import type { PackedRows } from '../load-exchange/packed-rows.js';
 import type { GroupEffect } from './group-events.js';
@@ -17,33 +17,33 @@
 /**
  * Takes what passes a balancer that is fed here.
  */
-export function takeLoadReport(
+export function applyLoadReport(
   state: GroupState,
   linkId: LinkId,
   { loads, signals }: LoadReportMessage,
 ): void {
   if (loads !== undefined) {
-    state.loads.takeReport(linkId, loads);
+    state.loads.applyReport(linkId, loads);
   }
   if (signals !== undefined) {
-    state.signals.takeReport(linkId, signals);
+    state.signals.applyReport(linkId, signals);
   }
 }
 
 /**
  * Takes what passes the balancers of another control machine.
  */
-export function takeLoadSums(
+export function applyLoadSums(
   state: GroupState,
   { sender, loads, signals }: LoadSumsMessage,
   nowMs: number,
 ): void {
   const from = formatAddress(sender);
   if (loads !== undefined) {
-    state.loads.takeSums(from, loads, nowMs);
+    state.loads.applySums(from, loads, nowMs);
   }
   if (signals !== undefined) {
-    state.signals.takeSums(from, signals, nowMs);
+    state.signals.applySums(from, signals, nowMs);
   }
 }
 
@@ -53,8 +53,8 @@
 export function shareLoadSums(state: GroupState, nowMs: number): GroupEffect[] {
   state.loads.forgetSilentSenders(nowMs);
   state.signals.forgetSilentSenders(nowMs);
-  const loads = offered(state.sumsOutlet, () => state.loads.ownSums(), nowMs);
-  const signals = offered(state.signalSumsOutlet, () => state.signals.ownSums(), nowMs);
+  const loads = rowsToSend(state.sumsOutlet, () => state.loads.ownSums(), nowMs);
+  const signals = rowsToSend(state.signalSumsOutlet, () => state.signals.ownSums(), nowMs);
   if (loads === undefined && signals === undefined) {
     return [];
   }
@@ -70,15 +70,15 @@
 /**
  * Tells each balancer that is fed here what passes all others.
  */
-export function feedLoads(state: GroupState, nowMs: number): GroupEffect[] {
+export function publishLoads(state: GroupState, nowMs: number): GroupEffect[] {
   const current = isCurrent(state, nowMs);
   const effects: GroupEffect[] = [];
   for (const [linkId, subscriber] of state.subscribers) {
     if (subscriber.phase === 'new' || isBusy(subscriber)) {
       continue;
     }
-    const loads = othersFor(linkId, subscriber.loads, state.loads, nowMs);
-    const signals = othersFor(linkId, subscriber.signals, state.signals, nowMs);
+    const loads = fleetRowsFor(linkId, subscriber.loads, state.loads, nowMs);
+    const signals = fleetRowsFor(linkId, subscriber.signals, state.signals, nowMs);
     if (loads === undefined && signals === undefined) {
       continue;
     }
@@ -100,7 +100,7 @@
 }
 
 /** @returns what all others have of a table, where that has changed and may be told */
-function othersFor(
+function fleetRowsFor(
   linkId: LinkId,
   told: PublishedTable,
   totals: LoadTotals,
@@ -110,5 +110,5 @@
     return undefined;
   }
   told.version = totals.version;
-  return offered(told.outlet, () => totals.othersOf(linkId), nowMs);
+  return rowsToSend(told.outlet, () => totals.fleetSumsFor(linkId), nowMs);
 }
--- a/src/registered/group/membership-duties.ts
+++ b/src/registered/group/membership-duties.ts
@@ -109,7 +109,7 @@
 /**
  * Notes that a machine asks to be taken in; one that is not the leader passes it on.
  */
-export function noteAnnouncement(
+export function handleAnnouncement(
   state: GroupState,
   message: Extract<PeerMessage, { type: 'announce' }>,
   nowMs: number,
--- a/src/registered/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -14,7 +14,7 @@
 } from '../../shared/consensus/message-shapes.js';
 import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
-import { rowsShape } from './rows-shape.js';
+import { packedRowsSchema } from './packed-rows-schema.js';
 import type { ControlInboundMessage } from './group-messages.js';
 
 const DOCUMENT_BYTES = 4 * 1024 * 1024;
@@ -32,8 +32,8 @@
 const agedRecord = z.object({ record, ageMs: z.number() });
 const departure = z.object({ backendId: text, kind: z.enum(['draining', 'gone']) });
 const balancer = z.object({ name: text, zone: text, peerAddress: address });
-const loads = z.optional(rowsShape(LOAD_ROWS));
-const signals = z.optional(rowsShape(ANSWER_STATS_ROWS));
+const loads = z.optional(packedRowsSchema(LOAD_ROWS));
+const signals = z.optional(packedRowsSchema(ANSWER_STATS_ROWS));
 interface Tables {
   readonly loads?: unknown;
   readonly signals?: unknown;
--- a/src/registered/group/packed-feed.ts
+++ b/src/registered/group/packed-feed.ts
@@ -6,7 +6,7 @@
 import { indexShape as index, textShape as text } from '../../shared/consensus/message-shapes.js';
 import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
-import { rowsShape } from './rows-shape.js';
+import { packedRowsSchema } from './packed-rows-schema.js';
 import type { Liveness } from '../registry/backend-liveness.js';
 import type { DepartureKind } from '../registry/backend-record.js';
 import type { FullSyncStage } from './group-messages.js';
@@ -89,8 +89,8 @@
   controls: z.optional(packedControls),
   zones: z.optional(packedZones),
   config: z.optional(packedConfig),
-  loads: z.optional(rowsShape(LOAD_ROWS)),
-  signals: z.optional(rowsShape(ANSWER_STATS_ROWS)),
+  loads: z.optional(packedRowsSchema(LOAD_ROWS)),
+  signals: z.optional(packedRowsSchema(ANSWER_STATS_ROWS)),
 });
 
 /** A feed message as it travels. */
--- a/src/registered/group/rows-shape.ts
+++ b/src/registered/group/packed-rows-schema.ts
@@ -9,7 +9,7 @@
 const MAX_ROWS = 20_000;
 
 /** @returns the schema of a flat list of rows, none of which is cut short */
-export function rowsShape({ numbers }: RowShape) {
+export function packedRowsSchema({ numbers }: RowShape) {
   return z.array(indexShape).check(
     z.maxLength(MAX_ROWS * numbers),
     z.refine((packed) => packed.length % numbers === 0, 'An entry is cut short.'),
--- a/src/registered/group/pending-updates.ts
+++ b/src/registered/group/pending-updates.ts
@@ -9,7 +9,7 @@
   /** IDs of back ends that came, or tell something else of themselves. */
   readonly registered: Set<string>;
   /** IDs of back ends that are judged otherwise. */
-  readonly judged: Set<string>;
+  readonly livenessChanged: Set<string>;
   /** IDs of back ends that leave. */
   readonly departed: Set<string>;
   /** Names of balancers that came or went. */
@@ -23,7 +23,7 @@
 export function createPendingUpdates(): PendingUpdates {
   return {
     registered: new Set(),
-    judged: new Set(),
+    livenessChanged: new Set(),
     departed: new Set(),
     balancers: new Set(),
     areControlsChanged: false,
@@ -68,6 +68,11 @@
   return taken;
 }
 
-function namedIn({ registered, judged, departed, balancers }: PendingUpdates): Set<string>[] {
-  return [registered, judged, departed, balancers];
+function namedIn({
+  registered,
+  livenessChanged,
+  departed,
+  balancers,
+}: PendingUpdates): Set<string>[] {
+  return [registered, livenessChanged, departed, balancers];
 }
--- a/src/registered/group/registry-duties.ts
+++ b/src/registered/group/registry-duties.ts
@@ -17,8 +17,8 @@
  * Takes a heartbeat; balancers are told only where it says something new.
  * @returns false where a later one was known
  */
-export function takeRecord(state: GroupState, aged: AgedRecord, nowMs: number): boolean {
-  const news = state.registry.take(aged.record, nowMs - aged.ageMs);
+export function applyHeartbeat(state: GroupState, aged: AgedRecord, nowMs: number): boolean {
+  const news = state.registry.apply(aged.record, nowMs - aged.ageMs);
   if (news === 'changed' || (news === 'alive' && isWarmthAwaited(state, aged.record, nowMs))) {
     state.pendingUpdates.registered.add(aged.record.id);
   }
@@ -58,7 +58,7 @@
  * Judges the silence of back ends, as long as this machine hears of all heartbeats. Silence from before it
  * did so counts for one interval at most.
  */
-export function judgeBackends(state: GroupState, nowMs: number): void {
+export function updateLiveness(state: GroupState, nowMs: number): void {
   const { registry, options } = state;
   if (!state.isRegistrySeeded) {
     state.isRegistrySeeded = true;
@@ -73,8 +73,8 @@
     seedRegistry(state, nowMs);
   }
   const { listeningSinceMs } = state;
-  const judgements = registry.judge(nowMs, listeningSinceMs);
-  judgements.forEach(({ backendId }) => state.pendingUpdates.judged.add(backendId));
+  const judgements = registry.updateLiveness(nowMs, listeningSinceMs);
+  judgements.forEach(({ backendId }) => state.pendingUpdates.livenessChanged.add(backendId));
 }
 
 /**
@@ -117,7 +117,7 @@
   for (const registered of state.replicated.allBackends()) {
     const record = { ...registered, warmUpLeftMs: 0 };
     if (state.registry.get(record.id) === undefined) {
-      state.registry.takeListed(record, nowMs - ageMs);
+      state.registry.applyListed(record, nowMs - ageMs);
       state.pendingUpdates.registered.add(record.id);
     }
   }
--- a/src/registered/group/zone-duties.ts
+++ b/src/registered/group/zone-duties.ts
@@ -40,7 +40,7 @@
 }
 
 /** Takes a committed order that changed a zone; what was known as committed at the start is not taken again. */
-export function noteZoneChanged(
+export function recordZoneChange(
   state: GroupState,
   status: ZoneStatus,
   nowMs: number,
--- a/src/registered/ingress/load-reporter.ts
+++ b/src/registered/ingress/load-reporter.ts
@@ -3,7 +3,7 @@
  * has changed, no more often than its length allows.
  */
 import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
-import { createLoadOutlet, offered } from '../load-exchange/load-outlet.js';
+import { createLoadOutlet, rowsToSend } from '../load-exchange/load-outlet.js';
 import type { LoadReportMessage } from '../group/group-messages.js';
 import { ownLoads, ownAnswerStats } from './feed-step.js';
 import type { IngressState } from './ingress-state.js';
@@ -22,8 +22,8 @@
   return { due };
 
   function due(nowMs: number): LoadReportMessage | undefined {
-    const loads = offered(loadsOutlet, () => ownLoads(state), nowMs);
-    const signals = offered(signalsOutlet, () => ownAnswerStats(state, nowMs), nowMs);
+    const loads = rowsToSend(loadsOutlet, () => ownLoads(state), nowMs);
+    const signals = rowsToSend(signalsOutlet, () => ownAnswerStats(state, nowMs), nowMs);
     return loads === undefined && signals === undefined
       ? undefined
       : { type: 'load-report', ...(loads && { loads }), ...(signals && { signals }) };
--- a/src/registered/load-exchange/load-outlet.ts
+++ b/src/registered/load-exchange/load-outlet.ts
@@ -44,7 +44,7 @@
 }
 
 /** @returns a table whose time has come; undefined where it has not, or where it says what it said before */
-export function offered(
+export function rowsToSend(
   outlet: LoadOutlet,
   make: () => PackedRows,
   nowMs: number,
--- a/src/registered/load-exchange/load-totals.ts
+++ b/src/registered/load-exchange/load-totals.ts
@@ -12,11 +12,11 @@
 /** The load of back ends over all balancers. */
 export interface LoadTotals {
   /** Takes what passes a balancer that is fed here, in place of its last report. */
-  takeReport(reporter: LinkId, loads: PackedRows): void;
+  applyReport(reporter: LinkId, loads: PackedRows): void;
   /** Forgets a balancer whose link is closed. */
   dropReporter(reporter: LinkId): void;
   /** Takes the sums of another control machine, in place of its last ones. */
-  takeSums(sender: string, loads: PackedRows, nowMs: number): void;
+  applySums(sender: string, loads: PackedRows, nowMs: number): void;
   /** Forgets control machines that have not told their sums for long. */
   forgetSilentSenders(nowMs: number): void;
   /** @returns the sum over the balancers that are fed here, for the other control machines */
@@ -24,7 +24,7 @@
   /** @returns the sum over all balancers */
   all(): PackedRows;
   /** @returns the sum over all balancers but one */
-  othersOf(reporter: LinkId): PackedRows;
+  fleetSumsFor(reporter: LinkId): PackedRows;
   /** Rises with each change of any sum. */
   readonly version: number;
 }
@@ -34,7 +34,7 @@
 
 interface SenderSums {
   readonly loads: PackedRows;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** Sums that were made of all reports at one version. */
@@ -56,19 +56,19 @@
   let made: MadeSums | undefined;
 
   return {
-    takeReport,
+    applyReport,
     dropReporter,
-    takeSums,
+    applySums,
     forgetSilentSenders,
     ownSums: () => currentSums().own,
     all: () => packSums(currentSums().all),
-    othersOf,
+    fleetSumsFor,
     get version() {
       return version;
     },
   };
 
-  function takeReport(reporter: LinkId, loads: PackedRows): void {
+  function applyReport(reporter: LinkId, loads: PackedRows): void {
     reports.set(reporter, loads);
     version += 1;
   }
@@ -79,21 +79,21 @@
     }
   }
 
-  function takeSums(sender: string, loads: PackedRows, nowMs: number): void {
-    senders.set(sender, { loads, heardAtMs: nowMs });
+  function applySums(sender: string, loads: PackedRows, nowMs: number): void {
+    senders.set(sender, { loads, receivedAtMs: nowMs });
     version += 1;
   }
 
   function forgetSilentSenders(nowMs: number): void {
-    for (const [sender, { heardAtMs }] of senders) {
-      if (nowMs - heardAtMs > sumsLifetimeMs) {
+    for (const [sender, { receivedAtMs }] of senders) {
+      if (nowMs - receivedAtMs > sumsLifetimeMs) {
         senders.delete(sender);
         version += 1;
       }
     }
   }
 
-  function othersOf(reporter: LinkId): PackedRows {
+  function fleetSumsFor(reporter: LinkId): PackedRows {
     const sums = new Map(currentSums().all);
     addTo(sums, reports.get(reporter) ?? [], -1);
     return packSums(sums);
--- a/src/registered/registry/address-holders.ts
+++ b/src/registered/registry/address-holders.ts
@@ -11,29 +11,29 @@
 /** Who holds which address. */
 export interface AddressHolders {
   /** Takes a heartbeat of a back end that tells this address for the first time, or again. */
-  noteHeartbeat(id: string, address: Address, heardAtMs: number): void;
+  recordHeartbeat(id: string, address: Address, heardAtMs: number): void;
   /**
    * Takes a back end of the replicated list, which is in the order in which back ends were first heard of. It
    * gives way to any that was heard here.
    */
-  noteListed(id: string, address: Address): void;
+  recordListed(id: string, address: Address): void;
   /** @returns true where another one holds its address */
   isSuperseded(id: string): boolean;
   /** @returns who holds an address */
   holderOf(address: Address): string | undefined;
   /** A back end is forgotten, or tells another address from now on. */
-  leave(id: string, address: Address): void;
+  remove(id: string, address: Address): void;
 }
 
 interface Holder {
   readonly id: string;
   /** Undefined for one that is only listed. */
-  heardAtMs: number | undefined;
+  lastHeartbeatAtMs: number | undefined;
 }
 
 interface Superseded {
   /** Its first heartbeat since the holder's last one. */
-  heardAtMs: number | undefined;
+  firstHeartbeatAtMs: number | undefined;
 }
 
 /**
@@ -50,37 +50,40 @@
   const superseded = new Map<string, Superseded>();
 
   return {
-    noteHeartbeat,
-    noteListed,
+    recordHeartbeat,
+    recordListed,
     isSuperseded: (id) => superseded.has(id),
     holderOf: (address) => holders.get(formatAddress(address))?.id,
-    leave,
+    remove,
   };
 
-  function noteHeartbeat(id: string, address: Address, heardAtMs: number): void {
+  function recordHeartbeat(id: string, address: Address, lastHeartbeatAtMs: number): void {
     const at = formatAddress(address);
     const holder = holders.get(at);
     if (holder?.id === id) {
-      holder.heardAtMs = Math.max(heardAtMs, holder.heardAtMs ?? heardAtMs);
-    } else if (holder === undefined || isProven(id, holder, heardAtMs)) {
-      hold(at, { id, heardAtMs });
+      holder.lastHeartbeatAtMs = Math.max(
+        lastHeartbeatAtMs,
+        holder.lastHeartbeatAtMs ?? lastHeartbeatAtMs,
+      );
+    } else if (holder === undefined || isProven(id, holder, lastHeartbeatAtMs)) {
+      hold(at, { id, lastHeartbeatAtMs });
     }
   }
 
-  function noteListed(id: string, address: Address): void {
+  function recordListed(id: string, address: Address): void {
     const at = formatAddress(address);
     const holder = holders.get(at);
-    if (holder?.heardAtMs === undefined) {
-      hold(at, { id, heardAtMs: undefined });
+    if (holder?.lastHeartbeatAtMs === undefined) {
+      hold(at, { id, lastHeartbeatAtMs: undefined });
     } else if (holder.id !== id) {
-      superseded.set(id, { heardAtMs: undefined });
+      superseded.set(id, { firstHeartbeatAtMs: undefined });
     }
   }
 
   function hold(at: string, holder: Holder): void {
     const before = holders.get(at);
     if (before !== undefined && before.id !== holder.id) {
-      superseded.set(before.id, { heardAtMs: undefined });
+      superseded.set(before.id, { firstHeartbeatAtMs: undefined });
     }
     superseded.delete(holder.id);
     holders.set(at, holder);
@@ -89,19 +92,22 @@
   /** @returns true where a back end that does not hold its address runs, and the holder does not */
   function isProven(id: string, holder: Holder, heardAtMs: number): boolean {
     const claim = superseded.get(id);
-    if (claim === undefined || holder.heardAtMs === undefined) {
+    if (claim === undefined || holder.lastHeartbeatAtMs === undefined) {
       return true;
     }
-    if (claim.heardAtMs === undefined || claim.heardAtMs <= holder.heardAtMs) {
-      claim.heardAtMs = heardAtMs;
+    if (
+      claim.firstHeartbeatAtMs === undefined ||
+      claim.firstHeartbeatAtMs <= holder.lastHeartbeatAtMs
+    ) {
+      claim.firstHeartbeatAtMs = heardAtMs;
       return false;
     }
-    const goesOn = heardAtMs - claim.heardAtMs >= PROOF_INTERVALS * heartbeatIntervalMs;
-    const holderSilentMs = heardAtMs - holder.heardAtMs;
+    const goesOn = heardAtMs - claim.firstHeartbeatAtMs >= PROOF_INTERVALS * heartbeatIntervalMs;
+    const holderSilentMs = heardAtMs - holder.lastHeartbeatAtMs;
     return goesOn && holderSilentMs >= HOLDER_SILENT_INTERVALS * heartbeatIntervalMs;
   }
 
-  function leave(id: string, address: Address): void {
+  function remove(id: string, address: Address): void {
     const at = formatAddress(address);
     if (holders.get(at)?.id === id) {
       holders.delete(at);
--- a/src/registered/registry/heartbeat-registry.ts
+++ b/src/registered/registry/heartbeat-registry.ts
@@ -8,14 +8,14 @@
 import type { BackendRecord } from './backend-record.js';
 
 /** A record with the time at which its heartbeat came. */
-export interface HeardRecord {
+export interface ReceivedRecord {
   readonly record: BackendRecord;
   /** On the clock of this process, in milliseconds. */
-  readonly heardAtMs: number;
+  readonly lastHeartbeatAtMs: number;
 }
 
 /** What a heartbeat brought. */
-export type HeartbeatNews =
+export type HeartbeatOutcome =
   /** It came after a later one of the same back end, and was passed over. */
   | 'late'
   /** The back end is alive; all else is as it was. */
@@ -24,7 +24,7 @@
   | 'changed';
 
 /** A record as it was judged last. */
-export interface JudgedRecord extends HeardRecord {
+export interface RegisteredBackend extends ReceivedRecord {
   readonly liveness: Liveness;
 }
 
@@ -33,7 +33,7 @@
 
 /** The last heartbeat of each back end. */
 export class HeartbeatRegistry {
-  private readonly records = new Map<string, JudgedRecord>();
+  private readonly records = new Map<string, RegisteredBackend>();
   private readonly holders: AddressHolders;
 
   /** @param heartbeatIntervalMs time between two heartbeats of a back end */
@@ -46,12 +46,12 @@
     return this.records.size;
   }
 
-  get(id: string): JudgedRecord | undefined {
+  get(id: string): RegisteredBackend | undefined {
     return this.records.get(id);
   }
 
   /** All known back ends, in the order in which they were first heard of. */
-  all(): IterableIterator<JudgedRecord> {
+  all(): IterableIterator<RegisteredBackend> {
     return this.records.values();
   }
 
@@ -66,32 +66,34 @@
   }
 
   /** Takes a heartbeat. */
-  take(record: BackendRecord, heardAtMs: number): HeartbeatNews {
+  apply(record: BackendRecord, heardAtMs: number): HeartbeatOutcome {
     const known = this.records.get(record.id);
     if (known !== undefined && known.record.sequence >= record.sequence) {
       return 'late';
     }
     if (known !== undefined && !isSameAddress(known.record, record)) {
-      this.holders.leave(record.id, known.record.address);
+      this.holders.remove(record.id, known.record.address);
     }
-    this.holders.noteHeartbeat(record.id, record.address, heardAtMs);
+    this.holders.recordHeartbeat(record.id, record.address, heardAtMs);
     return this.keep(record, heardAtMs, known);
   }
 
   /** Takes a back end of the replicated list that nothing was heard of here. */
-  takeListed(record: BackendRecord, heardAtMs: number): void {
-    this.holders.noteListed(record.id, record.address);
+  applyListed(record: BackendRecord, heardAtMs: number): void {
+    this.holders.recordListed(record.id, record.address);
     this.keep(record, heardAtMs, undefined);
   }
 
   private keep(
     record: BackendRecord,
-    heardAtMs: number,
-    known: JudgedRecord | undefined,
-  ): HeartbeatNews {
+    lastHeartbeatAtMs: number,
+    known: RegisteredBackend | undefined,
+  ): HeartbeatOutcome {
     const liveness = known?.liveness ?? 'alive';
-    this.records.set(record.id, { record, heardAtMs, liveness });
-    return known !== undefined && tellsTheSame(known, record, heardAtMs) ? 'alive' : 'changed';
+    this.records.set(record.id, { record, lastHeartbeatAtMs, liveness });
+    return known !== undefined && isUnchanged(known, record, lastHeartbeatAtMs)
+      ? 'alive'
+      : 'changed';
   }
 
   /**
@@ -99,10 +101,10 @@
    * @param listeningSinceMs since when this machine hears of all heartbeats; silence before does not count
    * @returns those that are judged otherwise than before
    */
-  judge(nowMs: number, listeningSinceMs: number): LivenessChange[] {
+  updateLiveness(nowMs: number, listeningSinceMs: number): LivenessChange[] {
     const judgements: LivenessChange[] = [];
     for (const [backendId, known] of this.records) {
-      const silentMs = nowMs - Math.max(known.heardAtMs, listeningSinceMs);
+      const silentMs = nowMs - Math.max(known.lastHeartbeatAtMs, listeningSinceMs);
       const liveness = this.isSuperseded(backendId)
         ? 'dead'
         : livenessOf(silentMs, this.heartbeatIntervalMs);
@@ -116,18 +118,18 @@
 
   /** Forgets back ends that have been silent for longer than `afterMs`. */
   forgetSilent(nowMs: number, afterMs: number): void {
-    for (const [id, { record, heardAtMs }] of this.records) {
-      if (nowMs - heardAtMs > afterMs) {
+    for (const [id, { record, lastHeartbeatAtMs }] of this.records) {
+      if (nowMs - lastHeartbeatAtMs > afterMs) {
         this.records.delete(id);
-        this.holders.leave(id, record.address);
+        this.holders.remove(id, record.address);
       }
     }
   }
 }
 
-function tellsTheSame(known: HeardRecord, record: BackendRecord, heardAtMs: number): boolean {
+function isUnchanged(known: ReceivedRecord, record: BackendRecord, heardAtMs: number): boolean {
   const { record: before } = known;
-  const expectedWarmUpMs = Math.max(0, before.warmUpLeftMs - (heardAtMs - known.heardAtMs));
+  const expectedWarmUpMs = Math.max(0, before.warmUpLeftMs - (heardAtMs - known.lastHeartbeatAtMs));
   return (
     before.service === record.service &&
     before.zone === record.zone &&
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -6,10 +6,10 @@
   addSubscriber,
   feedOne,
   feedSubscribers,
-  noteTaken,
+  applyFeedTaken,
   removeSubscriber,
 } from '../../../src/registered/group/balancer-feed.js';
-import { forgetOldBalancers } from '../../../src/registered/group/balancer-list.js';
+import { forgetSilentPeers } from '../../../src/registered/group/balancer-list.js';
 import type { GroupEffect } from '../../../src/registered/group/group-events.js';
 import type {
   FeedMessage,
@@ -17,19 +17,19 @@
 } from '../../../src/registered/group/group-messages.js';
 import { isCurrent, type GroupState } from '../../../src/registered/group/group-state.js';
 import {
-  feedLoads,
+  publishLoads,
   shareLoadSums,
-  takeLoadReport,
-  takeLoadSums,
+  applyLoadReport,
+  applyLoadSums,
 } from '../../../src/registered/group/load-duties.js';
 import {
   eachAnswerStats,
   packAnswerStats,
   type AnswerStats,
 } from '../../../src/registered/load-exchange/answer-stats.js';
-import { judgeBackends, takeRecord } from '../../../src/registered/group/registry-duties.js';
+import { applyHeartbeat, updateLiveness } from '../../../src/registered/group/registry-duties.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
-import { noteZoneChanged } from '../../../src/registered/group/zone-duties.js';
+import { recordZoneChange } from '../../../src/registered/group/zone-duties.js';
 import { applyFeedMessage } from '../../../src/registered/ingress/feed-step.js';
 import { createIngressState, isReady } from '../../../src/registered/ingress/ingress-state.js';
 import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
@@ -85,7 +85,7 @@
 /** Feeds balancers that have taken all that they were sent. */
 function feedWilling(state: GroupState, nowMs: number): GroupEffect[] {
   for (const subscriber of state.subscribers.values()) {
-    subscriber.countedTaken = subscriber.countedSent;
+    subscriber.countedApplied = subscriber.countedSent;
   }
   return feedSubscribers(state, nowMs);
 }
@@ -111,19 +111,23 @@
     throw new Error('No back end.');
   }
   const record = { ...known.record, sequence: known.record.sequence + 1 };
-  t.ok(takeRecord(state, { record, ageMs: 0 }, nowMs));
+  t.ok(applyHeartbeat(state, { record, ageMs: 0 }, nowMs));
   t.same(messagesTo(FIRST, feedWilling(state, nowMs)), []);
 
   // The other back ends fall silent; the machine goes on hearing its leader.
   const laterMs = nowMs + LONG_MS;
   state.consensus.heardFromLeaderAtMs = laterMs;
-  takeRecord(state, { record: { ...record, sequence: record.sequence + 1 }, ageMs: 0 }, laterMs);
-  judgeBackends(state, laterMs);
+  applyHeartbeat(
+    state,
+    { record: { ...record, sequence: record.sequence + 1 }, ageMs: 0 },
+    laterMs,
+  );
+  updateLiveness(state, laterMs);
   const [told] = messagesTo(FIRST, feedWilling(state, laterMs));
   t.equal(told?.records, undefined);
   t.equal(told?.judgements?.length, smallIngressWorld.backendCount - 1);
   t.same(new Set(told?.judgements?.map(({ liveness }) => liveness)), new Set(['suspect']));
-  judgeBackends(state, laterMs);
+  updateLiveness(state, laterMs);
   t.same(messagesTo(FIRST, feedWilling(state, laterMs)), []);
 });
 
@@ -145,7 +149,7 @@
   for (let number = 0; number < BACKENDS; number += 1) {
     const id = `here-${number}`;
     const address = { host: '10.8.0.1', port: number + 1 };
-    takeRecord(state, { record: { ...known.record, id, address }, ageMs: 0 }, nowMs);
+    applyHeartbeat(state, { record: { ...known.record, id, address }, ageMs: 0 }, nowMs);
   }
   const leaving = Array.from({ length: BACKENDS / 2 }, (_, index) => `here-${2 * index + 1}`);
   leaving.forEach(depart);
@@ -169,7 +173,9 @@
   const messages = messagesTo(linkId, subscribe(group, linkId, 'first'));
   const subscriber = state.subscribers.get(linkId);
   while (messages.at(-1)?.isComplete === false && subscriber !== undefined) {
-    messages.push(...messagesTo(linkId, noteTaken(state, linkId, subscriber.countedSent, nowMs)));
+    messages.push(
+      ...messagesTo(linkId, applyFeedTaken(state, linkId, subscriber.countedSent, nowMs)),
+    );
   }
   return messages;
 }
@@ -192,15 +198,19 @@
 t.test('silence while the machine was cut off is not held against back ends', async (t) => {
   const { state, nowMs } = await formedGroup();
   const cutOffMs = nowMs + LONG_MS;
-  judgeBackends(state, cutOffMs);
+  updateLiveness(state, cutOffMs);
   state.consensus.heardFromLeaderAtMs = cutOffMs;
-  judgeBackends(state, cutOffMs);
-  t.same([...state.pendingUpdates.judged], []);
+  updateLiveness(state, cutOffMs);
+  t.same([...state.pendingUpdates.livenessChanged], []);
   const { heartbeatIntervalMs } = state.options;
   const laterMs = cutOffMs + 2 * heartbeatIntervalMs;
   state.consensus.heardFromLeaderAtMs = laterMs;
-  judgeBackends(state, laterMs);
-  t.equal(state.pendingUpdates.judged.size, smallIngressWorld.backendCount, 'but later silence is');
+  updateLiveness(state, laterMs);
+  t.equal(
+    state.pendingUpdates.livenessChanged.size,
+    smallIngressWorld.backendCount,
+    'but later silence is',
+  );
 });
 
 t.test('balancers hear of those that come and go, not of all', async (t) => {
@@ -225,9 +235,9 @@
   const { state, nowMs } = group;
   subscribe(group, FIRST, 'first');
   subscribe(group, SECOND, 'second');
-  state.loads.takeReport(FIRST, [7, 1]);
-  state.loads.takeReport(SECOND, [7, 2]);
-  const effects = feedLoads(state, nowMs);
+  state.loads.applyReport(FIRST, [7, 1]);
+  state.loads.applyReport(SECOND, [7, 2]);
+  const effects = publishLoads(state, nowMs);
   t.same(
     messagesTo(FIRST, effects).map(({ loads }) => loads),
     [[7, 2]],
@@ -236,17 +246,17 @@
     messagesTo(SECOND, effects).map(({ loads }) => loads),
     [[7, 1]],
   );
-  t.same(feedLoads(state, nowMs), [], 'nothing has changed');
-  state.loads.takeReport(SECOND, [7, 3]);
-  t.same(feedLoads(state, nowMs + 1), [], 'too soon');
-  t.equal(messagesTo(FIRST, feedLoads(state, nowMs + 500)).length, 1);
+  t.same(publishLoads(state, nowMs), [], 'nothing has changed');
+  state.loads.applyReport(SECOND, [7, 3]);
+  t.same(publishLoads(state, nowMs + 1), [], 'too soon');
+  t.equal(messagesTo(FIRST, publishLoads(state, nowMs + 500)).length, 1);
 });
 
 t.test('the other control machines get sums, again after a second without a change', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
   subscribe(group, FIRST, 'first');
-  state.loads.takeReport(FIRST, [7, 1]);
+  state.loads.applyReport(FIRST, [7, 1]);
   const others = smallIngressWorld.controlCount - 1;
   const startMs = nowMs + LONG_MS;
   t.equal(shareLoadSums(state, startMs).length, others);
@@ -273,22 +283,22 @@
 t.test('a balancer that takes nothing is sent two messages and no more', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  state.configs.take(configWith(100, 5_000));
+  state.configs.apply(configWith(100, 5_000));
   const sent = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
   t.equal(sent.length, 2);
   t.ok(sent.every(({ isComplete }) => !isComplete));
   t.same(messagesTo(FIRST, feedSubscribers(state, nowMs + LONG_MS)).length, 1, 'but a pulse');
-  const [third] = messagesTo(FIRST, noteTaken(state, FIRST, 1, nowMs));
+  const [third] = messagesTo(FIRST, applyFeedTaken(state, FIRST, 1, nowMs));
   t.equal(third?.config?.firstChange, 2_000);
 });
 
 t.test('a large configuration comes in bounded parts, each change once', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  state.configs.take(configWith(100, 4_500));
+  state.configs.apply(configWith(100, 4_500));
   const sent = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
   for (let taken = 1; taken <= 10; taken += 1) {
-    sent.push(...messagesTo(FIRST, noteTaken(state, FIRST, taken, nowMs)));
+    sent.push(...messagesTo(FIRST, applyFeedTaken(state, FIRST, taken, nowMs)));
   }
   const ports = sent.flatMap(({ config }) => config?.changes.map(({ port }) => port) ?? []);
   t.equal(ports.length, 4_500);
@@ -303,7 +313,7 @@
 
 t.test('whoever got some of a configuration goes on from there with another machine', async (t) => {
   const { state, nowMs } = await formedGroup();
-  state.configs.take(configWith(100, 1_500));
+  state.configs.apply(configWith(100, 1_500));
   const unfinished = { version: 100, baseVersion: 0, changesTaken: 1_000 };
   addSubscriber(state, FIRST, { ...subscription('first'), unfinished });
   const [first] = messagesTo(FIRST, feedOne(state, FIRST, nowMs));
@@ -320,7 +330,7 @@
 t.test('a balancer that is behind gets the newest configuration, not those between', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  state.configs.take(configWith(100, 10));
+  state.configs.apply(configWith(100, 10));
   subscribe(group, FIRST, 'first');
   const held = state.subscribers.get(FIRST);
   if (held === undefined) {
@@ -328,14 +338,14 @@
   }
   held.countedSent += 1;
   for (let version = 101; version <= 120; version += 1) {
-    state.configs.take(configWith(version, version - 90));
+    state.configs.apply(configWith(version, version - 90));
     t.same(
       messagesTo(FIRST, feedSubscribers(state, nowMs)).filter(({ config }) => config !== undefined),
       [],
       'nothing while it takes nothing',
     );
   }
-  const [message] = messagesTo(FIRST, noteTaken(state, FIRST, 2, nowMs));
+  const [message] = messagesTo(FIRST, applyFeedTaken(state, FIRST, 2, nowMs));
   t.equal(message?.config?.version, 120);
   t.equal(message?.config?.baseVersion, 100);
   t.equal(message?.config?.changes.length, 20, 'only what changed');
@@ -361,14 +371,14 @@
       sequence: sequence + change,
       capacity: capacity + change,
     };
-    takeRecord(state, { record, ageMs: 0 }, nowMs);
-    quick.countedTaken = quick.countedSent;
-    slow.countedSent = slow.countedTaken + 2;
+    applyHeartbeat(state, { record, ageMs: 0 }, nowMs);
+    quick.countedApplied = quick.countedSent;
+    slow.countedSent = slow.countedApplied + 2;
     const effects = feedSubscribers(state, nowMs);
     t.equal(messagesTo(SECOND, effects)[0]?.records?.[0]?.record.sequence, sequence + change);
     t.same(messagesTo(FIRST, effects), []);
   }
-  const [told] = messagesTo(FIRST, noteTaken(state, FIRST, slow.countedSent, nowMs));
+  const [told] = messagesTo(FIRST, applyFeedTaken(state, FIRST, slow.countedSent, nowMs));
   t.equal(told?.records?.length, 1);
   t.equal(told?.records?.[0]?.record.sequence, known.record.sequence + 5);
 });
@@ -384,7 +394,7 @@
     throw new Error('No back end.');
   }
   const record = { ...known.record, sequence: known.record.sequence + 1, capacity: 7 };
-  takeRecord(state, { record, ageMs: 0 }, nowMs);
+  applyHeartbeat(state, { record, ageMs: 0 }, nowMs);
   const effects = feedWilling(state, nowMs);
   t.equal(messagesTo(FIRST, effects)[0], messagesTo(SECOND, effects)[0], 'the same object');
 });
@@ -399,8 +409,8 @@
     const [first] = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
     t.equal(zones(first).length, smallIngressWorld.controlCount);
     const laterMs = nowMs + 5_000;
-    forgetOldBalancers(state, laterMs);
-    noteTaken(state, FIRST, 9, laterMs);
+    forgetSilentPeers(state, laterMs);
+    applyFeedTaken(state, FIRST, 9, laterMs);
     const [second] = messagesTo(FIRST, feedSubscribers(state, laterMs));
     t.same(zones(second), [state.options.zone], 'only its own');
   },
@@ -412,7 +422,7 @@
   state.replicated.zones.apply({ zone: 'zone-a', kind: 'evacuate', afterOrders: 0 });
   for (let number = 1; number <= BACKENDS; number += 1) {
     const record = recordOf(number, { id: `many-${number}` });
-    takeRecord(state, { record, ageMs: 0 }, nowMs);
+    applyHeartbeat(state, { record, ageMs: 0 }, nowMs);
   }
   const [first] = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
   t.equal(first?.transfer, 'begins', 'more is to come');
@@ -441,11 +451,11 @@
   feedWilling(state, nowMs);
   const order = { zone: 'zone-b', kind: 'evacuate', afterOrders: 0 } as const;
   state.replicated.zones.apply(order);
-  noteZoneChanged(state, state.replicated.zones.statusOf('zone-b'), nowMs);
+  recordZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
   const [told] = messagesTo(FIRST, feedWilling(state, nowMs));
   t.match(told?.zones, [{ zone: 'zone-b', isEvacuated: true, orders: 1 }]);
   state.replicated.zones.apply({ ...order, kind: 'readmit', afterOrders: 1 });
-  noteZoneChanged(state, state.replicated.zones.statusOf('zone-b'), nowMs);
+  recordZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
   const [again] = messagesTo(FIRST, feedWilling(state, nowMs + 30));
   t.match(again?.zones, [{ isEvacuated: false, orders: 2, readmittedAgoMs: 30 }]);
 });
@@ -461,11 +471,11 @@
     const token = 77;
     const told: AnswerStats = { stalled: 1, answered: 2.5, answerMs: 75, short: 0.5 };
     const signals = packAnswerStats([[token, told]]);
-    takeLoadReport(state, FIRST, { type: 'load-report', loads: [token, 1], signals });
+    applyLoadReport(state, FIRST, { type: 'load-report', loads: [token, 1], signals });
     state.subscribers.forEach((subscriber) => {
-      subscriber.countedTaken = subscriber.countedSent;
+      subscriber.countedApplied = subscriber.countedSent;
     });
-    const effects = feedLoads(state, nowMs);
+    const effects = publishLoads(state, nowMs);
     const [toFirst] = messagesTo(FIRST, effects);
     const [toSecond] = messagesTo(SECOND, effects);
     t.same(toFirst?.signals ?? [], [], 'its own are not told back');
@@ -474,9 +484,9 @@
     t.match(shared, { message: { type: 'load-sums', signals } });
 
     const sender = { host: '10.8.0.1', port: 7_700 };
-    takeLoadSums(state, { type: 'load-sums', sender, loads: [], signals }, nowMs);
+    applyLoadSums(state, { type: 'load-sums', sender, loads: [], signals }, nowMs);
     const laterMs = nowMs + EXCHANGE_MS;
-    const [both] = messagesTo(SECOND, feedLoads(state, laterMs));
+    const [both] = messagesTo(SECOND, publishLoads(state, laterMs));
     const summed: Record<number, AnswerStats> = {};
     eachAnswerStats(both?.signals ?? [], (of, one) => {
       summed[of] = one;
@@ -484,7 +494,7 @@
     t.same(summed[token], { stalled: 2, answered: 5, answerMs: 150, short: 1 });
 
     removeSubscriber(state, FIRST);
-    const [left] = messagesTo(SECOND, feedLoads(state, laterMs + EXCHANGE_MS));
+    const [left] = messagesTo(SECOND, publishLoads(state, laterMs + EXCHANGE_MS));
     t.same(left?.signals, signals, 'what a balancer told ends with its link');
   },
 );
--- a/test/registered/group/config-history.test.ts
+++ b/test/registered/group/config-history.test.ts
@@ -54,7 +54,7 @@
       const heldAt = pick % all.length;
       const table = new RouteTable();
       all.forEach((config, at) => {
-        history.take(configOf(10 * (at + 1), config));
+        history.apply(configOf(10 * (at + 1), config));
         if (at === heldAt) {
           table.take(wholeUpdate(configOf(10 * (at + 1), config)));
         }
@@ -75,8 +75,8 @@
 
 t.test('only what changed is told, and nothing to whoever holds the newest', async (t) => {
   const history = createConfigHistory(configOf(1, ['alpha', 'alpha', 'beta']));
-  history.take(configOf(2, ['alpha', 'beta', 'beta']));
-  history.take(configOf(5, ['alpha', 'beta', '', 'alpha']));
+  history.apply(configOf(2, ['alpha', 'beta', 'beta']));
+  history.apply(configOf(5, ['alpha', 'beta', '', 'alpha']));
   t.same(
     history.updateFrom(1)?.changes.map(({ port }) => port),
     [1, 2, 3],
@@ -105,7 +105,7 @@
 t.test('what is kept is bounded, and the whole is told instead', async (t) => {
   const history = createConfigHistory(configOf(1, ['alpha']));
   for (let version = 2; version <= 400; version += 1) {
-    history.take(configOf(version, [version % 2 === 0 ? 'beta' : 'alpha']));
+    history.apply(configOf(version, [version % 2 === 0 ? 'beta' : 'alpha']));
   }
   t.equal(history.updateFrom(399)?.baseVersion, 399);
   t.equal(history.updateFrom(10)?.baseVersion, 0);
--- a/test/registered/load-exchange/load-totals.test.ts
+++ b/test/registered/load-exchange/load-totals.test.ts
@@ -23,44 +23,44 @@
 
 t.test('each balancer is told what all others carry', async (t) => {
   const totals = createLoadTotals(LIFETIME_MS);
-  totals.takeReport(FIRST, loads([7, 1], [8, 1]));
-  totals.takeReport(SECOND, loads([7, 3]));
-  totals.takeSums('other', loads([9, 5]), 0);
-  t.same(totals.othersOf(FIRST), loads([7, 3], [9, 5]));
-  t.same(totals.othersOf(SECOND), loads([7, 1], [8, 1], [9, 5]));
-  t.same(totals.othersOf(THIRD), loads([7, 4], [8, 1], [9, 5]));
+  totals.applyReport(FIRST, loads([7, 1], [8, 1]));
+  totals.applyReport(SECOND, loads([7, 3]));
+  totals.applySums('other', loads([9, 5]), 0);
+  t.same(totals.fleetSumsFor(FIRST), loads([7, 3], [9, 5]));
+  t.same(totals.fleetSumsFor(SECOND), loads([7, 1], [8, 1], [9, 5]));
+  t.same(totals.fleetSumsFor(THIRD), loads([7, 4], [8, 1], [9, 5]));
   t.same(totals.ownSums(), loads([7, 4], [8, 1]), 'sums of others are not passed on');
 });
 
 t.test('a doubled report counts once, a later one replaces it', async (t) => {
   const totals = createLoadTotals(LIFETIME_MS);
-  totals.takeReport(FIRST, loads([7, 1]));
-  totals.takeReport(FIRST, loads([7, 1]));
+  totals.applyReport(FIRST, loads([7, 1]));
+  totals.applyReport(FIRST, loads([7, 1]));
   t.same(totals.ownSums(), loads([7, 1]));
-  totals.takeReport(FIRST, loads([8, 2]));
+  totals.applyReport(FIRST, loads([8, 2]));
   t.same(totals.ownSums(), loads([8, 2]));
 });
 
 t.test('a balancer that is gone, restarted or frozen counts no longer than its link', async (t) => {
   const totals = createLoadTotals(LIFETIME_MS);
-  totals.takeReport(FIRST, loads([7, 9]));
+  totals.applyReport(FIRST, loads([7, 9]));
   totals.dropReporter(FIRST);
   t.same(totals.ownSums(), []);
-  totals.takeReport(SECOND, loads([7, 1]));
+  totals.applyReport(SECOND, loads([7, 1]));
   t.same(totals.ownSums(), loads([7, 1]), 'the same balancer on its new link');
 });
 
 t.test('sums of a control machine that is cut off cease to count', async (t) => {
   const totals = createLoadTotals(LIFETIME_MS);
-  totals.takeSums('cut', loads([7, 1]), 0);
-  totals.takeSums('well', loads([7, 2]), 0);
-  totals.takeSums('well', loads([7, 3]), 900);
+  totals.applySums('cut', loads([7, 1]), 0);
+  totals.applySums('well', loads([7, 2]), 0);
+  totals.applySums('well', loads([7, 3]), 900);
   totals.forgetSilentSenders(1_000);
-  t.same(totals.othersOf(FIRST), loads([7, 4]));
+  t.same(totals.fleetSumsFor(FIRST), loads([7, 4]));
   totals.forgetSilentSenders(1_001);
-  t.same(totals.othersOf(FIRST), loads([7, 3]));
-  totals.takeSums('cut', loads([7, 1]), 1_500);
-  t.same(totals.othersOf(FIRST), loads([7, 4]), 'it counts again once it tells again');
+  t.same(totals.fleetSumsFor(FIRST), loads([7, 3]));
+  totals.applySums('cut', loads([7, 1]), 1_500);
+  t.same(totals.fleetSumsFor(FIRST), loads([7, 4]), 'it counts again once it tells again');
 });
 
 t.test('the version rises with each change and with nothing else', async (t) => {
@@ -69,7 +69,7 @@
   totals.dropReporter(FIRST);
   totals.forgetSilentSenders(5_000);
   t.equal(totals.version, before);
-  totals.takeReport(FIRST, []);
+  totals.applyReport(FIRST, []);
   t.equal(totals.version, before + 1);
 });
 
@@ -82,11 +82,11 @@
       const last = new Map<LinkId, PackedLoads>();
       reports.forEach(([id, entries]) => {
         last.set(id as LinkId, loads(...entries));
-        totals.takeReport(id as LinkId, loads(...entries));
+        totals.applyReport(id as LinkId, loads(...entries));
       });
       return [...last].every(([id, own]) => {
         const sums = new Map<number, number>();
-        [totals.othersOf(id), own].forEach((list) =>
+        [totals.fleetSumsFor(id), own].forEach((list) =>
           eachLoad(list, (token, busy) => sums.set(token, (sums.get(token) ?? 0) + busy)),
         );
         const all = new Map<number, number>();
--- a/test/registered/registry/address-holders.test.ts
+++ b/test/registered/registry/address-holders.test.ts
@@ -8,9 +8,9 @@
 
 t.test('whoever starts at an address supersedes the one before', async (t) => {
   const holders = createAddressHolders(INTERVAL_MS);
-  holders.noteHeartbeat('old', HERE, 0);
-  holders.noteHeartbeat('other', ELSEWHERE, 0);
-  holders.noteHeartbeat('new', HERE, 400);
+  holders.recordHeartbeat('old', HERE, 0);
+  holders.recordHeartbeat('other', ELSEWHERE, 0);
+  holders.recordHeartbeat('new', HERE, 400);
   t.equal(holders.isSuperseded('old'), true);
   t.equal(holders.isSuperseded('new'), false);
   t.equal(holders.isSuperseded('other'), false);
@@ -19,25 +19,25 @@
 
 t.test('heartbeats that a cut held up give an address to nobody', async (t) => {
   const holders = createAddressHolders(INTERVAL_MS);
-  holders.noteHeartbeat('old', HERE, 0);
-  holders.noteHeartbeat('new', HERE, 400);
-  holders.noteHeartbeat('old', HERE, 900);
-  holders.noteHeartbeat('old', HERE, 950);
+  holders.recordHeartbeat('old', HERE, 0);
+  holders.recordHeartbeat('new', HERE, 400);
+  holders.recordHeartbeat('old', HERE, 900);
+  holders.recordHeartbeat('old', HERE, 950);
   t.equal(holders.holderOf(HERE), 'new', 'two that came together');
-  holders.noteHeartbeat('new', HERE, 1_400);
-  holders.noteHeartbeat('old', HERE, 1_900);
+  holders.recordHeartbeat('new', HERE, 1_400);
+  holders.recordHeartbeat('old', HERE, 1_900);
   t.equal(holders.holderOf(HERE), 'new', 'the holder was heard between them');
 });
 
 t.test('one that goes on while the holder does not holds its address again', async (t) => {
   const holders = createAddressHolders(INTERVAL_MS);
-  holders.noteHeartbeat('running', HERE, 0);
-  holders.noteHeartbeat('gone, heard of late', HERE, 500);
+  holders.recordHeartbeat('running', HERE, 0);
+  holders.recordHeartbeat('gone, heard of late', HERE, 500);
   t.equal(holders.isSuperseded('running'), true);
-  holders.noteHeartbeat('running', HERE, 1_000);
-  holders.noteHeartbeat('running', HERE, 1_900);
+  holders.recordHeartbeat('running', HERE, 1_000);
+  holders.recordHeartbeat('running', HERE, 1_900);
   t.equal(holders.isSuperseded('running'), true, 'the holder may well be heard again');
-  holders.noteHeartbeat('running', HERE, 2_000);
+  holders.recordHeartbeat('running', HERE, 2_000);
   t.equal(holders.isSuperseded('running'), false);
   t.equal(holders.isSuperseded('gone, heard of late'), true);
 });
@@ -46,12 +46,12 @@
   'a list gives way to what was heard, and its later entries to none before them',
   async (t) => {
     const holders = createAddressHolders(INTERVAL_MS);
-    holders.noteListed('first', HERE);
-    holders.noteListed('second', HERE);
+    holders.recordListed('first', HERE);
+    holders.recordListed('second', HERE);
     t.equal(holders.holderOf(HERE), 'second');
-    holders.noteHeartbeat('first', HERE, 0);
+    holders.recordHeartbeat('first', HERE, 0);
     t.equal(holders.holderOf(HERE), 'first', 'the other one is only listed');
-    holders.noteListed('third', HERE);
+    holders.recordListed('third', HERE);
     t.equal(holders.holderOf(HERE), 'first');
     t.equal(holders.isSuperseded('third'), true);
   },
@@ -59,12 +59,12 @@
 
 t.test('one that moves or is forgotten leaves its address', async (t) => {
   const holders = createAddressHolders(INTERVAL_MS);
-  holders.noteHeartbeat('moving', HERE, 0);
-  holders.leave('moving', HERE);
-  holders.noteHeartbeat('moving', ELSEWHERE, 1_000);
+  holders.recordHeartbeat('moving', HERE, 0);
+  holders.remove('moving', HERE);
+  holders.recordHeartbeat('moving', ELSEWHERE, 1_000);
   t.equal(holders.holderOf(HERE), undefined);
-  holders.noteHeartbeat('next', HERE, 1_500);
+  holders.recordHeartbeat('next', HERE, 1_500);
   t.equal(holders.isSuperseded('moving'), false);
-  holders.leave('next', HERE);
+  holders.remove('next', HERE);
   t.equal(holders.holderOf(HERE), undefined);
 });
--- a/test/registered/registry/heartbeat-registry.test.ts
+++ b/test/registered/registry/heartbeat-registry.test.ts
@@ -22,11 +22,11 @@
 
 t.test('a heartbeat that only says that the back end lives is no news', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
-  t.equal(registry.take(recordWith({}), 0), 'changed');
-  t.equal(registry.take(recordWith({ sequence: 2 }), 1_000), 'alive');
-  t.equal(registry.take(recordWith({ sequence: 2 }), 1_000), 'late', 'doubled');
-  t.equal(registry.take(recordWith({ sequence: 1 }), 1_500), 'late', 'overtaken');
-  t.equal(registry.get('backend-1')?.heardAtMs, 1_000);
+  t.equal(registry.apply(recordWith({}), 0), 'changed');
+  t.equal(registry.apply(recordWith({ sequence: 2 }), 1_000), 'alive');
+  t.equal(registry.apply(recordWith({ sequence: 2 }), 1_000), 'late', 'doubled');
+  t.equal(registry.apply(recordWith({ sequence: 1 }), 1_500), 'late', 'overtaken');
+  t.equal(registry.get('backend-1')?.lastHeartbeatAtMs, 1_000);
 });
 
 t.test('another capacity, zone, service or address is news', async (t) => {
@@ -38,37 +38,39 @@
   ];
   for (const change of changes) {
     const registry = new HeartbeatRegistry(INTERVAL_MS);
-    registry.take(recordWith({}), 0);
-    t.equal(registry.take(recordWith({ ...change, sequence: 2 }), 1_000), 'changed');
+    registry.apply(recordWith({}), 0);
+    t.equal(registry.apply(recordWith({ ...change, sequence: 2 }), 1_000), 'changed');
   }
 });
 
 t.test('a warm-up that goes on as it was told is no news, another one is', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
-  registry.take(recordWith({ warmUpLeftMs: 2_000 }), 0);
-  t.equal(registry.take(recordWith({ sequence: 2, warmUpLeftMs: 1_100 }), 1_000), 'alive');
-  t.equal(registry.take(recordWith({ sequence: 3, warmUpLeftMs: 0 }), 2_000), 'alive');
-  t.equal(registry.take(recordWith({ sequence: 4, warmUpLeftMs: 3_000 }), 3_000), 'changed');
+  registry.apply(recordWith({ warmUpLeftMs: 2_000 }), 0);
+  t.equal(registry.apply(recordWith({ sequence: 2, warmUpLeftMs: 1_100 }), 1_000), 'alive');
+  t.equal(registry.apply(recordWith({ sequence: 3, warmUpLeftMs: 0 }), 2_000), 'alive');
+  t.equal(registry.apply(recordWith({ sequence: 4, warmUpLeftMs: 3_000 }), 3_000), 'changed');
 });
 
 t.test('each change of a judgement is told once', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
-  registry.take(recordWith({}), 0);
+  registry.apply(recordWith({}), 0);
   const judge = (nowMs: number) =>
-    registry.judge(nowMs, LISTENING_SINCE_MS).map(({ liveness, silentMs }) => [liveness, silentMs]);
+    registry
+      .updateLiveness(nowMs, LISTENING_SINCE_MS)
+      .map(({ liveness, silentMs }) => [liveness, silentMs]);
   t.same(judge(2_500), []);
   t.same(judge(2_600), [['suspect', 2_600]]);
   t.same(judge(3_000), []);
   t.same(judge(6_100), [['dead', 6_100]]);
-  registry.take(recordWith({ sequence: 2 }), 7_000);
+  registry.apply(recordWith({ sequence: 2 }), 7_000);
   t.same(judge(7_100), [['alive', 100]]);
 });
 
 t.test('silence from before this machine heard of all heartbeats does not count', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
-  registry.take(recordWith({}), 0);
-  t.same(registry.judge(10_000, 9_000), []);
-  t.same(registry.judge(11_600, 9_000), [
+  registry.apply(recordWith({}), 0);
+  t.same(registry.updateLiveness(10_000, 9_000), []);
+  t.same(registry.updateLiveness(11_600, 9_000), [
     { backendId: 'backend-1', liveness: 'suspect', silentMs: 2_600 },
   ]);
 });
@@ -77,15 +79,15 @@
   'a back end is dead while another one holds its address, and not once it has moved',
   async (t) => {
     const registry = new HeartbeatRegistry(INTERVAL_MS);
-    registry.take(recordWith({}), 0);
-    registry.take(recordWith({ id: 'backend-2' }), 100);
-    t.same(registry.judge(200, LISTENING_SINCE_MS), [
+    registry.apply(recordWith({}), 0);
+    registry.apply(recordWith({ id: 'backend-2' }), 100);
+    t.same(registry.updateLiveness(200, LISTENING_SINCE_MS), [
       { backendId: 'backend-1', liveness: 'dead', silentMs: 200 },
     ]);
     t.equal(registry.holderOf({ host: '10.0.2.1', port: 9_000 }), 'backend-2');
     const moved = { sequence: 2, address: { host: '10.0.2.9', port: 9_000 } };
-    t.equal(registry.take(recordWith(moved), 300), 'changed');
-    t.same(registry.judge(400, LISTENING_SINCE_MS), [
+    t.equal(registry.apply(recordWith(moved), 300), 'changed');
+    t.same(registry.updateLiveness(400, LISTENING_SINCE_MS), [
       { backendId: 'backend-1', liveness: 'alive', silentMs: 100 },
     ]);
   },
