--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -11,8 +11,9 @@
 import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import type { GroupReply } from '../group/group-events.js';
-import { createGroupState, firstStorageId, type GroupOptions } from '../group/group-state.js';
-import { isFirstMember } from '../group/membership-duties.js';
+import type { GroupOptions } from '../group/group-options.js';
+import { createGroupState } from '../group/group-state.js';
+import { firstStorageId, isFirstMember } from '../group/member-identity.js';
 import { packFeed } from '../group/feed-codec.js';
 import { isBalancerLinkMessage, type FeedMessage } from '../group/group-messages.js';
 import { parseControlInbound } from '../group/message-schemas.js';
@@ -86,7 +87,7 @@
 
   /** Takes other seeds, by which this machine finds the group. */
   takeSeeds(seeds: readonly Address[]): void {
-    this.group.state.seeds = seeds;
+    this.group.state.announcements.setSeeds(seeds);
   }
 
   /** Hands leadership over and stops. */
--- a/src/registered/daemon/metrics/group-metrics.ts
+++ b/src/registered/daemon/metrics/group-metrics.ts
@@ -4,7 +4,8 @@
 import { collectDefaultMetrics, Histogram, Registry } from 'prom-client';
 import { votersOf } from '../../../shared/consensus/membership.js';
 import { currentMembership } from '../../../shared/consensus/consensus-state.js';
-import { isCurrent, type GroupState } from '../../group/group-state.js';
+import type { GroupState } from '../../group/group-state.js';
+import { isCurrent } from '../../group/leadership.js';
 import type { GroupObserver, GroupProcess } from '../group-process.js';
 import type { MetricsSource } from '../../../shared/daemon/metrics/metrics-listener.js';
 import {
@@ -87,7 +88,7 @@
   value('registered_backends', 'Back ends whose heartbeats are known.', () => state.registry.size);
   value('departures', 'Departures that are kept.', () => state.replicated.allDepartures().length);
   value('fed_balancers', 'Balancers that get their feed here.', () => state.subscribers.size);
-  value('waiting_calls', 'Calls that wait for their answer.', () => state.waiting.size);
+  value('waiting_calls', 'Calls that wait for their answer.', () => state.calls.waitingCount);
   registerLabelledValues(
     registry,
     'amberlift_group_calls_total',
--- /dev/null
+++ b/src/registered/group/applied-entries.ts
@@ -0,0 +1,105 @@
+/**
+ * @file What follows from entries of the log that are committed, and from snapshots: the replicated state changes,
+ * balancers are sent the change, the call behind an entry gets its reply, and the change is logged.
+ */
+import { match } from 'ts-pattern';
+import { currentMembership } from '../../shared/consensus/consensus-state.js';
+import type { LogEntry } from '../../shared/consensus/log.js';
+import { votersOf } from '../../shared/consensus/membership.js';
+import type { GroupEffect } from './group-events.js';
+import type { LeaderReply } from './group-messages.js';
+import type { GroupState } from './group-state.js';
+import { finishCall, outdatedOrder, type ReplyState } from './leader-replies.js';
+import type { WithConsensus } from './leadership.js';
+import { decodeGroupCommand, type AppliedChange } from './replicated-state.js';
+import type { ZoneStatus } from './zone-orders.js';
+
+/** What committed entries change. */
+export type AppliedState = ReplyState &
+  Pick<GroupState, 'backendList' | 'configs' | 'consensus' | 'readmissions' | 'updates'>;
+
+/**
+ * Applies a committed entry.
+ */
+export function applyEntry(state: AppliedState, entry: LogEntry, nowMs: number): GroupEffect[] {
+  const { content, index, term } = entry;
+  if (content.type === 'membership') {
+    state.updates.addControls();
+    return [membershipDecision(state, index)];
+  }
+  if (content.type === 'no-op') {
+    return [];
+  }
+  const change = state.replicated.apply(decodeGroupCommand(content.data));
+  const decisions = publishChange(state, change, nowMs);
+  const proposalId = state.calls.takeAppended(index, term);
+  if (proposalId === undefined) {
+    return decisions;
+  }
+  return [...decisions, ...finishCall(state, proposalId, replyToCommand(change))];
+}
+
+function membershipDecision({ consensus }: WithConsensus, index: number): GroupEffect {
+  const membership = currentMembership(consensus);
+  const members = membership.members.map(({ nodeId }) => nodeId).join(' ');
+  const fields = { index, voters: votersOf(membership).length, members };
+  return { type: 'decision', name: 'membership', fields };
+}
+
+function publishChange(state: AppliedState, applied: AppliedChange, nowMs: number): GroupEffect[] {
+  return match(applied)
+    .with({ type: 'config-changed' }, ({ document }): GroupEffect[] => {
+      const config = state.options.readDocument(document);
+      state.configs.apply(config);
+      const fields = { version: document.version, routes: config.routes.length };
+      return [{ type: 'decision', name: 'config in force', fields }];
+    })
+    .with({ type: 'departure-recorded' }, ({ departure }): GroupEffect[] => {
+      state.updates.addDeparture(departure.backendId);
+      return [{ type: 'decision', name: 'departure', fields: { ...departure } }];
+    })
+    .with({ type: 'zone-changed' }, ({ status }) => publishZoneChange(state, status, nowMs))
+    .with({ type: 'order-outdated' }, ({ order }): GroupEffect[] => [
+      { type: 'decision', name: 'order outdated', fields: { ...order } },
+    ])
+    .with({ type: 'nothing-changed' }, () => [])
+    .exhaustive();
+}
+
+/** Publishes a committed order that changed a zone; not called for what was committed before the start. */
+export function publishZoneChange(
+  { readmissions, updates }: Pick<GroupState, 'readmissions' | 'updates'>,
+  { zone, isEvacuated, orders }: ZoneStatus,
+  nowMs: number,
+): GroupEffect[] {
+  if (isEvacuated) {
+    readmissions.recordEvacuated(zone);
+  } else {
+    readmissions.recordReadmitted(zone, nowMs);
+  }
+  updates.addZones();
+  const name = isEvacuated ? 'zone evacuated' : 'zone readmitted';
+  return [{ type: 'decision', name, fields: { zone, orders } }];
+}
+
+function replyToCommand(change: AppliedChange): LeaderReply {
+  return change.type === 'order-outdated'
+    ? outdatedOrder(change.order.zone)
+    : { type: 'committed' };
+}
+
+/**
+ * Replaces the replicated state by a snapshot that the leader sent.
+ */
+export function restoreSnapshot(state: AppliedState, data: Uint8Array): GroupEffect[] {
+  const { replicated, updates } = state;
+  replicated.restore(data);
+  const { config } = replicated;
+  if (config !== undefined) {
+    state.configs.apply(state.options.readDocument(config));
+  }
+  replicated.allDepartures().forEach(({ backendId }) => updates.addDeparture(backendId));
+  updates.addZones();
+  state.backendList.requireSeeding();
+  return [{ type: 'decision', name: 'snapshot taken over', fields: { version: config?.version } }];
+}
--- a/src/registered/group/group-consensus.ts
+++ b/src/registered/group/group-consensus.ts
@@ -1,44 +1,45 @@
 /**
- * @file How a control machine of a group takes the effects of its consensus: committed entries change the
- * replicated state and answer the calls behind them, messages go out, snapshots are taken in time.
+ * @file How a control machine carries out the effects of its consensus: messages go to members, committed entries are
+ * applied, calls get their replies, snapshots are taken in time. It relies on src/shared/consensus for agreement, and
+ * owns no state.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
 import type { ConsensusEffect, ConsensusEvent } from '../../shared/consensus/consensus-events.js';
 import { consensusStep } from '../../shared/consensus/consensus-step.js';
 import { currentMembership } from '../../shared/consensus/consensus-state.js';
-import type { LogEntry } from '../../shared/consensus/log.js';
-import { findMember, votersOf } from '../../shared/consensus/membership.js';
+import { findMember, type NodeId } from '../../shared/consensus/membership.js';
 import type { ConsensusMessage } from '../../shared/consensus/messages.js';
+import { applyEntry, restoreSnapshot, type AppliedState } from './applied-entries.js';
 import type { GroupEffect } from './group-events.js';
-import type { LeaderReply, PeerMessage } from './group-messages.js';
+import type { PeerMessage } from './group-messages.js';
 import type { GroupState } from './group-state.js';
-import { finishCall, finishRead, refused } from './leader-requests.js';
-import { decodeGroupCommand, type AppliedChange } from './replicated-state.js';
-import { recordZoneChange } from './zone-duties.js';
+import { finishCall, finishRead, refused, type ReplyState } from './leader-replies.js';
+import type { WithConsensus } from './leadership.js';
+import { isSnapshotDue } from './snapshot-schedule.js';
 
-/** Proposal ID of the leader's own changes of the membership, for which nobody waits. */
+/** What consensus events read and change. */
+export type ConsensusRunState = AppliedState & Pick<GroupState, 'announcements'>;
+
+/** Proposal ID of the leader's own changes, for which no call waits. */
 export const OWN_PROPOSAL = 0;
-/** A snapshot is taken after so many bytes of commands. */
-const SNAPSHOT_AFTER_BYTES = 2 * 1024 * 1024;
-/** ... or after so many entries. */
-const SNAPSHOT_AFTER_ENTRIES = 256;
 
 /**
- * Runs the consensus step and takes its effects, among them those that change the state here.
+ * Runs the consensus step and carries out its effects, among them those that change the state here.
+ * @returns the effects that are left, in order
  */
 export function runConsensus(
-  state: GroupState,
+  state: ConsensusRunState,
   event: ConsensusEvent,
   context: StepContext,
 ): GroupEffect[] {
   const effects = consensusStep(state.consensus, event, context);
-  const taken = effects.flatMap((effect) => handleConsensusEffect(state, effect, context.nowMs));
-  return [...taken, ...takeSnapshotWhereDue(state, context)];
+  const handled = effects.flatMap((effect) => handleConsensusEffect(state, effect, context.nowMs));
+  return [...handled, ...takeSnapshotWhereDue(state, context)];
 }
 
 function handleConsensusEffect(
-  state: GroupState,
+  state: ConsensusRunState,
   consensusEffect: ConsensusEffect,
   nowMs: number,
 ): GroupEffect[] {
@@ -48,10 +49,10 @@
     .with({ type: 'committed' }, ({ entries }) =>
       entries.flatMap((entry) => applyEntry(state, entry, nowMs)),
     )
-    .with({ type: 'restore-snapshot' }, ({ snapshot }) => restore(state, snapshot.data))
+    .with({ type: 'restore-snapshot' }, ({ snapshot }) => restoreSnapshot(state, snapshot.data))
     .with({ type: 'proposal-appended' }, ({ proposalId, index, term }) => {
       if (proposalId !== OWN_PROPOSAL) {
-        state.proposals.set(index, { proposalId, term });
+        state.calls.recordAppended(index, term, proposalId);
       }
       return [];
     })
@@ -62,15 +63,18 @@
     .with({ type: 'read-refused' }, ({ readId, kind }) =>
       finishCall(state, readId, refused(`The read was refused: ${kind}.`)),
     )
-    .with({ type: 'leadership-lost' }, ({ kind }) => abandonProposals(state, kind))
+    .with({ type: 'leadership-lost' }, ({ kind }) => abandonCalls(state, kind))
     .with({ type: 'role-changed' }, () => [roleDecision(state)])
     .exhaustive();
 }
 
-function sendConsensus(state: GroupState, to: string, message: ConsensusMessage): GroupEffect[] {
-  const { consensus, options, replyAddresses } = state;
+function sendConsensus(
+  { consensus, options, announcements }: ConsensusRunState,
+  to: NodeId,
+  message: ConsensusMessage,
+): GroupEffect[] {
   const member = findMember(currentMembership(consensus), to);
-  const address = member?.linkAddress ?? replyAddresses.get(to);
+  const address = member?.linkAddress ?? announcements.replyAddressOf(to);
   if (address === undefined || consensus.clusterId === undefined) {
     return [];
   }
@@ -85,99 +89,29 @@
   return [{ type: 'send-peer', to: address, message: peerMessage }];
 }
 
-function applyEntry(state: GroupState, entry: LogEntry, nowMs: number): GroupEffect[] {
-  const { content, index, term } = entry;
-  if (content.type === 'membership') {
-    state.pendingUpdates.areControlsChanged = true;
-    return [membershipDecision(state, index)];
-  }
-  if (content.type === 'no-op') {
-    return [];
-  }
-  const change = state.replicated.apply(decodeGroupCommand(content.data));
-  const decisions = recordChange(state, change, nowMs);
-  const proposal = state.proposals.get(index);
-  state.proposals.delete(index);
-  if (proposal?.term !== term) {
-    return decisions;
-  }
-  return [...decisions, ...finishCall(state, proposal.proposalId, answerTo(change))];
-}
-
-function answerTo(change: AppliedChange): LeaderReply {
-  return change.type === 'order-outdated'
-    ? refused(`Another order for zone ${change.order.zone} came between.`)
-    : { type: 'committed' };
-}
-
-function recordChange(state: GroupState, applied: AppliedChange, nowMs: number): GroupEffect[] {
-  return match(applied)
-    .with({ type: 'config-changed' }, ({ document }): GroupEffect[] => {
-      const config = state.options.readDocument(document);
-      state.configs.apply(config);
-      const fields = { version: document.version, routes: config.routes.length };
-      return [{ type: 'decision', name: 'config in force', fields }];
-    })
-    .with({ type: 'departure-noted' }, ({ departure }): GroupEffect[] => {
-      state.pendingUpdates.departed.add(departure.backendId);
-      return [{ type: 'decision', name: 'departure', fields: { ...departure } }];
-    })
-    .with({ type: 'zone-changed' }, ({ status }) => recordZoneChange(state, status, nowMs))
-    .with({ type: 'order-outdated' }, ({ order }): GroupEffect[] => [
-      { type: 'decision', name: 'order outdated', fields: { ...order } },
-    ])
-    .with({ type: 'nothing-changed' }, () => [])
-    .exhaustive();
+/** What was proposed may still be committed; a client that repeats its call learns whether it was. */
+function abandonCalls(state: ReplyState, kind: string): GroupEffect[] {
+  state.calls.forgetAppended();
+  return state.calls
+    .pendingIds()
+    .flatMap((proposalId) =>
+      finishCall(state, proposalId, refused(`Leadership was lost: ${kind}.`)),
+    );
 }
 
-function restore(state: GroupState, data: Uint8Array): GroupEffect[] {
-  state.replicated.restore(data);
-  const { config } = state.replicated;
-  if (config !== undefined) {
-    state.configs.apply(state.options.readDocument(config));
-  }
-  for (const { backendId } of state.replicated.allDepartures()) {
-    state.pendingUpdates.departed.add(backendId);
-  }
-  state.pendingUpdates.areZonesChanged = true;
-  state.isRegistrySeeded = false;
-  return [{ type: 'decision', name: 'snapshot taken over', fields: { version: config?.version } }];
-}
-
-/** What was proposed may still be committed; the same call sent again tells. */
-function abandonProposals(state: GroupState, kind: string): GroupEffect[] {
-  state.proposals.clear();
-  return [...state.pendingReplies.keys()].flatMap((proposalId) =>
-    finishCall(state, proposalId, refused(`Leadership was lost: ${kind}.`)),
-  );
+function roleDecision({ consensus }: WithConsensus): GroupEffect {
+  const { role, term, leaderId, commitIndex } = consensus;
+  const fields = { role: role.name, term, leader: leaderId, commit: commitIndex };
+  return { type: 'decision', name: 'role', fields };
 }
 
-function takeSnapshotWhereDue(state: GroupState, context: StepContext): GroupEffect[] {
+function takeSnapshotWhereDue(state: ConsensusRunState, context: StepContext): GroupEffect[] {
   const { consensus, replicated } = state;
-  const snapshotIndex = consensus.snapshot?.index ?? 0;
-  const entries = consensus.commitIndex - snapshotIndex;
-  const bytes = entries * (replicated.config?.text.length ?? 0);
-  const isDue = entries >= SNAPSHOT_AFTER_ENTRIES || (entries > 0 && bytes >= SNAPSHOT_AFTER_BYTES);
-  if (!isDue) {
+  const index = consensus.commitIndex;
+  const entries = index - (consensus.snapshot?.index ?? 0);
+  if (!isSnapshotDue(entries, replicated.config?.text.length ?? 0)) {
     return [];
   }
   const data = replicated.encode();
-  return runConsensus(
-    state,
-    { type: 'snapshot-taken', index: consensus.commitIndex, data },
-    context,
-  );
-}
-
-function roleDecision(state: GroupState): GroupEffect {
-  const { role, term, leaderId, commitIndex } = state.consensus;
-  const fields = { role: role.name, term, leader: leaderId, commit: commitIndex };
-  return { type: 'decision', name: 'role', fields };
-}
-
-function membershipDecision(state: GroupState, index: number): GroupEffect {
-  const membership = currentMembership(state.consensus);
-  const members = membership.members.map(({ nodeId }) => nodeId).join(' ');
-  const fields = { index, voters: votersOf(membership).length, members };
-  return { type: 'decision', name: 'membership', fields };
+  return runConsensus(state, { type: 'snapshot-taken', index, data }, context);
 }
--- a/src/registered/group/leader-requests.ts
+++ b/src/registered/group/leader-requests.ts
@@ -1,203 +1,98 @@
 /**
- * @file The way of a call to the leader and back. A call that reaches another machine is passed on to
- * the leader; where none is known, or no answer comes in time, the client hears so at once, and goes on
- * to another machine.
+ * @file Which machine performs a call, and when is it given up?
+ *
+ * A call is performed by the leader. Inputs: the call, who leads as this machine knows, the time in milliseconds and
+ * the request deadline of the options. Returns effects: the call is proposed here, forwarded to the leader, or
+ * answered `unavailable`.
+ *
+ * - Where no leader is known, the client is told at once and goes on to another machine; waiting here could only end
+ *   at its deadline.
+ * - A call is forwarded once. A machine that gets a forwarded call and does not lead refuses it, so that calls can't
+ *   circle among machines that disagree about the leader.
+ * - There are no retries here: the client repeats its call, and repeated commands change nothing (leader-replies.ts).
+ * - After `requestDeadlineMs` the call is given up. `unavailable` promises nothing: the command may still be
+ *   committed.
+ *
+ * `requestDeadlineMs` comes from the program that embeds the group: it has to be shorter than what its clients wait.
  */
-import { match } from 'ts-pattern';
-import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
-import type { GroupEffect, GroupReply, RequestId } from './group-events.js';
-import type { LeaderReply, LeaderRequest, PeerMessage } from './group-messages.js';
-import { leaderAddress, type ReplyTo, type GroupState } from './group-state.js';
-import { encodeGroupCommand } from './replicated-state.js';
-import { isFulfilled } from './zone-orders.js';
-import { zoneReports } from './zone-reports.js';
+import type { GroupEffect, RequestId } from './group-events.js';
+import type { LeaderRequest, PeerMessage } from './group-messages.js';
+import type { GroupState } from './group-state.js';
+import { leaderAddress } from './leadership.js';
+import {
+  performAsLeader,
+  refused,
+  replyTo,
+  replyToForwarded,
+  unavailable,
+  type ReplyState,
+  type RunConsensus,
+} from './leader-replies.js';
 
-/** Runs a consensus event and gives its effects. */
-export type RunConsensus = (event: ConsensusEvent) => GroupEffect[];
+/** What the way of a call needs of the machine. */
+export type CallState = ReplyState & Pick<GroupState, 'consensus' | 'options'>;
 
 /**
- * Brings a call to the leader.
+ * Brings a call of a client of this machine to the leader.
  */
 export function startCall(
-  state: GroupState,
+  state: CallState,
   requestId: RequestId,
   request: LeaderRequest,
   nowMs: number,
   run: RunConsensus,
 ): GroupEffect[] {
-  if (state.consensus.role.name === 'leader') {
-    state.waiting.set(requestId, { request, deadlineMs: nowMs + state.options.requestDeadlineMs });
+  const { calls, consensus, options } = state;
+  const deadlineMs = nowMs + options.requestDeadlineMs;
+  if (consensus.role.name === 'leader') {
+    calls.startWaiting(requestId, deadlineMs);
     return performAsLeader(state, request, { type: 'client', requestId }, run);
   }
   const leader = leaderAddress(state);
   if (leader === undefined) {
-    return [reply(requestId, { type: 'unavailable', reason: 'No leader is known.' })];
+    return [unavailable(requestId, 'No leader is known.')];
   }
-  state.waiting.set(requestId, { request, deadlineMs: nowMs + state.options.requestDeadlineMs });
-  const { linkAddress: replyTo } = state.options;
+  calls.startWaiting(requestId, deadlineMs);
   return [
     {
       type: 'send-peer',
       to: leader,
-      message: { type: 'forward', forwardId: requestId, replyTo, request },
+      message: { type: 'forward', forwardId: requestId, replyTo: options.linkAddress, request },
     },
   ];
 }
 
 /**
- * Takes a call that another machine passed on.
+ * Performs a call that another machine forwarded, or refuses it where this machine does not lead.
  */
 export function handleForward(
-  state: GroupState,
+  state: CallState,
   message: Extract<PeerMessage, { type: 'forward' }>,
   run: RunConsensus,
 ): GroupEffect[] {
-  const answerTo: ReplyTo = {
-    type: 'peer',
-    address: message.replyTo,
-    forwardId: message.forwardId,
-  };
+  const { replyTo: address, forwardId, request } = message;
+  const receiver = { type: 'peer', address, forwardId } as const;
   if (state.consensus.role.name !== 'leader') {
-    return [answerCall(state, answerTo, refused('This machine does not lead.'))];
+    return [replyTo(state, receiver, refused('This machine does not lead.'))];
   }
-  return performAsLeader(state, message.request, answerTo, run);
+  return performAsLeader(state, request, receiver, run);
 }
 
 /**
- * Takes the leader's answer to a call that was passed on.
+ * Passes the leader's reply to a forwarded call on to its client.
  */
 export function handleForwardReply(
-  state: GroupState,
+  state: CallState,
   message: Extract<PeerMessage, { type: 'forward-reply' }>,
 ): GroupEffect[] {
-  return answerClient(state, message.forwardId, message.answer);
-}
-
-function performAsLeader(
-  state: GroupState,
-  request: LeaderRequest,
-  replyTo: ReplyTo,
-  run: RunConsensus,
-): GroupEffect[] {
-  const proposalId = state.nextProposalId;
-  state.nextProposalId += 1;
-  state.pendingReplies.set(proposalId, { replyTo, request });
-  const needsNoEntry = request.type !== 'command' || changesNothing(state, request);
-  // What is held already is only confirmed: that this machine still leads.
-  return needsNoEntry
-    ? run({ type: 'read', readId: proposalId })
-    : run({ type: 'propose', proposalId, data: encodeGroupCommand(request.command) });
-}
-
-function changesNothing(
-  state: GroupState,
-  request: Extract<LeaderRequest, { type: 'command' }>,
-): boolean {
-  const { command } = request;
-  return match(command)
-    .with(
-      { type: 'declare-config' },
-      ({ document }) => document.version <= (state.replicated.config?.version ?? 0),
-    )
-    .with({ type: 'note-departure' }, ({ departure }) => {
-      const known = state.replicated.departureOf(departure.backendId);
-      return known === 'gone' || known === departure.kind;
-    })
-    .with({ type: 'order-zone' }, ({ order }) =>
-      isFulfilled(order, state.replicated.zones.statusOf(order.zone)),
-    )
-    .with({ type: 'register-backends' }, { type: 'forget-backends' }, () => false)
-    .exhaustive();
+  return replyToForwarded(state, message.forwardId, message.answer);
 }
 
 /**
- * Answers the call behind a proposal or read.
+ * Gives up calls whose deadline has passed.
  */
-export function finishCall(
-  state: GroupState,
-  proposalId: number,
-  answer: LeaderReply,
-): GroupEffect[] {
-  const pending = state.pendingReplies.get(proposalId);
-  state.pendingReplies.delete(proposalId);
-  return pending === undefined ? [] : [answerCall(state, pending.replyTo, answer)];
-}
-
-/**
- * Answers the call behind a read: whoever asked a question gets its answer, whoever sent a change that is held
- * already hears that it holds.
- */
-export function finishRead(state: GroupState, readId: number): GroupEffect[] {
-  const request = state.pendingReplies.get(readId)?.request;
-  return request === undefined ? [] : finishCall(state, readId, replyToRead(state, request));
-}
-
-function replyToRead(state: GroupState, request: LeaderRequest): LeaderReply {
-  return match(request)
-    .with({ type: 'read-config' }, (): LeaderReply => ({
-      type: 'config',
-      document: state.replicated.config,
-    }))
-    .with({ type: 'read-zones' }, (): LeaderReply => ({
-      type: 'zones',
-      zones: zoneReports(state),
-    }))
-    .with({ type: 'command' }, ({ command }): LeaderReply =>
-      // Another order may have been committed while the read was confirmed.
-      command.type === 'order-zone' && !changesNothing(state, { type: 'command', command })
-        ? refused(`Another order for zone ${command.order.zone} came between.`)
-        : { type: 'committed' },
-    )
-    .exhaustive();
-}
-
-function answerCall(state: GroupState, answerTo: ReplyTo, answer: LeaderReply): GroupEffect {
-  if (answerTo.type === 'peer') {
-    const { address, forwardId } = answerTo;
-    return {
-      type: 'send-peer',
-      to: address,
-      message: { type: 'forward-reply', forwardId, answer },
-    };
-  }
-  state.waiting.delete(answerTo.requestId);
-  return reply(answerTo.requestId, replyOf(answer));
-}
-
-function answerClient(state: GroupState, requestId: RequestId, answer: LeaderReply): GroupEffect[] {
-  return state.waiting.delete(requestId) ? [reply(requestId, replyOf(answer))] : [];
-}
-
-function replyOf(answer: LeaderReply): GroupReply {
-  return match(answer)
-    .with({ type: 'committed' }, (): GroupReply => ({ type: 'accepted' }))
-    .with({ type: 'config' }, ({ document }): GroupReply => ({ type: 'config', document }))
-    .with({ type: 'zones' }, ({ zones }): GroupReply => ({ type: 'zones', zones }))
-    .with({ type: 'refused' }, ({ reason }): GroupReply => ({ type: 'unavailable', reason }))
-    .exhaustive();
-}
-
-/**
- * Gives up calls that have waited for too long.
- */
-export function expireCalls(state: GroupState, nowMs: number): GroupEffect[] {
-  const effects: GroupEffect[] = [];
-  for (const [requestId, { deadlineMs }] of state.waiting) {
-    if (nowMs >= deadlineMs) {
-      state.waiting.delete(requestId);
-      effects.push(reply(requestId, { type: 'unavailable', reason: 'No answer came in time.' }));
-    }
-  }
-  return effects;
-}
-
-/**
- * @returns the answer for a call that could not be performed
- */
-export function refused(reason: string): LeaderReply {
-  return { type: 'refused', reason };
-}
-
-function reply(requestId: RequestId, content: GroupReply): GroupEffect {
-  return { type: 'reply', requestId, reply: content };
+export function expireCalls({ calls }: CallState, nowMs: number): GroupEffect[] {
+  return calls
+    .takeExpired(nowMs)
+    .map((requestId) => unavailable(requestId, 'No answer came in time.'));
 }
--- a/src/registered/group/load-duties.ts
+++ b/src/registered/group/load-duties.ts
@@ -1,114 +1,141 @@
 /**
- * @file How loads travel through a control machine: the sums of its balancers to the other control
- * machines, and to each balancer what all others carry.
+ * @file How the tables of the load exchange travel through a control machine: the sums over its own balancers to the
+ * other control machines, and to each balancer the sums over all other balancers. When a table is sent is decided in
+ * load-exchange/load-outlet.ts. Messages call the answer stats `signals`.
  */
-import { isBehind, isBusy } from './balancer-feed.js';
-import type { LinkId } from '../../shared/common/link-table.js';
 import { formatAddress } from '../../shared/common/address.js';
+import type { LinkId } from '../../shared/common/link-table.js';
 import { rowsToSend } from '../load-exchange/load-outlet.js';
-import type { LoadTotals } from '../load-exchange/load-totals.js';
 import type { PackedRows } from '../load-exchange/packed-rows.js';
+import { isBehind, isBusy } from './feed-plan.js';
 import type { GroupEffect } from './group-events.js';
 import type { LoadReportMessage, PeerMessage } from './group-messages.js';
-import { isCurrent, otherMembers, type GroupState, type PublishedTable } from './group-state.js';
+import type { GroupState } from './group-state.js';
+import { isCurrent, otherMembers } from './leadership.js';
+import type { ExchangedTable } from './load-tables.js';
+import type { PublishedTable } from './subscribers.js';
 
+type Tables = Pick<GroupState, 'loads' | 'answerStats'>;
 type LoadSumsMessage = Extract<PeerMessage, { readonly type: 'load-sums' }>;
 
+/** The tables as messages carry them; absent where the last ones still hold. */
+interface TableFields {
+  readonly loads?: PackedRows;
+  readonly signals?: PackedRows;
+}
+
 /**
- * Takes what passes a balancer that is fed here.
+ * Applies the report of a balancer that is fed here.
  */
 export function applyLoadReport(
-  state: GroupState,
+  tables: Tables,
   linkId: LinkId,
   { loads, signals }: LoadReportMessage,
 ): void {
   if (loads !== undefined) {
-    state.loads.applyReport(linkId, loads);
+    tables.loads.totals.applyReport(linkId, loads);
   }
   if (signals !== undefined) {
-    state.signals.applyReport(linkId, signals);
+    tables.answerStats.totals.applyReport(linkId, signals);
   }
 }
 
 /**
- * Takes what passes the balancers of another control machine.
+ * Applies the sums over the balancers of another control machine.
  */
 export function applyLoadSums(
-  state: GroupState,
+  tables: Tables,
   { sender, loads, signals }: LoadSumsMessage,
   nowMs: number,
 ): void {
   const from = formatAddress(sender);
   if (loads !== undefined) {
-    state.loads.applySums(from, loads, nowMs);
+    tables.loads.totals.applySums(from, loads, nowMs);
   }
   if (signals !== undefined) {
-    state.signals.applySums(from, signals, nowMs);
+    tables.answerStats.totals.applySums(from, signals, nowMs);
   }
 }
 
 /**
- * Tells the other control machines what passes the balancers that are fed here.
+ * Sends the other control machines the sums over the balancers that are fed here.
  */
-export function shareLoadSums(state: GroupState, nowMs: number): GroupEffect[] {
-  state.loads.forgetSilentSenders(nowMs);
-  state.signals.forgetSilentSenders(nowMs);
-  const loads = rowsToSend(state.sumsOutlet, () => state.loads.ownSums(), nowMs);
-  const signals = rowsToSend(state.signalSumsOutlet, () => state.signals.ownSums(), nowMs);
-  if (loads === undefined && signals === undefined) {
+export function shareLoadSums(
+  state: Tables & Pick<GroupState, 'consensus' | 'options'>,
+  nowMs: number,
+): GroupEffect[] {
+  state.loads.totals.forgetSilentSenders(nowMs);
+  state.answerStats.totals.forgetSilentSenders(nowMs);
+  const fields = tableFields(
+    sumsToShare(state.loads, nowMs),
+    sumsToShare(state.answerStats, nowMs),
+  );
+  if (fields === undefined) {
     return [];
   }
   const sender = state.options.linkAddress;
-  const tables = { ...(loads && { loads }), ...(signals && { signals }) };
   return otherMembers(state).map(({ linkAddress: to }) => ({
     type: 'send-peer',
     to,
-    message: { type: 'load-sums', sender, ...tables },
+    message: { type: 'load-sums', sender, ...fields },
   }));
 }
 
+function sumsToShare({ totals, sumsOutlet }: ExchangedTable, nowMs: number) {
+  return rowsToSend(sumsOutlet, () => totals.ownSums(), nowMs);
+}
+
 /**
- * Tells each balancer that is fed here what passes all others.
+ * Sends each balancer that is fed here the sums over all others.
  */
-export function publishLoads(state: GroupState, nowMs: number): GroupEffect[] {
+export function publishLoads(
+  state: Tables & Pick<GroupState, 'configs' | 'consensus' | 'options' | 'subscribers'>,
+  nowMs: number,
+): GroupEffect[] {
   const current = isCurrent(state, nowMs);
   const effects: GroupEffect[] = [];
   for (const [linkId, subscriber] of state.subscribers) {
     if (subscriber.phase === 'new' || isBusy(subscriber)) {
       continue;
     }
-    const loads = fleetRowsFor(linkId, subscriber.loads, state.loads, nowMs);
-    const signals = fleetRowsFor(linkId, subscriber.signals, state.signals, nowMs);
-    if (loads === undefined && signals === undefined) {
+    const fields = tableFields(
+      fleetSumsToPublish(linkId, subscriber.loads, state.loads, nowMs),
+      fleetSumsToPublish(linkId, subscriber.answerStats, state.answerStats, nowMs),
+    );
+    if (fields === undefined) {
       continue;
     }
     subscriber.nextPulseAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
+    const isComplete = !isBehind(state, subscriber);
     effects.push({
       type: 'send-feed',
       linkId,
-      message: {
-        type: 'feed',
-        isCurrent: current,
-        isComplete: !isBehind(state, subscriber),
-        isCounted: false,
-        ...(loads && { loads }),
-        ...(signals && { signals }),
-      },
+      message: { type: 'feed', isCurrent: current, isComplete, isCounted: false, ...fields },
     });
   }
   return effects;
 }
 
-/** @returns what all others have of a table, where that has changed and may be told */
-function fleetRowsFor(
+/** @returns the sums over all other balancers, where they have changed and may be sent */
+function fleetSumsToPublish(
   linkId: LinkId,
-  told: PublishedTable,
-  totals: LoadTotals,
+  published: PublishedTable,
+  { totals }: ExchangedTable,
   nowMs: number,
 ): PackedRows | undefined {
-  if (told.version === totals.version || told.outlet.isWaiting(nowMs)) {
+  if (published.version === totals.version || published.outlet.isWaiting(nowMs)) {
+    return undefined;
+  }
+  published.version = totals.version;
+  return rowsToSend(published.outlet, () => totals.fleetSumsFor(linkId), nowMs);
+}
+
+function tableFields(
+  loads: PackedRows | undefined,
+  answerStats: PackedRows | undefined,
+): TableFields | undefined {
+  if (loads === undefined && answerStats === undefined) {
     return undefined;
   }
-  told.version = totals.version;
-  return rowsToSend(told.outlet, () => totals.fleetSumsFor(linkId), nowMs);
+  return { ...(loads && { loads }), ...(answerStats && { signals: answerStats }) };
 }
--- /dev/null
+++ b/src/registered/group/peer-messages.ts
@@ -0,0 +1,76 @@
+/**
+ * @file How messages of the other control machines are handled.
+ */
+import { match } from 'ts-pattern';
+import type { StepContext } from '../../shared/common/step.js';
+import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
+import { applyPeerBalancers } from './balancer-list-duties.js';
+import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
+import type { GroupEffect } from './group-events.js';
+import { changeForLeaver, handleAnnouncement } from './group-formation.js';
+import type { PeerMessage } from './group-messages.js';
+import type { GroupState } from './group-state.js';
+import { applyHeartbeat } from './heartbeats.js';
+import { handleForward, handleForwardReply } from './leader-requests.js';
+import { applyLoadSums } from './load-duties.js';
+
+/**
+ * Handles a message of another control machine.
+ * @returns the effects, in order
+ */
+export function handlePeerMessage(
+  state: GroupState,
+  peerMessage: PeerMessage,
+  context: StepContext,
+): GroupEffect[] {
+  const { nowMs } = context;
+  const run = (event: ConsensusEvent) => runConsensus(state, event, context);
+  return match(peerMessage)
+    .with({ type: 'consensus' }, (message) => handleConsensusMessage(state, message, context))
+    .with({ type: 'announce' }, (message) => handleAnnouncement(state, message, nowMs))
+    .with({ type: 'leave' }, (message) => {
+      const change = changeForLeaver(state, message);
+      return change === undefined
+        ? []
+        : run({ type: 'change-membership', proposalId: OWN_PROPOSAL, change });
+    })
+    .with({ type: 'heartbeats' }, ({ records }) => {
+      records.forEach((aged) => applyHeartbeat(state, aged, nowMs));
+      return [];
+    })
+    .with({ type: 'balancers' }, (message) => {
+      applyPeerBalancers(state, message, nowMs);
+      return [];
+    })
+    .with({ type: 'load-sums' }, (message) => {
+      applyLoadSums(state, message, nowMs);
+      return [];
+    })
+    .with({ type: 'forward' }, (message) => handleForward(state, message, run))
+    .with({ type: 'forward-reply' }, (message) => handleForwardReply(state, message))
+    .exhaustive();
+}
+
+/** Messages to another member than this one, or of another cluster, are dropped. */
+function handleConsensusMessage(
+  state: ConsensusRunState,
+  { clusterId, from, replyTo, toNodeId, message }: Extract<PeerMessage, { type: 'consensus' }>,
+  context: StepContext,
+): GroupEffect[] {
+  const { consensus } = state;
+  if (toNodeId !== consensus.nodeId) {
+    return [];
+  }
+  if (consensus.clusterId !== undefined && consensus.clusterId !== clusterId) {
+    return [];
+  }
+  state.announcements.recordReplyAddress(from.nodeId, replyTo);
+  const joining =
+    consensus.clusterId === undefined
+      ? runConsensus(state, { type: 'join-cluster', clusterId }, context)
+      : [];
+  return [
+    ...joining,
+    ...runConsensus(state, { type: 'consensus-message', from, message }, context),
+  ];
+}
--- a/src/registered/group/pending-updates.ts
+++ b/src/registered/group/pending-updates.ts
@@ -1,14 +1,14 @@
 /**
- * @file What balancers have not been told yet, by name only: what is said of each is looked up when it is
- * told. News of one thing thus merge for a receiver that is behind, and what waits for it is bounded by
- * what there is.
+ * @file What balancers have not been sent yet, by name only: the present state of each name is looked up when the
+ * message is made. Updates of one thing thus merge for a receiver that is behind, and what waits for it is bounded by
+ * the number of names.
  */
 
 /** What has changed. */
 export interface PendingUpdates {
-  /** IDs of back ends that came, or tell something else of themselves. */
+  /** IDs of back ends that came, or whose record changed. */
   readonly registered: Set<string>;
-  /** IDs of back ends that are judged otherwise. */
+  /** IDs of back ends whose liveness changed. */
   readonly livenessChanged: Set<string>;
   /** IDs of back ends that leave. */
   readonly departed: Set<string>;
@@ -19,7 +19,49 @@
   areZonesChanged: boolean;
 }
 
-/** @returns no news */
+/** Updates for all balancers since the last tick. */
+export interface UpdateCollector {
+  /** What was added since the last tick; not to be changed. */
+  readonly collected: PendingUpdates;
+  addRegistered(backendId: string): void;
+  addLivenessChange(backendId: string): void;
+  addDeparture(backendId: string): void;
+  addBalancer(name: string): void;
+  addControls(): void;
+  addZones(): void;
+  /** Removes and returns all. */
+  take(): PendingUpdates;
+}
+
+/** @returns a collector without updates */
+export function createUpdateCollector(): UpdateCollector {
+  let collected = createPendingUpdates();
+
+  return {
+    get collected() {
+      return collected;
+    },
+    addRegistered: (backendId) => void collected.registered.add(backendId),
+    addLivenessChange: (backendId) => void collected.livenessChanged.add(backendId),
+    addDeparture: (backendId) => void collected.departed.add(backendId),
+    addBalancer: (name) => void collected.balancers.add(name),
+    addControls: () => {
+      collected.areControlsChanged = true;
+    },
+    addZones: () => {
+      collected.areZonesChanged = true;
+    },
+    take,
+  };
+
+  function take(): PendingUpdates {
+    const taken = collected;
+    collected = createPendingUpdates();
+    return taken;
+  }
+}
+
+/** @returns no updates */
 export function createPendingUpdates(): PendingUpdates {
   return {
     registered: new Set(),
@@ -31,48 +73,43 @@
   };
 }
 
-/** @returns true where there is nothing to tell */
-export function hasNoUpdates(news: PendingUpdates): boolean {
-  const isNothingWhole = !news.areControlsChanged && !news.areZonesChanged;
-  return isNothingWhole && namedIn(news).every(({ size }) => size === 0);
+/** @returns true where there is nothing to send */
+export function hasNoUpdates(updates: PendingUpdates): boolean {
+  const isNothingWhole = !updates.areControlsChanged && !updates.areZonesChanged;
+  return isNothingWhole && namesIn(updates).every(({ size }) => size === 0);
 }
 
-/** Adds news to others. */
-export function mergeUpdates(news: PendingUpdates, more: PendingUpdates): void {
-  const sets = namedIn(news);
-  namedIn(more).forEach((names, at) => names.forEach((name) => sets[at]?.add(name)));
-  news.areControlsChanged ||= more.areControlsChanged;
-  news.areZonesChanged ||= more.areZonesChanged;
+/** Adds updates to those that wait already. */
+export function mergeUpdates(waiting: PendingUpdates, more: PendingUpdates): void {
+  const sets = namesIn(waiting);
+  namesIn(more).forEach((names, at) => names.forEach((name) => sets[at]?.add(name)));
+  waiting.areControlsChanged ||= more.areControlsChanged;
+  waiting.areZonesChanged ||= more.areZonesChanged;
 }
 
 /**
- * Takes some news out of others.
- * @param count at most so many names of each kind
+ * Removes and returns some updates, the oldest ones first.
+ * @param maxNames at most so many names of each kind
  */
-export function takeUpdates(news: PendingUpdates, count: number): PendingUpdates {
+export function takeUpdates(waiting: PendingUpdates, maxNames: number): PendingUpdates {
   const taken = createPendingUpdates();
-  const sets = namedIn(taken);
-  namedIn(news).forEach((names, at) => {
+  const sets = namesIn(taken);
+  namesIn(waiting).forEach((names, at) => {
     for (const name of names) {
-      if ((sets[at]?.size ?? count) >= count) {
+      if ((sets[at]?.size ?? maxNames) >= maxNames) {
         break;
       }
       sets[at]?.add(name);
       names.delete(name);
     }
   });
-  taken.areControlsChanged = news.areControlsChanged;
-  news.areControlsChanged = false;
-  taken.areZonesChanged = news.areZonesChanged;
-  news.areZonesChanged = false;
+  taken.areControlsChanged = waiting.areControlsChanged;
+  waiting.areControlsChanged = false;
+  taken.areZonesChanged = waiting.areZonesChanged;
+  waiting.areZonesChanged = false;
   return taken;
 }
 
-function namedIn({
-  registered,
-  livenessChanged,
-  departed,
-  balancers,
-}: PendingUpdates): Set<string>[] {
+function namesIn({ registered, livenessChanged, departed, balancers }: PendingUpdates) {
   return [registered, livenessChanged, departed, balancers];
 }
--- a/src/registered/group/replicated-state.ts
+++ b/src/registered/group/replicated-state.ts
@@ -32,7 +32,7 @@
 /** What a command changed. */
 export type AppliedChange =
   | { readonly type: 'config-changed'; readonly document: ConfigDocument }
-  | { readonly type: 'departure-noted'; readonly departure: Departure }
+  | { readonly type: 'departure-recorded'; readonly departure: Departure }
   | { readonly type: 'zone-changed'; readonly status: ZoneStatus }
   /** The order does not follow the last one for its zone, and changed nothing. */
   | { readonly type: 'order-outdated'; readonly order: ZoneOrder }
@@ -90,7 +90,7 @@
       case 'declare-config':
         return this.declareConfig(command.document);
       case 'note-departure':
-        return this.noteDeparture(command.departure);
+        return this.recordDeparture(command.departure);
       case 'order-zone':
         return this.orderZone(command.order);
       case 'register-backends':
@@ -130,7 +130,7 @@
     return { type: 'config-changed', document };
   }
 
-  private noteDeparture(departure: Departure): AppliedChange {
+  private recordDeparture(departure: Departure): AppliedChange {
     const { backendId, kind } = departure;
     if (!isLaterDeparture(kind, this.departures.get(backendId))) {
       return { type: 'nothing-changed' };
@@ -140,7 +140,7 @@
       this.backends.delete(backendId);
     }
     this.forgetOldest();
-    return { type: 'departure-noted', departure };
+    return { type: 'departure-recorded', departure };
   }
 
   private orderZone(order: ZoneOrder): AppliedChange {
--- a/src/registered/group/zone-reports.ts
+++ b/src/registered/group/zone-reports.ts
@@ -5,32 +5,40 @@
 import { tokenOf } from '../registry/backend-token.js';
 import type { ZoneReport } from './group-messages.js';
 import type { GroupState } from './group-state.js';
+import type { ReplicatedState } from './replicated-state.js';
+
+/** What reports are made from. */
+export type ZoneReportState = Pick<GroupState, 'options' | 'registry' | 'replicated' | 'loads'>;
 
 /**
- * @returns a report of each zone that the settings name, that has an order, or where back ends are
+ * @returns a report of each zone that the settings name, that has an order, or where back ends are; by name
  */
-export function zoneReports(state: GroupState): ZoneReport[] {
-  const { registry, replicated, options } = state;
+export function zoneReports({
+  options,
+  registry,
+  replicated,
+  loads,
+}: ZoneReportState): ZoneReport[] {
   const reports = new Map<string, ZoneReport>();
   const names = [...options.zones, ...replicated.zones.all().map(({ zone }) => zone)];
-  names.forEach((zone) => reports.set(zone, emptyReport(state, zone)));
+  names.forEach((zone) => reports.set(zone, emptyReport(replicated, zone)));
   const busyByToken = new Map<number, number>();
-  eachLoad(state.loads.all(), (token, busy) => busyByToken.set(token, busy));
+  eachLoad(loads.totals.all(), (token, busy) => busyByToken.set(token, busy));
   for (const { record, liveness } of registry.all()) {
     const { zone, capacity } = record;
-    const before = reports.get(zone) ?? emptyReport(state, zone);
-    const stays = liveness === 'alive' && replicated.departureOf(record.id) === undefined;
+    const before = reports.get(zone) ?? emptyReport(replicated, zone);
+    const isActive = liveness === 'alive' && replicated.departureOf(record.id) === undefined;
     const busy = busyByToken.get(tokenOf(record.instanceNumber)) ?? 0;
     reports.set(zone, {
       ...before,
-      backendCount: before.backendCount + Number(stays),
-      slots: before.slots + (stays ? capacity : 0),
+      backendCount: before.backendCount + Number(isActive),
+      slots: before.slots + (isActive ? capacity : 0),
       busy: before.busy + busy,
     });
   }
   return [...reports.values()].sort((one, other) => (one.zone < other.zone ? -1 : 1));
 }
 
-function emptyReport({ replicated }: GroupState, zone: string): ZoneReport {
+function emptyReport(replicated: ReplicatedState, zone: string): ZoneReport {
   return { ...replicated.zones.statusOf(zone), backendCount: 0, slots: 0, busy: 0 };
 }
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -2,6 +2,7 @@
 import t from 'tap';
 import type { LinkId } from '../../../src/shared/common/link-table.js';
 import type { DeclaredConfig } from '../../../src/registered/declared/declared-config.js';
+import { publishZoneChange } from '../../../src/registered/group/applied-entries.js';
 import {
   addSubscriber,
   feedOne,
@@ -9,13 +10,16 @@
   applyFeedTaken,
   removeSubscriber,
 } from '../../../src/registered/group/balancer-feed.js';
-import { forgetSilentPeers } from '../../../src/registered/group/balancer-list.js';
+import { forgetSilentPeers } from '../../../src/registered/group/balancer-list-duties.js';
 import type { GroupEffect } from '../../../src/registered/group/group-events.js';
 import type {
   FeedMessage,
   SubscribeMessage,
 } from '../../../src/registered/group/group-messages.js';
-import { isCurrent, type GroupState } from '../../../src/registered/group/group-state.js';
+import type { GroupState } from '../../../src/registered/group/group-state.js';
+import { applyHeartbeat } from '../../../src/registered/group/heartbeats.js';
+import { isCurrent } from '../../../src/registered/group/leadership.js';
+import { updateLiveness } from '../../../src/registered/group/liveness-updates.js';
 import {
   publishLoads,
   shareLoadSums,
@@ -27,9 +31,7 @@
   packAnswerStats,
   type AnswerStats,
 } from '../../../src/registered/load-exchange/answer-stats.js';
-import { applyHeartbeat, updateLiveness } from '../../../src/registered/group/registry-duties.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
-import { recordZoneChange } from '../../../src/registered/group/zone-duties.js';
 import { applyFeedMessage } from '../../../src/registered/ingress/feed-step.js';
 import { createIngressState, isReady } from '../../../src/registered/ingress/ingress-state.js';
 import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
@@ -201,13 +203,13 @@
   updateLiveness(state, cutOffMs);
   state.consensus.heardFromLeaderAtMs = cutOffMs;
   updateLiveness(state, cutOffMs);
-  t.same([...state.pendingUpdates.livenessChanged], []);
+  t.same([...state.updates.collected.livenessChanged], []);
   const { heartbeatIntervalMs } = state.options;
   const laterMs = cutOffMs + 2 * heartbeatIntervalMs;
   state.consensus.heardFromLeaderAtMs = laterMs;
   updateLiveness(state, laterMs);
   t.equal(
-    state.pendingUpdates.livenessChanged.size,
+    state.updates.collected.livenessChanged.size,
     smallIngressWorld.backendCount,
     'but later silence is',
   );
@@ -235,8 +237,8 @@
   const { state, nowMs } = group;
   subscribe(group, FIRST, 'first');
   subscribe(group, SECOND, 'second');
-  state.loads.applyReport(FIRST, [7, 1]);
-  state.loads.applyReport(SECOND, [7, 2]);
+  state.loads.totals.applyReport(FIRST, [7, 1]);
+  state.loads.totals.applyReport(SECOND, [7, 2]);
   const effects = publishLoads(state, nowMs);
   t.same(
     messagesTo(FIRST, effects).map(({ loads }) => loads),
@@ -247,7 +249,7 @@
     [[7, 1]],
   );
   t.same(publishLoads(state, nowMs), [], 'nothing has changed');
-  state.loads.applyReport(SECOND, [7, 3]);
+  state.loads.totals.applyReport(SECOND, [7, 3]);
   t.same(publishLoads(state, nowMs + 1), [], 'too soon');
   t.equal(messagesTo(FIRST, publishLoads(state, nowMs + 500)).length, 1);
 });
@@ -256,7 +258,7 @@
   const group = await formedGroup();
   const { state, nowMs } = group;
   subscribe(group, FIRST, 'first');
-  state.loads.applyReport(FIRST, [7, 1]);
+  state.loads.totals.applyReport(FIRST, [7, 1]);
   const others = smallIngressWorld.controlCount - 1;
   const startMs = nowMs + LONG_MS;
   t.equal(shareLoadSums(state, startMs).length, others);
@@ -451,11 +453,11 @@
   feedWilling(state, nowMs);
   const order = { zone: 'zone-b', kind: 'evacuate', afterOrders: 0 } as const;
   state.replicated.zones.apply(order);
-  recordZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
+  publishZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
   const [told] = messagesTo(FIRST, feedWilling(state, nowMs));
   t.match(told?.zones, [{ zone: 'zone-b', isEvacuated: true, orders: 1 }]);
   state.replicated.zones.apply({ ...order, kind: 'readmit', afterOrders: 1 });
-  recordZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
+  publishZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
   const [again] = messagesTo(FIRST, feedWilling(state, nowMs + 30));
   t.match(again?.zones, [{ isEvacuated: false, orders: 2, readmittedAgoMs: 30 }]);
 });
