--- a/src/registered/daemon/group-durability.ts
+++ b/src/registered/daemon/group-durability.ts
@@ -8,7 +8,7 @@
  * as are tolerated; and after what silence a surplus voter is removed. The removal must be over, and the
  * successor a voter, before the successor counts, since the next machine may be lost from then on.
  */
-import type { GroupOptions } from '../group/group-state.js';
+import type { GroupOptions } from '../group/group-options.js';
 
 /**
  * Part of the catch-up time after which a silent voter is removed; the rest is left for the commit of the removal and for
--- a/test/tools/cli/examples.test.ts
+++ b/test/tools/cli/examples.test.ts
@@ -1,6 +1,6 @@
 /** @file The example settings of operators are valid, and an unreadable file is refused with its name. */
 import t from 'tap';
-import { loadSettings } from '../../../src/shared/settings/load-settings.js';
+import { loadSettings } from '../../../src/managed/settings/load-settings.js';
 
 t.test('the example settings are valid', async (t) => {
   const control = loadSettings({ file: 'examples/tarjeta-viva/control.yaml', overrides: [] });
