--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -8,7 +8,7 @@
 import type { BalancerLinkMessage, FeedMessage } from '../group/group-messages.js';
 import { applyFeedMessage } from '../ingress/feed-step.js';
 import { createLoadReporter, type LoadReporter } from '../ingress/load-reporter.js';
-import { FEED_RETRY_AFTER_MS, FeedSource } from '../ingress/feed-source.js';
+import { FEED_RETRY_AFTER_MS, FeedSource } from '../decisions/feed-source.js';
 import { isReady, type IngressState } from '../ingress/ingress-state.js';
 import { hashText } from '../../shared/common/rendezvous.js';
 import type { DecisionFields } from './decision-log.js';
@@ -80,7 +80,7 @@
 
   return {
     tick,
-    takeSeeds: (seeds) => source.takeSeeds(seeds),
+    takeSeeds: (seeds) => source.setSeeds(seeds),
     feedAgeMs: () => feedAgeMs(state, options.nowMs()),
   };
 
@@ -90,7 +90,7 @@
   }
 
   function follow(nowMs: number): void {
-    const action = source.act(nowMs);
+    const action = source.nextAction(nowMs);
     if (action.type === 'close') {
       packetLog.note('feed left', { why: action.why });
       followed?.link.close();
@@ -112,9 +112,9 @@
       return false;
     }
     const nowMs = options.nowMs();
-    source.heard(message.isCurrent, nowMs);
+    source.recordMessage(message.isCurrent, nowMs);
     if (message.controls !== undefined) {
-      source.takeControls(message.controls);
+      source.applyControls(message.controls);
     }
     const isFit = take(message, nowMs);
     if (message.isCounted) {
@@ -136,7 +136,7 @@
 
   function onProgress(from: ControlLink): void {
     if (followed?.link === from) {
-      source.progressed(options.nowMs());
+      source.recordProgress(options.nowMs());
     }
   }
 
@@ -146,7 +146,7 @@
     }
     const { to } = followed;
     followed = undefined;
-    noteClosed(options, source.closed(options.nowMs()), to, reason);
+    noteClosed(options, source.recordClosed(options.nowMs()), to, reason);
     options.after(FEED_RETRY_AFTER_MS, () => follow(options.nowMs()));
   }
 
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -15,7 +15,7 @@
 import {
   decidePacket,
   placeOpen,
-  placeAsPeerDid,
+  followPeer,
   type DropReason,
   type PacketDecision,
   type FoundBy,
@@ -129,7 +129,7 @@
       },
       onClaimed: ({ packet }) => this.refuse('dropped', 'claimed-elsewhere', packet),
       onFound: ({ datagram, packet }, key, token) => {
-        const decision = placeAsPeerDid(this.state, key, token, surroundings.nowMs());
+        const decision = followPeer(this.state, key, token, surroundings.nowMs());
         this.carryOut(decision, datagram, packet);
       },
     });
@@ -313,7 +313,7 @@
       failure,
       holdMs,
       evidence,
-    } of this.state.placement.failing.takeEjections()) {
+    } of this.state.placement.ejections.takeEjections()) {
       const { stalled, busy } = evidence;
       const answered = Math.round(evidence.answered);
       const short = Math.round(evidence.short);
--- a/src/registered/daemon/metrics/ingress-metrics.ts
+++ b/src/registered/daemon/metrics/ingress-metrics.ts
@@ -134,7 +134,7 @@
     'Back ends that get no new flows since they fail, by what they show.',
     'failure',
     () =>
-      [...state.placement.failing.ejectedByFailure(nowMs())].map(([label, value]) => ({
+      [...state.placement.ejections.ejectedByFailure(nowMs())].map(([label, value]) => ({
         label,
         value,
       })),
--- a/src/registered/daemon/open-sharing.ts
+++ b/src/registered/daemon/open-sharing.ts
@@ -5,9 +5,9 @@
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { OpenMessage } from '../group/message-schemas.js';
 import type { IngressState } from '../ingress/ingress-state.js';
-import { CLAIM_MS, createOpenClaims } from '../ingress/open-claims.js';
+import { CLAIM_MS, createOpenClaims } from '../decisions/open-claims.js';
 import type { FlowKey, PacketView } from '../ingress/packet-view.js';
-import { ASKED_HOLDERS, TOLD_HOLDERS } from '../ingress/peer-table.js';
+import { ASKED_HOLDERS, NOTIFIED_HOLDERS } from '../ingress/peer-table.js';
 
 /** An open that waits for what the holders say. */
 export interface HeldOpen {
@@ -63,7 +63,7 @@
   return { tell, ask, take };
 
   function tell(key: FlowKey, token: number): void {
-    sendToHolders(key, TOLD_HOLDERS, { type: 'open-placed', key, token });
+    sendToHolders(key, NOTIFIED_HOLDERS, { type: 'open-placed', key, token });
   }
 
   function ask(key: FlowKey, open: HeldOpen): void {
--- a/src/registered/decisions/failing-backends.ts
+++ b/src/registered/decisions/ejection/by-answers.ts
@@ -10,9 +10,9 @@
  * What is passed over shows nothing new, so the evidence goes by itself. The back end is then tried again, and passed
  * over for twice as long each time that it fails again.
  */
-import type { AnswerStats } from '../load-exchange/answer-stats.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
-import type { ObservedBackend } from './fleet-answer-stats.js';
+import type { AnswerStats } from '../../load-exchange/answer-stats.js';
+import type { KnownBackend } from '../../ingress/backend-table.js';
+import type { ObservedBackend } from '../fleet-answer-stats.js';
 
 /** Says which back ends to pass over. */
 export interface EjectionByAnswers {
--- a/src/registered/decisions/outliers.ts
+++ b/src/registered/decisions/ejection/by-load.ts
@@ -9,7 +9,7 @@
  * They are passed over while they stand out. What hangs there is counted for some seconds at most, so a back end that
  * works again gets new flows again by itself.
  */
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../../ingress/backend-table.js';
 
 /** Requests in progress for each slot below which no back end stands out: its slots and its queue may bear as many. */
 const LEAST_PER_SLOT = 3;
@@ -22,7 +22,7 @@
  * @param candidates back ends of one service
  * @returns those that do not stand out; the ones that carry most are left out first
  */
-export function withoutLoadOutliers(candidates: readonly KnownBackend[]): readonly KnownBackend[] {
+export function withoutEjectedByLoad(candidates: readonly KnownBackend[]): readonly KnownBackend[] {
   if (candidates.every((backend) => perSlot(backend) < LEAST_PER_SLOT)) {
     return candidates;
   }
--- a/src/registered/ingress/feed-source.ts
+++ b/src/registered/decisions/feed-source.ts
@@ -11,7 +11,7 @@
 export const FEED_RETRY_AFTER_MS = 40;
 
 /** Why a link is closed from here. */
-export type LeavingReason =
+export type CloseReason =
   /** It brought no first message in time. */
   | 'no-feed'
   /** It brings nothing any more. */
@@ -24,7 +24,7 @@
 /** What the owner of the link should do now. */
 export type FeedAction =
   | { readonly type: 'connect'; readonly address: Address }
-  | { readonly type: 'close'; readonly why: LeavingReason }
+  | { readonly type: 'close'; readonly why: CloseReason }
   | { readonly type: 'wait' };
 
 /** Who looks for a control machine. */
@@ -41,7 +41,7 @@
   readonly sinceMs: number;
   /** When some of a message came last that is not whole yet. */
   progressAtMs: number;
-  heardAtMs: number | undefined;
+  receivedAtMs: number | undefined;
   /** Since when it says that it is not current. */
   staleSinceMs: number | undefined;
   /** True once this balancer has decided to close the link. */
@@ -82,7 +82,7 @@
   }
 
   /** Takes the list of control machines; seeds stay in it, since the list may be old. */
-  takeControls(controls: readonly ControlInfo[]): void {
+  applyControls(controls: readonly ControlInfo[]): void {
     const seeds = this.seeds.map((linkAddress): ControlInfo => ({ linkAddress }));
     const byText = new Map<string, ControlInfo>();
     for (const control of [...controls, ...seeds]) {
@@ -93,15 +93,15 @@
   }
 
   /** Takes other seeds, beside the control machines known already. */
-  takeSeeds(seeds: readonly Address[]): void {
+  setSeeds(seeds: readonly Address[]): void {
     this.seeds = seeds;
-    this.takeControls(this.candidates);
+    this.applyControls(this.candidates);
   }
 
   /** Notes a message of the control machine. */
-  heard(isCurrent: boolean, nowMs: number): void {
+  recordMessage(isCurrent: boolean, nowMs: number): void {
     if (this.linked !== undefined) {
-      this.linked.heardAtMs = nowMs;
+      this.linked.receivedAtMs = nowMs;
       this.linked.staleSinceMs = isCurrent ? undefined : (this.linked.staleSinceMs ?? nowMs);
       if (isCurrent) {
         this.avoided.delete(formatAddress(this.linked.address));
@@ -110,7 +110,7 @@
   }
 
   /** Notes that some of a message has come: a slow link that goes on is alive. */
-  progressed(nowMs: number): void {
+  recordProgress(nowMs: number): void {
     if (this.linked !== undefined) {
       this.linked.progressAtMs = nowMs;
     }
@@ -120,8 +120,8 @@
    * Notes that the link is closed.
    * @returns true where it had brought something: the feed is lost, not merely not reached
    */
-  closed(nowMs: number): boolean {
-    const hadFeed = this.linked?.heardAtMs !== undefined;
+  recordClosed(nowMs: number): boolean {
+    const hadFeed = this.linked?.receivedAtMs !== undefined;
     if (this.linked?.isLeft === false) {
       this.avoid(this.linked.address, nowMs);
     }
@@ -131,7 +131,7 @@
   }
 
   /** Decides what to do with the link. */
-  act(nowMs: number): FeedAction {
+  nextAction(nowMs: number): FeedAction {
     if (this.linked !== undefined) {
       return this.actLinked(this.linked, nowMs);
     }
@@ -146,7 +146,7 @@
       address,
       sinceMs: nowMs,
       progressAtMs: nowMs,
-      heardAtMs: undefined,
+      receivedAtMs: undefined,
       staleSinceMs: undefined,
       isLeft: false,
     };
@@ -203,16 +203,16 @@
     this.avoided.set(name, { untilMs: nowMs + avoidMs, avoidMs });
   }
 
-  private faultOf(link: LinkedControl, nowMs: number): LeavingReason | undefined {
-    const { sinceMs, heardAtMs, staleSinceMs, progressAtMs } = link;
+  private faultOf(link: LinkedControl, nowMs: number): CloseReason | undefined {
+    const { sinceMs, receivedAtMs, staleSinceMs, progressAtMs } = link;
     const { silentAfterMs, staleAfterMs, firstMessageAfterMs } = this.timing;
-    if (heardAtMs === undefined) {
+    if (receivedAtMs === undefined) {
       const waitedMs = nowMs - Math.max(sinceMs, progressAtMs);
       return waitedMs > firstMessageAfterMs ? 'no-feed' : undefined;
     }
     if (staleSinceMs !== undefined && nowMs - staleSinceMs >= staleAfterMs) {
       return 'not-current';
     }
-    return nowMs - Math.max(heardAtMs, progressAtMs) > silentAfterMs ? 'silent' : undefined;
+    return nowMs - Math.max(receivedAtMs, progressAtMs) > silentAfterMs ? 'silent' : undefined;
   }
 }
--- a/src/registered/ingress/open-claims.ts
+++ b/src/registered/decisions/open-claims.ts
@@ -8,7 +8,7 @@
  * still or had no processor, while a newer one has just reached another.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
-import type { FlowKey } from './packet-view.js';
+import type { FlowKey } from '../ingress/packet-view.js';
 import { createPeriodMap } from '../../shared/common/period-map.js';
 
 /** Who has asked about which open lately. */
--- a/src/registered/decisions/placement.ts
+++ b/src/registered/decisions/placement.ts
@@ -9,8 +9,8 @@
 import type { Liveness } from '../registry/backend-liveness.js';
 import type { KnownBackend } from '../ingress/backend-table.js';
 import { drawBySpeed } from './speed-draw.js';
-import { withoutLoadOutliers } from './outliers.js';
-import { createEjectionByAnswers, type EjectionByAnswers } from './failing-backends.js';
+import { withoutEjectedByLoad } from './ejection/by-load.js';
+import { createEjectionByAnswers, type EjectionByAnswers } from './ejection/by-answers.js';
 import { createServiceEstimates } from './service-estimates.js';
 import { createZoneChoice } from './zone-choice.js';
 import type { SlowStart } from './slow-start.js';
@@ -31,7 +31,7 @@
   /** @returns requests in progress for each slot, with some more at a cold back end */
   loadOf(backend: KnownBackend, nowMs: number): number;
   /** Which back ends are passed over since they fail. */
-  readonly failing: EjectionByAnswers;
+  readonly ejections: EjectionByAnswers;
 }
 
 /** A cold back end counts as if it had so many more requests in progress for each slot. */
@@ -47,26 +47,26 @@
   coldShare: SlowStart,
 ): Placement {
   const countsTold = policy.toldLoads === 'backend';
-  const failing = createEjectionByAnswers();
-  const judgements = createServiceEstimates(failing);
+  const ejections = createEjectionByAnswers();
+  const judgements = createServiceEstimates(ejections);
   const inChosenZones = createZoneChoice(ownZone, policy);
 
-  return { choose, loadOf, failing };
+  return { choose, loadOf, ejections };
 
   function choose(
     staying: readonly KnownBackend[],
     flowHash: number,
     nowMs: number,
   ): KnownBackend | undefined {
-    const speeds = judgements.speedsOf(staying, nowMs);
+    const speeds = judgements.speedWeights(staying, nowMs);
     const heard = policy.silence === 'ignored' ? staying : bestHeard(staying);
     const bearing =
       policy.warmUp === 'limited'
         ? heard.filter((backend) => coldShare.admits(backend, nowMs))
         : heard;
     const sound =
-      policy.failing === 'passed-over' ? failing.withoutEjected(bearing, nowMs) : bearing;
-    const candidates = policy.outliers === 'passed-over' ? withoutLoadOutliers(sound) : sound;
+      policy.failing === 'passed-over' ? ejections.withoutEjected(bearing, nowMs) : bearing;
+    const candidates = policy.outliers === 'passed-over' ? withoutEjectedByLoad(sound) : sound;
     const load = (backend: KnownBackend) => loadOf(backend, nowMs);
     const inZones = inChosenZones(candidates);
     return policy.choice === 'least-load'
--- a/src/registered/decisions/service-estimates.ts
+++ b/src/registered/decisions/service-estimates.ts
@@ -8,7 +8,7 @@
 import { relativeTimes } from './answer-times.js';
 import type { KnownBackend } from '../ingress/backend-table.js';
 import { observeAll } from './fleet-answer-stats.js';
-import type { EjectionByAnswers } from './failing-backends.js';
+import type { EjectionByAnswers } from './ejection/by-answers.js';
 
 /** Judgements by service. */
 export interface ServiceEstimates {
@@ -16,7 +16,7 @@
    * @param backends all of one service that may be chosen
    * @returns how often each is drawn against one of average speed; 1 for one that is not in it
    */
-  speedsOf(backends: readonly KnownBackend[], nowMs: number): SpeedWeights;
+  speedWeights(backends: readonly KnownBackend[], nowMs: number): SpeedWeights;
 }
 
 /** How often a back end is drawn for each of its slots, against one of average speed. */
@@ -40,9 +40,9 @@
 export function createServiceEstimates(failing: EjectionByAnswers): ServiceEstimates {
   const byService = new Map<string, Judgement>();
 
-  return { speedsOf };
+  return { speedWeights };
 
-  function speedsOf(backends: readonly KnownBackend[], nowMs: number): SpeedWeights {
+  function speedWeights(backends: readonly KnownBackend[], nowMs: number): SpeedWeights {
     const service = backends[0]?.service ?? '';
     const known = byService.get(service);
     if (known !== undefined && nowMs - known.madeAtMs < HOLDS_MS) {
--- a/src/registered/ingress/config-assembly.ts
+++ b/src/registered/ingress/config-assembly.ts
@@ -11,7 +11,7 @@
 import type { UnfinishedConfig } from '../group/group-messages.js';
 
 /** What a part brought. */
-export type PartTaken =
+export type PartOutcome =
   /** More is to come. */
   | { readonly type: 'unfinished' }
   | { readonly type: 'complete'; readonly update: ConfigUpdate }
@@ -22,7 +22,7 @@
 export interface ConfigAssembly {
   /** What has come of an update that is not whole; undefined for nothing. */
   readonly unfinished: UnfinishedConfig | undefined;
-  take(part: ConfigPart): PartTaken;
+  addPart(part: ConfigPart): PartOutcome;
   /** Forgets what has come. */
   clear(): void;
 }
@@ -50,13 +50,13 @@
       const { version, baseVersion, changesTaken } = assembled;
       return { version, baseVersion, changesTaken };
     },
-    take,
+    addPart,
     clear: () => {
       assembled = undefined;
     },
   };
 
-  function take(part: ConfigPart): PartTaken {
+  function addPart(part: ConfigPart): PartOutcome {
     const { version, baseVersion, idleTimeoutMs, warmUps, firstChange, changeCount } = part;
     const before = firstChange === 0 ? [] : changesBefore(part);
     if (before === undefined) {
--- a/src/registered/ingress/feed-step.ts
+++ b/src/registered/ingress/feed-step.ts
@@ -65,11 +65,11 @@
   if (config === undefined || config.version <= (routes.config?.version ?? NO_VERSION)) {
     return { type: 'unchanged' };
   }
-  const part = assembly.take(config);
+  const part = assembly.addPart(config);
   if (part.type !== 'complete') {
     return part.type === 'unfit' ? part : { type: 'unchanged' };
   }
-  const taken = routes.take(part.update);
+  const taken = routes.applyUpdate(part.update);
   return taken === 'taken'
     ? { type: 'in-force', version: part.update.version }
     : { type: taken === 'unfit' ? 'unfit' : 'unchanged' };
--- a/src/registered/ingress/packet-step.ts
+++ b/src/registered/ingress/packet-step.ts
@@ -180,7 +180,7 @@
 /**
  * Another balancer has placed the first copy of an open.
  */
-export function placeAsPeerDid(
+export function followPeer(
   state: IngressState,
   key: FlowKey,
   token: number,
--- a/src/registered/ingress/peer-table.ts
+++ b/src/registered/ingress/peer-table.ts
@@ -7,7 +7,7 @@
 import type { FlowKey } from './packet-view.js';
 
 /** The balancer that places an open tells so many others. */
-export const TOLD_HOLDERS = 2;
+export const NOTIFIED_HOLDERS = 2;
 /** One that has a copy asks so many; more, since the two may know different balancers for a moment. */
 export const ASKED_HOLDERS = 3;
 
--- a/src/registered/ingress/route-table.ts
+++ b/src/registered/ingress/route-table.ts
@@ -29,7 +29,7 @@
 }
 
 /** What became of an update. */
-export type UpdateTaken =
+export type UpdateOutcome =
   | 'taken'
   /** What is held is as new. */
   | 'known'
@@ -52,7 +52,13 @@
   }
 
   /** Puts an update of the configuration in force; an older one never follows a newer one. */
-  take({ version, baseVersion, idleTimeoutMs, warmUps, changes }: ConfigUpdate): UpdateTaken {
+  applyUpdate({
+    version,
+    baseVersion,
+    idleTimeoutMs,
+    warmUps,
+    changes,
+  }: ConfigUpdate): UpdateOutcome {
     const heldVersion = this.held?.version ?? NO_VERSION;
     if (version <= heldVersion) {
       return 'known';
--- a/test/proof/soak/virtual-soak.test.ts
+++ b/test/proof/soak/virtual-soak.test.ts
@@ -71,8 +71,8 @@
   const failed = await failedChecks((world) =>
     breakBalancers(world, ({ state }) => {
       const { routes } = state;
-      const take = routes.take.bind(routes);
-      routes.take = (update) => (routes.config === undefined ? take(update) : 'known');
+      const take = routes.applyUpdate.bind(routes);
+      routes.applyUpdate = (update) => (routes.config === undefined ? take(update) : 'known');
     }),
   );
   t.ok(failed.has('config'), [...failed].join(' '));
--- a/test/registered/decisions/failing-backends.test.ts
+++ b/test/registered/decisions/ejection-by-answers.test.ts
@@ -4,7 +4,7 @@
  */
 import t from 'tap';
 import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
-import { createEjectionByAnswers } from '../../../src/registered/decisions/failing-backends.js';
+import { createEjectionByAnswers } from '../../../src/registered/decisions/ejection/by-answers.js';
 import { observeAll } from '../../../src/registered/decisions/fleet-answer-stats.js';
 import { recordOf } from './backend-records.js';
 
@@ -82,8 +82,8 @@
   Object.assign(one(all, 5).fleet, { answered: 2, answerMs: 60, short: 2 });
   t.same(passedOver(failing, all, 0), [3], 'two are too few to say');
   t.same([...failing.ejectedByFailure(0)], [['answers-short', 1]]);
-  const shown = { stalled: 0, busy: 0, answered: 10, answerMs: 30, short: 8 };
-  const news = [{ backendId: 'backend-3', failure: 'answers-short', holdMs: 1_000, shown }];
+  const evidence = { stalled: 0, busy: 0, answered: 10, answerMs: 30, short: 8 };
+  const news = [{ backendId: 'backend-3', failure: 'answers-short', holdMs: 1_000, evidence }];
   t.same(failing.takeEjections(), news, 'the logs say what it is held for');
   passedOver(failing, all, 100);
   t.same(failing.takeEjections(), [], 'once');
--- a/test/registered/decisions/outliers.test.ts
+++ b/test/registered/decisions/ejection-by-load.test.ts
@@ -5,7 +5,7 @@
 import t from 'tap';
 import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
 import { recordOf, takeIn } from './backend-records.js';
-import { withoutLoadOutliers } from '../../../src/registered/decisions/outliers.js';
+import { withoutEjectedByLoad } from '../../../src/registered/decisions/ejection/by-load.js';
 
 function backendsWith(busyOf: readonly number[]): KnownBackend[] {
   const table = new BackendTable(1_200);
@@ -18,7 +18,7 @@
 /** @returns the numbers of those that are left out */
 function leftOut(busyOf: readonly number[]): number[] {
   const all = backendsWith(busyOf);
-  const kept = new Set(withoutLoadOutliers(all));
+  const kept = new Set(withoutEjectedByLoad(all));
   return all.flatMap((backend, index) => (kept.has(backend) ? [] : [index + 1]));
 }
 
--- a/test/registered/ingress/feed-source.test.ts
+++ b/test/registered/decisions/feed-source.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import type { Address } from '../../../src/shared/common/address.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
-import { FeedSource } from '../../../src/registered/ingress/feed-source.js';
+import { FeedSource } from '../../../src/registered/decisions/feed-source.js';
 
 const STEP_MS = 100;
 const CONTROLS: readonly Address[] = [1, 2, 3].map((number) => ({
@@ -18,16 +18,16 @@
 ): { readonly currentAtMs: number | undefined } {
   let linked: Address | undefined;
   for (let nowMs = 0; nowMs <= untilMs; nowMs += STEP_MS) {
-    const action = source.act(nowMs);
+    const action = source.nextAction(nowMs);
     if (action.type === 'close') {
       linked = undefined;
-      source.closed(nowMs);
+      source.recordClosed(nowMs);
     } else if (action.type === 'connect') {
       linked = action.address;
     }
     const answer = linked === undefined ? 'silent' : behaviour(linked);
     if (answer !== 'silent') {
-      source.heard(answer === 'current', nowMs);
+      source.recordMessage(answer === 'current', nowMs);
     }
     if (answer === 'current') {
       return { currentAtMs: nowMs };
@@ -63,19 +63,19 @@
 function follow(source: FeedSource, fromMs: number, untilMs: number, failing: string[] = []) {
   const connects: { readonly host: string; readonly atMs: number }[] = [];
   for (let nowMs = fromMs; nowMs < untilMs; nowMs += STEP_MS) {
-    const action = source.act(nowMs);
+    const action = source.nextAction(nowMs);
     if (action.type === 'close') {
-      source.closed(nowMs);
+      source.recordClosed(nowMs);
     } else if (action.type === 'connect') {
       connects.push({ host: action.address.host, atMs: nowMs });
       if (failing.includes(action.address.host)) {
-        source.closed(nowMs);
+        source.recordClosed(nowMs);
       } else {
-        source.heard(true, nowMs);
-        source.takeControls(zoned);
+        source.recordMessage(true, nowMs);
+        source.applyControls(zoned);
       }
     } else {
-      source.heard(true, nowMs);
+      source.recordMessage(true, nowMs);
     }
   }
   return connects;
@@ -119,20 +119,20 @@
 
 t.test('a link that brings some of a message now and then is not silent', async (t) => {
   const source = new FeedSource({ seeds: CONTROLS, zone: 'zone-a', spread: 0 }, widestTiming.feed);
-  source.act(0);
+  source.nextAction(0);
   for (let nowMs = 0; nowMs < 5_000; nowMs += 500) {
-    source.progressed(nowMs);
-    t.equal(source.act(nowMs + 400).type, 'wait');
+    source.recordProgress(nowMs);
+    t.equal(source.nextAction(nowMs + 400).type, 'wait');
   }
-  t.equal(source.act(6_000).type, 'close', 'and is once that ends');
+  t.equal(source.nextAction(6_000).type, 'close', 'and is once that ends');
 });
 
 t.test('balancers of a zone with several control machines spread over them', async (t) => {
   const inOneZone = CONTROLS.map((linkAddress) => ({ linkAddress, zone: 'zone-b' }));
   const chosen = Array.from({ length: 30 }, (_, spread) => {
     const source = new FeedSource({ seeds: [], zone: 'zone-b', spread }, widestTiming.feed);
-    source.takeControls(inOneZone);
-    const action = source.act(0);
+    source.applyControls(inOneZone);
+    const action = source.nextAction(0);
     return action.type === 'connect' ? action.address.host : undefined;
   });
   for (const { host } of CONTROLS) {
@@ -144,25 +144,25 @@
   const seeker = { seeds: CONTROLS, zone: 'zone-b', spread: 0 };
   const closeAfter = (prepare: (source: FeedSource) => void, nowMs: number) => {
     const source = new FeedSource(seeker, widestTiming.feed);
-    source.act(0);
+    source.nextAction(0);
     prepare(source);
-    return source.act(nowMs);
+    return source.nextAction(nowMs);
   };
   t.same(
     closeAfter(() => undefined, 2_000),
     { type: 'close', why: 'no-feed' },
   );
   t.same(
-    closeAfter((source) => source.heard(true, 0), 2_000),
+    closeAfter((source) => source.recordMessage(true, 0), 2_000),
     { type: 'close', why: 'silent' },
   );
   t.same(
-    closeAfter((source) => source.heard(false, 0), 500),
+    closeAfter((source) => source.recordMessage(false, 0), 500),
     { type: 'close', why: 'not-current' },
   );
   const current = (source: FeedSource) => {
-    source.takeControls(zoned);
-    source.heard(true, 2_900);
+    source.applyControls(zoned);
+    source.recordMessage(true, 2_900);
   };
   t.same(closeAfter(current, 3_000), { type: 'close', why: 'returns-to-own-zone' });
 });
--- a/test/registered/ingress/open-claims.test.ts
+++ b/test/registered/decisions/open-claims.test.ts
@@ -12,7 +12,7 @@
 import { createOpenSharing } from '../../../src/registered/daemon/open-sharing.js';
 import type { OpenMessage } from '../../../src/registered/group/message-schemas.js';
 import { createIngressState } from '../../../src/registered/ingress/ingress-state.js';
-import { createOpenClaims } from '../../../src/registered/ingress/open-claims.js';
+import { createOpenClaims } from '../../../src/registered/decisions/open-claims.js';
 import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import {
   flowKeyOf,
--- a/test/registered/decisions/placement.test.ts
+++ b/test/registered/decisions/placement.test.ts
@@ -62,7 +62,7 @@
     services: [{ name: 'alpha' }],
     idleTimeoutMs: 15_000,
   };
-  state.routes.take(wholeUpdate(config));
+  state.routes.applyUpdate(wholeUpdate(config));
   state.currentAtMs = 0;
   state.firstCurrentAtMs = 0;
   for (let number = 1; number <= count; number += 1) {
--- a/test/registered/group/config-history.test.ts
+++ b/test/registered/group/config-history.test.ts
@@ -56,11 +56,11 @@
       all.forEach((config, at) => {
         history.take(configOf(10 * (at + 1), config));
         if (at === heldAt) {
-          table.take(wholeUpdate(configOf(10 * (at + 1), config)));
+          table.applyUpdate(wholeUpdate(configOf(10 * (at + 1), config)));
         }
       });
       const update = history.updateFrom(table.config?.version ?? 0);
-      if (update !== undefined && table.take(update) !== 'taken') {
+      if (update !== undefined && table.applyUpdate(update) !== 'taken') {
         return false;
       }
       return (
@@ -96,8 +96,8 @@
   const update = updateBetween(before, { ...before, version: 2, idleTimeoutMs: 9_000 });
   t.same(update.changes, []);
   const table = new RouteTable();
-  table.take(wholeUpdate(before));
-  t.equal(table.take(update), 'taken');
+  table.applyUpdate(wholeUpdate(before));
+  t.equal(table.applyUpdate(update), 'taken');
   t.same(table.config, { version: 2, idleTimeoutMs: 9_000, warmUps: new Map() });
   t.same(partOf(update, 0, 10).changeCount, 0);
 });
--- a/test/registered/ingress/mutants.test.ts
+++ b/test/registered/ingress/mutants.test.ts
@@ -55,7 +55,7 @@
     breakWorld: (world) =>
       world.balancers.forEach(({ process }) => {
         if (process !== undefined) {
-          process.state.routes.take = () => 'known';
+          process.state.routes.applyUpdate = () => 'known';
         }
       }),
   },
--- a/test/registered/ingress/peer-table.test.ts
+++ b/test/registered/ingress/peer-table.test.ts
@@ -3,7 +3,7 @@
 import {
   ASKED_HOLDERS,
   createPeerTable,
-  TOLD_HOLDERS,
+  NOTIFIED_HOLDERS,
 } from '../../../src/registered/ingress/peer-table.js';
 
 const BALANCERS = 88;
@@ -46,7 +46,7 @@
   const placing = tableOf(1);
   const asking = tableOf(2);
   for (let key = 0; key < KEYS; key += 1) {
-    const told = namesOf(placing.holdersOf(`flow-${key}`, TOLD_HOLDERS));
+    const told = namesOf(placing.holdersOf(`flow-${key}`, NOTIFIED_HOLDERS));
     const [lost = ''] = told;
     asking.applyChanges(all, []);
     asking.applyChanges([], [lost]);
@@ -67,11 +67,11 @@
   table.applyChanges(all, []);
   const counts = new Map<string, number>();
   for (let key = 0; key < KEYS; key += 1) {
-    for (const name of namesOf(table.holdersOf(`flow-${key}`, TOLD_HOLDERS))) {
+    for (const name of namesOf(table.holdersOf(`flow-${key}`, NOTIFIED_HOLDERS))) {
       counts.set(name, (counts.get(name) ?? 0) + 1);
     }
   }
-  const mean = (KEYS * TOLD_HOLDERS) / BALANCERS;
+  const mean = (KEYS * NOTIFIED_HOLDERS) / BALANCERS;
   t.equal(counts.size, BALANCERS);
   t.ok(Math.max(...counts.values()) < 2 * mean);
 });
--- a/test/registered/ingress/route-table.test.ts
+++ b/test/registered/ingress/route-table.test.ts
@@ -29,7 +29,7 @@
   const weights = [90, 7, 3];
   const total = 100;
   const table = new RouteTable();
-  table.take(config(1, weights));
+  table.applyUpdate(config(1, weights));
   const taken = new Map<string, number>();
   for (let flows = 1; flows <= 500; flows += 1) {
     const service = table.nextService(HOST, PORT) ?? '';
@@ -47,16 +47,16 @@
 
 t.test('a target without weight takes nothing', async (t) => {
   const table = new RouteTable();
-  table.take(config(1, [1, 0]));
+  table.applyUpdate(config(1, [1, 0]));
   const services = Array.from({ length: 20 }, () => table.nextService(HOST, PORT));
   t.same(new Set(services), new Set(['service-0']));
 });
 
 t.test('an older configuration, or the same again, changes nothing', async (t) => {
   const table = new RouteTable();
-  t.equal(table.take(config(5, [1])), 'taken');
-  t.equal(table.take(config(4, [0, 1])), 'known');
-  t.equal(table.take(config(5, [0, 1])), 'known');
+  t.equal(table.applyUpdate(config(5, [1])), 'taken');
+  t.equal(table.applyUpdate(config(4, [0, 1])), 'known');
+  t.equal(table.applyUpdate(config(5, [0, 1])), 'known');
   t.equal(table.nextService(HOST, PORT), 'service-0');
   t.equal(table.nextService(HOST, PORT + 1), undefined);
 });
