--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -159,7 +159,8 @@
   }
 }
 
-function feedAgeMs({ currentAtMs }: IngressState, nowMs: number): number | undefined {
+function feedAgeMs({ feedStatus }: IngressState, nowMs: number): number | undefined {
+  const { currentAtMs } = feedStatus;
   return currentAtMs === undefined ? undefined : Math.round(nowMs - currentAtMs);
 }
 
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -22,7 +22,7 @@
 } from '../ingress/packet-step.js';
 import type { PacketCodec } from '../ingress/packet-codec.js';
 import { flowKeyOf, type PacketView } from '../ingress/packet-view.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import { LIVENESS_LABELS } from '../registry/backend-liveness.js';
 import type { PacketLabel } from '../egress/packet-scheduler.js';
 import type { DecisionFields } from './decision-log.js';
@@ -147,7 +147,7 @@
 
   /** Not ready from now on; packets are forwarded as before. */
   leave(): void {
-    this.state.isStopping = true;
+    this.state.beginStop();
   }
 
   /** Takes a datagram of a client. */
@@ -237,7 +237,7 @@
         load: Math.round(foundBy.load * LOAD_DIGITS) / LOAD_DIGITS,
       }),
       backend: backend.id,
-      liveness: LIVENESS_LABELS[backend.liveness],
+      liveness: LIVENESS_LABELS[backend.registration.liveness],
       config: routes.config?.version,
       evacuated: zones.describeEvacuated(this.surroundings.nowMs()),
       feedAgeMs: this.feed.feedAgeMs(),
@@ -253,7 +253,7 @@
         flow: describeFlow(packet),
         seq: packet.sequence,
         backend: backend.id,
-        departure: backend.departure,
+        departure: backend.registration.departure,
       });
     }
   }
@@ -285,7 +285,7 @@
     if (nowMs >= this.nextSweepAtMs) {
       this.nextSweepAtMs = nowMs + SWEEP_INTERVAL_MS;
       ingressSweep(this.state, nowMs).forEach(({ backend, from, to }) => {
-        const silentMs = Math.round(nowMs - backend.lastHeartbeatAtMs);
+        const silentMs = Math.round(nowMs - backend.registration.lastHeartbeatAtMs);
         this.surroundings.note('backend judged', {
           backend: backend.id,
           from: LIVENESS_LABELS[from],
--- a/src/registered/daemon/metrics/ingress-metrics.ts
+++ b/src/registered/daemon/metrics/ingress-metrics.ts
@@ -6,6 +6,7 @@
 import type { AnswerStats } from '../../load-exchange/answer-stats.js';
 import { LIVENESS_LABELS } from '../../registry/backend-liveness.js';
 import { knowsCurrent } from '../../ingress/ingress-state.js';
+import { busyInFleet } from '../../ingress/known-backend.js';
 import type { IngressProcess } from '../ingress-process.js';
 import type { MetricsSource } from '../../../shared/daemon/metrics/metrics-listener.js';
 import {
@@ -79,9 +80,9 @@
     'Requests that seem to be in progress at a back end, over all balancers.',
     'backend',
     () =>
-      [...state.backends.all()].map(({ id, own, fleet }) => ({
-        label: id,
-        value: own.busy + fleet.busy,
+      [...state.backends.all()].map((backend) => ({
+        label: backend.id,
+        value: busyInFleet(backend),
       })),
   );
   registerLabelledValues(
@@ -91,8 +92,8 @@
     'state',
     () => {
       const counts = new Map<string, number>();
-      for (const { departure, liveness } of state.backends.all()) {
-        const label = departure ?? LIVENESS_LABELS[liveness];
+      for (const { registration } of state.backends.all()) {
+        const label = registration.departure ?? LIVENESS_LABELS[registration.liveness];
         counts.set(label, (counts.get(label) ?? 0) + 1);
       }
       return [...counts].map(([label, value]) => ({ label, value }));
@@ -156,7 +157,8 @@
     'feed_age_seconds',
     'Time since a control machine said that what it tells is current.',
     () => {
-      return state.currentAtMs === undefined ? -1 : (nowMs() - state.currentAtMs) / MS_PER_SECOND;
+      const { currentAtMs } = state.feedStatus;
+      return currentAtMs === undefined ? -1 : (nowMs() - currentAtMs) / MS_PER_SECOND;
     },
   );
   value('knows_current', '1 where what is known here was current a moment ago.', () =>
--- a/src/registered/decisions/answer-times.ts
+++ b/src/registered/decisions/answer-times.ts
@@ -6,7 +6,7 @@
  * The time holds what a request waits there as well, so a fast back end that is crowded counts as slower by itself.
  */
 import type { AnswerStats } from '../load-exchange/answer-stats.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import type { ObservedBackend } from './fleet-answer-stats.js';
 
 /** How long a back end takes, as a share of what its service takes on average: 2 is twice as slow. */
--- a/src/registered/decisions/dead-flow.ts
+++ b/src/registered/decisions/dead-flow.ts
@@ -6,7 +6,7 @@
  * again while it is slow, or a link loses. Two sources that do not share a path are needed: what control machines
  * say of its heartbeats, and a client whose data nobody takes.
  */
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import type { MechanismSwitches } from './mechanism-switches.js';
 
 /** Data that a client has sent, and sends again where nobody has acknowledged it. */
@@ -41,13 +41,13 @@
   { isFeedCurrent, isReplaced, unanswered }: DeadFlowEvidence,
   policy: MechanismSwitches,
 ): boolean {
-  if (policy.deadFlows === 'left' || !isFeedCurrent || backend.liveness === 'alive') {
+  if (policy.deadFlows === 'left' || !isFeedCurrent || backend.registration.liveness === 'alive') {
     return false;
   }
   const { repeats, sinceMs } = unanswered;
-  if (backend.lastProgressAtMs > sinceMs) {
+  if (backend.local.lastProgressAtMs > sinceMs) {
     // Some client has got something from it meanwhile.
     return false;
   }
-  return repeats >= REPEATS_OF_PROOF || (backend.liveness === 'dead' && isReplaced);
+  return repeats >= REPEATS_OF_PROOF || (backend.registration.liveness === 'dead' && isReplaced);
 }
--- a/src/registered/decisions/ejection/by-answers.ts
+++ b/src/registered/decisions/ejection/by-answers.ts
@@ -11,7 +11,7 @@
  * over for twice as long each time that it fails again.
  */
 import type { AnswerStats } from '../../load-exchange/answer-stats.js';
-import type { KnownBackend } from '../../ingress/backend-table.js';
+import type { KnownBackend } from '../../ingress/known-backend.js';
 import type { ObservedBackend } from '../fleet-answer-stats.js';
 
 /** Says which back ends to pass over. */
@@ -151,12 +151,12 @@
   }
 
   /** One that stalled is sound once somebody gets something from it; all are forgotten after a while without a sign. */
-  function release({ id, lastProgressAtMs }: KnownBackend, nowMs: number): void {
+  function release({ id, local }: KnownBackend, nowMs: number): void {
     const known = held.get(id);
     if (known === undefined) {
       return;
     }
-    const hasRecovered = known.failure === 'stalls' && lastProgressAtMs > known.failedAtMs;
+    const hasRecovered = known.failure === 'stalls' && local.lastProgressAtMs > known.failedAtMs;
     if (hasRecovered || nowMs - known.untilMs > LONGEST_HOLD_MS) {
       held.delete(id);
     }
@@ -201,7 +201,7 @@
 
 function isStalled(backend: KnownBackend, { stalled }: AnswerStats, nowMs: number): boolean {
   const isMost = stalled >= LEAST_STALLED && stalled >= STALLED_SHARE * busyAt(backend);
-  return isMost && nowMs - backend.lastProgressAtMs >= QUIET_MS;
+  return isMost && nowMs - backend.local.lastProgressAtMs >= QUIET_MS;
 }
 
 function answersShort({ answered, short }: AnswerStats, service: AnswersOfService): boolean {
@@ -212,6 +212,6 @@
 }
 
 /** @returns requests in progress at all balancers */
-function busyAt({ own, fleet }: KnownBackend): number {
-  return own.busy + fleet.busy;
+function busyAt({ local, fleet }: KnownBackend): number {
+  return local.busy + fleet.busy;
 }
--- a/src/registered/decisions/ejection/by-load.ts
+++ b/src/registered/decisions/ejection/by-load.ts
@@ -9,7 +9,7 @@
  * They are passed over while they stand out. What hangs there is counted for some seconds at most, so a back end that
  * works again gets new flows again by itself.
  */
-import type { KnownBackend } from '../../ingress/backend-table.js';
+import type { KnownBackend } from '../../ingress/known-backend.js';
 
 /** Requests in progress for each slot below which no back end stands out: its slots and its queue may bear as many. */
 const LEAST_PER_SLOT = 3;
@@ -36,6 +36,6 @@
 }
 
 /** @returns what all balancers together seem to have in progress there */
-function perSlot({ own, fleet, record }: KnownBackend): number {
-  return (own.busy + fleet.busy) / Math.max(1, record.capacity);
+function perSlot({ local, fleet, registration }: KnownBackend): number {
+  return (local.busy + fleet.busy) / Math.max(1, registration.record.capacity);
 }
--- a/src/registered/decisions/fleet-answer-stats.ts
+++ b/src/registered/decisions/fleet-answer-stats.ts
@@ -2,11 +2,11 @@
  * @file How a back end answers at all balancers together.
  */
 import type { AnswerStats } from '../load-exchange/answer-stats.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 
 /** @returns what is seen here, and what was told of all others */
-export function fleetAnswerStats({ answers, fleet }: KnownBackend, nowMs: number): AnswerStats {
-  const own = answers.stats(nowMs);
+export function fleetAnswerStats({ local, fleet }: KnownBackend, nowMs: number): AnswerStats {
+  const own = local.answers.stats(nowMs);
   return {
     stalled: own.stalled + fleet.stalled,
     answered: own.answered + fleet.answered,
--- a/src/registered/decisions/placement.ts
+++ b/src/registered/decisions/placement.ts
@@ -7,7 +7,7 @@
  * send all opens of that time to the same one. It decides between zones, whose sums change slowly.
  */
 import type { Liveness } from '../registry/backend-liveness.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import { drawBySpeed } from './speed-draw.js';
 import { withoutEjectedByLoad } from './ejection/by-load.js';
 import { createEjectionByAnswers, type EjectionByAnswers } from './ejection/by-answers.js';
@@ -79,9 +79,9 @@
   }
 
   function loadOf(backend: KnownBackend, nowMs: number): number {
-    const { own, fleet, record } = backend;
-    const busy = own.busy + (countsTold ? fleet.busy : 0);
-    const perSlot = busy / Math.max(1, record.capacity);
+    const { local, fleet, registration } = backend;
+    const busy = local.busy + (countsTold ? fleet.busy : 0);
+    const perSlot = busy / Math.max(1, registration.record.capacity);
     return isCold(backend, nowMs) ? perSlot + COLD_PENALTY : perSlot;
   }
 }
@@ -109,7 +109,7 @@
 /** Those that were heard of lately; where there are none, those that were silent for a while. */
 function bestHeard(staying: readonly KnownBackend[]): readonly KnownBackend[] {
   const judgedAs = (liveness: Liveness) =>
-    staying.filter((backend) => backend.liveness === liveness);
+    staying.filter((backend) => backend.registration.liveness === liveness);
   const heard = judgedAs('alive');
   return heard.length > 0 ? heard : judgedAs('suspect');
 }
--- a/src/registered/decisions/service-estimates.ts
+++ b/src/registered/decisions/service-estimates.ts
@@ -6,7 +6,7 @@
  * What must hold for each flow, such as who leaves, is cold or busy here, is not part of it.
  */
 import { relativeTimes } from './answer-times.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import { observeAll } from './fleet-answer-stats.js';
 import type { EjectionByAnswers } from './ejection/by-answers.js';
 
--- a/src/registered/decisions/slow-start.ts
+++ b/src/registered/decisions/slow-start.ts
@@ -8,7 +8,7 @@
  * not fit goes to other back ends.
  */
 import type { ServiceWarmUp } from '../declared/declared-config.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import type { PeerTable } from '../ingress/peer-table.js';
 import type { ZoneTable } from '../ingress/zone-table.js';
 
@@ -62,14 +62,14 @@
   return { isCold, admits, recordPlacement };
 
   function isCold(backend: KnownBackend, nowMs: number): boolean {
-    return nowMs < backend.warmUntilMs || nowMs < coldSinceReadmission(backend);
+    return nowMs < backend.registration.warmUntilMs || nowMs < coldSinceReadmission(backend);
   }
 
   /** @returns until when a back end may be cold that has surely told nothing since its zone was readmitted */
-  function coldSinceReadmission({ zone, service, recordSentAtMs }: KnownBackend): number {
+  function coldSinceReadmission({ zone, service, registration }: KnownBackend): number {
     const readmittedAtMs = zones.readmittedAtMs(zone);
     const lateMs = LATE_HEARTBEAT_INTERVALS * options.heartbeatIntervalMs;
-    return readmittedAtMs === undefined || recordSentAtMs > readmittedAtMs + lateMs
+    return readmittedAtMs === undefined || registration.recordReceivedAtMs > readmittedAtMs + lateMs
       ? Number.NEGATIVE_INFINITY
       : readmittedAtMs + (warmUpOf(service)?.warmUpMs ?? 0);
   }
--- a/src/registered/decisions/speed-draw.ts
+++ b/src/registered/decisions/speed-draw.ts
@@ -10,7 +10,7 @@
  * 250 ms in place of 1.6 %; with equal ones there is no difference. The better of two that are drawn by speed took
  * 48 to 56 ms there at equal ones: all balancers went for the same estimates (`test/registered/decisions/choice-load`).
  */
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import type { SpeedWeights } from './service-estimates.js';
 
 /** What a choice follows from, beside the back ends. */
@@ -36,8 +36,8 @@
   return idlest[drawAt(weights, mixed(flowHash) / HASH_VALUES)];
 }
 
-function slotsOf({ record }: KnownBackend): number {
-  return Math.max(1, record.capacity);
+function slotsOf({ registration }: KnownBackend): number {
+  return Math.max(1, registration.record.capacity);
 }
 
 /** @returns which of the weights a point from 0 to 1 falls on; equal weights take equal parts */
--- a/src/registered/decisions/zone-choice.ts
+++ b/src/registered/decisions/zone-choice.ts
@@ -2,7 +2,7 @@
  * @file Which zones the back end of a new flow is looked for in: the own one, others only where it has none or is
  * clearly busier.
  */
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import type { MechanismSwitches } from './mechanism-switches.js';
 
 /** Narrows back ends to those of the zones that come first. */
@@ -36,9 +36,9 @@
   function zoneLoad(backends: readonly KnownBackend[]): number {
     let busy = 0;
     let slots = 0;
-    for (const { own, fleet, record } of backends) {
-      busy += own.busy + (policy.toldLoads === 'ignored' ? 0 : fleet.busy);
-      slots += Math.max(1, record.capacity);
+    for (const { local, fleet, registration } of backends) {
+      busy += local.busy + (policy.toldLoads === 'ignored' ? 0 : fleet.busy);
+      slots += Math.max(1, registration.record.capacity);
     }
     return busy / Math.max(1, slots);
   }
--- a/src/registered/ingress/feed-step.ts
+++ b/src/registered/ingress/feed-step.ts
@@ -9,16 +9,8 @@
   type PackedLoads,
 } from '../load-exchange/backend-load.js';
 import { packAnswerStats, type PackedAnswerStats } from '../load-exchange/answer-stats.js';
-import type { Liveness } from '../registry/backend-liveness.js';
-import type { KnownBackend } from './backend-table.js';
 import type { IngressState } from './ingress-state.js';
-
-/** A back end that is judged otherwise than before. */
-export interface LivenessTransition {
-  readonly backend: KnownBackend;
-  readonly from: Liveness;
-  readonly to: Liveness;
-}
+import type { LivenessTransition } from './liveness-log.js';
 
 /** Loads that were told count until the feed has not been current for so long. */
 const LOADS_LIFETIME_MS = 2_000;
@@ -39,29 +31,28 @@
   nowMs: number,
 ): ConfigOutcome {
   state.zones.applyUpdates(message.zones ?? [], nowMs);
-  noteTransfer(state, message);
+  state.fullSync.collect(message);
   const { records, judgements, departures, balancers = [], lostBalancers = [] } = message;
   const { backends, peers } = state;
   records?.forEach((aged) => backends.applyRecord(aged, nowMs));
   judgements?.forEach((judgement) => backends.applyLiveness(judgement, nowMs));
   departures?.forEach((departure) => backends.applyDeparture(departure, nowMs));
   peers.applyChanges(balancers, lostBalancers);
-  endTransfer(state, message, nowMs);
+  endFullSync(state, message, nowMs);
   if (message.loads !== undefined) {
     backends.applyFleetLoads(message.loads);
   }
   if (message.signals !== undefined) {
     backends.applyFleetAnswerStats(message.signals);
   }
-  const taken = takeConfig(state, message);
-  if (message.isCurrent && message.isComplete && taken.type !== 'unfit') {
-    state.currentAtMs = nowMs;
-    state.firstCurrentAtMs ??= nowMs;
+  const outcome = applyConfig(state, message);
+  if (message.isCurrent && message.isComplete && outcome.type !== 'unfit') {
+    state.feedStatus.recordCurrent(nowMs);
   }
-  return taken;
+  return outcome;
 }
 
-function takeConfig({ routes, assembly }: IngressState, { config }: FeedMessage): ConfigOutcome {
+function applyConfig({ routes, assembly }: IngressState, { config }: FeedMessage): ConfigOutcome {
   if (config === undefined || config.version <= (routes.config?.version ?? NO_VERSION)) {
     return { type: 'unchanged' };
   }
@@ -69,33 +60,21 @@
   if (part.type !== 'complete') {
     return part.type === 'unfit' ? part : { type: 'unchanged' };
   }
-  const taken = routes.applyUpdate(part.update);
-  return taken === 'taken'
+  const applied = routes.applyUpdate(part.update);
+  return applied === 'applied'
     ? { type: 'in-force', version: part.update.version }
-    : { type: taken === 'unfit' ? 'unfit' : 'unchanged' };
+    : { type: applied === 'unfit' ? 'unfit' : 'unchanged' };
 }
 
-/** From the first message of a whole state on, what is named counts. */
-function noteTransfer(state: IngressState, message: FeedMessage): void {
-  const { transfer, records = [], balancers = [] } = message;
-  if (transfer === 'begins' || transfer === 'whole') {
-    state.fullSync = { backendIds: new Set(), balancerNames: new Set() };
-  }
-  records.forEach(({ record }) => state.fullSync?.backendIds.add(record.id));
-  balancers.forEach(({ name }) => state.fullSync?.balancerNames.add(name));
-}
-
-/** After the last one, what was not named is doubted. */
-function endTransfer(state: IngressState, message: FeedMessage, nowMs: number): void {
-  const { transfer, isCurrent } = message;
-  if (state.fullSync === undefined || (transfer !== 'ends' && transfer !== 'whole')) {
+/** With the last message of a full sync, what it has not named is unknown to the control machine. */
+function endFullSync(state: IngressState, message: FeedMessage, nowMs: number): void {
+  const named = state.fullSync.finish(message);
+  if (named === undefined) {
     return;
   }
-  const { backendIds, balancerNames } = state.fullSync;
-  state.fullSync = undefined;
-  state.peers.retain(balancerNames);
-  if (isCurrent) {
-    state.backends.suspectAllBut(backendIds, nowMs);
+  state.peers.retain(named.balancerNames);
+  if (message.isCurrent) {
+    state.backends.suspectAllBut(named.backendIds, nowMs);
   }
 }
 
@@ -104,9 +83,9 @@
  */
 export function ownLoads(state: IngressState): PackedLoads {
   const loads: BackendLoadEntry[] = [];
-  for (const { token, own } of state.backends.all()) {
-    if (own.busy > 0) {
-      loads.push({ token, busy: own.busy });
+  for (const { token, local } of state.backends.all()) {
+    if (local.busy > 0) {
+      loads.push({ token, busy: local.busy });
     }
   }
   return packLoads(loads);
@@ -117,7 +96,9 @@
  */
 export function ownAnswerStats(state: IngressState, nowMs: number): PackedAnswerStats {
   return packAnswerStats(
-    [...state.backends.all()].map(({ token, answers }) => [token, answers.stats(nowMs)] as const),
+    [...state.backends.all()].map(
+      ({ token, local }) => [token, local.answers.stats(nowMs)] as const,
+    ),
   );
 }
 
@@ -128,15 +109,9 @@
 export function ingressSweep(state: IngressState, nowMs: number): LivenessTransition[] {
   state.activities.sweep(nowMs);
   state.backends.forget(nowMs, state.options.flowLifetimeMs);
-  if (nowMs - (state.currentAtMs ?? nowMs) > LOADS_LIFETIME_MS) {
+  if (nowMs - (state.feedStatus.currentAtMs ?? nowMs) > LOADS_LIFETIME_MS) {
     state.backends.applyFleetLoads([]);
     state.backends.applyFleetAnswerStats([]);
   }
-  return [...state.backends.all()].flatMap(judgedAnew);
-}
-
-function judgedAnew(backend: KnownBackend): LivenessTransition[] {
-  const { loggedLiveness: from, liveness: to } = backend;
-  backend.loggedLiveness = to;
-  return from === to ? [] : [{ backend, from, to }];
+  return state.livenessLog.transitions(state.backends.all());
 }
--- a/src/registered/ingress/flow-activity.ts
+++ b/src/registered/ingress/flow-activity.ts
@@ -3,7 +3,7 @@
  * request is in progress from its first data until the client acknowledges bytes of the answer. It
  * serves placement only; no packet of an established flow needs it, and it may be lost at any time.
  */
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from './known-backend.js';
 import type { UnansweredData } from '../decisions/dead-flow.js';
 import { createAnswerSizes } from '../decisions/answer-sizes.js';
 import { routeKey, type FlowKey, type PacketView } from './packet-view.js';
@@ -136,11 +136,11 @@
     this.setStalled(flow, false);
     this.setBusy(flow, !isAnswer);
     flow.acknowledgedAtRequest = packet.acknowledged;
-    flow.backend.lastProgressAtMs = nowMs;
+    flow.backend.local.recordProgress(nowMs);
   }
 
   private noteAnswer(flow: FlowActivity, packet: PacketView, bytes: number, nowMs: number): void {
-    const { answers } = flow.backend;
+    const { answers } = flow.backend.local;
     if (this.sizes.isShort(routeKey(packet.destinationHost, packet.destinationPort), bytes)) {
       answers.recordShortAnswer(nowMs);
     } else if (flow.wentOutAtOnce && flow.repeats === 0) {
@@ -163,7 +163,7 @@
     }
     const isKnown = flow.sentEnd !== 0 || flow.isBusy;
     if (isKnown && packet.acknowledged !== flow.acknowledgedAtRequest) {
-      flow.backend.lastProgressAtMs = nowMs;
+      flow.backend.local.recordProgress(nowMs);
     }
     flow.sentEnd = end;
     flow.endSentAtMs = nowMs;
@@ -219,14 +219,14 @@
   private setBusy(flow: FlowActivity, isBusy: boolean): void {
     if (flow.isBusy !== isBusy) {
       flow.isBusy = isBusy;
-      flow.backend.own.busy += isBusy ? 1 : -1;
+      flow.backend.local.changeBusy(isBusy ? 1 : -1);
     }
   }
 
   private setStalled(flow: FlowActivity, isStalled: boolean): void {
     if (flow.isStalled !== isStalled) {
       flow.isStalled = isStalled;
-      flow.backend.answers.changeStalled(isStalled ? 1 : -1);
+      flow.backend.local.answers.changeStalled(isStalled ? 1 : -1);
     }
   }
 }
--- a/src/registered/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -4,6 +4,9 @@
 import type { FeedTiming } from '../group/timing.js';
 import { createConfigAssembly, type ConfigAssembly } from './config-assembly.js';
 import { createSlowStart, type SlowStartBounds, type SlowStart } from '../decisions/slow-start.js';
+import { createFeedStatus, type FeedStatus } from './feed-status.js';
+import { createFullSync, type FullSync } from './full-sync.js';
+import { createLivenessLog, type LivenessLog } from './liveness-log.js';
 import { createZoneTable, type ZoneTable } from './zone-table.js';
 import { BackendTable } from './backend-table.js';
 import { FlowActivities } from './flow-activity.js';
@@ -57,28 +60,22 @@
   return Math.min(MAX_COUNTED_FLOWS, Math.floor(budgetBytes / BYTES_PER_COUNTED_FLOW));
 }
 
-/** What a whole state has named so far. */
-export interface FullSync {
-  readonly backendIds: Set<string>;
-  readonly balancerNames: Set<string>;
-}
-
 /** The state of one balancer. */
 export interface IngressState {
   readonly options: IngressOptions;
   readonly routes: RouteTable;
   /** The parts of a newer configuration that have come. */
   readonly assembly: ConfigAssembly;
-  /** What a whole state that is under way has named; undefined where none is. */
-  fullSync: FullSync | undefined;
+  readonly fullSync: FullSync;
   readonly backends: BackendTable;
   readonly opens: OpenMemory;
   readonly activities: FlowActivities;
-  /** When a control machine last said that what it tells is current; undefined for never. */
-  currentAtMs: number | undefined;
-  /** When it said so first. */
-  firstCurrentAtMs: number | undefined;
-  isStopping: boolean;
+  readonly feedStatus: FeedStatus;
+  /** What the logs have said of back ends. */
+  readonly livenessLog: LivenessLog;
+  /** True once a planned stop has begun. */
+  readonly isStopping: boolean;
+  beginStop(): void;
   readonly peers: PeerTable;
   /** Which zones take no new flows. */
   readonly zones: ZoneTable;
@@ -98,19 +95,21 @@
   const routes = new RouteTable();
   const peers = createPeerTable(options.name);
   const zones = createZoneTable();
+  const feedStatus = createFeedStatus(options.feed.freshMs);
+  let isStopping = false;
   const slowStart = createSlowStart({
     bounds: options.slowStartBounds,
     heartbeatIntervalMs: options.heartbeatIntervalMs,
     zones,
     peers,
     warmUpOf: (service) => routes.config?.warmUps.get(service),
-    knowsOthers: (nowMs) => knowsCurrent(state, nowMs),
+    knowsOthers: (nowMs) => feedStatus.isCurrent(nowMs),
   });
-  const state: IngressState = {
+  return {
     options,
     routes,
     assembly: createConfigAssembly(),
-    fullSync: undefined,
+    fullSync: createFullSync(),
     backends: new BackendTable(options.heartbeatIntervalMs),
     opens: new OpenMemory(OPEN_LIFETIME_MS),
     activities: new FlowActivities(
@@ -118,23 +117,27 @@
       options.maxCountedFlows,
       isLinkFree,
     ),
-    currentAtMs: undefined,
-    firstCurrentAtMs: undefined,
-    isStopping: false,
+    feedStatus,
+    livenessLog: createLivenessLog(),
+    get isStopping() {
+      return isStopping;
+    },
+    beginStop: () => {
+      isStopping = true;
+    },
     peers,
     zones,
     slowStart,
     placement: createPlacement(options.zone, options.switches, slowStart),
     stallGuard: createStallGuard({ stallMs: OPEN_STALL_MS, rememberedMs: OPEN_LIFETIME_MS }),
   };
-  return state;
 }
 
 /**
  * @returns true where what this balancer knows was current a moment ago
  */
 export function knowsCurrent(state: IngressState, nowMs: number): boolean {
-  return state.currentAtMs !== undefined && nowMs - state.currentAtMs <= state.options.feed.freshMs;
+  return state.feedStatus.isCurrent(nowMs);
 }
 
 /**
@@ -142,6 +145,7 @@
  *   balancer does not stop. One that is cut off later goes on with what it knows.
  */
 export function isReady(state: IngressState): boolean {
-  const hasState = state.firstCurrentAtMs !== undefined && state.routes.config !== undefined;
+  const hasState =
+    state.feedStatus.firstCurrentAtMs !== undefined && state.routes.config !== undefined;
   return hasState && !state.isStopping;
 }
--- a/src/registered/ingress/packet-step.ts
+++ b/src/registered/ingress/packet-step.ts
@@ -2,7 +2,7 @@
  * @file The decision for each packet of a client: a packet with a token goes to the back end that the
  * token names; an open goes where its first copy went, or to a back end of the route's service.
  */
-import type { KnownBackend } from './backend-table.js';
+import type { KnownBackend } from './known-backend.js';
 import { isProvenDead } from '../decisions/dead-flow.js';
 import { isReady, knowsCurrent, type IngressState } from './ingress-state.js';
 import { flowKeyOf, type FlowKey, type PacketView } from './packet-view.js';
@@ -77,7 +77,7 @@
   }
   const key = flowKeyOf(packet);
   const unanswered = state.activities.recordPacket(key, backend, packet, nowMs);
-  if (unanswered !== undefined && backend.liveness !== 'alive') {
+  if (unanswered !== undefined && backend.registration.liveness !== 'alive') {
     const evidence = {
       isFeedCurrent: knowsCurrent(state, nowMs),
       isReplaced: state.backends.isReplaced(backend),
@@ -91,7 +91,7 @@
 }
 
 function decideOpen(state: IngressState, packet: PacketView, nowMs: number): PacketDecision {
-  if (state.firstCurrentAtMs === undefined || state.routes.config === undefined) {
+  if (state.feedStatus.firstCurrentAtMs === undefined || state.routes.config === undefined) {
     return { type: 'drop', reason: 'not-ready' };
   }
   const key = flowKeyOf(packet);
@@ -168,7 +168,7 @@
   if (staying.length > 0 && open.length === 0) {
     return { type: 'reset', reason: 'zones-evacuated' };
   }
-  if (open.some(({ liveness }) => liveness !== 'dead')) {
+  if (open.some(({ registration }) => registration.liveness !== 'dead')) {
     // Nothing else keeps a back end that may be there from being chosen.
     return { type: 'reset', reason: 'all-cold' };
   }
@@ -192,8 +192,8 @@
 
 /** Just after a start, and while cut off, back ends may exist that are not known here. */
 function isLearning(state: IngressState, nowMs: number): boolean {
-  const { firstCurrentAtMs, options } = state;
-  const sinceMs = nowMs - (firstCurrentAtMs ?? nowMs);
+  const { feedStatus, options } = state;
+  const sinceMs = nowMs - (feedStatus.firstCurrentAtMs ?? nowMs);
   return (
     !isReady(state) ||
     !knowsCurrent(state, nowMs) ||
--- a/src/registered/ingress/route-table.ts
+++ b/src/registered/ingress/route-table.ts
@@ -30,7 +30,7 @@
 
 /** What became of an update. */
 export type UpdateOutcome =
-  | 'taken'
+  | 'applied'
   /** What is held is as new. */
   | 'known'
   /** It is made to another version than the one that is held. */
@@ -78,7 +78,7 @@
     }
     const byService = new Map(warmUps.map((warmUp) => [warmUp.service, warmUp]));
     this.held = { version, idleTimeoutMs, warmUps: byService };
-    return 'taken';
+    return 'applied';
   }
 
   has(host: number, port: number): boolean {
--- a/test/registered/decisions/answer-evidence.test.ts
+++ b/test/registered/decisions/answer-evidence.test.ts
@@ -3,7 +3,8 @@
 import { createAnswerRecorder } from '../../../src/registered/decisions/answer-recorder.js';
 import { createAnswerSizes } from '../../../src/registered/decisions/answer-sizes.js';
 import { relativeTimes } from '../../../src/registered/decisions/answer-times.js';
-import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
 import { observeAll } from '../../../src/registered/decisions/fleet-answer-stats.js';
 import { FlowActivities } from '../../../src/registered/ingress/flow-activity.js';
 import type { PacketView } from '../../../src/registered/ingress/packet-view.js';
@@ -29,41 +30,41 @@
   const { backend, note } = watch();
   note({ dataLength: 800 }, 1_000);
   note({ sequence: 900, dataLength: 200 }, 1_010);
-  t.equal(backend.own.busy, 1);
+  t.equal(backend.local.busy, 1);
   note({ sequence: 1_100, acknowledged: 1_500 }, 1_060);
   note({ sequence: 1_100, acknowledged: 2_500 }, 1_090);
-  const { answered, answerMs } = backend.answers.stats(1_060);
+  const { answered, answerMs } = backend.local.answers.stats(1_060);
   t.equal(answered, 1);
   t.equal(answerMs, 50);
-  t.equal(backend.own.busy, 0);
+  t.equal(backend.local.busy, 0);
 });
 
 t.test('the end of a flow with one request shows its answer as well', async (t) => {
   const { backend, note } = watch();
   note({ dataLength: 800 }, 1_000);
   note({ sequence: 900, acknowledged: 1_200, isFinish: true }, 1_040);
-  t.same(backend.answers.stats(1_040), { stalled: 0, answered: 1, answerMs: 40, short: 0 });
+  t.same(backend.local.answers.stats(1_040), { stalled: 0, answered: 1, answerMs: 40, short: 0 });
 });
 
 t.test('consent to an open is no answer', async (t) => {
   const { backend, flows, note } = watch();
   flows.recordOpen(FLOW, backend, 1_000);
   note({ dataLength: 0 }, 1_010);
-  t.equal(backend.answers.stats(1_010).answered, 0);
-  t.equal(backend.own.busy, 1);
+  t.equal(backend.local.answers.stats(1_010).answered, 0);
+  t.equal(backend.local.busy, 1);
 });
 
 t.test('what a client repeats has stalled, until something comes of the back end', async (t) => {
   const { backend, flows, note } = watch();
   flows.recordOpen(FLOW, backend, 1_000);
   flows.recordOpenCopy(FLOW, 1_200);
-  t.equal(backend.answers.stats(1_200).stalled, 1);
+  t.equal(backend.local.answers.stats(1_200).stalled, 1);
   note({ dataLength: 800 }, 1_250);
-  t.equal(backend.answers.stats(1_250).stalled, 0, 'the open was answered');
+  t.equal(backend.local.answers.stats(1_250).stalled, 0, 'the open was answered');
   note({ dataLength: 800 }, 1_450);
-  t.equal(backend.answers.stats(1_450).stalled, 1, 'the request is not');
+  t.equal(backend.local.answers.stats(1_450).stalled, 1, 'the request is not');
   note({ sequence: 900, acknowledged: 1_500 }, 1_500);
-  const { stalled, answered } = backend.answers.stats(1_500);
+  const { stalled, answered } = backend.local.answers.stats(1_500);
   t.equal(stalled, 0);
   t.equal(answered, 0, 'the time of a packet that was lost is no time of the back end');
 });
@@ -72,14 +73,14 @@
   const { backend, flows, note } = watch();
   note({ dataLength: 800 }, 1_000);
   note({ dataLength: 800 }, 1_200);
-  t.equal(backend.answers.stats(1_200).stalled, 1);
+  t.equal(backend.local.answers.stats(1_200).stalled, 1);
   flows.sweep(4_000);
-  t.equal(backend.answers.stats(4_000).stalled, 0);
+  t.equal(backend.local.answers.stats(4_000).stalled, 0);
   note({ sequence: 900, dataLength: 100 }, 4_100);
   note({ sequence: 900, dataLength: 100 }, 4_300);
-  t.equal(backend.answers.stats(4_300).stalled, 1);
+  t.equal(backend.local.answers.stats(4_300).stalled, 1);
   note({ isReset: true }, 4_400);
-  t.equal(backend.answers.stats(4_400).stalled, 0);
+  t.equal(backend.local.answers.stats(4_400).stalled, 0);
 });
 
 t.test(
@@ -90,11 +91,11 @@
     note({ dataLength: 800 }, 1_000);
     note({ dataLength: 800 }, 1_200);
     note({ sequence: 900, acknowledged: 1_500 }, 1_400);
-    t.same(backend.answers.stats(1_400), { stalled: 0, answered: 0, answerMs: 0, short: 0 });
+    t.same(backend.local.answers.stats(1_400), { stalled: 0, answered: 0, answerMs: 0, short: 0 });
     isFree = true;
     note({ sequence: 900, acknowledged: 1_500, dataLength: 100 }, 1_500);
     note({ sequence: 1_000, acknowledged: 2_500 }, 1_540);
-    t.match(backend.answers.stats(1_540), { answered: 1, answerMs: 40 });
+    t.match(backend.local.answers.stats(1_540), { answered: 1, answerMs: 40 });
   },
 );
 
@@ -116,7 +117,7 @@
   const [first, second, third] = all;
   Object.assign(first?.fleet ?? {}, { answered: 40, answerMs: 800 });
   Object.assign(second?.fleet ?? {}, { answered: 40, answerMs: 2_400 });
-  third?.answers.recordAnswer(280, 0);
+  third?.local.answers.recordAnswer(280, 0);
   const [fast = 0, slow = 0, unknown = 0] = relativeTimes(observeAll(all, 0)).values();
   t.ok(fast < 0.6 && slow > 1.3, `${fast} ${slow}`);
   t.ok(unknown < slow + 0.4 && unknown > 1, `one tail: ${unknown}`);
@@ -151,9 +152,9 @@
   for (let at = 0; at < 20; at += 1) {
     ask(1_000, 40);
   }
-  const before = backend.answers.stats(nowMs);
+  const before = backend.local.answers.stats(nowMs);
   ask(170, 3);
-  const after = backend.answers.stats(nowMs);
+  const after = backend.local.answers.stats(nowMs);
   t.equal(after.short, 1);
   t.ok(after.answered <= before.answered, 'it is no answer like the others');
   t.ok(Math.abs(after.answerMs / after.answered - 40) < 1e-6, 'its time is not a time of work');
@@ -163,19 +164,19 @@
   const { backend, note } = watch();
   note({ sequence: 100, acknowledged: 5_000, dataLength: 100 }, 1_000);
   note({ sequence: 100, acknowledged: 3_800 }, 1_002);
-  t.equal(backend.own.busy, 1, 'the request is still in progress');
-  t.match(backend.answers.stats(1_002), { answered: 0, short: 0 });
+  t.equal(backend.local.busy, 1, 'the request is still in progress');
+  t.match(backend.local.answers.stats(1_002), { answered: 0, short: 0 });
   note({ sequence: 200, acknowledged: 6_000 }, 1_050);
-  t.match(backend.answers.stats(1_050), { answered: 1, answerMs: 50 });
+  t.match(backend.local.answers.stats(1_050), { answered: 1, answerMs: 50 });
 });
 
 t.test('a copy that was read together with the first, after a pause, shows nothing', async (t) => {
   const { backend, flows } = watch();
   flows.recordOpen(FLOW, backend, 1_000);
   flows.recordOpenCopy(FLOW, 1_010);
-  t.equal(backend.answers.stats(1_010).stalled, 0, 'the back end had 10 ms to answer');
+  t.equal(backend.local.answers.stats(1_010).stalled, 0, 'the back end had 10 ms to answer');
   flows.recordOpenCopy(FLOW, 1_410);
-  t.equal(backend.answers.stats(1_410).stalled, 1);
+  t.equal(backend.local.answers.stats(1_410).stalled, 1);
 });
 
 t.test('a back end that turns slow is known for it within two seconds', async (t) => {
--- a/test/registered/decisions/backend-records.ts
+++ b/test/registered/decisions/backend-records.ts
@@ -1,7 +1,8 @@
 /**
  * @file Records of back ends for tests, as their first heartbeats tell them.
  */
-import type { BackendTable, KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import type { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
 import type { BackendRecord } from '../../../src/registered/registry/backend-record.js';
 
 const INSTANCE_DIGITS = 16;
--- a/test/registered/decisions/choice-load.ts
+++ b/test/registered/decisions/choice-load.ts
@@ -5,7 +5,8 @@
 import { seededRandom } from '../../../src/shared/common/random.js';
 import { packLoads } from '../../../src/registered/load-exchange/backend-load.js';
 import { packAnswerStats } from '../../../src/registered/load-exchange/answer-stats.js';
-import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
 import { createSlowStart } from '../../../src/registered/decisions/slow-start.js';
 import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
 import { createPlacement } from '../../../src/registered/decisions/placement.js';
@@ -88,14 +89,14 @@
     const slot = slots.indexOf(Math.min(...slots));
     const endMs = Math.max(nowMs, slots[slot] ?? 0) + workMs;
     slots[slot] = endMs;
-    chosen.own.busy += 1;
+    chosen.local.changeBusy(1);
     taken[at] = (taken[at] ?? 0) + 1;
     ends.push({ atMs: endMs, run: () => answer(chosen, endMs - nowMs, endMs) });
   }
 
   function answer(backend: KnownBackend, took: number, nowMs: number): void {
-    backend.own.busy -= 1;
-    backend.answers.recordAnswer(took, nowMs);
+    backend.local.changeBusy(-1);
+    backend.local.answers.recordAnswer(took, nowMs);
     tookMs.push(took);
   }
 
@@ -130,10 +131,10 @@
     const others = fleet.filter((other) => other !== balancer);
     const rows = balancer.backends.map(({ token }, at) => {
       const seen = others.flatMap(({ backends }) => backends[at] ?? []);
-      const signals = seen.map(({ answers }) => answers.stats(nowMs));
+      const signals = seen.map(({ local }) => local.answers.stats(nowMs));
       return {
         token,
-        busy: sum(seen.map(({ own }) => own.busy)),
+        busy: sum(seen.map(({ local }) => local.busy)),
         signals: {
           stalled: 0,
           answered: sum(signals.map(({ answered }) => answered)),
--- a/test/registered/decisions/dead-flow.test.ts
+++ b/test/registered/decisions/dead-flow.test.ts
@@ -36,12 +36,12 @@
       defaultSwitches,
     );
   t.notOk(is(5), 'its heartbeats come');
-  backend.liveness = 'suspect';
+  Object.assign(backend.registration, { liveness: 'suspect' });
   t.notOk(is(2), 'silent for a while, and two losses');
   t.ok(is(3));
   t.notOk(is(3, false, false), 'who tells may be cut off');
   t.notOk(is(0, true), 'one that is silent may hold its address again');
-  backend.liveness = 'dead';
+  Object.assign(backend.registration, { liveness: 'dead' });
   t.notOk(is(0), 'silence alone');
   t.notOk(is(2), 'two losses while it is cut off from control');
   t.ok(is(3));
@@ -53,9 +53,9 @@
       parseSwitches('deadFlows=left')._unsafeUnwrap(),
     ),
   );
-  backend.lastProgressAtMs = 900;
+  backend.local.recordProgress(900);
   t.ok(is(3), 'it went on for a while after its last heartbeat');
-  backend.lastProgressAtMs = 1_100;
+  backend.local.recordProgress(1_100);
   t.notOk(is(9, true), 'a client has got something from it meanwhile');
 });
 
@@ -69,9 +69,9 @@
   t.equal(note(1_001), 0, 'doubled');
   t.equal(note(1_200), 1);
   t.equal(note(1_600), 2);
-  t.equal(backend.lastProgressAtMs, Number.NEGATIVE_INFINITY, 'nothing came back');
+  t.equal(backend.local.lastProgressAtMs, Number.NEGATIVE_INFINITY, 'nothing came back');
   t.equal(note(2_000, { sequence: 600, acknowledged: 90 }), 0, 'the next request');
-  t.equal(backend.lastProgressAtMs, 2_000);
+  t.equal(backend.local.lastProgressAtMs, 2_000);
 });
 
 t.test('a newcomer at the address is no proof while it is not heard of itself', async (t) => {
@@ -81,7 +81,7 @@
   const second = backendIn(table, 2, 5_000);
   t.ok(table.isReplaced(first));
   t.notOk(table.isReplaced(second));
-  second.liveness = 'suspect';
+  Object.assign(second.registration, { liveness: 'suspect' });
   t.notOk(table.isReplaced(first));
 });
 
@@ -185,8 +185,8 @@
             if (unanswered === undefined || unanswered.repeats === 0) {
               return unanswered;
             }
-            backend.liveness = 'suspect';
-            backend.lastProgressAtMs = Number.NEGATIVE_INFINITY;
+            Object.assign(backend.registration, { liveness: 'suspect' });
+            backend.local.recordProgress(Number.NEGATIVE_INFINITY);
             return { ...unanswered, repeats: 3 };
           };
         }
--- a/test/registered/decisions/ejection-by-answers.test.ts
+++ b/test/registered/decisions/ejection-by-answers.test.ts
@@ -3,7 +3,8 @@
  * some answer at once and say no.
  */
 import t from 'tap';
-import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
 import { createEjectionByAnswers } from '../../../src/registered/decisions/ejection/by-answers.js';
 import { observeAll } from '../../../src/registered/decisions/fleet-answer-stats.js';
 import { recordOf } from './backend-records.js';
@@ -40,8 +41,8 @@
   const failing = createEjectionByAnswers();
   Object.assign(one(all, 4).fleet, { stalled: 1, busy: 1 });
   t.same(passedOver(failing, all, 0), [], 'one flow may have lost its packets');
-  one(all, 4).answers.changeStalled(1);
-  one(all, 4).own.busy = 1;
+  one(all, 4).local.answers.changeStalled(1);
+  one(all, 4).local.changeBusy(1);
   t.same(passedOver(failing, all, 0), [4]);
   Object.assign(one(all, 7).fleet, { stalled: 2, busy: 9 });
   t.same(passedOver(failing, all, 0), [4], 'others get answers of a busy one');
@@ -55,9 +56,9 @@
     let nowMs = 0;
     const heldForMs: number[] = [];
     for (let round = 0; round < 6; round += 1) {
-      one(all, 4).fleet.stalled = 2;
+      Object.assign(one(all, 4).fleet, { stalled: 2 });
       t.same(passedOver(failing, all, nowMs), [4]);
-      one(all, 4).fleet.stalled = 0;
+      Object.assign(one(all, 4).fleet, { stalled: 0 });
       const sinceMs = nowMs;
       while (passedOver(failing, all, nowMs).length > 0) {
         nowMs += 100;
@@ -65,10 +66,10 @@
       heldForMs.push(nowMs - sinceMs);
     }
     t.same(heldForMs, [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]);
-    one(all, 4).fleet.stalled = 2;
+    Object.assign(one(all, 4).fleet, { stalled: 2 });
     t.same(passedOver(failing, all, nowMs), [4]);
-    one(all, 4).fleet.stalled = 0;
-    one(all, 4).lastProgressAtMs = nowMs + 50;
+    Object.assign(one(all, 4).fleet, { stalled: 0 });
+    one(all, 4).local.recordProgress(nowMs + 50);
     t.same(passedOver(failing, all, nowMs + 100), [], 'somebody got something from it');
   },
 );
@@ -110,7 +111,7 @@
   const all = backends(10);
   const failing = createEjectionByAnswers();
   Object.assign(one(all, 4).fleet, { stalled: 4, busy: 4 });
-  one(all, 4).lastProgressAtMs = 900;
+  one(all, 4).local.recordProgress(900);
   t.same(passedOver(failing, all, 1_000), []);
   t.same(passedOver(failing, all, 3_000), [4], 'nothing has come here for two seconds either');
 });
--- a/test/registered/decisions/ejection-by-load.test.ts
+++ b/test/registered/decisions/ejection-by-load.test.ts
@@ -3,14 +3,15 @@
  * there stands out of their service.
  */
 import t from 'tap';
-import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
 import { recordOf, takeIn } from './backend-records.js';
 import { withoutEjectedByLoad } from '../../../src/registered/decisions/ejection/by-load.js';
 
 function backendsWith(busyOf: readonly number[]): KnownBackend[] {
   const table = new BackendTable(1_200);
   busyOf.forEach((busy, index) => {
-    takeIn(table, recordOf(index + 1), 0).fleet.busy = busy;
+    Object.assign(takeIn(table, recordOf(index + 1), 0).fleet, { busy });
   });
   return [...table.all()];
 }
--- a/test/registered/decisions/placement.test.ts
+++ b/test/registered/decisions/placement.test.ts
@@ -63,8 +63,7 @@
     idleTimeoutMs: 15_000,
   };
   state.routes.applyUpdate(wholeUpdate(config));
-  state.currentAtMs = 0;
-  state.firstCurrentAtMs = 0;
+  state.feedStatus.recordCurrent(0);
   for (let number = 1; number <= count; number += 1) {
     addBackend(state.backends, number, 'zone-a');
   }
@@ -114,7 +113,7 @@
 t.test('a service without back ends is refused once all are known', async (t) => {
   const state = stateWith(0);
   t.equal(chosenId(state, 1, 100), 'drop', 'they may still come');
-  state.currentAtMs = 2_500;
+  state.feedStatus.recordCurrent(2_500);
   t.equal(chosenId(state, 2, 2_500), 'reset');
 });
 
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -431,7 +431,7 @@
     applyFeedMessage(balancer, first, nowMs);
   }
   t.ok(balancer.zones.isEvacuated('zone-a'));
-  t.equal(balancer.firstCurrentAtMs, undefined, 'it does not place yet');
+  t.equal(balancer.feedStatus.firstCurrentAtMs, undefined, 'it does not place yet');
 });
 
 t.test('an order for a zone is told to all with the next tick', async (t) => {
--- a/test/registered/group/config-history.test.ts
+++ b/test/registered/group/config-history.test.ts
@@ -60,7 +60,7 @@
         }
       });
       const update = history.updateFrom(table.config?.version ?? 0);
-      if (update !== undefined && table.applyUpdate(update) !== 'taken') {
+      if (update !== undefined && table.applyUpdate(update) !== 'applied') {
         return false;
       }
       return (
@@ -97,7 +97,7 @@
   t.same(update.changes, []);
   const table = new RouteTable();
   table.applyUpdate(wholeUpdate(before));
-  t.equal(table.applyUpdate(update), 'taken');
+  t.equal(table.applyUpdate(update), 'applied');
   t.same(table.config, { version: 2, idleTimeoutMs: 9_000, warmUps: new Map() });
   t.same(partOf(update, 0, 10).changeCount, 0);
 });
--- a/test/registered/ingress/feed-step.test.ts
+++ b/test/registered/ingress/feed-step.test.ts
@@ -46,7 +46,7 @@
 }
 
 function livenessOf(state: IngressState, number: number) {
-  return state.backends.find(`backend-${number}`)?.liveness;
+  return state.backends.find(`backend-${number}`)?.registration.liveness;
 }
 
 t.test('judgements change what is believed, also back again', async (t) => {
@@ -101,7 +101,7 @@
   const later = agedRecordOf(1, 0, 5);
   feed(state, { records: [{ ...later, record: { ...later.record, capacity: 4 } }] }, 0);
   feed(state, { transfer: 'whole', records: [agedRecordOf(1, 0, 3)] }, 100);
-  t.equal(state.backends.find('backend-1')?.record.capacity, 4);
+  t.equal(state.backends.find('backend-1')?.registration.record.capacity, 4);
 });
 
 t.test('a departure stays, whatever is told of the back end afterwards', async (t) => {
@@ -192,12 +192,12 @@
     const second = { ...part, firstChange: 1, changes: [routeTo('alpha', 8_080)] };
     feed(state, { transfer: 'whole', isComplete: false, config: first }, 0);
     t.equal(state.routes.config, undefined);
-    t.equal(state.currentAtMs, undefined, 'something is still to come');
+    t.equal(state.feedStatus.currentAtMs, undefined, 'something is still to come');
     t.same(state.assembly.unfinished, { version: 3, baseVersion: 0, changesTaken: 1 });
     feed(state, { config: second }, 50);
     t.equal(state.routes.config?.version, 3);
     t.equal(state.routes.size, 2);
-    t.equal(state.currentAtMs, 50);
+    t.equal(state.feedStatus.currentAtMs, 50);
     t.equal(state.assembly.unfinished, undefined);
   },
 );
@@ -214,7 +214,7 @@
     t.same(applyFeedMessage(state, { ...message, config: change }, 100), { type: 'unfit' });
     t.equal(state.routes.config?.version, 3);
     t.equal(state.routes.size, 1);
-    t.equal(state.currentAtMs, 0, 'it may not say that a route is gone');
+    t.equal(state.feedStatus.currentAtMs, 0, 'it may not say that a route is gone');
     const fitting = { ...change, baseVersion: 3 };
     t.same(applyFeedMessage(state, { ...message, config: fitting }, 200), {
       type: 'in-force',
--- a/test/registered/ingress/reborn-backend.test.ts
+++ b/test/registered/ingress/reborn-backend.test.ts
@@ -45,5 +45,5 @@
 /** @returns what the balancers that know a back end take it for, each once */
 function livenessOf(world: IngressWorld, id: string): (string | undefined)[] {
   const known = world.balancers.flatMap(({ process }) => process?.state.backends.find(id) ?? []);
-  return [...new Set(known.map(({ liveness }) => liveness))];
+  return [...new Set(known.map(({ registration }) => registration.liveness))];
 }
--- a/test/registered/ingress/route-table.test.ts
+++ b/test/registered/ingress/route-table.test.ts
@@ -54,7 +54,7 @@
 
 t.test('an older configuration, or the same again, changes nothing', async (t) => {
   const table = new RouteTable();
-  t.equal(table.applyUpdate(config(5, [1])), 'taken');
+  t.equal(table.applyUpdate(config(5, [1])), 'applied');
   t.equal(table.applyUpdate(config(4, [0, 1])), 'known');
   t.equal(table.applyUpdate(config(5, [0, 1])), 'known');
   t.equal(table.nextService(HOST, PORT), 'service-0');
--- a/test/registered/ingress/zone-table.test.ts
+++ b/test/registered/ingress/zone-table.test.ts
@@ -1,6 +1,7 @@
 /** @file What a balancer believes of zones, and what it gives to cold back ends. */
 import t from 'tap';
-import { BackendTable, type KnownBackend } from '../../../src/registered/ingress/backend-table.js';
+import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
+import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
 import {
   createSlowStart,
   type SlowStartBounds,
@@ -113,10 +114,10 @@
   const backend = coldBackend();
   zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 2, readmittedAgoMs: 0 }], 10_000);
   t.ok(share.isCold(backend, 10_000));
-  backend.recordSentAtMs = 11_000;
+  Object.assign(backend.registration, { recordReceivedAtMs: 11_000 });
   t.ok(share.isCold(backend, 12_000), 'that may have been sent before and held up');
-  backend.recordSentAtMs = 12_500;
+  Object.assign(backend.registration, { recordReceivedAtMs: 12_500 });
   t.notOk(share.isCold(backend, 12_500));
-  backend.recordSentAtMs = 0;
+  Object.assign(backend.registration, { recordReceivedAtMs: 0 });
   t.notOk(share.isCold(backend, 19_000), 'its warm-up is over, whatever it tells');
 });
