--- a/src/registered/ingress/route-table.ts
+++ b/src/registered/ingress/route-table.ts
@@ -29,8 +29,8 @@
 }
 
 /** What became of an update. */
-export type UpdateTaken =
-  | 'taken'
+export type UpdateOutcome =
+  | 'applied'
   /** What is held is as new. */
   | 'known'
   /** It is made to another version than the one that is held. */
@@ -52,7 +52,13 @@
   }
 
   /** Puts an update of the configuration in force; an older one never follows a newer one. */
-  take({ version, baseVersion, idleTimeoutMs, warmUps, changes }: ConfigUpdate): UpdateTaken {
+  applyUpdate({
+    version,
+    baseVersion,
+    idleTimeoutMs,
+    warmUps,
+    changes,
+  }: ConfigUpdate): UpdateOutcome {
     const heldVersion = this.held?.version ?? NO_VERSION;
     if (version <= heldVersion) {
       return 'known';
@@ -72,7 +78,7 @@
     }
     const byService = new Map(warmUps.map((warmUp) => [warmUp.service, warmUp]));
     this.held = { version, idleTimeoutMs, warmUps: byService };
-    return 'taken';
+    return 'applied';
   }
 
   has(host: number, port: number): boolean {
