--- a/src/managed/control/backend-commands.ts
+++ b/src/managed/control/backend-commands.ts
@@ -3,7 +3,8 @@
  */
 import { err, ok } from 'neverthrow';
 import { amberliftError } from '../../shared/common/error-kinds.js';
-import type { Backend, BackendAdminState, ClusterState } from './cluster-state.js';
+import type { ClusterState } from './cluster-state.js';
+import type { Backend, BackendAdminState } from './routing-config.js';
 import type { ChangeCommand } from './commands.js';
 import {
   checkAddressFree,
@@ -17,7 +18,7 @@
 import { idInBlock } from './id-blocks.js';
 
 /** How many back ends one service may have. */
-export const MAX_BACKENDS_PER_SERVICE = 2_000;
+const MAX_BACKENDS_PER_SERVICE = 2_000;
 
 /** What the commands on one back end have in common. */
 interface BackendReference {
--- a/src/managed/dissemination/subtree-report.ts
+++ b/src/managed/dissemination/subtree-report.ts
@@ -11,7 +11,7 @@
 export const MAX_LAGGARDS = 20;
 
 /** A balancer below the sender of a report. */
-export interface ReportedMember {
+interface ReportedMember {
   readonly balancerId: string;
   readonly zone: string;
   /** False where its link is closed and nobody knows yet where it went. */
@@ -19,7 +19,7 @@
 }
 
 /** A balancer that lags behind the others of a report. */
-export interface Laggard {
+interface Laggard {
   readonly balancerId: string;
   readonly index: number;
 }
@@ -70,7 +70,7 @@
 }
 
 /** One report of a linked balancer. */
-export interface IncomingReport {
+interface IncomingReport {
   readonly balancerId: string;
   readonly zone: string;
   readonly index: number;
@@ -93,7 +93,7 @@
 /**
  * Takes a report. Who reports over several links counts where it was linked last.
  */
-export function takeReport(
+export function applyReport(
   reports: SubtreeReports,
   linkId: number,
   report: IncomingReport,
@@ -104,7 +104,7 @@
   const link = known ?? newLink(balancerId, zone);
   if (known === undefined) {
     reports.links.set(linkId, link);
-    claim(reports, linkId, balancerId);
+    removeElsewhere(reports, linkId, balancerId);
     reports.membersVersion += 1;
   }
   if (link.index !== index || hasOtherIndexes(link, subtree)) {
@@ -233,7 +233,7 @@
     const { balancerId, isLinked } = member;
     // Whoever lost a balancer's link does not know where it went; the one it is linked to does.
     if (isLinked || !isKnownElsewhere(reports, linkId, balancerId)) {
-      claim(reports, linkId, balancerId);
+      removeElsewhere(reports, linkId, balancerId);
       link.members.set(balancerId, member);
     }
   }
@@ -250,7 +250,7 @@
 }
 
 /** Removes a balancer from wherever else it was known. */
-function claim(reports: SubtreeReports, linkId: number, balancerId: string): void {
+function removeElsewhere(reports: SubtreeReports, linkId: number, balancerId: string): void {
   reports.unlinked.delete(balancerId);
   for (const [otherId, other] of reports.links) {
     if (otherId === linkId) {
--- a/src/shared/consensus/consensus-step.ts
+++ b/src/shared/consensus/consensus-step.ts
@@ -4,6 +4,9 @@
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../common/step.js';
+import { handleAppendResponse } from './acknowledgements.js';
+import { leaderTick } from './check-quorum.js';
+import { commitByCounting } from './commit-rule.js';
 import type { ConsensusEffect, ConsensusEvent, StepScope } from './consensus-events.js';
 import { restingRole, type ConsensusState } from './consensus-state.js';
 import {
@@ -21,14 +24,13 @@
 import { finishWrite, flushWrites, queueRecord } from './persistence.js';
 import { handleChangeMembership, handlePropose } from './proposals.js';
 import { handleRead } from './read-index.js';
-import { commitByCounting, handleAppendResponse, leaderTick } from './replication.js';
 import { appendEntries, becomeFollower, sendNow, sendPersisted } from './roles.js';
 import {
   handleSnapshotChunk,
   handleSnapshotChunkResponse,
   handleSnapshotTaken,
 } from './snapshot-install.js';
-import { startTransfer } from './leadership-transfer.js';
+import { startLeadershipTransfer } from './leadership-transfer.js';
 
 /** Term of the membership with which a cluster begins; leaders have later ones. */
 const BOOTSTRAP_TERM = 1;
@@ -54,7 +56,7 @@
       handleBootstrap(scope, clusterId, membership),
     )
     .with({ type: 'join-cluster' }, ({ clusterId }) => joinCluster(state, clusterId))
-    .with({ type: 'transfer-leadership' }, () => startTransfer(scope))
+    .with({ type: 'transfer-leadership' }, () => startLeadershipTransfer(scope))
     .with({ type: 'snapshot-taken' }, ({ index, data }) => handleSnapshotTaken(state, index, data))
     .with({ type: 'persisted' }, ({ writeId }) => handlePersisted(scope, writeId))
     .with({ type: 'persist-failed' }, () => handlePersistFailed(scope))
@@ -104,7 +106,7 @@
 ): void {
   const { state } = scope;
   if (request.term < state.term) {
-    tellNewerTerm(scope, from);
+    sendNewerTerm(scope, from);
     return;
   }
   followLeader(scope, from, request.term);
@@ -116,7 +118,7 @@
 }
 
 /** A leader of an earlier term steps down when it hears of a later one. */
-function tellNewerTerm(scope: StepScope, from: Sender): void {
+function sendNewerTerm(scope: StepScope, from: Sender): void {
   sendPersisted(scope, from.nodeId, {
     type: 'append-response',
     term: scope.state.term,
