--- a/src/proof/experiment/bench-forward.ts
+++ b/src/proof/bench/bench-forward.ts
@@ -14,7 +14,7 @@
   SendResult,
 } from './bench-forward-messages.js';
 import { processorTimeMs, residentBytes, startPeer, type Peer } from './bench-forward-process.js';
-import { startProcess, type ManagedProcess } from './child-process.js';
+import { startProcess, type ManagedProcess } from '../processes/child-process.js';
 
 const MS_PER_SECOND = 1_000;
 const MICROSECONDS_PER_MS = 1_000;
--- a/src/proof/experiment/in-force-cluster.ts
+++ b/src/proof/bench/in-force-cluster.ts
@@ -11,7 +11,7 @@
 import { OperatorClient } from '../../tools/client/operator-client.js';
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { InForceSummary } from '../../managed/control/views/in-force.js';
-import { startProcess, type ManagedProcess } from './child-process.js';
+import { startProcess, type ManagedProcess } from '../processes/child-process.js';
 
 const CLUSTER_KEY = 'in-force-cluster-key';
 const OPERATOR_TOKEN = 'in-force-operator-token';
--- a/src/proof/experiment/cluster.ts
+++ b/src/proof/demo/cluster.ts
@@ -8,9 +8,9 @@
 import { OperatorClient } from '../../tools/client/operator-client.js';
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { sendJson } from '../../managed/daemon/http-json.js';
-import { startProcess, type ManagedProcess } from './child-process.js';
+import { startProcess, type ManagedProcess } from '../processes/child-process.js';
 import type { DeployedService, Deployment } from './deployment.js';
-import { findFreeAddress } from './free-address.js';
+import { findFreeAddress } from '../processes/free-address.js';
 
 const HTTP_TIMEOUT_MS = 2_000;
 const POLL_INTERVAL_MS = 100;
--- a/src/proof/experiment/demo.ts
+++ b/src/proof/demo/demo.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { formatAddress } from '../../shared/common/address.js';
 import { settingsSchema } from '../../managed/settings/settings-schema.js';
-import { runToEnd } from './child-process.js';
+import { runToEnd } from '../processes/child-process.js';
 import { Cluster } from './cluster.js';
 import { revisionsOf, waitUntilInForce } from './cluster-status.js';
 import type { DeployedService, Deployment } from './deployment.js';
--- a/src/proof/sim-managed/faults.ts
+++ b/src/proof/sim-managed/cluster-faults.ts
@@ -1,5 +1,6 @@
 /**
- * @file The faults and planned changes that scenarios bring upon a world, each noted in the trace.
+ * @file The faults and planned changes that scenarios of the managed pair cause in a world: crashes, cuts, full disks, planned
+ * restarts, back ends that leave. Each is recorded in the trace, so that the oracle knows what it excuses.
  */
 import type { SimulatedBalancer } from './simulated-balancer.js';
 import type { SimulatedControl } from './simulated-control.js';
@@ -9,11 +10,11 @@
 
 /** How long a back end that leaves may take until its process ends. */
 const LEAVE_PATIENCE_MS = 70_000;
-/** Time until a drained back end is looked at again. */
+/** Time between two checks whether a drained back end is empty. */
 const RETIRE_RETRY_MS = 1_000;
 
-/** Brings faults upon a world. */
-export class Faults {
+/** Causes faults in a world; each ends by itself. */
+export class ClusterFaults {
   /** Faults and planned changes so far. */
   count = 0;
   private nextFaultId = 1;
@@ -51,7 +52,7 @@
   }
 
   /**
-   * Processes are cut off from all others without a word.
+   * Processes are cut off from all others, silently.
    * @param direction packets that are lost: those to them, those from them, or both
    */
   cutOff(
@@ -88,7 +89,7 @@
     this.during('cut-links', targets, durationMs, () => cuts.forEach((id) => network.heal(id)));
   }
 
-  /** Tells the trace which back ends ignore their drain, so that the oracle knows. */
+  /** Records which back ends ignore their drain, so that the oracle excuses them. */
   noteDeaf(backends: readonly PlacedBackend[]): void {
     const targets = backends.map(({ process }) => process.name);
     this.during('ignores-drain', targets, 0, () => undefined);
--- a/src/proof/sim-managed/run-scenario.ts
+++ b/src/proof/sim-managed/run-scenario.ts
@@ -2,7 +2,7 @@
  * @file Runs scenarios and has the oracle judge them.
  */
 import { seededRandom } from '../../shared/common/random.js';
-import { Faults } from './faults.js';
+import { ClusterFaults } from './cluster-faults.js';
 import type { CheckName, Violation } from './oracle/check.js';
 import { Oracle } from './oracle/oracle.js';
 import type { Scenario } from './scenarios/scenario.js';
@@ -46,7 +46,7 @@
 ): Promise<RunReport> {
   const oracle = new Oracle();
   const world = new World({ seed, plan: scenario.plan, listener: oracle, ...options });
-  const faults = new Faults(world);
+  const faults = new ClusterFaults(world);
   await world.setUp();
   scenario.schedule({ world, faults, random: seededRandom(seed) });
   const endMs = world.simulation.nowMs + scenario.durationMs;
--- a/src/proof/sim-managed/scenarios/scenario.ts
+++ b/src/proof/sim-managed/scenarios/scenario.ts
@@ -2,14 +2,14 @@
  * @file What a scenario is: a world, a time, and what is done to the world meanwhile.
  */
 import type { RandomSource } from '../../../shared/common/step.js';
-import type { Faults } from '../faults.js';
+import type { ClusterFaults } from '../cluster-faults.js';
 import type { WorldPlan } from '../world-plan.js';
 import type { World } from '../world.js';
 
 /** What a scenario acts on. */
 export interface ScenarioScope {
   readonly world: World;
-  readonly faults: Faults;
+  readonly faults: ClusterFaults;
   readonly random: RandomSource;
 }
 
--- a/src/proof/sim-managed/simulated-caller.ts
+++ b/src/proof/sim-managed/simulated-caller.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated caller: the stand-in's step, and notes of what it was told. Whether an answer is
- * right is told by the stand-in itself, which compares bytes.
+ * @file A simulated caller: runs the stand-in's step on the virtual network and records the outcome of each request in
+ * the trace. Whether an answer is right is decided by the stand-in, which compares bytes.
  */
 import { match } from 'ts-pattern';
 import type { Address } from '../../shared/common/address.js';
@@ -15,7 +15,6 @@
 } from '../standins/caller-state.js';
 import type { CallerEvent } from '../standins/caller-step.js';
 import { noticePayload } from './notice-payload.js';
-import type { SimulatedFabric } from './simulated-fabric.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { Simulation } from './simulation.js';
 
@@ -23,6 +22,12 @@
 const PORT = 6000;
 const ZONE = 'zone-a';
 
+/** Where a caller's packets enter the network: the fabric. */
+export interface CallerUplink {
+  readonly host: string;
+  handleCallerPacket(packet: Uint8Array, client: Address, service: Address): void;
+}
+
 /** What a simulated caller is started with. */
 export interface SimulatedCallerOptions {
   readonly name: string;
@@ -48,7 +53,7 @@
   constructor(
     simulation: Simulation,
     { name, host, service, options }: SimulatedCallerOptions,
-    private readonly fabric: SimulatedFabric,
+    private readonly fabric: CallerUplink,
     /** Names the process of a back end by its ID. */
     private readonly backendName: (backendId: number) => string,
   ) {
@@ -59,7 +64,7 @@
     this.state = createCallerState(options, simulation.nowMs);
   }
 
-  takePacket(packet: Uint8Array): void {
+  handlePacket(packet: Uint8Array): void {
     this.step({ type: 'packet', packet });
   }
 
@@ -127,7 +132,7 @@
   private send(packet: Uint8Array): void {
     const { network } = this.simulation;
     if (!network.isCut(this.host, this.fabric.host)) {
-      network.transmit(0, () => this.fabric.takeCallerPacket(packet, this.address, this.service));
+      network.transmit(0, () => this.fabric.handleCallerPacket(packet, this.address, this.service));
     }
   }
 
--- a/src/proof/sim-managed/simulated-fabric.ts
+++ b/src/proof/sim-managed/simulated-fabric.ts
@@ -1,11 +1,12 @@
 /**
- * @file The simulated fabric: the stand-in's step. Its list of balancers is the platform's, which lags.
+ * @file The simulated fabric: runs the stand-in's step on the virtual network. Its list of balancers is the platform's,
+ * which lags.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { FabricEffect, FabricEvent, FabricState } from '../standins/fabric-step.js';
 import { readPacket } from './packet-notes.js';
 import type { SimulatedBalancer } from './simulated-balancer.js';
-import type { SimulatedCaller } from './simulated-caller.js';
+import type { CallerUplink, SimulatedCaller } from './simulated-caller.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { Simulation } from './simulation.js';
 
@@ -14,7 +15,7 @@
 const ZONE = 'zone-a';
 
 /** The fabric. */
-export class SimulatedFabric extends SimulatedProcess {
+export class SimulatedFabric extends SimulatedProcess implements CallerUplink {
   readonly returnAddress: Address = { host: HOST, port: PORT };
   private readonly state: FabricState;
   private readonly callers = new Map<string, SimulatedCaller>();
@@ -31,8 +32,7 @@
     this.callers.set(formatAddress(caller.address), caller);
   }
 
-  /** A packet from a caller. */
-  takeCallerPacket(packet: Uint8Array, client: Address, service: Address): void {
+  handleCallerPacket(packet: Uint8Array, client: Address, service: Address): void {
     this.step({ type: 'caller-packet', packet, client, service });
   }
 
@@ -72,7 +72,7 @@
     const { client, packet, delayMs } = effect;
     const caller = this.callers.get(formatAddress(client));
     if (caller !== undefined && !network.isCut(this.host, caller.host)) {
-      network.transmit(delayMs, () => caller.takePacket(packet));
+      network.transmit(delayMs, () => caller.handlePacket(packet));
     }
   }
 
--- a/src/proof/sim-registered/ingress-faults.ts
+++ b/src/proof/sim-registered/drawn-faults.ts
@@ -1,7 +1,8 @@
 /**
- * @file Faults of the simulated deployment, drawn from a seed. Control machines that are lost at the
- * same time stay within what the deployment must bear, but for faults that take all of them and give
- * their disks back.
+ * @file Faults of the simulated deployment, with their targets and times drawn from a seed. Control machines that are lost at
+ * the same time stay within what the deployment must survive, but for faults that take all of them and give their disks
+ * back. The schedules of the soak have targets and times of their own (`soak/stand-in-faults`, `soak/virtual-soak`); drawing
+ * here and there from one module would change the runs of kept seeds.
  */
 import { SIMULATED_SERVICES } from './stand-in-operator.js';
 import type { IngressWorld } from './ingress-world.js';
@@ -9,7 +10,7 @@
 import type { SimulatedControlMachine } from './simulated-control-machine.js';
 
 /** What can happen. */
-export const ingressFaultKinds = [
+export const drawnFaultKinds = [
   'control-killed',
   'control-powered-off',
   'control-wiped',
@@ -33,26 +34,26 @@
 ] as const;
 
 /** One kind of fault. */
-export type IngressFaultKind = (typeof ingressFaultKinds)[number];
+export type DrawnFaultKind = (typeof drawnFaultKinds)[number];
 
 const SHORT_MS = 1_000;
 const SPREAD_MS = 3_000;
 /** Cuts may outlast the time within which a configuration is in force. */
 const LONG_CUT_MS = 6_000;
-/** Evacuations last from less than it takes for all to hear of them to more than their bound. */
+/** Evacuations last from less than the time within which they are in force everywhere to more than that. */
 const LONG_EVACUATION_MS = 8_000;
 const LOSS_SHARE = 0.03;
 const ACK_LOSS_SHARE = 0.6;
 const SILENT_LINK_SHARE = 0.3;
 
-/** Brings faults about. */
-export class IngressFaults {
+/** Causes faults. */
+export class DrawnFaults {
   private readonly lostControls = new Set<SimulatedControlMachine>();
 
   constructor(private readonly world: IngressWorld) {}
 
-  /** Brings about a fault of a drawn kind; none where it would lose too much at once. */
-  strike(kind: IngressFaultKind): void {
+  /** Causes a fault of a drawn kind; none where it would lose too much at once. */
+  strike(kind: DrawnFaultKind): void {
     const { world } = this;
     world.log.push(`${world.clock.nowMs.toFixed(0)} fault ${kind}`);
     switch (kind) {
@@ -242,7 +243,7 @@
     zoneOperator.evacuate(zone, SHORT_MS + random.nextFloat() * LONG_EVACUATION_MS);
   }
 
-  /** Its heartbeats are lost while it serves: it must not be taken for dead. */
+  /** Its heartbeats are lost while it serves: it must not be considered dead. */
   private cutBackend(): void {
     const { backends, controls, random, wires, clock } = this.world;
     const alive = backends.filter(({ isAlive }) => isAlive);
@@ -290,7 +291,7 @@
     world.clock.after(this.durationMs, () => backend.deliverHeldUpHeartbeat());
   }
 
-  private endBackend(kind: IngressFaultKind): void {
+  private endBackend(kind: DrawnFaultKind): void {
     const { world } = this;
     const alive = world.backends.filter(({ isAlive }) => isAlive);
     const backend = alive[world.random.nextInt(alive.length)];
--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -18,7 +18,7 @@
 import { StandInBackend } from './stand-in-backend.js';
 import { StandInClient } from './stand-in-client.js';
 import { SIMULATED_SERVICES, StandInOperator } from './stand-in-operator.js';
-import { VirtualWires } from './virtual-wires.js';
+import { VirtualWires } from '../virtual/virtual-wires.js';
 import { createZoneOperator, type ZoneOperator } from './zone-operator.js';
 import { oracleBoundsOf, type IngressWorldOptions, type IngressWorldParts } from './world-parts.js';
 
--- a/src/proof/sim-registered/run-ingress-world.ts
+++ b/src/proof/sim-registered/run-ingress-world.ts
@@ -2,7 +2,7 @@
  * @file One run of the simulated deployment under faults drawn from a seed, with the oracle's verdict.
  */
 import type { IngressViolation } from './ingress-oracle.js';
-import { IngressFaults, ingressFaultKinds, type IngressFaultKind } from './ingress-faults.js';
+import { DrawnFaults, drawnFaultKinds, type DrawnFaultKind } from './drawn-faults.js';
 import { IngressWorld } from './ingress-world.js';
 import { smallIngressWorld, type IngressWorldOptions } from './world-parts.js';
 
@@ -20,7 +20,7 @@
 export interface IngressRun extends WorldRun {
   readonly faultCount: number;
   /** Kinds that are drawn from. */
-  readonly kinds?: readonly IngressFaultKind[];
+  readonly kinds?: readonly DrawnFaultKind[];
 }
 
 /** What came out. */
@@ -51,10 +51,10 @@
  */
 export async function runWorld(
   run: WorldRun,
-  strikeAll: (world: IngressWorld, faults: IngressFaults) => Promise<void>,
+  strikeAll: (world: IngressWorld, faults: DrawnFaults) => Promise<void>,
 ): Promise<IngressRunReport> {
   const world = new IngressWorld(run.seed, { ...smallIngressWorld, ...run.options });
-  const faults = new IngressFaults(world);
+  const faults = new DrawnFaults(world);
   world.start();
   await world.run(FORMATION_MS);
   run.prepare?.(world);
@@ -74,8 +74,8 @@
 
 async function strikeAll(
   world: IngressWorld,
-  faults: IngressFaults,
-  { faultCount, kinds = ingressFaultKinds }: IngressRun,
+  faults: DrawnFaults,
+  { faultCount, kinds = drawnFaultKinds }: IngressRun,
 ): Promise<void> {
   for (let struck = 0; struck < faultCount; struck += 1) {
     const kind = kinds[world.random.nextInt(kinds.length)];
@@ -88,7 +88,7 @@
 
 async function finish(
   world: IngressWorld,
-  faults: IngressFaults,
+  faults: DrawnFaults,
   endsWithLoss: boolean,
 ): Promise<void> {
   await world.run(SETTLE_MS);
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -19,7 +19,7 @@
 import type { ConfigDocument } from '../../registered/group/replicated-state.js';
 import { VirtualDisk } from '../virtual/virtual-disk.js';
 import { createProcessGate, type ProcessGate } from './process-gate.js';
-import type { VirtualLink } from './virtual-wires.js';
+import type { VirtualLink } from '../virtual/virtual-wires.js';
 import type { IngressWorldParts } from './world-parts.js';
 
 const TICK_MS = 50;
--- a/src/proof/sim-registered/world-parts.ts
+++ b/src/proof/sim-registered/world-parts.ts
@@ -12,7 +12,7 @@
 import type { Timing } from '../../registered/group/timing.js';
 import type { VirtualClock } from '../virtual/virtual-clock.js';
 import type { IngressOracle, OracleBounds } from './ingress-oracle.js';
-import type { VirtualWires } from './virtual-wires.js';
+import type { VirtualWires } from '../virtual/virtual-wires.js';
 
 /** Bounds of the simulated deployment; times in milliseconds. */
 export interface IngressWorldOptions {
--- a/src/proof/soak/soak-faults.ts
+++ b/src/proof/soak/process-faults.ts
@@ -1,5 +1,6 @@
 /**
- * @file Brings the faults of a schedule about, on processes, proxies and stand-ins, and ends them in time.
+ * @file Faults of the soak's real processes and of the links through their proxies: killed, stopped, frozen, wiped, slow, silent.
+ * Faults that no process of the product takes part in are those of `stand-in-faults`.
  */
 import { rm } from 'node:fs/promises';
 import { match } from 'ts-pattern';
@@ -15,8 +16,8 @@
 const SLOW_LINK: ProxyMode = { type: 'slow', bytesPerS: 20_000, delayMs: 150 };
 const DIRECTIONS = ['machine', 'others', 'both'] as const;
 
-/** Brings a fault about; it ends by itself. */
-export function strike(world: SoakWorld, fault: SoakFault): void {
+/** Causes a fault of a schedule; it ends by itself. */
+export function strikeProcess(world: SoakWorld, fault: SoakFault): void {
   const { target, forMs } = fault;
   const control = world.controls[target % world.controls.length];
   const balancer = world.balancers[target % world.balancers.length];
--- a/src/proof/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { IngressOracle, IngressViolation } from '../sim-registered/ingress-oracle.js';
-import { strike } from './soak-faults.js';
+import { strikeProcess } from './process-faults.js';
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
 import { startSoakWorld, type SoakPlace, type SoakWorld } from './soak-world.js';
 
@@ -105,7 +105,7 @@
   durationMs: number,
 ): Promise<void> {
   for (const fault of schedule) {
-    world.clock.after(fault.atMs, () => strike(world, fault));
+    world.clock.after(fault.atMs, () => strikeProcess(world, fault));
   }
   await sleep(durationMs);
 }
--- a/src/proof/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -38,13 +38,13 @@
 const LOSS_SHARE = 0.03;
 const ACK_LOSS_SHARE = 0.6;
 
-/** Machines hold no bound that the oracle judges until some time after this one. */
+/** The oracle excuses missed bounds until some time after this fault has ended. */
 export function disturb(world: Pick<StandInWorld, 'oracle' | 'clock'>, forMs: number): void {
   world.oracle.noteDisturbed(world.clock.nowMs + forMs);
 }
 
 /**
- * Brings a fault about; it ends by itself.
+ * Causes a fault; it ends by itself.
  * @param forMs how long it lasts, or how late the last heartbeat of a back end comes
  */
 export function strikeStandIns(world: StandInWorld, kind: StandInFaultKind, forMs: number): void {
@@ -82,9 +82,9 @@
   >,
   forMs: number,
 ): void {
-  const staying = world.backends.filter(({ isAlive, isLeaving }) => isAlive && !isLeaving);
-  const [backend] = staying;
-  if (backend === undefined || staying.length <= SIMULATED_SERVICES.length) {
+  const active = world.backends.filter(({ isAlive, isLeaving }) => isAlive && !isLeaving);
+  const [backend] = active;
+  if (backend === undefined || active.length <= SIMULATED_SERVICES.length) {
     return;
   }
   const { service, address } = backend.identity;
--- a/src/proof/standins/backend-faults.ts
+++ b/src/proof/standins/backend-fault-flags.ts
@@ -1,5 +1,5 @@
 /**
- * @file Reads the ways in which a stand-in back end shall misbehave, as given by flags.
+ * @file Parses the `--fault` flags of a stand-in back end: the ways in which it misbehaves.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
@@ -28,7 +28,7 @@
  * @param texts each `name=value`
  * @returns the faults, or `invalid-settings`
  */
-export function parseFaults(texts: readonly string[]): Result<BackendFaults, AmberliftError> {
+export function parseFaultFlags(texts: readonly string[]): Result<BackendFaults, AmberliftError> {
   const entries = texts.map((text) => {
     const [name = '', value = ''] = text.split('=', 2);
     return [name, value] as const;
--- a/src/proof/sim-registered/virtual-wires.ts
+++ b/src/proof/virtual/virtual-wires.ts
@@ -1,11 +1,12 @@
 /**
- * @file The network of the simulated deployment: datagrams and links between hosts, with delays, losses
- * and cuts that tell no one.
+ * @file The network of the registered pair's simulator: datagrams, and links of frames with pulses, between hosts; with delays, losses, bandwidth
+ * and silent cuts. `virtual-network` and `virtual-links` model the managed pair's: messages over TCP that retries, and
+ * datagrams that are doubled. Each draws its delays in an order of its own, so one in place of the other would change the runs of kept seeds.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { encodeFrame } from '../../shared/common/frame-codec.js';
 import type { RandomSource } from '../../shared/common/step.js';
-import type { VirtualClock } from '../virtual/virtual-clock.js';
+import type { VirtualClock } from './virtual-clock.js';
 import { createStreamQueue, type StreamQueue, type Transfer } from './stream-queue.js';
 
 const DELAY_MS = 0.5;
--- a/src/tools/cli/backend.ts
+++ b/src/tools/cli/backend.ts
@@ -2,7 +2,7 @@
  * @file `amberlift backend`: runs a stand-in back end.
  */
 import type { CAC } from 'cac';
-import { faultNames, parseFaults } from '../../proof/standins/backend-faults.js';
+import { faultNames, parseFaultFlags } from '../../proof/standins/backend-fault-flags.js';
 import { defaultBackendTuning } from '../../proof/standins/backend-options.js';
 import { startBackend } from '../../proof/standins/backend-process.js';
 import { addressFlag } from './address-flag.js';
@@ -53,7 +53,7 @@
 }
 
 async function run(flags: BackendFlags): Promise<void> {
-  const faults = parseFaults((flags.fault ?? []).filter((text) => text !== 'undefined'));
+  const faults = parseFaultFlags((flags.fault ?? []).filter((text) => text !== 'undefined'));
   if (faults.isErr()) {
     reportError(faults.error);
     return;
--- a/src/tools/cli/bench.ts
+++ b/src/tools/cli/bench.ts
@@ -5,10 +5,10 @@
 import { writeFileSync } from 'node:fs';
 import type { CAC } from 'cac';
 import Table from 'cli-table3';
-import type { Bench, BenchResult, BenchTable } from '../../proof/experiment/bench.js';
-import { forwardBench } from '../../proof/experiment/bench-forward.js';
-import { inForceBench } from '../../proof/experiment/bench-in-force.js';
-import { placementBench } from '../../proof/experiment/bench-placement.js';
+import type { Bench, BenchResult, BenchTable } from '../../proof/bench/bench.js';
+import { forwardBench } from '../../proof/bench/bench-forward.js';
+import { inForceBench } from '../../proof/bench/bench-in-force.js';
+import { placementBench } from '../../proof/bench/bench-placement.js';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 
 /** Every bench, in the order of the help. */
--- a/src/tools/cli/demo.ts
+++ b/src/tools/cli/demo.ts
@@ -3,8 +3,8 @@
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
-import { runDemo, type DemoProgress } from '../../proof/experiment/demo.js';
-import { isUnharmed } from '../../proof/experiment/harm-summary.js';
+import { runDemo, type DemoProgress } from '../../proof/demo/demo.js';
+import { isUnharmed } from '../../proof/demo/harm-summary.js';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 import { describeFigures } from './figures-table.js';
 
--- a/test/managed/daemon/metrics.test.ts
+++ b/test/managed/daemon/metrics.test.ts
@@ -4,7 +4,7 @@
 import { sendJson } from '../../../src/managed/daemon/http-json.js';
 import { balancerMetrics } from '../../../src/managed/daemon/metrics/balancer-metrics.js';
 import { startMetricsServer } from '../../../src/managed/daemon/metrics/metrics-server.js';
-import { startProcess } from '../../../src/proof/experiment/child-process.js';
+import { startProcess } from '../../../src/proof/processes/child-process.js';
 import { exitCodes } from '../../../src/shared/common/error-kinds.js';
 import {
   accept,
--- a/test/managed/routing/bench-placement.test.ts
+++ b/test/managed/routing/bench-placement.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'tap';
-import { median } from '../../../src/proof/experiment/bench.js';
-import { runPlacement } from '../../../src/proof/experiment/placement-run.js';
-import type { PlacementScenario } from '../../../src/proof/experiment/placement-world.js';
+import { median } from '../../../src/proof/bench/bench.js';
+import { runPlacement } from '../../../src/proof/bench/placement-run.js';
+import type { PlacementScenario } from '../../../src/proof/bench/placement-world.js';
 
 const scenario: PlacementScenario = {
   policy: 'random',
--- a/test/proof/experiment/harm-summary.test.ts
+++ b/test/proof/demo/harm-summary.test.ts
@@ -1,10 +1,6 @@
 /** @file The counts of harm: what callers were promised against what back ends ran. */
 import t from 'tap';
-import {
-  isUnharmed,
-  summarizeHarm,
-  type RunRecord,
-} from '../../../src/proof/experiment/harm-summary.js';
+import { isUnharmed, summarizeHarm, type RunRecord } from '../../../src/proof/demo/harm-summary.js';
 import type { RequestOutcome } from '../../../src/proof/standins/caller-state.js';
 
 const answered = (requestNumber: number): RequestOutcome => ({
--- a/test/proof/sim-managed/fuzz-commands.ts
+++ b/test/proof/sim-managed/fuzz-commands.ts
@@ -1,7 +1,7 @@
 /** @file Commands of the stateful fuzzing: faults of any process at any moment, and operators at work. */
 import fc from 'fast-check';
 import type { PlacementPolicyName } from '../../../src/managed/control/cluster-state.js';
-import type { Faults } from '../../../src/proof/sim-managed/faults.js';
+import type { ClusterFaults } from '../../../src/proof/sim-managed/cluster-faults.js';
 import type { World } from '../../../src/proof/sim-managed/world.js';
 
 /** The model: what the commands need to know; what must hold is known to the oracle. */
@@ -12,7 +12,7 @@
 /** The system under test. */
 export interface FuzzSystem {
   readonly world: World;
-  readonly faults: Faults;
+  readonly faults: ClusterFaults;
 }
 
 type Act = (system: FuzzSystem) => void;
--- a/test/proof/sim-managed/fuzz.ts
+++ b/test/proof/sim-managed/fuzz.ts
@@ -2,7 +2,7 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import fc from 'fast-check';
-import { Faults } from '../../../src/proof/sim-managed/faults.js';
+import { ClusterFaults } from '../../../src/proof/sim-managed/cluster-faults.js';
 import type { Violation } from '../../../src/proof/sim-managed/oracle/check.js';
 import { Oracle } from '../../../src/proof/sim-managed/oracle/oracle.js';
 import {
@@ -83,7 +83,7 @@
   const oracle = new Oracle();
   const plan = { ...smallWorld, balancerZones: 1 + (worldSeed % 3) };
   const world = new World({ seed: worldSeed, plan, listener: oracle, steps });
-  const faults = new Faults(world);
+  const faults = new ClusterFaults(world);
   const model: FuzzModel = { commands: 0 };
   await world.setUp();
   await fc.asyncModelRun(() => ({ model, real: { world, faults } }), commands);
--- a/test/registered/decisions/dead-flow.test.ts
+++ b/test/registered/decisions/dead-flow.test.ts
@@ -12,7 +12,7 @@
   defaultSwitches,
   parseSwitches,
 } from '../../../src/registered/decisions/mechanism-switches.js';
-import type { IngressFaultKind } from '../../../src/proof/sim-registered/ingress-faults.js';
+import type { DrawnFaultKind } from '../../../src/proof/sim-registered/drawn-faults.js';
 import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
 import { PLAIN_PACKET } from '../ingress/client-packets.js';
@@ -85,7 +85,7 @@
   t.notOk(table.isReplaced(first));
 });
 
-const KINDS: readonly IngressFaultKind[] = [
+const KINDS: readonly DrawnFaultKind[] = [
   'backend-crashed',
   'backend-cut-from-control',
   'datagrams-lost',
--- a/test/registered/egress/full-link.test.ts
+++ b/test/registered/egress/full-link.test.ts
@@ -6,7 +6,7 @@
 import { seededRandom } from '../../../src/shared/common/random.js';
 import { createPacedSender } from '../../../src/registered/daemon/paced-sender.js';
 import { VirtualClock } from '../../../src/proof/virtual/virtual-clock.js';
-import { VirtualWires } from '../../../src/proof/sim-registered/virtual-wires.js';
+import { VirtualWires } from '../../../src/proof/virtual/virtual-wires.js';
 
 const BALANCER = { host: '10.0.3.1', port: 8_000 };
 const BACKEND = { host: '10.0.2.1', port: 9_000 };
--- a/test/registered/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -6,7 +6,7 @@
 import t from 'tap';
 import { createStallGuard } from '../../../src/shared/common/stall-guard.js';
 import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
-import { IngressFaults } from '../../../src/proof/sim-registered/ingress-faults.js';
+import { DrawnFaults } from '../../../src/proof/sim-registered/drawn-faults.js';
 import type { IngressCheck } from '../../../src/proof/sim-registered/ingress-oracle.js';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
@@ -155,7 +155,7 @@
     if (!isKept) {
       world.controls.forEach(({ disk }) => (disk.sync = () => undefined));
     }
-    const faults = new IngressFaults(world);
+    const faults = new DrawnFaults(world);
     world.zoneOperator.order('zone-a', 'evacuate', () => faults.wipeSomePowerOffAll());
     await world.run(12_000);
     world.readBackFromAll();
--- a/test/registered/ingress/faults.test.ts
+++ b/test/registered/ingress/faults.test.ts
@@ -1,12 +1,12 @@
 /** @file The simulated deployment under drawn faults: nothing is violated, and service comes back. */
 import t from 'tap';
-import { ingressFaultKinds } from '../../../src/proof/sim-registered/ingress-faults.js';
+import { drawnFaultKinds } from '../../../src/proof/sim-registered/drawn-faults.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
 
 const SEEDS = 12;
 const FAULTS = 12;
 
-for (const kind of ingressFaultKinds) {
+for (const kind of drawnFaultKinds) {
   t.test(`three times ${kind}`, async (t) => {
     const report = await runIngressWorld({
       seed: 7,
--- a/test/registered/ingress/many-balancers.test.ts
+++ b/test/registered/ingress/many-balancers.test.ts
@@ -1,6 +1,6 @@
 /** @file Fifty balancers: promises under faults, and what a balancer sends and gets does not grow with them. */
 import t from 'tap';
-import type { IngressFaultKind } from '../../../src/proof/sim-registered/ingress-faults.js';
+import type { DrawnFaultKind } from '../../../src/proof/sim-registered/drawn-faults.js';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
 import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
@@ -13,7 +13,7 @@
 const MEASURED_MS = 10_000;
 const BALANCER_HOSTS = '10.0.3.';
 const CONTROL_HOSTS = '10.0.1.';
-const kinds: readonly IngressFaultKind[] = [
+const kinds: readonly DrawnFaultKind[] = [
   'balancer-killed',
   'balancer-cut',
   'datagrams-lost',
@@ -22,7 +22,7 @@
   'backend-replaced',
 ];
 /** Copies of opens reach another balancer where the first one died or its answer was lost. */
-const copyKinds: readonly IngressFaultKind[] = ['datagrams-lost', 'balancer-killed'];
+const copyKinds: readonly DrawnFaultKind[] = ['datagrams-lost', 'balancer-killed'];
 
 for (let seed = 1; seed <= 3; seed += 1) {
   t.test(`${MANY} balancers under faults of seed ${seed}`, async (t) => {
--- a/test/registered/ingress/mutants.test.ts
+++ b/test/registered/ingress/mutants.test.ts
@@ -1,7 +1,7 @@
 /** @file Each check of the oracle catches a deployment that is broken on purpose. */
 import t from 'tap';
 import type { ConfigDocument } from '../../../src/registered/group/replicated-state.js';
-import type { IngressFaultKind } from '../../../src/proof/sim-registered/ingress-faults.js';
+import type { DrawnFaultKind } from '../../../src/proof/sim-registered/drawn-faults.js';
 import type { IngressCheck } from '../../../src/proof/sim-registered/ingress-oracle.js';
 import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
@@ -10,7 +10,7 @@
 interface IngressMutant {
   readonly name: string;
   readonly check: IngressCheck;
-  readonly kinds: readonly IngressFaultKind[];
+  readonly kinds: readonly DrawnFaultKind[];
   readonly faultCount: number;
   readonly endsWithLoss?: boolean;
   readonly breakWorld: (world: IngressWorld) => void;
--- a/test/shared/consensus/control-network.ts
+++ b/test/shared/consensus/control-network.ts
@@ -18,7 +18,7 @@
 import type { AmberliftError } from '../../../src/shared/common/error-kinds.js';
 import { TimedQueue } from '../../../src/shared/common/timed-queue.js';
 import { Invariants } from './invariants.js';
-import { VirtualDisk } from './virtual-disk.js';
+import { LogDisk } from './log-disk.js';
 
 const START_TIME_MS = 1_000;
 const WALL_CLOCK_OFFSET_MS = Date.UTC(2026, 11, 2);
@@ -54,7 +54,7 @@
 /** One control machine; `state` is undefined while it is down. */
 export interface Machine {
   readonly nodeId: NodeId;
-  disk: VirtualDisk;
+  disk: LogDisk;
   state: ControlState | undefined;
   /** Counts the starts; what an earlier run set off is dropped. */
   run: number;
@@ -395,8 +395,8 @@
     });
   }
 
-  private newDisk(nodeId: NodeId): VirtualDisk {
-    return new VirtualDisk(`${nodeId}/disk-${this.takeId()}`);
+  private newDisk(nodeId: NodeId): LogDisk {
+    return new LogDisk(`${nodeId}/disk-${this.takeId()}`);
   }
 }
 
--- a/test/shared/consensus/virtual-disk.ts
+++ b/test/shared/consensus/log-disk.ts
@@ -1,4 +1,7 @@
-/** @file A disk in memory that holds what was synced; a write under way may be lost in a crash. */
+/**
+ * @file A disk in memory that holds log records and snapshots; one write is under way at a time and ends when the test says so. A
+ * crash may lose it. The files, renames and syncs below are modelled by src/proof/virtual/virtual-disk.
+ */
 import type { RandomSource } from '../../../src/shared/common/step.js';
 import type {
   LogRecord,
@@ -8,7 +11,7 @@
 } from '../../../src/shared/consensus/persisted-state.js';
 
 /** The disk of one machine. */
-export class VirtualDisk {
+export class LogDisk {
   /** Every sync fails from now on. */
   isFull = false;
   private snapshot: Snapshot | undefined;
