--- a/src/proof/bench/bench-forward-control.ts
+++ b/src/proof/bench/bench-forward-control.ts
@@ -11,7 +11,7 @@
 import { BENCH_INCARNATION, benchConfig, benchDelta } from './bench-forward-config.js';
 import { processorTimeMs } from './bench-forward-process.js';
 
-/** Back ends that a balancer hears of first. */
+/** Back ends that a balancer gets first. */
 const FIRST_BACKENDS = 10;
 const SETTLE_POLL_MS = 500;
 const SETTLE_LIMIT_MS = 30_000;
@@ -43,7 +43,7 @@
   });
   const places = { port: backendPort, healthAddress: health.address };
   const config = benchConfig(backendCount, places);
-  // A balancer probes all that it hears of at once, and its ports may not reach for thousands: those
+  // A balancer probes all that come with one update at once, and its ports may not reach for thousands: those
   // that take new flows in this bench come first.
   const firstCount = Math.min(backendCount, FIRST_BACKENDS);
   const first = benchConfig(firstCount, places);
--- a/src/proof/bench/placement-backend.ts
+++ b/src/proof/bench/placement-backend.ts
@@ -15,7 +15,7 @@
   readonly connectionLimit: number;
   /** Mean time that a request holds a slot; times are exponential. */
   readonly serviceMs: number;
-  /** How old the state is that a load report tells. */
+  /** Age of the state in a load report. */
   readonly reportLagMs: number;
 }
 
--- a/src/proof/bench/placement-scenarios.ts
+++ b/src/proof/bench/placement-scenarios.ts
@@ -85,7 +85,7 @@
   },
 ];
 
-/** The scenario by which the targets are judged. */
+/** The scenario that the targets are about. */
 export const TARGET_SCENARIO = 'surge, reports 1 s late, balancers 3';
 
 function changesOf(type: PlacementChange['type'], count: number): PlacementChange[] {
--- a/src/proof/bench/placement-world.ts
+++ b/src/proof/bench/placement-world.ts
@@ -180,7 +180,7 @@
       .with('balancer-joins', () => this.joinBalancer())
       .with('balancer-dies', () => {
         this.balancers.shift();
-        this.tellFleetSize();
+        this.publishFleetSize();
       })
       .exhaustive();
   }
@@ -203,7 +203,7 @@
     const joined = this.addBalancer();
     applyConfigUpdate(joined, this.snapshot());
     this.startProbes(joined);
-    this.tellFleetSize();
+    this.publishFleetSize();
   }
 
   private addBackend(): PlacementBackend {
@@ -235,7 +235,7 @@
     // No control machine is a part of this world, so the lease never runs out.
     balancer.subscription.lease.expiresAtMs = Number.POSITIVE_INFINITY;
     this.balancers.push(balancer);
-    this.tellFleetSize();
+    this.publishFleetSize();
     return balancer;
   }
 
@@ -259,8 +259,8 @@
     };
   }
 
-  /** Each balancer learns how many there are; in the daemon membership tells it. */
-  private tellFleetSize(): void {
+  /** Sets the number of balancers at each; in the daemon it comes from gossip. */
+  private publishFleetSize(): void {
     for (const { fleet, options } of this.balancers) {
       const local = this.balancers.filter((other) => other.options.zone === options.zone);
       fleet.balancerCount = this.balancers.length;
--- a/src/proof/demo/cluster.ts
+++ b/src/proof/demo/cluster.ts
@@ -200,7 +200,7 @@
     this.balancers.splice(this.balancers.indexOf(balancer), 1);
   }
 
-  /** The platform tells the fabric which balancers there are. */
+  /** The platform sends the fabric the list of balancers. */
   async publishBalancers(): Promise<void> {
     const body = this.balancers.map(({ address, zone }) => ({ address, zone }));
     const to = this.readyAddress(this.fabric, 'platformAddress');
--- a/src/proof/demo/harm-summary.ts
+++ b/src/proof/demo/harm-summary.ts
@@ -22,7 +22,7 @@
 export interface HarmSummary extends NoticeSummary {
   readonly requests: number;
   readonly answered: number;
-  /** Requests whose caller was told that they surely did not run. */
+  /** Requests whose caller got the answer that they certainly did not run. */
   readonly refused: number;
   /** Requests that may or may not have run. */
   readonly outcomeUnknown: number;
@@ -31,7 +31,7 @@
   readonly misrouted: number;
   /** Requests that ran more than once. */
   readonly ranTwice: number;
-  /** Requests that ran though their caller was told "not run". */
+  /** Requests that ran though their caller got the answer "not run". */
   readonly falseNotRun: number;
   /** Requests that were not refused and got no whole, right answer. */
   readonly incompleteAnswers: number;
--- a/src/proof/demo/notice-publisher.ts
+++ b/src/proof/demo/notice-publisher.ts
@@ -1,6 +1,6 @@
 /**
  * @file The publisher of a service's notices: numbers them from 1 on and hands each to all back ends
- * of the service. What a back end did not take is handed to it again before the next one, and a back
+ * of the service. What a back end did not accept is handed to it again before the next one, and a back
  * end that joined later gets all.
  */
 import type { Address } from '../../shared/common/address.js';
@@ -12,21 +12,21 @@
 /** Publishes to the back ends of one service. */
 export class NoticePublisher {
   private readonly payloads: string[] = [];
-  /** How many notices each back end has taken, by its health address. */
+  /** How many notices each back end has accepted, by its health address. */
   private readonly taken = new Map<string, number>();
 
   /**
-   * @param backends tells the health addresses of the present back ends
+   * @param backends returns the health addresses of the present back ends
    */
   constructor(private readonly backends: () => readonly Address[]) {}
 
-  /** Publishes one notice; resolves once every back end was asked to take it. */
+  /** Publishes one notice; resolves once every back end was asked to accept it. */
   async publish(payload: string): Promise<void> {
     this.payloads.push(payload);
     await this.repeat();
   }
 
-  /** Hands over what back ends have not taken. */
+  /** Hands over what back ends have not accepted. */
   async repeat(): Promise<void> {
     await Promise.all(this.backends().map((backend) => this.handOver(backend)));
   }
--- a/src/proof/sim-managed/cluster-faults.ts
+++ b/src/proof/sim-managed/cluster-faults.ts
@@ -90,7 +90,7 @@
   }
 
   /** Records which back ends ignore their drain, so that the oracle excuses them. */
-  noteDeaf(backends: readonly PlacedBackend[]): void {
+  recordIgnoredDrains(backends: readonly PlacedBackend[]): void {
     const targets = backends.map(({ process }) => process.name);
     this.during('ignores-drain', targets, 0, () => undefined);
   }
@@ -222,10 +222,10 @@
     const faultId = this.nextFaultId;
     this.nextFaultId += 1;
     const { simulation } = this.world;
-    simulation.note({ type: 'fault', faultId, fault, targets, phase: 'begins' });
+    simulation.record({ type: 'fault', faultId, fault, targets, phase: 'begins' });
     this.world.after(durationMs, () => {
       end();
-      simulation.note({ type: 'fault', faultId, fault, targets, phase: 'ends' });
+      simulation.record({ type: 'fault', faultId, fault, targets, phase: 'ends' });
     });
   }
 
--- a/src/proof/sim-managed/config-digest.ts
+++ b/src/proof/sim-managed/config-digest.ts
@@ -1,5 +1,5 @@
 /**
- * @file A digest of the routing configuration, by which the oracle tells whether two machines hold the
+ * @file A digest of the routing configuration, by which the oracle sees whether two machines hold the
  * same.
  */
 import { createHash } from 'node:crypto';
--- a/src/proof/sim-managed/notice-payload.ts
+++ b/src/proof/sim-managed/notice-payload.ts
@@ -1,5 +1,5 @@
 /**
- * @file The payload of a notice in a simulated run, from which callers tell that it is the right one.
+ * @file The payload of a notice in a simulated run, by which callers recognise the right one.
  */
 
 /**
--- a/src/proof/sim-managed/oracle/check.ts
+++ b/src/proof/sim-managed/oracle/check.ts
@@ -1,6 +1,6 @@
 /**
  * @file What the oracle's checks have in common. The oracle reads the trace alone and shares no code with
- * the product: it knows what callers and operators were told, what back ends ran and what balancers had
+ * the product: it knows which answers callers and operators got, what back ends ran and what balancers had
  * in force.
  */
 import type { TraceEvent } from '../trace.js';
@@ -27,11 +27,11 @@
   readonly text: string;
 }
 
-/** Tells of a violation. */
+/** Records a violation. */
 export type ReportViolation = (atMs: number, text: string) => void;
 
-/** One check: it hears every event, in order, and the end of the run. */
+/** One check: it gets every event, in order, and the end of the run. */
 export interface Check {
-  note(event: TraceEvent): void;
+  handle(event: TraceEvent): void;
   finish(endMs: number): void;
 }
--- a/src/proof/sim-managed/oracle/config-check.ts
+++ b/src/proof/sim-managed/oracle/config-check.ts
@@ -35,20 +35,20 @@
     private readonly troubles: Troubles,
   ) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     this.checkDeadlines(event.atMs);
     if (event.type === 'process' && event.kind === 'balancer') {
-      this.noteBalancer(event);
+      this.recordBalancer(event);
     } else if (event.type === 'applied') {
       this.checkDigest(event.atMs, event.control, event.index, event.digest);
     } else if (event.type === 'in-force') {
-      this.noteInForce(event);
+      this.recordInForce(event);
     } else if (event.type === 'command-sent') {
-      this.noteSent(event);
+      this.recordSent(event);
     } else if (event.type === 'command-answered') {
-      this.noteAnswer(event);
+      this.recordAnswer(event);
     } else if (event.type === 'shown') {
-      this.checkShown(event);
+      this.checkStateAnswer(event);
     }
   }
 
@@ -57,7 +57,7 @@
     this.checkVersions(endMs);
   }
 
-  private noteBalancer(event: Extract<TraceEvent, { type: 'process' }>): void {
+  private recordBalancer(event: Extract<TraceEvent, { type: 'process' }>): void {
     const { process, status } = event;
     if (status === 'started') {
       this.inForce.set(process, 0);
@@ -68,7 +68,7 @@
     }
   }
 
-  private noteInForce(event: Extract<TraceEvent, { type: 'in-force' }>): void {
+  private recordInForce(event: Extract<TraceEvent, { type: 'in-force' }>): void {
     const { atMs, balancer, index, digest } = event;
     const before = this.inForce.get(balancer) ?? 0;
     if (index < before) {
@@ -92,14 +92,14 @@
     }
   }
 
-  private noteSent(event: Extract<TraceEvent, { type: 'command-sent' }>): void {
+  private recordSent(event: Extract<TraceEvent, { type: 'command-sent' }>): void {
     const { service, commandId } = event;
     const commands = this.sent.get(service) ?? new Set();
     this.sent.set(service, commands.add(commandId));
     this.unanswered.add(commandId);
   }
 
-  private noteAnswer(event: Extract<TraceEvent, { type: 'command-answered' }>): void {
+  private recordAnswer(event: Extract<TraceEvent, { type: 'command-answered' }>): void {
     const { atMs, commandId, command: kind, index, version, service } = event;
     this.unanswered.delete(commandId);
     if (index === undefined) {
@@ -122,7 +122,7 @@
     }
   }
 
-  private checkShown(event: Extract<TraceEvent, { type: 'shown' }>): void {
+  private checkStateAnswer(event: Extract<TraceEvent, { type: 'shown' }>): void {
     const { atMs, control, index, askedAtMs } = event;
     const known = this.accepted.filter(({ acceptedAtMs }) => acceptedAtMs <= askedAtMs);
     const highest = Math.max(0, ...known.map((command) => command.index));
--- a/src/proof/sim-managed/oracle/final-config-check.ts
+++ b/src/proof/sim-managed/oracle/final-config-check.ts
@@ -23,7 +23,7 @@
 export class FinalConfigIsAsAccepted implements Check {
   /** The accepted command with the highest index, by back end. */
   private readonly lastOfBackend = new Map<string, Answer>();
-  /** The highest version that an operator was told, by service. */
+  /** The highest version in an operator's answers, by service. */
   private readonly versions = new Map<string, number>();
   private readonly unanswered = new Set<string>();
   private lastAcceptedAtMs = 0;
@@ -33,11 +33,11 @@
     private readonly troubles: Troubles,
   ) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type === 'command-sent') {
       this.unanswered.add(event.commandId);
     } else if (event.type === 'command-answered') {
-      this.noteAnswer(event);
+      this.recordAnswer(event);
     } else if (event.type === 'final-config') {
       this.checkBalancer(event);
     }
@@ -47,7 +47,7 @@
     // The events at the end of the run bring what is checked.
   }
 
-  private noteAnswer(event: Answer): void {
+  private recordAnswer(event: Answer): void {
     this.unanswered.delete(event.commandId);
     if (!event.accepted) {
       return;
--- a/src/proof/sim-managed/oracle/flow-checks.ts
+++ b/src/proof/sim-managed/oracle/flow-checks.ts
@@ -20,7 +20,7 @@
     private readonly troubles: Troubles,
   ) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type === 'flow-broken') {
       const { atMs, caller, flowId, backend, establishedAtMs } = event;
       const isExcused = [backend, caller].some((process) =>
@@ -43,16 +43,16 @@
   }
 }
 
-/** A back end that is leaving gets no new work a few seconds after its operator was told so. */
+/** A back end that is leaving gets no new work a few seconds after its operator got the answer that the drain is accepted. */
 export class LeavingBackendGetsNoWork implements Check {
   private readonly leavingSinceMs = new Map<string, number>();
   private readonly ignoreDrain = new Set<string>();
 
   constructor(private readonly report: ReportViolation) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type === 'command-answered' && event.accepted) {
-      this.noteCommand(event);
+      this.recordCommand(event);
     } else if (event.type === 'fault' && event.fault === 'ignores-drain') {
       event.targets.forEach((target) => this.ignoreDrain.add(target));
     } else if (event.type === 'flow-accepted') {
@@ -72,7 +72,7 @@
     // Nothing is left open.
   }
 
-  private noteCommand(event: Extract<TraceEvent, { type: 'command-answered' }>): void {
+  private recordCommand(event: Extract<TraceEvent, { type: 'command-answered' }>): void {
     const { atMs, command, subject } = event;
     if (command === 'drain-backend') {
       this.leavingSinceMs.set(subject, this.leavingSinceMs.get(subject) ?? atMs);
@@ -94,7 +94,7 @@
     private readonly troubles: Troubles,
   ) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type === 'process' && event.status === 'stopped' && event.unfinished !== 0) {
       const { atMs, process, unfinished } = event;
       this.report(atMs, `${process} was stopped with ${unfinished ?? 0} in progress.`);
--- a/src/proof/sim-managed/oracle/oracle.ts
+++ b/src/proof/sim-managed/oracle/oracle.ts
@@ -34,9 +34,9 @@
     ];
   }
 
-  note(event: TraceEvent): void {
-    this.troubles.note(event);
-    this.checks.forEach((check) => check.note(event));
+  handle(event: TraceEvent): void {
+    this.troubles.handle(event);
+    this.checks.forEach((check) => check.handle(event));
   }
 
   /** The run has ended. */
--- a/src/proof/sim-managed/oracle/request-checks.ts
+++ b/src/proof/sim-managed/oracle/request-checks.ts
@@ -8,7 +8,7 @@
 export class OwnServiceOnly implements Check {
   constructor(private readonly report: ReportViolation) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type === 'packet' && event.arrivedAt !== undefined) {
       const { atMs, meantFor, arrivedAt, to, from, message } = event;
       if (meantFor !== arrivedAt) {
@@ -29,7 +29,7 @@
 
   constructor(private readonly report: ReportViolation) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type === 'run') {
       this.started.add(event.requestNumber);
     } else if (event.type === 'outcome' && event.outcome === 'answered') {
@@ -70,14 +70,14 @@
   }
 }
 
-/** What a caller was told did not run did not run, neither before nor after. */
+/** A request whose caller got the answer "not run" runs neither before nor after that. */
 export class NotRunMeansNotRun implements Check {
   private readonly started = new Map<number, string>();
   private readonly toldNotRun = new Map<number, string>();
 
   constructor(private readonly report: ReportViolation) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type === 'run') {
       const { atMs, requestNumber, backend } = event;
       this.started.set(requestNumber, backend);
@@ -106,7 +106,7 @@
 
   constructor(private readonly report: ReportViolation) {}
 
-  note(event: TraceEvent): void {
+  handle(event: TraceEvent): void {
     if (event.type !== 'run') {
       return;
     }
--- a/src/proof/sim-managed/oracle/troubles.ts
+++ b/src/proof/sim-managed/oracle/troubles.ts
@@ -16,14 +16,14 @@
   private majorityEndedAtMs = 0;
   private majorityInTrouble = false;
 
-  /** Hears an event; to be called before the checks hear it. */
-  note(event: TraceEvent): void {
+  /** Handles an event; to be called before the checks get it. */
+  handle(event: TraceEvent): void {
     this.updateMajority(event.atMs);
     if (event.type === 'process') {
       if (event.kind === 'control') {
         this.controls.add(event.process);
       }
-      this.noteStatus(event);
+      this.updateStatus(event);
     } else if (event.type === 'fault') {
       for (const target of event.targets) {
         this.set(target, `fault ${event.faultId}`, event.phase === 'begins', event.atMs);
@@ -54,7 +54,7 @@
     return Math.max(this.endedAtMs.get(process) ?? 0, this.majorityEndedAtMs);
   }
 
-  private noteStatus(event: Extract<TraceEvent, { type: 'process' }>): void {
+  private updateStatus(event: Extract<TraceEvent, { type: 'process' }>): void {
     const { process, status, atMs } = event;
     const isDown = status === 'crashed' || status === 'stopped';
     if (status === 'paused' || status === 'resumed') {
--- a/src/proof/sim-managed/packet-notes.ts
+++ b/src/proof/sim-managed/packet-notes.ts
@@ -1,5 +1,5 @@
 /**
- * @file Reads packets for the trace, without the product's decoders where they check more than is shown.
+ * @file Reads packets for the trace, without the product's decoders where these check more than the trace needs.
  */
 import { Packr } from 'msgpackr';
 import { formatAddress } from '../../shared/common/address.js';
--- a/src/proof/sim-managed/run-scenario.ts
+++ b/src/proof/sim-managed/run-scenario.ts
@@ -1,5 +1,5 @@
 /**
- * @file Runs scenarios and has the oracle judge them.
+ * @file Runs scenarios and has the oracle check them.
  */
 import { seededRandom } from '../../shared/common/random.js';
 import { ClusterFaults } from './cluster-faults.js';
@@ -56,7 +56,7 @@
       break;
     }
   }
-  world.noteFinalConfigs();
+  world.recordFinalConfigs();
   const { trace, nowMs } = world.simulation;
   oracle.finish(nowMs);
   const outcomeTypes = new Set(['outcome', 'notice', 'command-answered']);
--- a/src/proof/sim-managed/scenarios/address-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/address-scenarios.ts
@@ -40,7 +40,7 @@
     world.after(2_500, () => {
       const leaving = pick(random, backendsOf(world, from));
       if (leaving !== undefined) {
-        faults.leave(leaving, () => takeIn(world, to, leaving.process.address));
+        faults.leave(leaving, () => addAtAddress(world, to, leaving.process.address));
       }
     });
   },
@@ -52,7 +52,7 @@
     return;
   }
   const durationMs = between(random, 15_000, 38_000);
-  // Nobody tells it of changes any more; packets still pass.
+  // It gets no changes any more; packets still pass.
   const others = world.balancers.filter((balancer) => balancer !== one);
   faults.cutLinks([one], [...world.controls, ...others], durationMs);
   if (random.nextInt(2) === 0) {
@@ -61,7 +61,7 @@
 }
 
 /** The operator of the other service asks for the address until it is free. */
-function takeIn(world: World, service: ServicePlan, address: Address): void {
+function addAtAddress(world: World, service: ServicePlan, address: Address): void {
   const command = {
     type: 'add-backend' as const,
     service: service.name,
@@ -73,7 +73,7 @@
     if (outcome.accepted) {
       world.placeBackend(service, address).backendId = outcome.backendId;
     } else {
-      world.after(TRY_AGAIN_MS, () => takeIn(world, service, address));
+      world.after(TRY_AGAIN_MS, () => addAtAddress(world, service, address));
     }
   });
 }
--- a/src/proof/sim-managed/scenarios/backend-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/backend-scenarios.ts
@@ -27,7 +27,7 @@
     const { world, faults } = scope;
     publishRegularly(scope, DURATION_MS, 400);
     const deaf = world.backends.filter(({ process }) => process.options.faults?.ignoresDrain);
-    faults.noteDeaf(deaf);
+    faults.recordIgnoredDrains(deaf);
     deaf.forEach((placed, position) => {
       world.after(1_000 + position * 500, () => faults.leave(placed));
     });
--- a/src/proof/sim-managed/simulated-backend.ts
+++ b/src/proof/sim-managed/simulated-backend.ts
@@ -47,7 +47,7 @@
     this.address = address;
     this.options = options;
     this.state = this.newState();
-    this.onDatagram = (datagram, from) => this.takeDatagram(datagram, from);
+    this.onDatagram = (datagram, from) => this.handleDatagram(datagram, from);
   }
 
   /** What the process answers to a probe. */
@@ -93,7 +93,7 @@
     return [...this.state.flows.values()].filter(hasUnfinishedRequest).length;
   }
 
-  private takeDatagram(datagram: Uint8Array, from: Address): void {
+  private handleDatagram(datagram: Uint8Array, from: Address): void {
     const sender = this.nameOf(from);
     const arrivedAt = formatAddress(this.options.serviceAddress);
     const { keepsPackets } = this.simulation.trace;
@@ -102,7 +102,7 @@
         ? readPacket(this.simulation, datagram)
         : undefined;
     if (packet !== undefined) {
-      this.simulation.note({
+      this.simulation.record({
         type: 'packet',
         from: sender,
         to: this.name,
@@ -120,8 +120,8 @@
       const flowsBefore = flows.size;
       const context = this.simulation.contextFor(this.random);
       const effects = this.simulation.steps.backend(this.state, event, context);
-      this.noteNewFlow(flowsBefore, sender);
-      this.noteRuns(runsBefore);
+      this.recordNewFlow(flowsBefore, sender);
+      this.recordRuns(runsBefore);
       for (const { to, datagram } of effects) {
         this.simulation.network.send(this.address, to, datagram);
       }
@@ -129,21 +129,21 @@
   }
 
   /** One datagram opens at most one flow, which is then the newest. */
-  private noteNewFlow(flowsBefore: number, via: string): void {
+  private recordNewFlow(flowsBefore: number, via: string): void {
     const { flows } = this.state;
     const newest = flows.size > flowsBefore ? [...flows.values()].at(-1) : undefined;
     if (newest !== undefined) {
       const flowId = this.simulation.flowName(Buffer.from(newest.flowId).toString('hex'));
-      this.simulation.note({ type: 'flow-accepted', backend: this.name, flowId, via });
+      this.simulation.record({ type: 'flow-accepted', backend: this.name, flowId, via });
     }
   }
 
-  private noteRuns(before: number): void {
+  private recordRuns(before: number): void {
     const { runs, running } = this.state;
     for (const requestNumber of runs.slice(before)) {
       const record = [...running].find(({ work }) => work?.requestNumber === requestNumber);
       const flowId = Buffer.from(record?.flow.flowId ?? []).toString('hex');
-      this.simulation.note({
+      this.simulation.record({
         type: 'run',
         backend: this.name,
         flowId: this.simulation.flowName(flowId),
--- a/src/proof/sim-managed/simulated-balancer.ts
+++ b/src/proof/sim-managed/simulated-balancer.ts
@@ -44,7 +44,7 @@
   state: BalancerState;
   private readonly peers: SimulatedPeerSockets;
   private link: VirtualLinkEnd | undefined;
-  private notedIndex = 0;
+  private recordedIndex = 0;
   private isStopping = false;
   private readonly onFront: DatagramHandler;
   private readonly onBack: DatagramHandler;
@@ -67,7 +67,7 @@
     this.onBack = (datagram) => this.step({ type: 'backend-datagram', datagram });
   }
 
-  /** True while the platform counts it as live: it runs, and has not been told to stop. */
+  /** True while the platform counts it as live: it runs, and is not asked to stop. */
   get isListed(): boolean {
     return this.status !== 'down' && !this.isStopping;
   }
@@ -84,7 +84,7 @@
 
   protected onStart(): void {
     this.state = this.emptyState();
-    this.notedIndex = 0;
+    this.recordedIndex = 0;
     this.isStopping = false;
     const { network } = this.simulation;
     network.bind(this.front, this.onFront);
@@ -127,17 +127,17 @@
     this.perform(() => {
       const context = this.simulation.contextFor(this.random);
       const effects = this.simulation.steps.balancer(this.state, event, context);
-      this.noteInForce();
+      this.recordInForce();
       effects.forEach((effect) => this.performEffect(effect));
     });
   }
 
-  private noteInForce(): void {
+  private recordInForce(): void {
     const { index } = this.state.position;
-    if (index !== this.notedIndex) {
-      this.notedIndex = index;
+    if (index !== this.recordedIndex) {
+      this.recordedIndex = index;
       const digest = configDigest(this.state.config);
-      this.simulation.note({ type: 'in-force', balancer: this.name, index, digest });
+      this.simulation.record({ type: 'in-force', balancer: this.name, index, digest });
     }
   }
 
--- a/src/proof/sim-managed/simulated-caller.ts
+++ b/src/proof/sim-managed/simulated-caller.ts
@@ -98,7 +98,7 @@
       for (const effect of effects) {
         this.performEffect(effect, requestFlow, feedFlow, isWrong);
       }
-      this.noteFlows(this.state.brokenFlows > brokenFlows);
+      this.recordFlows(this.state.brokenFlows > brokenFlows);
     });
   }
 
@@ -110,15 +110,15 @@
   ): void {
     match(effect)
       .with({ type: 'send' }, ({ packet }) => this.send(packet))
-      .with({ type: 'outcome' }, ({ outcome }) => this.noteOutcome(outcome, requestFlow, isWrong))
+      .with({ type: 'outcome' }, ({ outcome }) => this.recordOutcome(outcome, requestFlow, isWrong))
       .with({ type: 'notice' }, ({ number, payload }) => {
         const { serviceName } = this.state.options;
         const intact = Buffer.compare(payload, noticePayload(serviceName, number)) === 0;
-        this.simulation.note({ type: 'notice', caller: this.name, number, intact });
+        this.simulation.record({ type: 'notice', caller: this.name, number, intact });
       })
       .with({ type: 'notices-missed' }, ({ first, last }) => {
         const backend = feedFlow === undefined ? '' : this.backendOf(feedFlow);
-        this.simulation.note({
+        this.simulation.record({
           type: 'notices-missed',
           caller: this.name,
           first,
@@ -136,9 +136,13 @@
     }
   }
 
-  private noteOutcome(outcome: RequestOutcome, flow: OpenFlow | undefined, isWrong: boolean): void {
+  private recordOutcome(
+    outcome: RequestOutcome,
+    flow: OpenFlow | undefined,
+    isWrong: boolean,
+  ): void {
     const { type, requestNumber } = outcome;
-    this.simulation.note({
+    this.simulation.record({
       type: 'outcome',
       caller: this.name,
       requestNumber,
@@ -150,7 +154,7 @@
   }
 
   /** Notes which established flows are gone though the session did not end them. */
-  private noteFlows(isBroken: boolean): void {
+  private recordFlows(isBroken: boolean): void {
     const { flow, oldFlows, closedFlows } = this.state;
     const present = flow.phase === 'open' ? [...oldFlows, flow] : oldFlows;
     for (const [known, { sinceMs }] of this.standing) {
@@ -160,7 +164,7 @@
       this.standing.delete(known);
       const wasEnded = closedFlows.includes(known) && !isBroken;
       if (isBroken && !wasEnded) {
-        this.simulation.note({
+        this.simulation.record({
           type: 'flow-broken',
           caller: this.name,
           flowId: this.flowName(known),
--- a/src/proof/sim-managed/simulated-control.ts
+++ b/src/proof/sim-managed/simulated-control.ts
@@ -53,7 +53,7 @@
 }
 
 /** What a question of an operator gave. */
-export interface ShownState {
+export interface StateAnswer {
   readonly index?: number;
   readonly error?: AmberliftError;
   readonly leader?: Address;
@@ -68,10 +68,10 @@
   private peerLinks: DialedLinks<VirtualLinkEnd> | undefined;
   private readonly links = new Map<number, VirtualLinkEnd>();
   private readonly commands = new Map<number, (outcome: CommandOutcome) => void>();
-  private readonly queries = new Map<number, (shown: ShownState) => void>();
+  private readonly queries = new Map<number, (shown: StateAnswer) => void>();
   private nextLinkId = 1;
   private nextRequestId = 1;
-  private notedIndex = 0;
+  private recordedIndex = 0;
   private secret: Uint8Array = new Uint8Array(TOKEN_KEY_LENGTH_BYTES);
   private renewSecretAtMs = 0;
 
@@ -95,14 +95,14 @@
 
   /** Puts a command into the log, as the operator interface does. */
   propose(entry: CommandEntry, done: (outcome: CommandOutcome) => void): void {
-    const requestId = this.takeRequestId();
+    const requestId = this.nextFreeRequestId();
     this.commands.set(requestId, done);
     this.step({ type: 'propose', requestId, entry });
   }
 
   /** Asks for the state, as the operator interface does. */
-  show(done: (shown: ShownState) => void): void {
-    const requestId = this.takeRequestId();
+  show(done: (shown: StateAnswer) => void): void {
+    const requestId = this.nextFreeRequestId();
     this.queries.set(requestId, done);
     this.step({ type: 'query', requestId });
   }
@@ -125,9 +125,9 @@
   protected onStart(): void {
     const folder = this.simulation.steps.storage(this.disk.open());
     const makeStorageId = (): string => `disk-${this.random.nextInt(STORAGE_ID_BOUND)}`;
-    this.simulation.clock.notePromise();
+    this.simulation.clock.markPromiseSettled();
     void ConsensusStorage.open(folder, this.name, makeStorageId).then((storage) => {
-      this.simulation.clock.notePromise();
+      this.simulation.clock.markPromiseSettled();
       if (storage.isOk()) {
         this.begin(storage.value);
       } else {
@@ -152,7 +152,7 @@
     const { linkAddress, operatorAddress, peers, clusterKey } = this.options;
     this.storage = storage;
     this.peerLinks = createSimulatedPeerLinks(this.simulation, this.host);
-    this.notedIndex = 0;
+    this.recordedIndex = 0;
     this.state = createControlState({
       nodeId: this.name,
       clusterKey,
@@ -161,7 +161,7 @@
       peers,
       recovered: storage.recovered,
     });
-    this.noteApplied();
+    this.recordApplied();
     this.every(TICK_INTERVAL_MS, () => this.tick());
   }
 
@@ -187,17 +187,17 @@
       }
       const context = this.simulation.contextFor(this.random);
       const effects = this.simulation.steps.control(this.state, event, context);
-      this.noteApplied();
+      this.recordApplied();
       effects.forEach((effect) => this.performEffect(effect));
     });
   }
 
-  private noteApplied(): void {
+  private recordApplied(): void {
     const index = this.state?.cluster.index ?? 0;
-    if (this.state !== undefined && index !== this.notedIndex) {
-      this.notedIndex = index;
+    if (this.state !== undefined && index !== this.recordedIndex) {
+      this.recordedIndex = index;
       const digest = configDigest(this.state.cluster.routing);
-      this.simulation.note({ type: 'applied', control: this.name, index, digest });
+      this.simulation.record({ type: 'applied', control: this.name, index, digest });
     }
   }
 
@@ -219,14 +219,14 @@
         const index = this.state?.cluster.index ?? 0;
         done?.(error === undefined ? { index } : { error, ...(leader && { leader }) });
       })
-      .with({ type: 'role-changed' }, () => this.noteRole())
+      .with({ type: 'role-changed' }, () => this.recordRole())
       .exhaustive();
   }
 
   private persist(effect: PersistEffect): void {
     const { writeId } = effect;
     const { storage } = this;
-    this.simulation.clock.notePromise();
+    this.simulation.clock.markPromiseSettled();
     storage?.persist(effect).then(
       () => this.endWrite(storage, { type: 'persisted', writeId }),
       (cause: unknown) =>
@@ -239,19 +239,19 @@
     if (storage !== this.storage) {
       return;
     }
-    this.simulation.clock.notePromise();
+    this.simulation.clock.markPromiseSettled();
     this.step(event);
     if (event.type === 'persist-failed') {
       this.later(RESTART_AFTER_FAILURE_MS, () => this.crash());
     }
   }
 
-  private noteRole(): void {
+  private recordRole(): void {
     if (this.state === undefined) {
       return;
     }
     const { role, term } = this.state.consensus;
-    this.simulation.note({ type: 'role', control: this.name, role: role.name, term });
+    this.simulation.record({ type: 'role', control: this.name, role: role.name, term });
     if (isLeader(this.state) && this.state.cluster.operators.size === 0) {
       this.proposeFirstCommands();
     }
@@ -287,7 +287,7 @@
     this.nextLinkId += 1;
     return {
       opened: (end) => this.links.set(linkId, end),
-      onMessage: (message) => this.takeMessage(linkId, message),
+      onMessage: (message) => this.handleMessage(linkId, message),
       onClose: () => {
         this.links.delete(linkId);
         this.step({ type: 'link-closed', linkId });
@@ -295,7 +295,7 @@
     };
   }
 
-  private takeMessage(linkId: number, message: unknown): void {
+  private handleMessage(linkId: number, message: unknown): void {
     if ((message as { type?: unknown }).type === 'peer') {
       this.step({ type: 'peer-message', envelope: message as PeerEnvelope });
     } else {
@@ -303,7 +303,7 @@
     }
   }
 
-  private takeRequestId(): number {
+  private nextFreeRequestId(): number {
     const requestId = this.nextRequestId;
     this.nextRequestId += 1;
     return requestId;
--- a/src/proof/sim-managed/simulated-fabric.ts
+++ b/src/proof/sim-managed/simulated-fabric.ts
@@ -39,7 +39,7 @@
   /** The list that the fabric sprays over from now on. */
   setList(balancers: readonly SimulatedBalancer[]): void {
     balancers.forEach(({ front, name }) => this.balancerNames.set(formatAddress(front), name));
-    this.simulation.note({ type: 'list', balancers: balancers.map(({ name }) => name) });
+    this.simulation.record({ type: 'list', balancers: balancers.map(({ name }) => name) });
     const list = balancers.map(({ front, zone }) => ({ address: front, zone }));
     this.step({ type: 'list', balancers: list });
   }
@@ -65,7 +65,7 @@
   private performEffect(effect: FabricEffect): void {
     const { network } = this.simulation;
     if (effect.type === 'to-balancer') {
-      this.notePacket(effect.datagram, effect.to);
+      this.recordPacket(effect.datagram, effect.to);
       network.send(this.returnAddress, effect.to, effect.datagram, effect.delayMs);
       return;
     }
@@ -76,13 +76,13 @@
     }
   }
 
-  private notePacket(datagram: Uint8Array, to: Address): void {
+  private recordPacket(datagram: Uint8Array, to: Address): void {
     const packet = this.simulation.trace.keepsPackets
       ? readPacket(this.simulation, datagram)
       : undefined;
     if (packet !== undefined) {
       const balancer = this.balancerNames.get(formatAddress(to)) ?? formatAddress(to);
-      this.simulation.note({ type: 'packet', from: 'fabric', to: balancer, ...packet });
+      this.simulation.record({ type: 'packet', from: 'fabric', to: balancer, ...packet });
     }
   }
 }
--- a/src/proof/sim-managed/simulated-operator.ts
+++ b/src/proof/sim-managed/simulated-operator.ts
@@ -65,7 +65,7 @@
       control.show(({ index }) => {
         if (index !== undefined) {
           answer(() =>
-            this.simulation.note({
+            this.simulation.record({
               type: 'shown',
               operator: this.name,
               control: control.name,
@@ -92,7 +92,7 @@
     }
     pending.attempt += 1;
     const { commandId, command, subject, service, attempt } = pending;
-    this.simulation.note({
+    this.simulation.record({
       type: 'command-sent',
       operator: this.name,
       commandId,
@@ -105,7 +105,7 @@
     this.exchange(control, (answer) =>
       control.propose({ commandId, operator: this.name, command }, (outcome) => {
         if (this.random.nextFloat() >= this.answerLossShare) {
-          answer(() => this.takeAnswer(pending, attempt, outcome, control));
+          answer(() => this.handleAnswer(pending, attempt, outcome, control));
         }
       }),
     );
@@ -139,7 +139,7 @@
     });
   }
 
-  private takeAnswer(
+  private handleAnswer(
     pending: PendingCommand,
     attempt: number,
     outcome: CommandOutcome,
@@ -157,7 +157,7 @@
     pending.isAnswered = true;
     this.unanswered -= 1;
     const { commandId, command, subject, service } = pending;
-    this.simulation.note({
+    this.simulation.record({
       type: 'command-answered',
       operator: this.name,
       commandId,
--- a/src/proof/sim-managed/simulated-probe.ts
+++ b/src/proof/sim-managed/simulated-probe.ts
@@ -1,5 +1,5 @@
 /**
- * @file A virtual health probe over HTTP: tells a back end which one it is, and to drain where the
+ * @file A virtual health probe over HTTP: gives a back end its ID, and the order to drain where the
  * operators want that, and brings its health and load.
  */
 import { formatAddress } from '../../shared/common/address.js';
--- a/src/proof/sim-managed/simulated-process.ts
+++ b/src/proof/sim-managed/simulated-process.ts
@@ -35,7 +35,7 @@
     }
     this.generation += 1;
     this.status = 'running';
-    this.noteStatus('started');
+    this.recordStatus('started');
     this.onStart();
   }
 
@@ -45,21 +45,21 @@
       return;
     }
     this.end();
-    this.noteStatus('crashed');
+    this.recordStatus('crashed');
     this.onDown();
   }
 
   /** Ends at its own wish. */
   protected stopped(unfinished: number): void {
     this.end();
-    this.noteStatus('stopped', unfinished);
+    this.recordStatus('stopped', unfinished);
     this.onDown();
   }
 
   pause(): void {
     if (this.status === 'running') {
       this.status = 'paused';
-      this.noteStatus('paused');
+      this.recordStatus('paused');
     }
   }
 
@@ -68,7 +68,7 @@
       return;
     }
     this.status = 'running';
-    this.noteStatus('resumed');
+    this.recordStatus('resumed');
     this.waiting.splice(0).forEach((action) => action());
   }
 
@@ -116,9 +116,9 @@
     this.waiting.length = 0;
   }
 
-  private noteStatus(status: ProcessStatus, unfinished?: number): void {
+  private recordStatus(status: ProcessStatus, unfinished?: number): void {
     const { kind, name } = this;
     const detail = unfinished === undefined ? {} : { unfinished };
-    this.simulation.note({ type: 'process', kind, process: name, status, ...detail });
+    this.simulation.record({ type: 'process', kind, process: name, status, ...detail });
   }
 }
--- a/src/proof/sim-managed/simulation.ts
+++ b/src/proof/sim-managed/simulation.ts
@@ -21,7 +21,7 @@
   readonly host: string;
   /** True while the process takes links. */
   isListening(): boolean;
-  /** @returns the handlers of the listening end, and a way to be told that end */
+  /** @returns the handlers of the listening end, and the function that gets that end */
   accept(): LinkAcceptor;
 }
 
@@ -69,8 +69,8 @@
     return { nowMs: this.clock.nowMs, random };
   }
 
-  note(fact: TraceFact): void {
-    this.trace.note(fact);
+  record(fact: TraceFact): void {
+    this.trace.record(fact);
   }
 
   listen(address: Address, listener: LinkListener): void {
--- a/src/proof/sim-managed/trace.ts
+++ b/src/proof/sim-managed/trace.ts
@@ -1,6 +1,6 @@
 /**
- * @file The trace of a simulated run: everything that the oracle judges by, and, where asked for, every
- * packet. It is plain data, one JSON line an event, so that it can be stored and told again.
+ * @file The trace of a simulated run: everything that the oracle checks, and, where asked for, every
+ * packet. It is plain data, one JSON line an event, so that it can be stored and replayed.
  */
 import { createHash } from 'node:crypto';
 
@@ -57,7 +57,7 @@
       readonly flowId: string;
       readonly requestNumber: number;
     }
-  /** What a caller was told of its request. */
+  /** How a request ended for its caller. */
   | {
       readonly type: 'outcome';
       readonly caller: string;
@@ -107,7 +107,7 @@
       readonly control: string;
       readonly attempt: number;
     }
-  /** What the operator was told. */
+  /** The answer that the operator got. */
   | {
       readonly type: 'command-answered';
       readonly operator: string;
@@ -144,7 +144,7 @@
       /** What the operators want, by name of the back end's process. */
       readonly backends: Readonly<Record<string, string>>;
     }
-  /** An operator was shown a state by a control machine. */
+  /** A control machine answered an operator's question of its state. */
   | {
       readonly type: 'shown';
       readonly operator: string;
@@ -163,9 +163,9 @@
 /** One event of a trace. */
 export type TraceEvent = { readonly atMs: number } & TraceFact;
 
-/** Hears each event as it happens. */
+/** Handles each event as it happens. */
 export interface TraceListener {
-  note(event: TraceEvent): void;
+  handle(event: TraceEvent): void;
 }
 
 /** Records a run. */
@@ -179,9 +179,9 @@
     readonly keepsPackets: boolean,
   ) {}
 
-  note(fact: TraceFact): void {
+  record(fact: TraceFact): void {
     const event: TraceEvent = { atMs: this.now(), ...fact };
-    this.listener.note(event);
+    this.listener.handle(event);
     if (event.type !== 'packet' || this.keepsPackets) {
       this.events.push(event);
     }
--- a/src/proof/sim-managed/world-plan.ts
+++ b/src/proof/sim-managed/world-plan.ts
@@ -28,10 +28,10 @@
   readonly meanServiceTimeMs: number;
   /** Faults of the back ends, by position over all services. */
   readonly backendFaults: ReadonlyMap<number, BackendFaults>;
-  /** True where callers stay on their flows whatever they are told. */
+  /** True where callers stay on their flows after a go-away. */
   readonly callersIgnoreGoAway: boolean;
   readonly backendTuning: Partial<BackendTuning>;
-  /** Longest time until the fabric hears of a change of the balancers. */
+  /** Longest time until the fabric gets a change of the list of balancers. */
   readonly platformLagMs: number;
   /** Time for which a balancer that stops forwards on; longer than the platform's lag. */
   readonly stopGraceMs: number;
--- a/src/proof/sim-managed/world.ts
+++ b/src/proof/sim-managed/world.ts
@@ -42,7 +42,7 @@
 export interface PlacedBackend {
   readonly process: SimulatedBackend;
   readonly service: ServicePlan;
-  /** Its ID, once the operator was told. */
+  /** Its ID, once the operator got the answer. */
   backendId: number | undefined;
   /** What its operator wants at present, as far as they sent it. */
   wish: 'active' | 'draining' | 'retired';
@@ -106,7 +106,7 @@
     this.operators.get(service.owner)?.send({ command, subject, service: service.name }, done);
   }
 
-  /** Adds a back end process and tells its operator to take it in. */
+  /** Starts a back end process and has its operator add it. */
   addBackend(service: ServicePlan, address?: Address): PlacedBackend {
     const placed = this.placeBackend(service, address);
     const { process } = placed;
@@ -132,13 +132,13 @@
   publish(service: ServicePlan): void {
     const number = this.nextNotice;
     this.nextNotice += 1;
-    this.simulation.note({ type: 'published', service: service.name, number });
+    this.simulation.record({ type: 'published', service: service.name, number });
     const payload = noticePayload(service.name, number);
     const backends = this.backends.filter(({ service: of }) => of === service);
     backends.forEach(({ process }) => process.publish(number, payload));
   }
 
-  /** The platform tells the fabric, after its lag, which balancers live. */
+  /** The platform sends the fabric, after its lag, the list of balancers that run. */
   updateList(): void {
     const lagMs = this.simulation.random.nextFloat() * this.plan.platformLagMs;
     const live = this.balancers.filter(({ isListed }) => isListed);
@@ -182,14 +182,14 @@
     return Math.max(0, ...this.controls.map(({ state }) => state?.cluster.index ?? 0));
   }
 
-  /** Notes what the balancers that run have in force. */
-  noteFinalConfigs(): void {
+  /** Records what the balancers that run have in force. */
+  recordFinalConfigs(): void {
     for (const { name, status, state } of this.balancers) {
       if (status !== 'running') {
         continue;
       }
       const { services, backends } = state.config;
-      this.simulation.note({
+      this.simulation.record({
         type: 'final-config',
         balancer: name,
         services: Object.fromEntries(
@@ -280,7 +280,7 @@
     });
   }
 
-  /** Starts a back end process; its operator has yet to be told, or knows already. */
+  /** Starts a back end process; a command that adds it has been sent or is yet to be sent. */
   placeBackend(service: ServicePlan, givenAddress?: Address): PlacedBackend {
     const name = this.nextBackendName(service);
     const number = this.nextBackendNumber;
--- a/src/proof/sim-registered/drawn-faults.ts
+++ b/src/proof/sim-registered/drawn-faults.ts
@@ -137,7 +137,7 @@
   }
 
   private disturb(forMs: number): void {
-    this.world.oracle.noteDisturbed(this.world.clock.nowMs + forMs);
+    this.world.oracle.recordDisturbance(this.world.clock.nowMs + forMs);
   }
 
   private drawControl(): SimulatedControlMachine | undefined {
--- a/src/proof/sim-registered/ingress-oracle.ts
+++ b/src/proof/sim-registered/ingress-oracle.ts
@@ -1,5 +1,5 @@
 /**
- * @file The oracle of the simulated deployment: it is told what clients, back ends and the operator see,
+ * @file The oracle of the simulated deployment: it gets what clients, back ends and the operator see,
  * and says what must never be.
  */
 import { createZoneWitness } from './zone-witness.js';
@@ -28,7 +28,7 @@
   | 'evacuation'
   /** An acknowledged order for a zone is undone by nobody's word, or a proper one is refused. */
   | 'zone'
-  /** A cold back end is given more new flows in a second than it bears. */
+  /** A cold back end is given more new flows in a second than its slow start allows. */
   | 'cold';
 
 /** A violation, with the time at which it was seen. */
@@ -77,12 +77,12 @@
     return this.acknowledged?.version ?? 0;
   }
 
-  noteDisturbed(untilMs: number): void {
+  recordDisturbance(untilMs: number): void {
     this.disturbedUntilMs = Math.max(this.disturbedUntilMs, untilMs);
   }
 
   /** A control machine begins to lead. */
-  noteLeader(term: number, name: string, nowMs: number): void {
+  recordLeader(term: number, name: string, nowMs: number): void {
     const known = this.leaders.get(term) ?? name;
     this.leaders.set(term, known);
     if (known !== name) {
@@ -91,26 +91,26 @@
   }
 
   /** The operator sends a configuration. */
-  noteRouteAllowed(route: string, service: string): void {
+  recordAllowedRoute(route: string, service: string): void {
     const services = this.allowed.get(route) ?? new Set<string>();
     services.add(service);
     this.allowed.set(route, services);
   }
 
-  noteConfigAcknowledged(version: number, atMs: number): void {
+  recordAcknowledgedConfig(version: number, atMs: number): void {
     if (version > this.acknowledgedVersion) {
       this.acknowledged = { version, atMs };
     }
   }
 
-  noteDepartureAcknowledged(backendId: string, atMs: number): void {
+  recordAcknowledgedDeparture(backendId: string, atMs: number): void {
     if (!this.departures.has(backendId)) {
       this.departures.set(backendId, atMs);
     }
   }
 
   /** A read of the configuration, begun at `sentAtMs`, was answered. */
-  noteRead(version: number, sentAtMs: number, nowMs: number): void {
+  checkRead(version: number, sentAtMs: number, nowMs: number): void {
     const { acknowledged, bounds } = this;
     const isDue = acknowledged !== undefined && sentAtMs > acknowledged.atMs + bounds.applyBoundMs;
     if (isDue && version < acknowledged.version) {
@@ -119,7 +119,7 @@
   }
 
   /** The configuration that is read back after everything. */
-  noteFinalRead(version: number, nowMs: number): void {
+  checkFinalRead(version: number, nowMs: number): void {
     if (version < this.acknowledgedVersion) {
       this.report(
         'lost',
@@ -130,7 +130,7 @@
   }
 
   /** A back end takes an open; `versionAllowed` is the newest version under which it may. */
-  noteOpenTaken(
+  checkAcceptedOpen(
     taken: {
       readonly route: string;
       readonly service: string;
@@ -149,7 +149,7 @@
       this.report('route', nowMs, `${service} took a flow of ${route}`);
     }
     if (taken.isCold) {
-      this.noteColdFlow(backendId, nowMs);
+      this.checkColdFlow(backendId, nowMs);
     }
     if (!this.isCalm(nowMs)) {
       return;
@@ -173,7 +173,7 @@
   }
 
   /** A zone is read back after everything. */
-  noteFinalZone(zone: string, isEvacuated: boolean, nowMs: number): void {
+  checkFinalZone(zone: string, isEvacuated: boolean, nowMs: number): void {
     const expected = this.zones.settledAs(zone);
     if (expected !== undefined && expected !== isEvacuated) {
       const stands = isEvacuated ? 'evacuated' : 'readmitted';
@@ -182,12 +182,12 @@
   }
 
   /** A proper order for a zone was refused. */
-  noteOrderRefused(zone: string, nowMs: number): void {
+  recordRefusedOrder(zone: string, nowMs: number): void {
     this.report('zone', nowMs, `an order for ${zone} was refused`);
   }
 
   /** This holds in any second, whatever is disturbed. */
-  private noteColdFlow(backendId: string, nowMs: number): void {
+  private checkColdFlow(backendId: string, nowMs: number): void {
     const { coldFlowsPerS } = this.bounds;
     const before = this.coldFlows.get(backendId) ?? [];
     const times = [...before.filter((atMs) => nowMs - atMs < SECOND_MS), nowMs];
@@ -198,20 +198,20 @@
   }
 
   /** A back end gets a packet that was changed on its way. */
-  noteUnasked(nowMs: number, detail: string): void {
+  reportUnsolicited(nowMs: number, detail: string): void {
     this.report('unasked', nowMs, detail);
   }
 
   /** A client gets a packet that was changed on its way. */
-  noteMixed(nowMs: number, detail: string): void {
+  reportMixed(nowMs: number, detail: string): void {
     this.report('mixed', nowMs, detail);
   }
 
-  noteFlowBroken(nowMs: number, detail: string): void {
+  reportBrokenFlow(nowMs: number, detail: string): void {
     this.report('flow', nowMs, detail);
   }
 
-  noteRecovery(servedShare: number, leastShare: number, nowMs: number): void {
+  checkRecovery(servedShare: number, leastShare: number, nowMs: number): void {
     if (servedShare < leastShare) {
       this.report('recover', nowMs, `only ${servedShare.toFixed(2)} of the requests are served`);
     }
--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -42,7 +42,7 @@
   readonly clients: StandInClient[] = [];
   readonly operator: StandInOperator;
   readonly zoneOperator: ZoneOperator;
-  /** Lines of decisions, kept for whoever looks for a cause. */
+  /** Lines of decisions, kept for the search for a cause. */
   readonly log: string[] = [];
   private readonly parts: IngressWorldParts;
   private readonly misses = new Map<string, number>();
@@ -162,13 +162,13 @@
     for (const control of this.controls.filter(({ isRunning }) => isRunning)) {
       control.call({ type: 'read-config' }, (reply) => {
         if (reply.type === 'config') {
-          this.oracle.noteFinalRead(reply.document?.version ?? 0, this.clock.nowMs);
+          this.oracle.checkFinalRead(reply.document?.version ?? 0, this.clock.nowMs);
         }
       });
       control.call({ type: 'read-zones' }, (reply) => {
         if (reply.type === 'zones') {
           reply.zones.forEach(({ zone, isEvacuated }) =>
-            this.oracle.noteFinalZone(zone, isEvacuated, this.clock.nowMs),
+            this.oracle.checkFinalZone(zone, isEvacuated, this.clock.nowMs),
           );
         }
       });
--- a/src/proof/sim-registered/run-ingress-world.ts
+++ b/src/proof/sim-registered/run-ingress-world.ts
@@ -39,7 +39,7 @@
 const ACKNOWLEDGE_WITHIN_MS = 8_000;
 
 /**
- * Runs the deployment, brings faults about, lets it recover and judges.
+ * Runs the deployment, causes faults, lets it recover and has the oracle check it.
  */
 export function runIngressWorld(run: IngressRun): Promise<IngressRunReport> {
   return runWorld(run, (world, faults) => strikeAll(world, faults, run));
@@ -47,7 +47,7 @@
 
 /**
  * The same with faults of any source.
- * @param strikeAll brings them about; resolves once the last one has begun
+ * @param strikeAll causes them; resolves once the last one has begun
  */
 export async function runWorld(
   run: WorldRun,
@@ -63,7 +63,7 @@
   const servedBefore = world.oracle.servedRequests;
   await strikeAll(world, faults);
   await finish(world, faults, run.endsWithLoss);
-  await judgeRecovery(world, servedBefore);
+  await checkRecovery(world, servedBefore);
   return {
     violations: world.oracle.violations,
     servedRequests: world.oracle.servedRequests,
@@ -99,12 +99,12 @@
   }
 }
 
-async function judgeRecovery(world: IngressWorld, servedBefore: number): Promise<void> {
+async function checkRecovery(world: IngressWorld, servedBefore: number): Promise<void> {
   const { oracle } = world;
   const servedAtStart = oracle.servedRequests;
   await world.run(MEASURED_MS);
   const servedShare = (oracle.servedRequests - servedAtStart) / Math.max(1, servedBefore);
-  oracle.noteRecovery(servedShare, LEAST_SERVED_SHARE, world.clock.nowMs);
+  oracle.checkRecovery(servedShare, LEAST_SERVED_SHARE, world.clock.nowMs);
   world.readBackFromAll();
   await world.run(MEASURED_MS);
 }
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -72,7 +72,7 @@
         this.run(opened._unsafeUnwrap(), isFirstStart, generation);
       }
     });
-    clock.notePromise();
+    clock.markPromiseSettled();
   }
 
   /** The process dies; what was written stays. */
@@ -161,7 +161,7 @@
       persist: (effect) => this.persist(storage, effect, generation),
       note: (name, fields) => {
         this.parts.note(this.address.host, name, fields);
-        this.noteLeader(state.consensus);
+        this.recordLeader(state.consensus);
       },
     });
     this.process = process;
@@ -179,19 +179,19 @@
     });
   }
 
-  /** The disk goes on while the process stands still; the process hears of it later. */
+  /** The disk goes on while the process stands still; the process gets the result later. */
   private persist(
     storage: ConsensusStorage,
     effect: PersistEffect,
     generation: number,
   ): Promise<void> {
     const { clock } = this.parts;
-    const written = storage.persist(effect).finally(() => clock.notePromise());
+    const written = storage.persist(effect).finally(() => clock.markPromiseSettled());
     return written.then(
       () =>
         new Promise((resolve) =>
           this.gate.whenRunning(generation, () => {
-            clock.notePromise();
+            clock.markPromiseSettled();
             resolve();
           }),
         ),
@@ -219,9 +219,9 @@
     return true;
   }
 
-  private noteLeader({ role, term }: ConsensusState): void {
+  private recordLeader({ role, term }: ConsensusState): void {
     if (role.name === 'leader') {
-      this.parts.oracle.noteLeader(term, this.address.host, this.parts.clock.nowMs);
+      this.parts.oracle.recordLeader(term, this.address.host, this.parts.clock.nowMs);
     }
   }
 
@@ -242,7 +242,7 @@
     const { clock } = this.parts;
     return new Promise((resolve) => {
       clock.after(RETRY_WRITE_MS, () => {
-        clock.notePromise();
+        clock.markPromiseSettled();
         resolve();
       });
     });
--- a/src/proof/sim-registered/stand-in-backend.ts
+++ b/src/proof/sim-registered/stand-in-backend.ts
@@ -80,7 +80,7 @@
     return this.isAlive && flow?.isOpen === true && flow.acceptNumber === acceptNumber;
   }
 
-  /** It is cold from now on as after its start, since nothing reached it for long; its heartbeats tell. */
+  /** It is cold from now on as after its start, since nothing reached it for long; its heartbeats say so. */
   turnCold(): void {
     this.coldSinceMs = this.parts.clock.nowMs;
   }
@@ -115,7 +115,7 @@
         });
       });
     const acknowledged = () => {
-      this.parts.oracle.noteDepartureAcknowledged(this.identity.id, clock.nowMs);
+      this.parts.oracle.recordAcknowledgedDeparture(this.identity.id, clock.nowMs);
       endSoon();
     };
     if (saysDraining) {
@@ -187,7 +187,7 @@
     const { clock, oracle } = this.parts;
     const received = decodeForBackend(bytes);
     if (received === undefined) {
-      oracle.noteUnasked(clock.nowMs, 'bytes that are no packet');
+      oracle.reportUnsolicited(clock.nowMs, 'bytes that are no packet');
       return;
     }
     const { instance, packet } = received;
@@ -195,17 +195,17 @@
       return;
     }
     if (!isIntact(packet)) {
-      oracle.noteUnasked(clock.nowMs, `${packet.kind} of ${formatAddress(packet.from)}`);
+      oracle.reportUnsolicited(clock.nowMs, `${packet.kind} of ${formatAddress(packet.from)}`);
       return;
     }
     if (packet.kind === 'open') {
-      this.takeOpen(packet);
+      this.handleOpen(packet);
     } else {
-      this.takeRequest(packet);
+      this.handleRequest(packet);
     }
   }
 
-  private takeOpen(packet: TokenPacket): void {
+  private handleOpen(packet: TokenPacket): void {
     const { clock, oracle } = this.parts;
     const client = formatAddress(packet.from);
     const known = this.flows.get(client);
@@ -219,7 +219,7 @@
       const sentAtMs = clock.nowMs;
       const isCold = this.warmUpLeftMs > 0;
       const taken = { route, service, backendId: id, sentAtMs, newestVersion, zone, isCold };
-      oracle.noteOpenTaken(taken, clock.nowMs);
+      oracle.checkAcceptedOpen(taken, clock.nowMs);
     }
     if (!flow.isOpen) {
       this.answer(packet, 'accept', flow.acceptNumber);
@@ -239,7 +239,7 @@
     });
   }
 
-  private takeRequest(packet: TokenPacket): void {
+  private handleRequest(packet: TokenPacket): void {
     const client = formatAddress(packet.from);
     const flow = this.flows.get(client);
     if (flow?.acceptNumber !== packet.acceptNumber) {
--- a/src/proof/sim-registered/stand-in-client.ts
+++ b/src/proof/sim-registered/stand-in-client.ts
@@ -100,7 +100,7 @@
     const { clock, oracle } = this.parts;
     const packet = decodePacket(bytes);
     if (packet === undefined || !isIntact(packet)) {
-      oracle.noteMixed(clock.nowMs, `to ${formatAddress(this.address)}`);
+      oracle.reportMixed(clock.nowMs, `to ${formatAddress(this.address)}`);
       return;
     }
     if (packet.to.port !== this.port) {
@@ -108,20 +108,20 @@
     }
     switch (packet.kind) {
       case 'accept':
-        this.takeAccept(packet);
+        this.handleAccept(packet);
         return;
       case 'data':
-        this.takeAnswer(packet);
+        this.handleAnswer(packet);
         return;
       case 'reset':
-        this.takeReset(packet);
+        this.handleReset(packet);
         return;
       default:
         return;
     }
   }
 
-  private takeAccept(packet: TokenPacket): void {
+  private handleAccept(packet: TokenPacket): void {
     this.token = packet.token;
     if (this.flow.name === 'opening') {
       this.flow = { name: 'open', acceptNumber: packet.acceptNumber };
@@ -151,7 +151,7 @@
     }
   }
 
-  private takeAnswer(packet: TokenPacket): void {
+  private handleAnswer(packet: TokenPacket): void {
     this.token = packet.token;
     if (packet.requestId !== this.requestId || this.flow.name !== 'open') {
       return;
@@ -177,14 +177,14 @@
     });
   }
 
-  private takeReset(packet: TokenPacket): void {
+  private handleReset(packet: TokenPacket): void {
     const { clock, oracle } = this.parts;
     if (this.flow.name === 'open') {
       const client = formatAddress(this.address);
       const { acceptNumber } = this.flow;
       const isFromHolder = packet.acceptNumber === acceptNumber;
       if (!isFromHolder && this.world.isHeldOpen(client, acceptNumber)) {
-        oracle.noteFlowBroken(clock.nowMs, `flow ${client} was reset by another`);
+        oracle.reportBrokenFlow(clock.nowMs, `flow ${client} was reset by another`);
       }
     }
     this.failUnlessMoved(this.stage);
--- a/src/proof/sim-registered/stand-in-operator.ts
+++ b/src/proof/sim-registered/stand-in-operator.ts
@@ -59,7 +59,7 @@
     for (const { host, port, targets } of config.routes) {
       const route = formatAddress({ host, port });
       for (const { service } of targets) {
-        oracle.noteRouteAllowed(route, service);
+        oracle.recordAllowedRoute(route, service);
         this.newest.set(`${route} ${service}`, config.version);
       }
     }
@@ -111,7 +111,7 @@
         const isLost = random.nextFloat() < this.lostShare;
         if (reply.type === 'accepted' && !isDone && !isLost) {
           isDone = true;
-          oracle.noteConfigAcknowledged(config.version, clock.nowMs);
+          oracle.recordAcknowledgedConfig(config.version, clock.nowMs);
           acknowledged(config.version);
         } else if (reply.type === 'unavailable') {
           clock.after(RETRY_PAUSE_MS, () => attempt(again));
@@ -128,7 +128,7 @@
       const sentAtMs = clock.nowMs;
       this.read((version) => {
         if (version !== undefined) {
-          oracle.noteRead(version, sentAtMs, clock.nowMs);
+          oracle.checkRead(version, sentAtMs, clock.nowMs);
         }
       });
       this.readAgain();
--- a/src/proof/sim-registered/zone-operator.ts
+++ b/src/proof/sim-registered/zone-operator.ts
@@ -11,7 +11,7 @@
   readonly callControl: CallControl;
   /** Share of acknowledgements that are lost on their way. */
   readonly ackLostShare: () => number;
-  /** Called just before a zone that is surely empty is taken back: its back ends have turned cold. */
+  /** Called just before a zone that is certain to be empty is readmitted: its back ends have turned cold. */
   readonly beforeReadmission: (zone: string) => void;
 }
 
@@ -52,7 +52,7 @@
     });
   }
 
-  /** A zone is not left empty: who hears nothing asks again, as a new order. */
+  /** A zone is not left empty: an operator without an answer asks again, as a new order. */
   function readmit(zone: string): void {
     order(zone, 'readmit', (isAcknowledged) => {
       if (!isAcknowledged) {
@@ -69,13 +69,13 @@
     const firstSentAtMs = clock.nowMs;
     let isDone = false;
     let attempts = 0;
-    oracle.zones.noteAsked(zone);
+    oracle.zones.recordOrder(zone);
     attempt(0);
 
     function end(isAcknowledged: boolean): void {
       isDone = true;
       const state = kind === 'evacuate' ? 'evacuated' : 'readmitted';
-      oracle.zones.noteEnded(zone, isAcknowledged ? state : undefined, clock.nowMs);
+      oracle.zones.recordOutcome(zone, isAcknowledged ? state : undefined, clock.nowMs);
       ended(isAcknowledged);
     }
 
@@ -91,7 +91,7 @@
       const again = attempts;
       callControl(OPERATOR_HOST, { type: 'order-zone', zone, kind }, (reply) => {
         if (reply.type === 'unknown-zone') {
-          oracle.noteOrderRefused(zone, clock.nowMs);
+          oracle.recordRefusedOrder(zone, clock.nowMs);
         } else if (reply.type === 'unavailable') {
           clock.after(RETRY_PAUSE_MS, () => attempt(again));
         } else if (!isDone && random.nextFloat() >= options.ackLostShare()) {
--- a/src/proof/sim-registered/zone-witness.ts
+++ b/src/proof/sim-registered/zone-witness.ts
@@ -6,9 +6,9 @@
 /** Sees orders and their acknowledgements. */
 export interface ZoneWitness {
   /** An operator begins to ask for something. */
-  noteAsked(zone: string): void;
+  recordOrder(zone: string): void;
   /** What was asked for is acknowledged, or given up. */
-  noteEnded(
+  recordOutcome(
     zone: string,
     acknowledged: 'evacuated' | 'readmitted' | undefined,
     nowMs: number,
@@ -32,16 +32,16 @@
 export function createZoneWitness(): ZoneWitness {
   const zones = new Map<string, WitnessedZone>();
 
-  return { noteAsked, noteEnded, evacuatedAtMs, settledAs };
+  return { recordOrder: recordOrder, recordOutcome: recordOutcome, evacuatedAtMs, settledAs };
 
-  function noteAsked(name: string): void {
+  function recordOrder(name: string): void {
     const zone = find(name);
     zone.hasOverlap = zone.underWay > 0;
     zone.underWay += 1;
     zone.settled = undefined;
   }
 
-  function noteEnded(
+  function recordOutcome(
     name: string,
     acknowledged: 'evacuated' | 'readmitted' | undefined,
     nowMs: number,
--- a/src/proof/soak/link-proxy.ts
+++ b/src/proof/soak/link-proxy.ts
@@ -9,7 +9,7 @@
 /** How the proxy treats what passes it. */
 export type ProxyMode =
   | { readonly type: 'open' }
-  /** Nothing passes in one direction or in both, and nobody is told; new links are taken and lead nowhere. */
+  /** Nothing passes in one direction or in both, and neither end is reset; new links are accepted and lead nowhere. */
   | { readonly type: 'silent'; readonly towards: 'machine' | 'others' | 'both' }
   /** At most so many bytes a second pass in each direction of each link, after a delay. */
   | { readonly type: 'slow'; readonly bytesPerS: number; readonly delayMs: number };
@@ -50,7 +50,7 @@
 
 /**
  * Listens in front of a machine.
- * @param at the address that others are told
+ * @param at the address under which others reach the machine
  * @param machine where the machine listens
  * @returns the proxy; rejects where the address can't be bound
  */
@@ -91,7 +91,7 @@
       socket.setNoDelay(true);
       socket.on('error', () => undefined);
       socket.on('close', () => {
-        // The other end of a link that went silent is not told.
+        // A link that went silent is not reset at its other end.
         if (!both.some(({ isSilent }) => isSilent)) {
           near.destroy();
           far.destroy();
--- a/src/proof/soak/read-back.ts
+++ b/src/proof/soak/read-back.ts
@@ -7,7 +7,7 @@
 import type { IngressOracle } from '../sim-registered/ingress-oracle.js';
 import type { SoakClock } from './soak-clock.js';
 
-/** Whom to ask, and who judges. */
+/** Which machines to ask, and the oracle that checks their answers. */
 export interface ReadBackOptions {
   readonly callAddresses: readonly Address[];
   readonly operatorToken: string;
@@ -25,12 +25,12 @@
     options.callAddresses.flatMap((to) => [
       read(options, to, '/v1/config', (body) => {
         const { version } = body as { readonly version: number };
-        oracle.noteFinalRead(version, clock.nowMs);
+        oracle.checkFinalRead(version, clock.nowMs);
       }),
       read(options, to, '/v1/zones', (body) => {
         const { zones } = body as { readonly zones: readonly ZoneReport[] };
         zones.forEach(({ zone, isEvacuated }) =>
-          oracle.noteFinalZone(zone, isEvacuated, clock.nowMs),
+          oracle.checkFinalZone(zone, isEvacuated, clock.nowMs),
         );
       }),
     ]),
--- a/src/proof/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -1,6 +1,6 @@
 /**
  * @file One soak: starts the deployment, brings the faults of a seed about while clients are served, lets it
- * recover, and judges. Everything that is needed to look into it stays in one folder.
+ * recover, and checks. Everything that is needed to look into it stays in one folder.
  */
 import { mkdir, readFile, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -70,9 +70,9 @@
     await sleep(SETTLE_MS);
     const servedAfter = await serveFor(world, MEASURED_MS);
     const share = servedAfter / Math.max(1, servedBefore);
-    world.oracle.noteRecovery(share, LEAST_SERVED_SHARE, world.clock.nowMs);
+    world.oracle.checkRecovery(share, LEAST_SERVED_SHARE, world.clock.nowMs);
     await world.readBack();
-    await noteLeaders(world, folder);
+    await recordLeaders(world, folder);
     const verdict = verdictOf(seed, world, schedule);
     await writeJson(folder, 'verdict.json', verdict);
     return verdict;
@@ -111,22 +111,25 @@
 }
 
 /** Two leaders of one term are seen in the logs of control machines. */
-async function noteLeaders({ controls, oracle, clock }: SoakWorld, folder: string): Promise<void> {
+async function recordLeaders(
+  { controls, oracle, clock }: SoakWorld,
+  folder: string,
+): Promise<void> {
   for (const { process } of controls) {
     const log = await readFile(join(folder, `${process.name}.log`), 'utf8');
-    noteLeadersOf(log, process.name, oracle, clock.nowMs);
+    recordLeadersOf(log, process.name, oracle, clock.nowMs);
   }
 }
 
 /** Tells the oracle of each term that a log says its machine led in. */
-export function noteLeadersOf(
+export function recordLeadersOf(
   log: string,
   name: string,
-  oracle: Pick<IngressOracle, 'noteLeader'>,
+  oracle: Pick<IngressOracle, 'recordLeader'>,
   nowMs: number,
 ): void {
   for (const [, term] of log.matchAll(/ role role=leader term=(\d+)/g)) {
-    oracle.noteLeader(Number(term), name, nowMs);
+    oracle.recordLeader(Number(term), name, nowMs);
   }
 }
 
--- a/src/proof/soak/soak-calls.ts
+++ b/src/proof/soak/soak-calls.ts
@@ -38,14 +38,14 @@
     void sendJson(requestFor(call, to, operatorToken)).match(
       (response) => {
         const reply = replyOf(call, response);
-        noteAnswer(fromHost, to, reply.type !== 'unavailable');
+        recordAnswer(fromHost, to, reply.type !== 'unavailable');
         answer(reply);
       },
-      () => noteAnswer(fromHost, to, false),
+      () => recordAnswer(fromHost, to, false),
     );
   };
 
-  function noteAnswer(fromHost: string, to: Address, isServed: boolean): void {
+  function recordAnswer(fromHost: string, to: Address, isServed: boolean): void {
     if (isServed && isLoyal(fromHost)) {
       keptBy.set(fromHost, to);
     } else {
--- a/src/proof/soak/soak-schedule.ts
+++ b/src/proof/soak/soak-schedule.ts
@@ -1,7 +1,7 @@
 /**
  * @file What happens in a soak, and when: drawn from a seed alone, so that a run can be repeated. Faults come one
  * by one and in series, as a roll of restarts or a storm of changes, and series overlap. Control machines that
- * are disturbed at the same time stay within what the deployment must bear.
+ * are disturbed at the same time stay within what the deployment must survive.
  */
 import { seededRandom } from '../../shared/common/random.js';
 import type { RandomSource } from '../../shared/common/step.js';
@@ -68,7 +68,7 @@
 const FIRST_FAULT_MS = 3_000;
 /** Mean time between two evacuations: some overlap. */
 const MEAN_EVACUATION_GAP_MS = 8_000;
-/** They last up to so long: from less than all need to hear of it to twice the bound. */
+/** They last up to so long: from less than the time until they are in force everywhere to twice the bound of that. */
 const EVACUATION_SPREAD_MS = 8_000;
 /** Every second fault begins a series of up to so many of its kind ... */
 const LONGEST_SERIES = 6;
--- a/src/proof/soak/soak-world.ts
+++ b/src/proof/soak/soak-world.ts
@@ -1,7 +1,7 @@
 /**
  * @file The deployment of a soak: real control machines and balancers as processes on loopback, a proxy in
  * front of the links of each control machine, and stand-ins for clients, back ends and an operator in this
- * process, judged by the oracle of the simulator.
+ * process, checked by the oracle of the simulator.
  */
 import { join } from 'node:path';
 import { formatAddress, type Address } from '../../shared/common/address.js';
--- a/src/proof/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -40,7 +40,7 @@
 
 /** The oracle excuses missed bounds until some time after this fault has ended. */
 export function disturb(world: Pick<StandInWorld, 'oracle' | 'clock'>, forMs: number): void {
-  world.oracle.noteDisturbed(world.clock.nowMs + forMs);
+  world.oracle.recordDisturbance(world.clock.nowMs + forMs);
 }
 
 /**
--- a/src/proof/standins/backend-drain.ts
+++ b/src/proof/standins/backend-drain.ts
@@ -1,5 +1,5 @@
 /**
- * @file The drain of a stand-in back end. Established flows are told to go at a bounded rate, so that
+ * @file The drain of a stand-in back end. Established flows get a go-away at a bounded rate, so that
  * the other back ends meet no herd: flows that make requests within seconds, since their requests
  * are new work; flows that only hold a feed more slowly. What runs ends here. A flow that does not
  * leave is refused new work soon, and closed only after a long grace time.
@@ -30,7 +30,7 @@
 }
 
 /**
- * Time has passed: tells further flows to go, tells those again that have not left, and closes those
+ * Time has passed: sends go-away to further flows, again to those that have not left, and closes those
  * whose grace time is over and for which nothing runs.
  */
 export function drainTick(state: BackendState, context: StepContext): BackendEffect[] {
@@ -42,7 +42,7 @@
   if (drain === undefined) {
     return [];
   }
-  const effects = [...repeatGoAways(state, context), ...tellNextFlows(state, drain, context)];
+  const effects = [...repeatGoAways(state, context), ...sendNextGoAways(state, drain, context)];
   const isGraceOver = context.nowMs >= drain.startedAtMs + state.tuning.drainGraceMs;
   return isGraceOver ? [...effects, ...closeIdleFlows(state, context)] : effects;
 }
@@ -60,7 +60,7 @@
   };
 }
 
-function tellNextFlows(
+function sendNextGoAways(
   state: BackendState,
   drain: BackendDrain,
   context: StepContext,
@@ -75,9 +75,9 @@
     ...drain.requestFlows.splice(0, Math.max(0, requestFlowsDue - requestFlowsTold)),
     ...drain.feedFlows.splice(0, Math.max(0, feedFlowsDue - feedFlowsTold)),
   ];
-  return next.filter((flow) => state.flows.has(flow.tokenKey)).map(tell);
+  return next.filter((flow) => state.flows.has(flow.tokenKey)).map(sendGoAway);
 
-  function tell(flow: BackendFlow): BackendEffect {
+  function sendGoAway(flow: BackendFlow): BackendEffect {
     flow.goAway = new RetransmitTimer({
       initialDelayMs: state.tuning.goAwayRetransmitMs,
       maxDelayMs: state.tuning.goAwayRetransmitMaxMs,
--- a/src/proof/standins/backend-feed.ts
+++ b/src/proof/standins/backend-feed.ts
@@ -1,7 +1,7 @@
 /**
  * @file Feeds at a stand-in back end: each is a reader of the notice log with a window of notices
  * that wait for an acknowledgement. Notices are sent again with backoff until they are acknowledged;
- * a gap that the log no longer covers is told, never skipped.
+ * a gap that the log no longer covers is reported to the caller, never skipped.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { Message, RequestMessage } from '../../managed/flow/messages.js';
@@ -9,7 +9,7 @@
 import {
   addRecord,
   isForgotten,
-  noteRequestId,
+  recordRequestId,
   refuseForgotten,
   refuseRequest,
   repeatAnswer,
@@ -51,7 +51,7 @@
     const record = addRecord(flow, requestId, undefined, 0);
     return refuseRequest(state, record, 'backend-draining', context);
   }
-  noteRequestId(flow, requestId);
+  recordRequestId(flow, requestId);
   const feed = createFeed(state, flow, request, context);
   flow.feeds.set(requestId, feed);
   flow.hasRun = true;
@@ -177,7 +177,7 @@
   return effects;
 }
 
-/** A caller without any notice takes the oldest that the log holds, and is told which that is. */
+/** A caller without any notice begins at the oldest that the log holds; the answer has its number. */
 function beginAtOldest(state: BackendState, feed: BackendFeed): BackendEffect[] {
   const first = state.notices.firstNumber;
   if (!feed.beginsAtOldest || first === undefined) {
--- a/src/proof/standins/backend-flows.ts
+++ b/src/proof/standins/backend-flows.ts
@@ -16,7 +16,7 @@
 
 /**
  * Takes an open that a balancer placed here.
- * @param from the balancer, which hears the answer
+ * @param from the balancer, which gets the answer
  */
 export function handleOpen(
   state: BackendState,
--- a/src/proof/standins/backend-options.ts
+++ b/src/proof/standins/backend-options.ts
@@ -31,9 +31,9 @@
 
 /** Times and bounds; in milliseconds where not said otherwise. */
 export interface BackendTuning {
-  /** A drain tells flows that make requests to go within this time. */
+  /** A drain sends go-away to flows that make requests within this time. */
   readonly goAwaySpreadMs: number;
-  /** A drain tells at most this many flows a second that only hold a feed. */
+  /** A drain sends go-away to at most this many flows a second that only hold a feed. */
   readonly feedMovesPerSecond: number;
   /** From this time after the start of a drain, new requests are refused as "not run". */
   readonly drainAcceptWorkMs: number;
--- a/src/proof/standins/backend-process.ts
+++ b/src/proof/standins/backend-process.ts
@@ -1,6 +1,6 @@
 /**
  * @file The stand-in back end as a process: a UDP socket for packets, and HTTP endpoints for health
- * (`GET /health`, whose query may tell `serviceId` and `backendId`), load (`GET /load`), drain
+ * (`GET /health`, whose query may carry `serviceId` and `backendId`), load (`GET /load`), drain
  * (`POST /drain`), notices (`POST /publish`), a crash (`POST /crash`) and the oracle (`GET /runs`, and
  * `GET /observe` for what it really holds, whatever its load report says).
  */
@@ -19,7 +19,7 @@
   healthReport,
   isDown,
   loadReport,
-  noteBusySlots,
+  recordBusySlots,
   type BackendState,
 } from './backend-state.js';
 import { backendStep, type BackendEvent } from './backend-step.js';
@@ -82,7 +82,7 @@
     const url = new URL(incoming.url ?? '/', 'http://backend');
     switch (url.pathname) {
       case '/health':
-        takeAssignment(url.searchParams, step);
+        applyAssignment(url.searchParams, step);
         respondJson(response, 200, healthReport(state, performance.now()));
         break;
       case '/load':
@@ -93,19 +93,19 @@
         respondJson(response, 200, {});
         break;
       case '/publish':
-        void takeBody(incoming, response, publishSchema, ({ number, payload }) => {
+        void handleBody(incoming, response, publishSchema, ({ number, payload }) => {
           step({ type: 'publish', number, payload: Buffer.from(payload) });
           return { expectedNumber: state.notices.expectedNumber };
         });
         break;
       case '/crash':
-        void takeBody(incoming, response, crashSchema, ({ downMs }) => {
+        void handleBody(incoming, response, crashSchema, ({ downMs }) => {
           step({ type: 'crash', incarnation: randomInt(INCARNATION_BOUND), downMs });
           return {};
         });
         break;
       case '/observe':
-        noteBusySlots(state, performance.now());
+        recordBusySlots(state, performance.now());
         respondJson(response, 200, { connections: state.flows.size, busySlotMs: state.busySlotMs });
         break;
       case '/runs':
@@ -117,14 +117,14 @@
   };
 }
 
-function takeAssignment(query: URLSearchParams, step: (event: BackendEvent) => void): void {
+function applyAssignment(query: URLSearchParams, step: (event: BackendEvent) => void): void {
   const parsed = assignmentSchema.safeParse(Object.fromEntries(query));
   if (parsed.success) {
     step({ type: 'assign', assignment: parsed.data });
   }
 }
 
-async function takeBody<Body>(
+async function handleBody<Body>(
   incoming: IncomingMessage,
   response: ServerResponse,
   schema: z.ZodType<Body>,
--- a/src/proof/standins/backend-requests.ts
+++ b/src/proof/standins/backend-requests.ts
@@ -12,7 +12,7 @@
 } from '../../managed/flow/messages.js';
 import { RETRY_AFTER_MS, sendOnFlow, type BackendEffect } from './backend-send.js';
 import {
-  noteBusySlots,
+  recordBusySlots,
   refusesWork,
   type BackendFlow,
   type BackendState,
@@ -118,7 +118,7 @@
 /**
  * Notes that an ID was used, and forgets the records that no copy may ask for any more.
  */
-export function noteRequestId(flow: BackendFlow, requestId: number): void {
+export function recordRequestId(flow: BackendFlow, requestId: number): void {
   flow.highestRequestId = Math.max(flow.highestRequestId ?? 0, requestId);
   for (const id of flow.requests.keys()) {
     if (isForgotten(flow, id)) {
@@ -128,7 +128,7 @@
 }
 
 /**
- * Records that a request never runs, and tells its caller.
+ * Records that a request never runs, and answers its caller.
  */
 export function refuseRequest(
   state: BackendState,
@@ -163,7 +163,7 @@
     answerSentAtMs: -Infinity,
   };
   flow.requests.set(requestId, record);
-  noteRequestId(flow, requestId);
+  recordRequestId(flow, requestId);
   return record;
 }
 
@@ -217,7 +217,7 @@
   const uniform = 1 - context.random.nextFloat();
   record.phase = 'running';
   record.flow.hasRun = true;
-  noteBusySlots(state, context.nowMs);
+  recordBusySlots(state, context.nowMs);
   record.finishAtMs = context.nowMs - Math.log(uniform) * meanServiceTimeMs(state, context);
   state.runs.push(record.work.requestNumber);
   state.running.add(record);
@@ -234,7 +234,7 @@
   record: RequestRecord,
   context: StepContext,
 ): BackendEffect[] {
-  noteBusySlots(state, context.nowMs);
+  recordBusySlots(state, context.nowMs);
   state.running.delete(record);
   record.phase = 'done';
   const parts = record.work === undefined ? [] : answerParts(record.work);
--- a/src/proof/standins/backend-send.ts
+++ b/src/proof/standins/backend-send.ts
@@ -7,7 +7,7 @@
 import { encodeMessage, type Message } from '../../managed/flow/messages.js';
 import type { BackendFlow, BackendState } from './backend-state.js';
 
-/** When a caller that was refused is told to come back, in milliseconds. */
+/** Time after which a refused caller may come back (`retryAfterMs`), in milliseconds. */
 export const RETRY_AFTER_MS = 200;
 
 /** Sends a datagram. */
--- a/src/proof/standins/backend-state.ts
+++ b/src/proof/standins/backend-state.ts
@@ -64,7 +64,7 @@
   hasRun: boolean;
   /** True once it asked for more than a feed. */
   makesRequests: boolean;
-  /** Sends go-away again; present once the flow was told to go. */
+  /** Sends go-away again; present once go-away was sent to the flow. */
   goAway: RetransmitTimer | undefined;
 }
 
@@ -78,10 +78,10 @@
 /** The drain that is under way. */
 export interface BackendDrain {
   readonly startedAtMs: number;
-  /** Flows not yet told to go, in the order in which they are told. */
+  /** Flows without a go-away yet, in the order in which they get it. */
   readonly requestFlows: BackendFlow[];
   readonly feedFlows: BackendFlow[];
-  /** How many had to be told at the start. */
+  /** How many had to get it at the start. */
   readonly requestFlowCount: number;
   readonly feedFlowCount: number;
 }
@@ -112,7 +112,7 @@
   notices: NoticeLog;
   readonly queue: RequestRecord[];
   readonly running: Set<RequestRecord>;
-  /** The load report that is told from now on. */
+  /** The load report that is given from now on. */
   frozenLoad: LoadReport | undefined;
   /** Request numbers in the order in which they ran; for the oracle. */
   readonly runs: number[];
@@ -171,7 +171,7 @@
   downMs: number,
   nowMs: number,
 ): void {
-  noteBusySlots(state, nowMs);
+  recordBusySlots(state, nowMs);
   state.incarnation = incarnation;
   state.downUntilMs = nowMs + downMs;
   state.startedAtMs = state.downUntilMs;
@@ -189,7 +189,7 @@
  * Adds up the time in slots; called before the number of running requests changes, and before the sum
  * is read.
  */
-export function noteBusySlots(state: BackendState, nowMs: number): void {
+export function recordBusySlots(state: BackendState, nowMs: number): void {
   state.busySlotMs += state.running.size * (nowMs - state.busyNotedAtMs);
   state.busyNotedAtMs = nowMs;
 }
--- a/src/proof/standins/backend-step.ts
+++ b/src/proof/standins/backend-step.ts
@@ -48,7 +48,7 @@
   | { readonly type: 'drain' }
   /** The publisher hands over a notice; numbers run from 1 on, the same at every back end. */
   | { readonly type: 'publish'; readonly number: number; readonly payload: Uint8Array }
-  /** A prober tells which back end this is; of two, the one that was added later holds. */
+  /** A probe carries the ID of this back end; of two IDs, the one that was added later holds. */
   | { readonly type: 'assign'; readonly assignment: BackendAssignment }
   /** The process dies and starts again at the same address, with nothing that it held. */
   | { readonly type: 'crash'; readonly incarnation: number; readonly downMs: number };
--- a/src/proof/standins/caller-feed.ts
+++ b/src/proof/standins/caller-feed.ts
@@ -73,9 +73,9 @@
     leaveFlow(state, flow, context.nowMs + GAP_RETRY_MS);
     return [];
   }
-  noteHeard(subscription, context);
+  recordMessage(subscription, context);
   feed.gapRefusals = 0;
-  const effects = takePosition(feed, message.afterNotice);
+  const effects = applyPosition(feed, message.afterNotice);
   if (feed.next === subscription) {
     effects.push(...endSubscription(feed.current));
     feed.current = subscription;
@@ -138,7 +138,7 @@
     return [];
   }
   feed.gapRefusals = 0;
-  return takePosition(feed, (refusal.firstNotice ?? 1) - 1);
+  return applyPosition(feed, (refusal.firstNotice ?? 1) - 1);
 }
 
 /** The old back end still holds what the new one no longer does: the move waits until it is had. */
@@ -236,14 +236,14 @@
   });
 }
 
-function noteHeard(subscription: FeedSubscription, context: StepContext): void {
+function recordMessage(subscription: FeedSubscription, context: StepContext): void {
   subscription.confirmed = true;
   subscription.heardAtMs = context.nowMs;
   subscription.timer.stop();
 }
 
-/** The first position that is told is where the feed begins; a later jump is a gap. */
-function takePosition(feed: CallerFeed, afterNotice: number): CallerEffect[] {
+/** The first position that is received is where the feed begins; a later jump is a gap. */
+function applyPosition(feed: CallerFeed, afterNotice: number): CallerEffect[] {
   const first = feed.delivered + 1;
   if (afterNotice < first) {
     feed.positionKnown = true;
--- a/src/proof/standins/caller-flows.ts
+++ b/src/proof/standins/caller-flows.ts
@@ -51,7 +51,7 @@
     return [];
   }
   if (message.value.type === 'accept' && sourceId.length === TOKEN_LENGTH_BYTES) {
-    return takeAccept(state, state.flow.flowId, Uint8Array.from(sourceId));
+    return applyAccept(state, state.flow.flowId, Uint8Array.from(sourceId));
   }
   if (message.value.type === 'refuse' && state.flow.phase === 'opening') {
     const openAfterMs = context.nowMs + (message.value.retryAfterMs ?? 0);
@@ -123,7 +123,7 @@
 }
 
 /** Copies of one open may be placed on two back ends: the second flow is closed again. */
-function takeAccept(state: CallerState, flowId: Uint8Array, token: Uint8Array): CallerEffect[] {
+function applyAccept(state: CallerState, flowId: Uint8Array, token: Uint8Array): CallerEffect[] {
   const accepted: OpenFlow = {
     phase: 'open',
     flowId,
--- a/src/proof/standins/caller-request.ts
+++ b/src/proof/standins/caller-request.ts
@@ -1,6 +1,6 @@
 /**
  * @file The requests of a stand-in caller, one after the other. A request stays on the flow that it
- * was sent on; it goes to another one only once it was told that it surely did not run there.
+ * was sent on; it goes to another one only after a refusal that says that it did not run there.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { answerFor, type ErrorKind } from '../../shared/common/error-kinds.js';
@@ -83,7 +83,7 @@
 }
 
 /**
- * Takes the refusal of a request. One that surely did not run may go to another flow; it is the same
+ * Handles the refusal of a request. One that is certain not to have run may go to another flow; it is the same
  * request.
  */
 export function handleRequestRefusal(
--- a/src/proof/standins/caller-state.ts
+++ b/src/proof/standins/caller-state.ts
@@ -1,6 +1,6 @@
 /**
  * @file The state of a stand-in caller: one session, which opens a flow, sends requests one after
- * the other, may hold a feed, and moves to another flow when it is told to.
+ * the other, may hold a feed, and moves to another flow after a go-away.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { ErrorKind } from '../../shared/common/error-kinds.js';
--- a/src/proof/standins/caller-step.ts
+++ b/src/proof/standins/caller-step.ts
@@ -1,6 +1,6 @@
 /**
  * @file The decision step of a stand-in caller. It retransmits with backoff until a deadline, checks
- * that the whole answer is there, repeats a request only when it surely did not run, and reports
+ * that the whole answer is there, repeats a request only when it is certain that it did not run, and reports
  * each request's outcome and each notice.
  */
 import { match } from 'ts-pattern';
--- a/src/proof/standins/notice-log.ts
+++ b/src/proof/standins/notice-log.ts
@@ -32,7 +32,7 @@
     return this.next;
   }
 
-  /** Takes a notice; the first one tells where the log begins. Copies change nothing. */
+  /** Adds a notice; the log begins with the first one. Copies change nothing. */
   append(number: number, payload: Uint8Array): void {
     if (this.next === undefined) {
       this.oldest = number;
@@ -45,7 +45,7 @@
     if (this.early.size > this.capacity) {
       this.restartAtOldestEarly();
     }
-    this.takeConsecutive();
+    this.appendConsecutive();
   }
 
   /** The payload of a notice, or undefined where the log does not hold it. */
@@ -58,7 +58,7 @@
     return this.next === undefined || position + 1 >= this.oldest;
   }
 
-  private takeConsecutive(): void {
+  private appendConsecutive(): void {
     let next = this.next ?? 1;
     for (let payload = this.early.get(next); payload; payload = this.early.get(next)) {
       this.early.delete(next);
@@ -72,7 +72,7 @@
     }
   }
 
-  /** The missing notices will not come: the log begins anew, and its readers are told of the gap. */
+  /** The missing notices will not come: the log begins anew, and its readers get a message of the gap. */
   private restartAtOldestEarly(): void {
     const restart = Math.min(...this.early.keys());
     this.payloads.clear();
--- a/src/proof/virtual/stream-queue.ts
+++ b/src/proof/virtual/stream-queue.ts
@@ -14,15 +14,15 @@
 /** The queue in front of one direction of a link. */
 export interface StreamQueue {
   /** @param fromMs when the bytes reach the queue */
-  take(bytes: number, fromMs: number): Transfer;
+  enqueue(bytes: number, fromMs: number): Transfer;
 }
 
 /** @param bytesPerMs what the link carries */
 export function createStreamQueue(bytesPerMs: number): StreamQueue {
   let freeAtMs = Number.NEGATIVE_INFINITY;
-  return { take };
+  return { enqueue };
 
-  function take(bytes: number, fromMs: number): Transfer {
+  function enqueue(bytes: number, fromMs: number): Transfer {
     const beginsAtMs = Math.max(freeAtMs, fromMs);
     const doneAtMs = beginsAtMs + bytes / bytesPerMs;
     freeAtMs = doneAtMs;
--- a/src/proof/virtual/virtual-clock.ts
+++ b/src/proof/virtual/virtual-clock.ts
@@ -16,8 +16,8 @@
     this.actions.add(this.nowMs + Math.max(0, delayMs), run);
   }
 
-  /** Tells that the action under way has settled a promise: its continuations run before the next action. */
-  notePromise(): void {
+  /** To be called where the action under way settles a promise, whose continuations then run before the next action. */
+  markPromiseSettled(): void {
     this.promisesPending = true;
   }
 
--- a/src/proof/virtual/virtual-disk.ts
+++ b/src/proof/virtual/virtual-disk.ts
@@ -13,14 +13,14 @@
 
 interface VirtualFile {
   content: Buffer;
-  /** What surely outlives a crash. */
+  /** What is certain to survive a crash. */
   synced: Buffer;
 }
 
 /** A disk that outlives the processes that use it. */
 export class VirtualDisk {
   private names = new Map<string, VirtualFile>();
-  /** The names that surely outlive a crash. */
+  /** The names that are certain to survive a crash. */
   private syncedNames = new Map<string, VirtualFile>();
   /** Writes fail while it is full. */
   isFull = false;
@@ -69,7 +69,7 @@
         if (generation !== this.generation) {
           return;
         }
-        this.clock.notePromise();
+        this.clock.markPromiseSettled();
         try {
           resolve(operation());
         } catch (cause) {
--- a/src/proof/virtual/virtual-links.ts
+++ b/src/proof/virtual/virtual-links.ts
@@ -1,6 +1,6 @@
 /**
  * @file Virtual TCP connections: messages arrive in order and once, or the connection breaks. A cut
- * stalls a connection without a word: it is tried again with growing delays, as TCP does, and an end
+ * stalls a connection silently: it is tried again with growing delays, as TCP does, and an end
  * that has nothing to send finds out by keep-alive.
  */
 import { Packr } from 'msgpackr';
@@ -16,7 +16,7 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** What one end of a connection wants to hear. */
+/** What is called at one end of a connection. */
 export interface LinkEndHandlers {
   onMessage(message: unknown): void;
   onClose(): void;
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Closes this end; the peer hears of it once it can be reached. */
+  /** Closes this end; the peer is closed once it can be reached. */
   close(): void {
     if (this.isOpen) {
       this.isOpen = false;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** The machine of this end is gone: the peer is told nothing. */
+  /** The machine of this end is gone: nothing is sent to the peer. */
   vanish(): void {
     this.isOpen = false;
     this.queue.length = 0;
--- a/src/proof/virtual/virtual-network.ts
+++ b/src/proof/virtual/virtual-network.ts
@@ -1,6 +1,6 @@
 /**
- * @file The virtual network: delays by zone, datagrams that are lost, doubled and reordered, and cuts
- * between hosts that tell no one.
+ * @file The virtual network: delays by zone, datagrams that are lost, doubled and reordered, and silent
+ * cuts between hosts.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { RandomSource } from '../../shared/common/step.js';
@@ -38,13 +38,13 @@
   readonly betweenZonesMs: number;
 }
 
-/** Hosts whose packets to other hosts are lost without a word. */
+/** Hosts whose packets to other hosts are lost silently. */
 export interface NetworkCut {
   readonly from: ReadonlySet<string>;
   readonly to: ReadonlySet<string>;
 }
 
-/** Takes datagrams that come to an address. */
+/** Called with the datagrams that come to an address. */
 export type DatagramHandler = (datagram: Uint8Array, from: Address) => void;
 
 /** Carries datagrams between addresses, from a seed. */
@@ -61,12 +61,12 @@
     private readonly delays: NetworkDelays,
   ) {}
 
-  /** Tells in which zone a host is. */
+  /** Sets the zone of a host. */
   place(host: string, zone: string): void {
     this.zones.set(host, zone);
   }
 
-  /** Takes datagrams for an address from now on, in place of whoever took them before. */
+  /** Calls this handler with the datagrams for an address from now on, in place of the one before. */
   bind(address: Address, handler: DatagramHandler): void {
     this.handlers.set(formatAddress(address), handler);
   }
@@ -107,7 +107,7 @@
     return false;
   }
 
-  /** Sends a datagram to whoever holds the address when it arrives. */
+  /** Sends a datagram to the handler that is bound to the address when it arrives. */
   send(from: Address, to: Address, datagram: Uint8Array, extraDelayMs = 0): void {
     const deliver = (): void => {
       if (!this.isCut(from.host, to.host)) {
--- a/src/proof/virtual/virtual-wires.ts
+++ b/src/proof/virtual/virtual-wires.ts
@@ -33,7 +33,7 @@
   readonly handlers: VirtualLinkHandlers;
   peer: LinkEnd | undefined;
   isOpen: boolean;
-  /** What is sent from here arrives no more, and nobody is told. */
+  /** What is sent from here is lost silently. */
   isSilent: boolean;
   heardAtMs: number;
   /** When the last message from here arrives, so that messages stay in order. */
@@ -58,7 +58,7 @@
   readonly in: StreamQueue;
 }
 
-/** Hears of everything that is sent, for measurements; a link ends where its other end is. */
+/** Called with everything that is sent, for measurements; what a link sends goes to the host of its other end. */
 export type SendObserver = (fromHost: string, toHost: string, sentBytes: number) => void;
 
 /** Carries datagrams and links. */
@@ -118,7 +118,7 @@
     this.endsAt(host).forEach(silence);
   }
 
-  /** Ends all links of a host; both ends are told. */
+  /** Ends all links of a host; both ends are closed. */
   resetLinksOf(host: string): void {
     this.endsAt(host).forEach((end) => this.drop(end, true, 'Reset.'));
   }
@@ -275,7 +275,7 @@
     let passedAtMs = nowMs;
     for (const queue of [out, into]) {
       if (queue !== undefined) {
-        const transfer = queue.take(bytes, passedAtMs);
+        const transfer = queue.enqueue(bytes, passedAtMs);
         end.transfers.push(transfer);
         passedAtMs = transfer.doneAtMs;
       }
@@ -305,7 +305,7 @@
     return !from.isSilent && this.reaches(from.host, to.host);
   }
 
-  /** Each end hears of the other now and then, unless they are cut off. */
+  /** Each end gets a pulse of the other now and then, unless they are cut off. */
   private pulse(): void {
     this.clock.after(LINK_PULSE_MS, () => {
       for (const end of [...this.ends]) {
--- a/src/tools/cli/daemon-command.ts
+++ b/src/tools/cli/daemon-command.ts
@@ -56,7 +56,7 @@
 }
 
 /**
- * Writes log lines without waiting for whoever reads them, from now on.
+ * Writes log lines without waiting for their reader, from now on.
  */
 export function logWithoutWaiting(): void {
   const lines = new LineWriter(writeTo(STANDARD_ERROR));
--- a/src/tools/cli/declared-command.ts
+++ b/src/tools/cli/declared-command.ts
@@ -88,7 +88,7 @@
   if (declared.isErr()) {
     return err(declared.error);
   }
-  // An older version is acknowledged as well: what holds is told by reading it.
+  // An older version is acknowledged as well: what is in force is known only by reading it.
   const held = await client.read();
   const { version } = config.value;
   return held.map(({ version: heldVersion }) => {
--- a/src/tools/cli/explain.ts
+++ b/src/tools/cli/explain.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift explain`: tells the story of one request, flow, back end or configuration from logs.
+ * @file `amberlift explain`: prints the story of one request, flow, back end or configuration from logs.
  */
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
@@ -35,13 +35,13 @@
 }
 
 function jsonOf({ subject, lines, findings, gaps, skews }: Story): string {
-  const told = lines.map(({ line: { source, name, fields }, atMs }) => ({
+  const printed = lines.map(({ line: { source, name, fields }, atMs }) => ({
     at: new Date(atMs).toISOString(),
     source,
     name,
     fields: Object.fromEntries(fields),
   }));
-  return JSON.stringify({ subject, lines: told, findings, gaps, skews });
+  return JSON.stringify({ subject, lines: printed, findings, gaps, skews });
 }
 
 function describe(story: Story, id: string, lineCount: number): string {
--- a/src/tools/cli/figures-table.ts
+++ b/src/tools/cli/figures-table.ts
@@ -1,5 +1,5 @@
 /**
- * @file The table in which figures are shown to people.
+ * @file The table in which figures are printed.
  */
 import Table from 'cli-table3';
 
--- a/src/tools/cli/replay.ts
+++ b/src/tools/cli/replay.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift replay`: tells a recorded trace of the simulator as the story of one flow, one process,
+ * @file `amberlift replay`: prints a recorded trace of the simulator as the story of one flow, one process,
  * one command or one request, all at once or step by step.
  */
 import { readFile } from 'node:fs/promises';
@@ -7,7 +7,7 @@
 import type { CAC } from 'cac';
 import { amberliftError } from '../../shared/common/error-kinds.js';
 import { parseTrace, selectEvents, type RecordedTrace } from '../toolbox/replay-trace.js';
-import { tellEvent } from '../toolbox/replay-story.js';
+import { describeEvent } from '../toolbox/replay-story.js';
 import { reportError } from './daemon-command.js';
 
 interface ReplayFlags {
@@ -53,10 +53,10 @@
     reportError(trace.error);
     return;
   }
-  await tell(trace.value, flags);
+  await printStory(trace.value, flags);
 }
 
-async function tell({ header, events }: RecordedTrace, flags: ReplayFlags): Promise<void> {
+async function printStory({ header, events }: RecordedTrace, flags: ReplayFlags): Promise<void> {
   const { flow, process: name, command, request, type, from, to } = flags;
   const filter = { flow, process: name, command, request, type, fromMs: from, toMs: to };
   const selected = selectEvents(events, filter);
@@ -68,7 +68,7 @@
   process.stdout.write(`Scenario ${scenario}, seed ${seed}: ${selected.length} events.\n`);
   const lines = flags.step === true ? enterPresses() : undefined;
   for (const event of selected) {
-    process.stdout.write(`${tellEvent(event)}\n`);
+    process.stdout.write(`${describeEvent(event)}\n`);
     if (lines !== undefined && (await lines.next()).done === true) {
       return;
     }
--- a/src/tools/cli/simulate.ts
+++ b/src/tools/cli/simulate.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift simulate`: runs scenarios on the simulator, and has the oracle judge them.
+ * @file `amberlift simulate`: runs scenarios on the simulator, and has the oracle check them.
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
--- a/src/tools/cli/soak.ts
+++ b/src/tools/cli/soak.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift soak`: real processes on this machine under faults from outside them, judged by what
+ * @file `amberlift soak`: real processes on this machine under faults from outside them, checked by what
  * clients, back ends and the operator see.
  */
 import { join } from 'node:path';
--- a/src/tools/cli/timeline.ts
+++ b/src/tools/cli/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift timeline`: tells from logs how processes came back, and what they waited for.
+ * @file `amberlift timeline`: shows from logs how processes came back, and what they waited for.
  */
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
@@ -30,16 +30,16 @@
 
 function run(files: readonly string[], flags: TimelineFlags): void {
   const { returns, skews } = timelineOf(readLogs(files));
-  const shown = returns.filter(({ starts }) => starts.length >= (flags.least ?? LEAST_STARTS));
+  const printed = returns.filter(({ starts }) => starts.length >= (flags.least ?? LEAST_STARTS));
   const text =
     flags.json === true
-      ? JSON.stringify({ returns: shown, skews })
+      ? JSON.stringify({ returns: printed, skews })
       : [
-          ...shown.map(describeReturn),
+          ...printed.map(describeReturn),
           ...skews.map(({ source, aheadMs }) => `The clock of ${source} is off by ${aheadMs} ms.`),
         ].join('\n\n');
   process.stdout.write(`${text === '' ? 'No such return.' : text}\n`);
-  process.exitCode = shown.length > 0 ? exitCodes.success : exitCodes.refused;
+  process.exitCode = printed.length > 0 ? exitCodes.success : exitCodes.refused;
 }
 
 function describeReturn({ starts, groupPhases, longestWait }: Return): string {
--- a/src/tools/cli/zone-command.ts
+++ b/src/tools/cli/zone-command.ts
@@ -62,7 +62,7 @@
   }, reportError);
 }
 
-/** An operator knows why a zone must be emptied: what would not fit is told, and is no refusal. */
+/** An operator knows why a zone must be emptied: what would not fit is printed, and is no refusal. */
 async function evacuate(
   client: DeclaredClient,
   zone: string,
--- a/src/tools/client/statement-runner.ts
+++ b/src/tools/client/statement-runner.ts
@@ -41,9 +41,9 @@
 ): Promise<StatementOutput> {
   const statement = parseStatement(text);
   if (statement.isErr()) {
-    const told = describeStatementError(text, statement.error);
+    const errorText = describeStatementError(text, statement.error);
     const value = { error: { kind: 'invalid-command', ...statement.error } };
-    return failed(options, exitCodes.usage, told, value);
+    return failed(options, exitCodes.usage, errorText, value);
   }
   return statement.value.kind === 'query'
     ? runQuery(options, statement.value.query)
@@ -100,8 +100,8 @@
   }
   const text = describeAccepted(options, commandId, accepted);
   const names = lagging.length === 0 ? 'not known' : lagging.join(', ');
-  const told = `amberlift: not in force everywhere in time; balancers that lag: ${names}.`;
-  return { output: text, error: told, exitCode: exitCodes.unavailable };
+  const errorText = `amberlift: not in force everywhere in time; balancers that lag: ${names}.`;
+  return { output: text, error: errorText, exitCode: exitCodes.unavailable };
 }
 
 function describeAccepted(
@@ -128,17 +128,17 @@
   value: object,
   hint = '',
 ): StatementOutput {
-  const told = `amberlift: ${error.kind}: ${error.message}${hint}`;
-  return failed(options, answerFor(error.kind).exitCode, told, value);
+  const errorText = `amberlift: ${error.kind}: ${error.message}${hint}`;
+  return failed(options, answerFor(error.kind).exitCode, errorText, value);
 }
 
 function failed(
   { json }: RunnerOptions,
   exitCode: number,
-  told: string,
+  errorText: string,
   value: object,
 ): StatementOutput {
   return json
     ? { output: JSON.stringify(value), error: '', exitCode }
-    : { output: '', error: told, exitCode };
+    : { output: '', error: errorText, exitCode };
 }
--- a/src/tools/toolbox/align-clocks.ts
+++ b/src/tools/toolbox/align-clocks.ts
@@ -1,11 +1,11 @@
 /**
  * @file One time for the lines of several processes whose clocks differ and jump. Within a process the clock
- * that never jumps gives the order; between processes, configurations that came into force tell how far
+ * that never jumps gives the order; between processes, configurations that came into force show how far
  * their clocks are apart.
  */
 import type { LogLine } from './log-line.js';
 
-/** A line with the time that it is shown at. */
+/** A line with its time on the common clock. */
 export interface TimedLine {
   readonly line: LogLine;
   /** In milliseconds since 1970, on the clock of most processes. */
@@ -79,7 +79,7 @@
 }
 
 function findSkews(lives: readonly Life[]): ClockSkew[] {
-  // What comes into force first after a start tells when that was, not when the version was accepted.
+  // What comes into force first after a start shows when that was, not when the version was accepted.
   const marks = lives.flatMap((life) =>
     life.filter(({ line }) => line.name === MARK_NAME).slice(1),
   );
--- a/src/tools/toolbox/explain-findings.ts
+++ b/src/tools/toolbox/explain-findings.ts
@@ -12,7 +12,7 @@
 ]);
 
 /**
- * @param story all lines that are told
+ * @param story all lines of the story
  * @param ofFlow those of the flow itself
  * @param asked when what is asked for happened
  * @returns sentences, most telling first
@@ -45,19 +45,19 @@
 }
 
 /**
- * @param askedAtMs the time from which distances are told; undefined for none
+ * @param askedAtMs the time from which distances are given; undefined for none
  * @returns what was said of back ends, each thing once
  */
 export function beliefFindings(beliefs: readonly TimedLine[], askedAtMs?: number): string[] {
-  const told = new Set<string>();
+  const reported = new Set<string>();
   return beliefs.flatMap(({ line, atMs }) => {
     const what = line.fields.get('kind') ?? line.fields.get('to') ?? '';
     const backend = line.fields.get('backend') ?? line.fields.get('backendId') ?? '';
     const key = `${line.name} ${backend} ${what}`;
-    if (line.name === 'backend registered' || what === 'heard' || told.has(key)) {
+    if (line.name === 'backend registered' || what === 'heard' || reported.has(key)) {
       return [];
     }
-    told.add(key);
+    reported.add(key);
     const when = askedAtMs === undefined ? '' : `, ${describeDistance(atMs - askedAtMs)}`;
     const how = line.name === 'departure' ? `said that it is ${what}` : `was judged ${what}`;
     return [`Back end ${backend} ${how}${when}.`];
@@ -65,13 +65,13 @@
 }
 
 function processFindings(story: readonly TimedLine[], { fromMs }: Span): string[] {
-  const told = new Set<string>();
+  const reported = new Set<string>();
   return story.flatMap(({ line, atMs }) => {
     const key = `${line.source} ${line.name}`;
-    if (told.has(key)) {
+    if (reported.has(key)) {
       return [];
     }
-    told.add(key);
+    reported.add(key);
     const when = describeDistance(atMs - fromMs);
     switch (line.name) {
       case 'started':
--- a/src/tools/toolbox/explain.ts
+++ b/src/tools/toolbox/explain.ts
@@ -184,7 +184,7 @@
   };
 }
 
-/** A process that has just started takes over what holds: that says nothing of how fast news travel. */
+/** A process that has just started gets what is in force: that says nothing of how fast changes travel. */
 function isAtStart(lines: readonly TimedLine[], { line, atMs }: TimedLine): boolean {
   return lines.some(
     (other) =>
--- a/src/tools/toolbox/plan-evacuation.ts
+++ b/src/tools/toolbox/plan-evacuation.ts
@@ -1,5 +1,5 @@
 /**
- * @file What emptying a zone would leave: whether the back ends of the other zones bear what is in progress now.
+ * @file What emptying a zone would leave: whether the back ends of the other zones can run what is in progress now.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
@@ -33,8 +33,8 @@
       amberliftError('not-found', `The deployment has no zone ${zone}; it has ${names || 'none'}.`),
     );
   }
-  const staying = zones.filter((report) => report !== emptied && !report.isEvacuated);
-  const slotsLeft = staying.reduce((sum, { slots }) => sum + slots, 0);
+  const remaining = zones.filter((report) => report !== emptied && !report.isEvacuated);
+  const slotsLeft = remaining.reduce((sum, { slots }) => sum + slots, 0);
   const busy = zones.reduce((sum, report) => sum + report.busy, 0);
   const { isEvacuated } = emptied;
   return ok({ zone, isEvacuated, busy, slotsLeft, fits: slotsLeft > 0 && slotsLeft >= busy });
--- a/src/tools/toolbox/plan.ts
+++ b/src/tools/toolbox/plan.ts
@@ -9,7 +9,7 @@
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { ExportedBackend, ExportedService, StateExport } from './state-export.js';
 
-/** What an export can't tell. */
+/** What an export doesn't hold. */
 export interface PlanOptions {
   /** Connections that one back end holds, where the service sets no limit. */
   readonly connectionLimit: number;
--- a/src/tools/toolbox/replay-story.ts
+++ b/src/tools/toolbox/replay-story.ts
@@ -9,7 +9,7 @@
 /**
  * @returns the event as one line, with its time in milliseconds in front
  */
-export function tellEvent(event: TraceEvent): string {
+export function describeEvent(event: TraceEvent): string {
   return `${event.atMs.toFixed(1).padStart(TIME_WIDTH)} ms  ${sentence(event)}`;
 }
 
@@ -39,7 +39,7 @@
       ({ backend, requestNumber, flowId }) =>
         `${backend} began to run request ${requestNumber} of ${flowId}.`,
     )
-    .with({ type: 'outcome' }, tellOutcome)
+    .with({ type: 'outcome' }, describeOutcome)
     .with(
       { type: 'flow-broken' },
       ({ caller, flowId, backend }) => `${caller} lost ${flowId} to ${backend}.`,
@@ -81,7 +81,7 @@
     .exhaustive();
 }
 
-function tellOutcome(event: Extract<TraceFact, { type: 'outcome' }>): string {
+function describeOutcome(event: Extract<TraceFact, { type: 'outcome' }>): string {
   const { caller, requestNumber, outcome, errorKind, intact } = event;
   const kind = errorKind === undefined ? '' : `, ${errorKind}`;
   const bytes = intact ? '' : ', with wrong bytes';
--- a/src/tools/toolbox/replay-trace.ts
+++ b/src/tools/toolbox/replay-trace.ts
@@ -13,7 +13,7 @@
   readonly events: readonly TraceEvent[];
 }
 
-/** Whose story is told; with several, events must belong to all. Times in milliseconds. */
+/** Which events are printed; with several criteria, those that fit all. Times in milliseconds. */
 export interface TraceFilter {
   readonly flow?: string | undefined;
   /** A balancer, back end, control machine, caller or operator. */
--- a/src/tools/toolbox/timeline.ts
+++ b/src/tools/toolbox/timeline.ts
@@ -1,6 +1,6 @@
 /**
  * @file The starts of processes out of their logs: which phases each went through and when, what the group
- * as a whole waited for, and which wait was the longest. It tells where the time of a return went after a
+ * as a whole waited for, and which wait was the longest. It shows where the time of a return went after a
  * restart or a loss of power of many processes.
  */
 import { alignClocks, type ClockSkew, type TimedLine } from './align-clocks.js';
--- a/test/proof/sim-managed/convergence.test.ts
+++ b/test/proof/sim-managed/convergence.test.ts
@@ -55,7 +55,7 @@
 
 async function startWorld(): Promise<ConvergenceWorld> {
   const events: TraceEvent[] = [];
-  const listener = { note: (event: TraceEvent) => void events.push(event) };
+  const listener = { handle: (event: TraceEvent) => void events.push(event) };
   const world = new World({ seed: SEED, plan: PLAN, listener });
   await world.setUp();
   let acceptedIndex = world.appliedIndex();
--- a/test/proof/sim-managed/fuzz.ts
+++ b/test/proof/sim-managed/fuzz.ts
@@ -88,7 +88,7 @@
   await world.setUp();
   await fc.asyncModelRun(() => ({ model, real: { world, faults } }), commands);
   await world.run(QUIET_END_MS);
-  world.noteFinalConfigs();
+  world.recordFinalConfigs();
   const { trace, nowMs } = world.simulation;
   oracle.finish(nowMs);
   const { violations } = oracle;
--- a/test/proof/sim-managed/scenarios.test.ts
+++ b/test/proof/sim-managed/scenarios.test.ts
@@ -33,7 +33,7 @@
   }));
   const plan = { ...smallWorld, services, balancers: 0 };
   for (let seed = 1; seed <= 12; seed += 1) {
-    const world = new World({ seed, plan, listener: { note: () => undefined } });
+    const world = new World({ seed, plan, listener: { handle: () => undefined } });
     await t.resolves(world.setUp(), `seed ${seed}`);
   }
 });
--- a/test/proof/soak/soak-verdict.test.ts
+++ b/test/proof/soak/soak-verdict.test.ts
@@ -3,7 +3,7 @@
 import { createDeclaredApi } from '../../../src/registered/daemon/declared-api.js';
 import type { GroupCall } from '../../../src/registered/daemon/group-process.js';
 import { IngressOracle } from '../../../src/proof/sim-registered/ingress-oracle.js';
-import { noteLeadersOf } from '../../../src/proof/soak/run-soak.js';
+import { recordLeadersOf } from '../../../src/proof/soak/run-soak.js';
 import { replyOf, requestFor } from '../../../src/proof/soak/soak-calls.js';
 
 const TOKEN = 'operator-token';
@@ -76,9 +76,9 @@
   const line = (term: number) =>
     `2026-01-01 info [control] role role=leader term=${term} commit=1\n`;
   const oracle = new IngressOracle(BOUNDS);
-  noteLeadersOf(line(1) + line(3), 'control-1', oracle, 0);
-  noteLeadersOf(line(2), 'control-2', oracle, 0);
+  recordLeadersOf(line(1) + line(3), 'control-1', oracle, 0);
+  recordLeadersOf(line(2), 'control-2', oracle, 0);
   t.same(oracle.violations, []);
-  noteLeadersOf(line(3), 'control-3', oracle, 0);
+  recordLeadersOf(line(3), 'control-3', oracle, 0);
   t.match(oracle.violations, [{ check: 'leader' }]);
 });
--- a/test/tools/toolbox/replay.test.ts
+++ b/test/tools/toolbox/replay.test.ts
@@ -3,7 +3,7 @@
 import { findScenario } from '../../../src/proof/sim-managed/scenarios/index.js';
 import { runScenario } from '../../../src/proof/sim-managed/run-scenario.js';
 import { formatTrace } from '../../../src/proof/sim-managed/violation-file.js';
-import { tellEvent } from '../../../src/tools/toolbox/replay-story.js';
+import { describeEvent } from '../../../src/tools/toolbox/replay-story.js';
 import { parseTrace, selectEvents } from '../../../src/tools/toolbox/replay-trace.js';
 
 const drain = findScenario('drain');
@@ -40,11 +40,11 @@
     const story = selectEvents(events, { command });
     t.equal(story[0]?.type, 'command-sent');
     t.equal(story.filter(({ type }) => type === 'in-force').length, 4);
-    t.match(story.map(tellEvent)[0], /sent .* \(drain-backend of /);
+    t.match(story.map(describeEvent)[0], /sent .* \(drain-backend of /);
   });
 
   t.test('every event can be told in one line', async (t) => {
-    t.ok(events.map(tellEvent).every((line) => /^ *[\d.]+ ms {2}\S.*\.$/.test(line)));
+    t.ok(events.map(describeEvent).every((line) => /^ *[\d.]+ ms {2}\S.*\.$/.test(line)));
   });
 });
 
