--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -8,7 +8,7 @@
 import type { BalancerLinkMessage, FeedMessage } from '../group/group-messages.js';
 import { applyFeedMessage } from '../ingress/feed-step.js';
 import { createLoadReporter, type LoadReporter } from '../ingress/load-reporter.js';
-import { FEED_RETRY_AFTER_MS, FeedSource } from '../ingress/feed-source.js';
+import { FEED_RETRY_AFTER_MS, FeedSource } from '../decisions/feed-source.js';
 import { isReady, type IngressState } from '../ingress/ingress-state.js';
 import { hashText } from '../../shared/common/rendezvous.js';
 import type { DecisionFields } from './decision-log.js';
@@ -44,7 +44,7 @@
   /** Counts bytes that went over the machine's link. */
   charge(bytes: number): void;
   /** Takes the line of a decision that changed what this balancer believes. */
-  readonly note: (name: string, fields: DecisionFields) => void;
+  readonly logDecision: (name: string, fields: DecisionFields) => void;
   /** Takes lines that may be many. */
   readonly packetLog: RequestLog;
 }
@@ -54,7 +54,7 @@
   /** Does what is due: opens or gives up the link, tells loads. */
   tick(nowMs: number): void;
   /** Takes other control machines to look for. */
-  takeSeeds(seeds: readonly Address[]): void;
+  updateSeeds(seeds: readonly Address[]): void;
   /** @returns how long ago a control machine said that what it told is current, in milliseconds */
   feedAgeMs(): number | undefined;
 }
@@ -80,7 +80,7 @@
 
   return {
     tick,
-    takeSeeds: (seeds) => source.takeSeeds(seeds),
+    updateSeeds: (seeds) => source.setSeeds(seeds),
     feedAgeMs: () => feedAgeMs(state, options.nowMs()),
   };
 
@@ -90,9 +90,9 @@
   }
 
   function follow(nowMs: number): void {
-    const action = source.act(nowMs);
+    const action = source.nextAction(nowMs);
     if (action.type === 'close') {
-      packetLog.note('feed left', { why: action.why });
+      packetLog.log('feed left', { why: action.why });
       followed?.link.close();
     } else if (action.type === 'connect') {
       subscribe(action.address);
@@ -112,9 +112,9 @@
       return false;
     }
     const nowMs = options.nowMs();
-    source.heard(message.isCurrent, nowMs);
+    source.recordMessage(message.isCurrent, nowMs);
     if (message.controls !== undefined) {
-      source.takeControls(message.controls);
+      source.applyControls(message.controls);
     }
     const isFit = take(message, nowMs);
     if (message.isCounted) {
@@ -126,7 +126,7 @@
 
   /** @returns false where the control machine must begin anew, on a new link */
   function take(message: FeedMessage, nowMs: number): boolean {
-    const isFit = takeMessage(options, message, nowMs);
+    const isFit = applyAndLog(options, message, nowMs);
     if (!isFit) {
       isConfigDoubted = true;
       state.assembly.clear();
@@ -136,7 +136,7 @@
 
   function onProgress(from: ControlLink): void {
     if (followed?.link === from) {
-      source.progressed(options.nowMs());
+      source.recordProgress(options.nowMs());
     }
   }
 
@@ -146,7 +146,7 @@
     }
     const { to } = followed;
     followed = undefined;
-    noteClosed(options, source.closed(options.nowMs()), to, reason);
+    logClosed(options, source.recordClosed(options.nowMs()), to, reason);
     options.after(FEED_RETRY_AFTER_MS, () => follow(options.nowMs()));
   }
 
@@ -159,7 +159,8 @@
   }
 }
 
-function feedAgeMs({ currentAtMs }: IngressState, nowMs: number): number | undefined {
+function feedAgeMs({ feedStatus }: IngressState, nowMs: number): number | undefined {
+  const { currentAtMs } = feedStatus;
   return currentAtMs === undefined ? undefined : Math.round(nowMs - currentAtMs);
 }
 
@@ -181,37 +182,37 @@
 }
 
 /** @returns false where the message does not follow what is held here */
-function takeMessage(
-  { state, note }: FeedFollowerOptions,
+function applyAndLog(
+  { state, logDecision }: FeedFollowerOptions,
   message: FeedMessage,
   nowMs: number,
 ): boolean {
   const wasReady = isReady(state);
   const taken = applyFeedMessage(state, message, nowMs);
   if (taken.type === 'in-force') {
-    note('config in force', { version: taken.version });
+    logDecision('config in force', { version: taken.version });
   }
   if (isReady(state) !== wasReady) {
-    note('ready', { backends: state.backends.size });
+    logDecision('ready', { backends: state.backends.size });
   }
   if (taken.type === 'unfit') {
     const { version, baseVersion } = message.config ?? {};
-    note('config unfit', { version, baseVersion });
+    logDecision('config unfit', { version, baseVersion });
   }
   return taken.type !== 'unfit';
 }
 
 /** Control machines that can't be reached are tried many times a second: those lines have a budget. */
-function noteClosed(
-  { state, note, packetLog, nowMs }: FeedFollowerOptions,
+function logClosed(
+  { state, logDecision, packetLog, nowMs }: FeedFollowerOptions,
   hadFeed: boolean,
   to: Address,
   reason: string,
 ): void {
   const fields = { control: formatAddress(to), reason, feedAgeMs: feedAgeMs(state, nowMs()) };
   if (hadFeed) {
-    note('feed lost', fields);
+    logDecision('feed lost', fields);
   } else {
-    packetLog.note('feed not reached', fields);
+    packetLog.log('feed not reached', fields);
   }
 }
--- a/test/managed/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -3,12 +3,12 @@
  * can be paused, and clocks that run a little fast or slow.
  */
 import type { ConfigPosition } from '../../../src/managed/control/config-delta.js';
-import { emptyRoutingConfig } from '../../../src/managed/control/cluster-state.js';
+import { emptyRoutingConfig } from '../../../src/managed/control/routing-config.js';
 import { isLeaseHeld } from '../../../src/managed/dissemination/lease.js';
 import {
   createLeaseAuthority,
   leaseAuthorityTick,
-  takeConfirmation,
+  applyConfirmation,
   type LeaseAuthority,
 } from '../../../src/managed/dissemination/lease-authority.js';
 import {
@@ -203,7 +203,7 @@
       nowMs: this.nowMs,
     });
     if (readId !== undefined && hasQuorum) {
-      takeConfirmation(authority, readId);
+      applyConfirmation(authority, readId);
     }
   }
 
