--- a/src/proof/bench/bench-forward-opener.ts
+++ b/src/proof/bench/bench-forward-opener.ts
@@ -1,5 +1,5 @@
 /**
- * @file Opens new flows at a steady rate, and says what came of them.
+ * @file Opens new flows at a steady rate, and counts how they ended.
  */
 import type { Socket } from 'node:dgram';
 import { build } from 'hdr-histogram-js';
--- a/src/proof/bench/bench-forward-process.ts
+++ b/src/proof/bench/bench-forward-process.ts
@@ -1,5 +1,5 @@
 /**
- * @file Starts the peer processes of the forwarding bench and speaks with them.
+ * @file Starts the peer processes of the forwarding bench and exchanges messages with them; reads their processor time and memory.
  */
 import { fork } from 'node:child_process';
 import { once } from 'node:events';
--- a/src/proof/bench/bench.ts
+++ b/src/proof/bench/bench.ts
@@ -1,6 +1,6 @@
 /**
- * @file The seam for benches: each is one file `bench-<name>.ts` that exports a `Bench`, and stands
- * in the registry of `src/tools/cli/bench.ts`.
+ * @file The interface of benches: each is one file `bench-<name>.ts` that exports a `Bench`, and stands in the registry of
+ * `src/tools/cli/bench.ts`. What each is kept for stands in docs/design/proof.md.
  */
 
 /** Options of a run of a bench. */
--- a/src/proof/bench/placement-choice-cost.ts
+++ b/src/proof/bench/placement-choice-cost.ts
@@ -1,5 +1,5 @@
 /**
- * @file What one choice of a back end costs, against the number of back ends.
+ * @file The processor time of one choice of a back end, against the number of back ends.
  */
 import { createBackendView } from '../../managed/balancer/backend-view.js';
 import { createBalancerState, type BalancerState } from '../../managed/balancer/balancer-state.js';
--- a/src/proof/bench/virtual-agenda.ts
+++ b/src/proof/bench/virtual-agenda.ts
@@ -1,5 +1,6 @@
 /**
- * @file Virtual time in milliseconds: what is due when, in order of time and then of entry.
+ * @file The clock of the placement bench: whole milliseconds, without promises. What is due at the same time runs in the order of entry.
+ * `virtual-clock` has fractions and waits for promises; the figures of the bench rest on the rounding here.
  */
 
 /** Runs actions at their virtual times. */
--- a/src/proof/demo/cluster-status.ts
+++ b/src/proof/demo/cluster-status.ts
@@ -1,6 +1,6 @@
 /**
- * @file What a running cluster says of itself: which balancers have which configuration in force, and
- * what its back ends hold and ran.
+ * @file What a running cluster reports of itself: which balancers have which configuration in force, and what its back ends ran. Asks over the
+ * operators' interface and the HTTP endpoints of the stand-ins.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { sendJson } from '../../managed/daemon/http-json.js';
--- a/src/proof/demo/harm-summary.ts
+++ b/src/proof/demo/harm-summary.ts
@@ -1,5 +1,6 @@
 /**
- * @file The counts of harm of a run: what callers were promised against what back ends ran.
+ * @file The counts of harm of a run: the answers that callers got against what back ends ran. Broken flows are one of the two measures of
+ * the brief.
  */
 import type { RequestOutcome } from '../standins/caller-state.js';
 import type { NoticeSummary } from '../standins/notice-summary.js';
--- a/src/proof/demo/load-sampler.ts
+++ b/src/proof/demo/load-sampler.ts
@@ -1,5 +1,5 @@
 /**
- * @file Samples what the back ends of a cluster really hold, once a second, and computes the imbalance.
+ * @file Samples what the back ends of a cluster really hold, once a second, and computes the imbalance, the other measure of the brief.
  */
 import { z } from 'zod';
 import { sendJson } from '../../managed/daemon/http-json.js';
--- a/src/proof/sim-managed/oracle/troubles.ts
+++ b/src/proof/sim-managed/oracle/troubles.ts
@@ -1,6 +1,6 @@
 /**
- * @file Which processes were in trouble, and when: down, paused, cut off or with a failing disk. Some
- * promises do not hold for a process in trouble, or for those who depend on it.
+ * @file Which processes were in trouble, and when: down, paused, cut off or with a failing disk. Owns the excuses of the oracle: some promises
+ * do not hold for a process in trouble, or for those that depend on it.
  */
 import type { TraceEvent } from '../trace.js';
 
--- a/src/proof/sim-managed/packet-notes.ts
+++ b/src/proof/sim-managed/packet-notes.ts
@@ -81,6 +81,7 @@
   try {
     return (packr.unpack(body) ?? {}) as { type?: string; requestId?: number };
   } catch {
+    // Packets that tests have damaged are in the trace too, without what could not be decoded.
     return {};
   }
 }
--- a/src/proof/sim-managed/run-scenario.ts
+++ b/src/proof/sim-managed/run-scenario.ts
@@ -1,5 +1,5 @@
 /**
- * @file Runs scenarios and has the oracle check them.
+ * @file Runs a scenario from a seed and has the oracle check it: one seed, one trace.
  */
 import { seededRandom } from '../../shared/common/random.js';
 import { ClusterFaults } from './cluster-faults.js';
--- a/src/proof/sim-managed/scenarios/backend-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/backend-scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * @file Scenarios with bad back ends: cold, overloaded, lying and deaf to their drain.
+ * @file Scenarios with bad back ends: cold, overloaded, with false load reports, or ignoring their drain.
  */
 import type { BackendFaults } from '../../standins/backend-options.js';
 import { smallWorld } from '../world-plan.js';
--- a/src/proof/sim-managed/scenarios/long-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/long-scenarios.ts
@@ -1,6 +1,5 @@
 /**
- * @file Scenarios that take long: an hour in which a control machine and the balancers beside it are cut
- * off without a word.
+ * @file Scenarios that take long: an hour in which a control machine and the balancers beside it are cut off silently.
  */
 import { smallWorld } from '../world-plan.js';
 import { changeSomething } from './operator-changes.js';
--- a/src/proof/sim-managed/scenarios/scenario.ts
+++ b/src/proof/sim-managed/scenarios/scenario.ts
@@ -1,5 +1,5 @@
 /**
- * @file What a scenario is: a world, a time, and what is done to the world meanwhile.
+ * @file What a scenario is: a world, a duration, and what is done to the world meanwhile; and the helpers that draw times and targets.
  */
 import type { RandomSource } from '../../../shared/common/step.js';
 import type { ClusterFaults } from '../cluster-faults.js';
--- a/src/proof/sim-managed/simulated-peer-links.ts
+++ b/src/proof/sim-managed/simulated-peer-links.ts
@@ -1,5 +1,5 @@
 /**
- * @file How a simulated control machine opens its links to the others.
+ * @file How a simulated control machine opens its links to the other control machines: the product's dialer over virtual links.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { createDialedLinks, type DialedLinks } from '../../shared/common/dialed-links.js';
--- a/src/proof/sim-managed/world-plan.ts
+++ b/src/proof/sim-managed/world-plan.ts
@@ -1,5 +1,5 @@
 /**
- * @file What a simulated world consists of.
+ * @file What a simulated world consists of: numbers of processes, services, and times of stand-ins and platform.
  */
 import type { BackendFaults, BackendTuning } from '../standins/backend-options.js';
 
--- a/src/proof/sim-registered/ingress-oracle.ts
+++ b/src/proof/sim-registered/ingress-oracle.ts
@@ -1,6 +1,6 @@
 /**
- * @file The oracle of the simulated deployment: it gets what clients, back ends and the operator see,
- * and says what must never be.
+ * @file The oracle of the registered pair, in the simulator and beside the real processes of the soak. It gets what clients, back ends and
+ * the operator see, shares no state with the product, and owns the list of violations.
  */
 import { createZoneWitness } from './zone-witness.js';
 
--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated deployment that forwards by 32-bit tokens: control machines, balancers, back ends,
- * clients behind routers that hash by the number of balancers, and an operator, on virtual time.
+ * @file A simulated deployment of the registered pair: control machines, balancers, back ends, clients behind routers that hash by the number of
+ * balancers, and an operator, on virtual time. Owns the clock, the wires and all processes; one seed gives one run.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
--- a/src/proof/sim-registered/run-ingress-world.ts
+++ b/src/proof/sim-registered/run-ingress-world.ts
@@ -1,5 +1,5 @@
 /**
- * @file One run of the simulated deployment under faults drawn from a seed, with the oracle's verdict.
+ * @file One run of the simulated deployment of the registered pair under faults drawn from a seed, with the oracle's verdict.
  */
 import type { IngressViolation } from './ingress-oracle.js';
 import { DrawnFaults, drawnFaultKinds, type DrawnFaultKind } from './drawn-faults.js';
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -1,5 +1,5 @@
 /**
- * @file A control machine of the simulated deployment: its disk outlives its process.
+ * @file A control machine of the simulated deployment: the product's process of `group` over a virtual disk, which outlives it, and virtual wires.
  */
 import type { Address } from '../../shared/common/address.js';
 import { formatAddress } from '../../shared/common/address.js';
--- a/src/proof/sim-registered/simulated-ingress-balancer.ts
+++ b/src/proof/sim-registered/simulated-ingress-balancer.ts
@@ -1,5 +1,5 @@
 /**
- * @file A balancer of the simulated deployment: the process of the daemon over virtual sockets.
+ * @file A balancer of the simulated deployment: the product's process of `ingress` over virtual sockets and wires.
  */
 import { Packr } from 'msgpackr';
 import type { Address } from '../../shared/common/address.js';
--- a/src/proof/sim-registered/stand-in-backend.ts
+++ b/src/proof/sim-registered/stand-in-backend.ts
@@ -1,6 +1,6 @@
 /**
- * @file A stand-in back end: registers by heartbeats, takes flows and answers requests, drains, leaves
- * with or without a word.
+ * @file A stand-in back end of the registered pair: registers by heartbeats, accepts flows and answers requests, drains, leaves with or without
+ * a departure. Played by the simulator and by the soak.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { GroupCall } from '../../registered/daemon/group-process.js';
--- a/src/proof/sim-registered/stand-in-client.ts
+++ b/src/proof/sim-registered/stand-in-client.ts
@@ -1,6 +1,6 @@
 /**
- * @file A stand-in client: opens flows with copies, sends requests on them with resends, and follows
- * the last token that it got, even where that is the wrong one.
+ * @file A stand-in client of the registered pair: opens flows with copies, sends requests on them with resends, and follows the last token that
+ * it got, even where that is the wrong one. Played by the simulator and by the soak.
  */
 import type { Address } from '../../shared/common/address.js';
 import { formatAddress } from '../../shared/common/address.js';
--- a/src/proof/sim-registered/world-parts.ts
+++ b/src/proof/sim-registered/world-parts.ts
@@ -1,5 +1,6 @@
 /**
- * @file What the machines of the simulated deployment share.
+ * @file What the machines of the simulated deployment share: clock, wires, oracle, options; and what stand-ins need of them, so that the soak
+ * can give them real ones.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { RandomSource } from '../../shared/common/step.js';
--- a/src/proof/sim-registered/zone-operator.ts
+++ b/src/proof/sim-registered/zone-operator.ts
@@ -1,6 +1,6 @@
 /**
- * @file A stand-in operator who empties zones and takes them back: each order is sent again, to any control machine,
- * until it is acknowledged, but not for longer than orders may be resent.
+ * @file A stand-in operator who evacuates zones and readmits them: each order is sent again, to any control machine, until it is
+ * acknowledged, but not for longer than orders may be resent.
  */
 import type { ZoneOrderKind } from '../../registered/group/zone-orders.js';
 import type { CallControl } from './stand-in-backend.js';
--- a/src/proof/soak/read-back.ts
+++ b/src/proof/soak/read-back.ts
@@ -1,5 +1,5 @@
 /**
- * @file Reads back what was acknowledged, from each control machine that answers, after everything.
+ * @file At the end of a soak reads what was acknowledged from each control machine that answers, and has the oracle check it.
  */
 import type { Address } from '../../shared/common/address.js';
 import { sendJson } from '../../managed/daemon/http-json.js';
--- a/src/proof/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -1,6 +1,6 @@
 /**
- * @file One soak: starts the deployment, brings the faults of a seed about while clients are served, lets it
- * recover, and checks. Everything that is needed to look into it stays in one folder.
+ * @file One soak: starts the deployment, causes the faults of a seed while clients are served, lets it recover, and checks. Owns the folder of
+ * the run, which keeps logs, schedule and verdict; `soak-world` owns the processes.
  */
 import { mkdir, readFile, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
--- a/src/proof/soak/soak-calls.ts
+++ b/src/proof/soak/soak-calls.ts
@@ -1,5 +1,5 @@
 /**
- * @file The calls of stand-in back ends and operators, brought to real control machines over HTTP.
+ * @file Sends the calls of stand-in back ends and operators to real control machines over HTTP.
  */
 import type { Address } from '../../shared/common/address.js';
 import { formatAddress } from '../../shared/common/address.js';
--- a/src/proof/standins/workload.ts
+++ b/src/proof/standins/workload.ts
@@ -36,6 +36,7 @@
   try {
     return workSchema.safeParse(packr.unpack(payload)).data;
   } catch {
+    // Bytes that are no msgpack come from another sender, and are no work: the caller refuses them.
     return undefined;
   }
 }
--- a/src/tools/cli/address-flag.ts
+++ b/src/tools/cli/address-flag.ts
@@ -1,5 +1,5 @@
 /**
- * @file Address flags.
+ * @file Parses a flag that is an address, `host:port`; refuses anything else with the name of the flag.
  */
 import { parseAddress, type Address } from '../../shared/common/address.js';
 
--- a/src/tools/cli/backend.ts
+++ b/src/tools/cli/backend.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift backend`: runs a stand-in back end.
+ * @file `amberlift backend`: runs a stand-in back end, which the demo and trials use in place of a real one.
  */
 import type { CAC } from 'cac';
 import { faultNames, parseFaultFlags } from '../../proof/standins/backend-fault-flags.js';
--- a/src/tools/cli/balancer.ts
+++ b/src/tools/cli/balancer.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift balancer`: runs a balancer.
+ * @file `amberlift balancer`: runs a balancer of the managed pair.
  */
 import type { CAC } from 'cac';
 import { startBalancerDaemon } from '../../managed/daemon/balancer-daemon.js';
--- a/src/tools/cli/bench.ts
+++ b/src/tools/cli/bench.ts
@@ -112,6 +112,7 @@
   try {
     return execFileSync('git', ['rev-parse', 'HEAD'], { encoding: 'utf8' }).trim();
   } catch {
+    // Without git, or outside of a repository, figures are kept all the same.
     return 'unknown';
   }
 }
--- a/src/tools/cli/control.ts
+++ b/src/tools/cli/control.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift control`: runs a control machine.
+ * @file `amberlift control`: runs a control machine of the managed pair.
  */
 import type { CAC } from 'cac';
 import { startControlDaemon } from '../../managed/daemon/control-daemon.js';
--- a/src/tools/cli/ctl.ts
+++ b/src/tools/cli/ctl.ts
@@ -142,6 +142,7 @@
 }
 
 async function readHistory(file: string): Promise<string[]> {
+  // A history that isn't there yet, or can't be read, begins empty: it is a convenience of the prompt only.
   const text = await readFile(file, 'utf8').catch(() => '');
   return text.split('\n').filter((line) => line !== '');
 }
--- a/src/tools/cli/demo.ts
+++ b/src/tools/cli/demo.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift demo`: runs the whole path on this machine.
+ * @file `amberlift demo`: runs the whole path of the managed pair on this machine and prints the counts of harm.
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
--- a/src/tools/cli/fabric.ts
+++ b/src/tools/cli/fabric.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift fabric`: runs the stand-in fabric.
+ * @file `amberlift fabric`: runs the stand-in fabric, which sprays the packets of callers over balancers in the demo and in trials.
  */
 import type { CAC } from 'cac';
 import { startFabric } from '../../proof/standins/fabric-process.js';
--- a/src/tools/cli/group.ts
+++ b/src/tools/cli/group.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift group`: runs a control machine of a group that takes declared configurations and heartbeats.
+ * @file `amberlift group`: runs a control machine of the registered pair, which takes declared configurations and heartbeats.
  */
 import type { CAC } from 'cac';
 import { createCallListener } from '../../registered/daemon/call-listener.js';
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift ingress`: runs a balancer that forwards by 32-bit tokens.
+ * @file `amberlift ingress`: runs a balancer of the registered pair, which forwards by 32-bit tokens.
  */
 import type { CAC } from 'cac';
 import { bytesPerMsOf } from '../../shared/common/bandwidth.js';
--- a/src/tools/cli/main.ts
+++ b/src/tools/cli/main.ts
@@ -1,5 +1,6 @@
 /**
- * @file The entry of the `amberlift` command: one subcommand per file, parsed by cac.
+ * @file The entry of the `amberlift` command: one subcommand per file, parsed by cac. Sets the exit code of usage errors; each subcommand
+ * sets its own otherwise (the table stands in docs/SETTINGS.md).
  */
 import { cac, type CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
--- a/src/tools/client/ask-in-turn.ts
+++ b/src/tools/client/ask-in-turn.ts
@@ -1,6 +1,6 @@
 /**
- * @file Asks control machines one after the other until one answers: the next one where no answer comes or
- * the machine can't answer now, the leader where its address is given.
+ * @file Asks control machines one after the other until one answers: the next one where no answer comes or the machine can't answer now, the
+ * leader where its address is given. Owns nothing; both clients rely on it.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { err, ok, type Result } from 'neverthrow';
--- a/src/tools/client/command-ids.ts
+++ b/src/tools/client/command-ids.ts
@@ -1,5 +1,5 @@
 /**
- * @file Command IDs that the client makes up.
+ * @file Command IDs that the client generates: a time and a random part, so that a command that is sent again is recognised.
  */
 import { randomBytes } from 'node:crypto';
 import { timedCommandId } from '../../managed/control/command-id.js';
--- a/src/tools/client/declared-client.ts
+++ b/src/tools/client/declared-client.ts
@@ -1,6 +1,7 @@
 /**
- * @file The client of a group that takes declared configurations: declares one, reads the one that holds, orders
- * zones to be emptied or taken back, at whichever control machine answers. What is sent again is acknowledged again.
+ * @file The client of a group that takes declared configurations: declares one, reads the one in force, orders zones to be evacuated or
+ * readmitted, at any control machine that answers. What is sent again is acknowledged again. Relies on `ask-in-turn` and the schemas of
+ * `src/registered`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import * as z from 'zod/mini';
--- a/src/tools/toolbox/align-clocks.ts
+++ b/src/tools/toolbox/align-clocks.ts
@@ -1,7 +1,6 @@
 /**
- * @file One time for the lines of several processes whose clocks differ and jump. Within a process the clock
- * that never jumps gives the order; between processes, configurations that came into force show how far
- * their clocks are apart.
+ * @file One time for the lines of several processes whose clocks differ and jump. Within a process the monotonic clock gives the order;
+ * between processes, configurations that came into force show how far their clocks are apart. Pure; used by `explain` and `timeline`.
  */
 import type { LogLine } from './log-line.js';
 
--- a/src/tools/toolbox/explain-findings.ts
+++ b/src/tools/toolbox/explain-findings.ts
@@ -1,5 +1,6 @@
 /**
- * @file What in the lines of a flow or back end may be the cause of what a client met.
+ * @file The rules by which `explain` names what may be the cause of a failed request: decisions on its back end, refusals and resets of its
+ * flow, processes that restarted, overload, an old configuration, resends, placements that came late. Each rule reads the lines of the story alone.
  */
 import { valuesOf, type Span } from './line-spans.js';
 import type { TimedLine } from './align-clocks.js';
--- a/src/tools/toolbox/explain.ts
+++ b/src/tools/toolbox/explain.ts
@@ -1,6 +1,7 @@
 /**
- * @file The story of one request, flow, back end or configuration, out of the logs of several processes: the
- * lines that name it, those on the back ends and processes that it met, and what is missing.
+ * @file The story of one request, flow, back end or configuration, out of the logs of several processes: the lines that name it, those
+ * on the back ends and processes that it met, findings that may be the cause, and gaps where lines are missing. Pure: owns nothing. Relies
+ * on `log-line` for the fields of lines, `align-clocks` for their order, and `explain-findings` for the rules on what is worth a finding.
  */
 import { match } from 'ts-pattern';
 import { alignClocks, type ClockSkew, type TimedLine } from './align-clocks.js';
--- a/src/tools/toolbox/line-spans.ts
+++ b/src/tools/toolbox/line-spans.ts
@@ -1,5 +1,5 @@
 /**
- * @file Parts of the lines of logs.
+ * @file Times and values over several log lines: the span that lines cover, and the values that a field takes in them.
  */
 import type { TimedLine } from './align-clocks.js';
 
--- a/src/tools/toolbox/log-line.ts
+++ b/src/tools/toolbox/log-line.ts
@@ -61,6 +61,7 @@
   try {
     return JSON.parse(value) as string;
   } catch {
+    // A line that was cut off ends within a quoted value: the rest is still of use as it stands.
     return value;
   }
 }
--- a/src/tools/toolbox/plan-declared.ts
+++ b/src/tools/toolbox/plan-declared.ts
@@ -1,5 +1,5 @@
 /**
- * @file What a declared configuration would change against the one that holds.
+ * @file What a declared configuration would change against the one in force: routes, services and weights. Pure; used by `plan --declared`.
  */
 import type {
   DeclaredConfig,
--- a/src/tools/toolbox/replay-story.ts
+++ b/src/tools/toolbox/replay-story.ts
@@ -1,5 +1,5 @@
 /**
- * @file Tells each event of a trace as one sentence.
+ * @file Describes each event of a trace of the simulator in one sentence.
  */
 import { match } from 'ts-pattern';
 import type { TraceEvent, TraceFact } from '../../proof/sim-managed/trace.js';
--- a/src/tools/toolbox/state-export.ts
+++ b/src/tools/toolbox/state-export.ts
@@ -1,6 +1,6 @@
 /**
- * @file An operator's services and back ends as read from a file: the lines that
- * `amberlift ctl --json` prints for `show services` and `show backends`.
+ * @file An operator's services and back ends as read from a file: the lines that `amberlift ctl --json` prints for `show services` and `show
+ * backends`. Relies on the schemas of these answers; `check` and `plan` work on what it returns.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
@@ -134,6 +134,7 @@
   try {
     return JSON.parse(line);
   } catch {
+    // What is no JSON fails the check of the schema that follows, with the number of its line.
     return undefined;
   }
 }
--- a/src/tools/toolbox/timeline.ts
+++ b/src/tools/toolbox/timeline.ts
@@ -1,7 +1,7 @@
 /**
- * @file The starts of processes out of their logs: which phases each went through and when, what the group
- * as a whole waited for, and which wait was the longest. It shows where the time of a return went after a
- * restart or a loss of power of many processes.
+ * @file The starts of processes out of their logs: which phases each went through and when, what the group as a whole waited for, and
+ * which wait was the longest. For the return after a restart or a loss of power of many processes. Pure; relies on `align-clocks`
+ * for one time and on the names of decision lines of `src/registered/daemon`.
  */
 import { alignClocks, type ClockSkew, type TimedLine } from './align-clocks.js';
 import type { LogLine } from './log-line.js';
