--- a/src/proof/sim-registered/virtual-wires.ts
+++ b/src/proof/virtual/virtual-wires.ts
@@ -1,11 +1,12 @@
 /**
- * @file The network of the simulated deployment: datagrams and links between hosts, with delays, losses
- * and cuts that tell no one.
+ * @file The network of the registered pair's simulator: datagrams, and links of frames with pulses, between hosts; with delays, losses, bandwidth
+ * and silent cuts. `virtual-network` and `virtual-links` model the managed pair's: messages over TCP that retries, and
+ * datagrams that are doubled. Each draws its delays in an order of its own, so one in place of the other would change the runs of kept seeds.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { encodeFrame } from '../../shared/common/frame-codec.js';
 import type { RandomSource } from '../../shared/common/step.js';
-import type { VirtualClock } from '../virtual/virtual-clock.js';
+import type { VirtualClock } from './virtual-clock.js';
 import { createStreamQueue, type StreamQueue, type Transfer } from './stream-queue.js';
 
 const DELAY_MS = 0.5;
@@ -32,7 +33,7 @@
   readonly handlers: VirtualLinkHandlers;
   peer: LinkEnd | undefined;
   isOpen: boolean;
-  /** What is sent from here arrives no more, and nobody is told. */
+  /** What is sent from here is lost silently. */
   isSilent: boolean;
   heardAtMs: number;
   /** When the last message from here arrives, so that messages stay in order. */
@@ -57,7 +58,7 @@
   readonly in: StreamQueue;
 }
 
-/** Hears of everything that is sent, for measurements; a link ends where its other end is. */
+/** Called with everything that is sent, for measurements; what a link sends goes to the host of its other end. */
 export type SendObserver = (fromHost: string, toHost: string, sentBytes: number) => void;
 
 /** Carries datagrams and links. */
@@ -117,7 +118,7 @@
     this.endsAt(host).forEach(silence);
   }
 
-  /** Ends all links of a host; both ends are told. */
+  /** Ends all links of a host; both ends are closed. */
   resetLinksOf(host: string): void {
     this.endsAt(host).forEach((end) => this.drop(end, true, 'Reset.'));
   }
@@ -274,7 +275,7 @@
     let passedAtMs = nowMs;
     for (const queue of [out, into]) {
       if (queue !== undefined) {
-        const transfer = queue.take(bytes, passedAtMs);
+        const transfer = queue.enqueue(bytes, passedAtMs);
         end.transfers.push(transfer);
         passedAtMs = transfer.doneAtMs;
       }
@@ -304,7 +305,7 @@
     return !from.isSilent && this.reaches(from.host, to.host);
   }
 
-  /** Each end hears of the other now and then, unless they are cut off. */
+  /** Each end gets a pulse of the other now and then, unless they are cut off. */
   private pulse(): void {
     this.clock.after(LINK_PULSE_MS, () => {
       for (const end of [...this.ends]) {
--- a/src/tools/cli/demo.ts
+++ b/src/tools/cli/demo.ts
@@ -1,10 +1,10 @@
 /**
- * @file `amberlift demo`: runs the whole path on this machine.
+ * @file `amberlift demo`: runs the whole path of the managed pair on this machine and prints the counts of harm.
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
-import { runDemo, type DemoProgress } from '../../proof/experiment/demo.js';
-import { isUnharmed } from '../../proof/experiment/harm-summary.js';
+import { runDemo, type DemoProgress } from '../../proof/demo/demo.js';
+import { isUnharmed } from '../../proof/demo/harm-summary.js';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 import { describeFigures } from './figures-table.js';
 
