--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -17,11 +17,8 @@
 import type { PreparedTokenKey } from '../flow/token.js';
 import { createGossip, type GossipState } from '../gossip/gossip-state.js';
 import { createHealthSharing, type HealthSharing } from '../health/health-sharing.js';
-import {
-  createProbeSchedule,
-  type ProberGroup,
-  type ProbeSchedule,
-} from '../health/probe-schedule.js';
+import { createProbeSchedule, type ProbeSchedule } from '../health/probe-schedule.js';
+import type { ProberGroup } from '../health/prober-selection.js';
 import { createOpenLimits, type OpenLimitsState } from '../limits/open-limits.js';
 import type { PlacementPolicy } from '../routing/placement-policy.js';
 import type { BackendView } from './backend-view.js';
--- a/src/managed/balancer/shared-health.ts
+++ b/src/managed/balancer/shared-health.ts
@@ -6,12 +6,8 @@
 import { isLeaseHeld } from '../dissemination/lease.js';
 import type { ProbeResult } from '../health/backend-report.js';
 import { recordResult, resultsToShare, type SharedResult } from '../health/health-sharing.js';
-import {
-  dueProbes,
-  recordObservation,
-  endProbe,
-  type ProberGroup,
-} from '../health/probe-schedule.js';
+import { dueProbes, recordObservation, endProbe } from '../health/probe-schedule.js';
+import type { ProberGroup } from '../health/prober-selection.js';
 import type { HealthMessage } from '../gossip/gossip-messages.js';
 import { gossipAddress } from '../gossip/member.js';
 import { presentMembers } from '../gossip/member-list.js';
--- a/src/managed/health/busy-hold.ts
+++ b/src/managed/health/busy-hold.ts
@@ -8,9 +8,15 @@
  */
 import type { Judgement } from './judgement-state.js';
 
-/** Refusals in a row for which a back end counts as busy. Not measured; too low if back ends turn busy below their limits. */
+/**
+ * Refusals in a row for which a back end counts as busy. Not measured; too low if back ends turn busy below their
+ * limits.
+ */
 const REFUSALS_FOR_BUSY = 3;
-/** Length of the first busy time, in milliseconds. Not measured; too short if the share of refused attempts stays high. */
+/**
+ * Length of the first busy time, in milliseconds. Not measured; too short if the share of refused attempts stays
+ * high.
+ */
 const BUSY_MS = 500;
 /** Longest busy time, in milliseconds. Not measured; too long if a back end with room stays unused. */
 const MAX_BUSY_MS = 8_000;
--- a/src/managed/health/ejection.ts
+++ b/src/managed/health/ejection.ts
@@ -11,9 +11,15 @@
 
 /** Timeouts in a row for an ejection. Not measured; too low if back ends are ejected at random losses of packets. */
 const TIMEOUTS_FOR_EJECTION = 3;
-/** Share of timeouts for an ejection. Not measured; too high if a back end that fails now and then keeps its full share. */
+/**
+ * Share of timeouts for an ejection. Not measured; too high if a back end that fails now and then keeps its full
+ * share.
+ */
 const TIMEOUT_SHARE_FOR_EJECTION = 0.5;
-/** Outcomes from which the share of timeouts counts. Not measured; it keeps a few early timeouts from counting as half. */
+/**
+ * Outcomes from which the share of timeouts counts. Not measured; it keeps a few early timeouts from counting as
+ * half.
+ */
 const OUTCOMES_FOR_SHARE = 10;
 /** Weight of the newest outcome in the share of timeouts: about the last ten outcomes count. Not measured. */
 const TIMEOUT_SHARE_GAIN = 0.1;
--- a/src/managed/health/health-sharing.ts
+++ b/src/managed/health/health-sharing.ts
@@ -1,19 +1,22 @@
 /**
- * @file Results of health probes as the balancers of a zone tell them to one another: each now and then
- * to a few others, changes first, within a fixed number of bytes. What a result says holds from when
+ * @file Which probe results does a balancer send to the others of its zone next? Changed results first, the oldest first,
+ * then others in turn, so that none grows old; all within a fixed number of results for a message. A result holds from when
  * the back end was asked; its age travels along, so no clocks are compared.
+ *
+ * Owns `HealthSharing`, the latest result of each back end. `balancer/shared-health.ts` decides when and to whom.
  */
 import type { HealthReport, LoadReport, ProbeResult } from './backend-report.js';
+import { createMapCursor, nextEntry, type MapCursor } from './map-cursor.js';
 
-/** Bound of results in one message. */
+/** Bound of results in one message. Two messages of this size twice a second bound what a balancer sends (docs/CAPACITY.md). */
 export const MAX_SHARED_RESULTS = 32;
-/** Results without news that are repeated in one message, so that none grows old. */
+/** Unchanged results that are repeated in one message. Not measured; too few if balancers probe by themselves what others probe. */
 const MAX_REPEATED_RESULTS = 12;
-/** Out of how many results in turn the repeated ones are taken. */
+/** Out of how many results in turn the repeated ones are chosen. Not measured. */
 const REPEAT_CANDIDATES = 60;
-/** Connections must have changed by this share of the limit to be news; coarse on purpose. */
+/** Connections must differ by this share of the limit to count as a change; coarse, to save messages. Not measured. */
 const CONNECTION_STEP = 0.02;
-/** A result that was observed longer ago is not told any more, in milliseconds. */
+/** A result that was observed longer ago is not sent, in milliseconds. */
 const MAX_SHARED_AGE_MS = 60_000;
 
 /** A result of another balancer or the own one. */
@@ -25,45 +28,45 @@
   readonly load: LoadReport | undefined;
 }
 
-/** A result that is known, and how often it is still to be told. */
+/** The latest result of a back end, and how often it is still to be sent. */
 interface KnownResult {
   readonly result: ProbeResult;
   readonly observedAtMs: number;
   sendsLeft: number;
-  /** When this very observation was told last. */
+  /** When this observation was last sent, in milliseconds. */
   sentAtMs: number;
 }
 
-/** The results that a balancer knows. */
+/** The latest results of all back ends. */
 export interface HealthSharing {
   readonly known: Map<number, KnownResult>;
-  /** Back ends with news, the oldest first. */
+  /** Back ends whose change is still to be sent, the oldest first. */
   readonly changed: Set<number>;
-  cursor: Iterator<[number, KnownResult]>;
+  readonly cursor: MapCursor<number, KnownResult>;
 }
 
 /**
- * @returns results of nobody
+ * @returns a state without results
  */
 export function createHealthSharing(): HealthSharing {
   const known = new Map<number, KnownResult>();
-  return { known, changed: new Set(), cursor: known.entries() };
+  return { known, changed: new Set(), cursor: createMapCursor(known) };
 }
 
 /**
- * Takes the latest result of a back end.
- * @param tellings how often it is told where it is news
+ * Records the latest result of a back end.
+ * @param sends how often it is sent where it is a change
  */
 export function recordResult(
   sharing: HealthSharing,
   result: ProbeResult,
   observedAtMs: number,
-  tellings: number,
+  sends: number,
 ): void {
   const { backendId } = result;
   const before = sharing.known.get(backendId);
-  const isNews = before === undefined || differs(before.result, result);
-  const left = isNews ? tellings : before.sendsLeft;
+  const isChange = before === undefined || differs(before.result, result);
+  const left = isChange ? sends : before.sendsLeft;
   sharing.known.set(backendId, { result, observedAtMs, sendsLeft: left, sentAtMs: -Infinity });
   if (left > 0) {
     sharing.changed.add(backendId);
@@ -79,7 +82,7 @@
 }
 
 /**
- * @returns the results for the next message: news first, then others in turn
+ * @returns the results for the next message: changes first, then others in turn
  */
 export function resultsToShare(sharing: HealthSharing, nowMs: number): SharedResult[] {
   const chosen = new Map<number, KnownResult>();
@@ -124,12 +127,12 @@
   }
 }
 
-/** What was not told yet goes first, of this the youngest: mostly what this balancer saw itself. */
+/** What was not sent yet goes first, of this the youngest: mostly this balancer's own results. */
 function repeatedInTurn(sharing: HealthSharing): [number, KnownResult][] {
   const candidates: [number, KnownResult][] = [];
   const count = Math.min(REPEAT_CANDIDATES, sharing.known.size);
   for (let position = 0; position < count; position += 1) {
-    const next = nextKnown(sharing);
+    const next = nextEntry(sharing.cursor, sharing.known);
     if (next !== undefined) {
       candidates.push(next);
     }
@@ -144,16 +147,6 @@
   return one === other ? 0 : one - other;
 }
 
-function nextKnown(sharing: HealthSharing): [number, KnownResult] | undefined {
-  const next = sharing.cursor.next();
-  if (next.done !== true) {
-    return next.value;
-  }
-  sharing.cursor = sharing.known.entries();
-  const first = sharing.cursor.next();
-  return first.done === true ? undefined : first.value;
-}
-
 function differs(one: ProbeResult, other: ProbeResult): boolean {
   return healthDiffers(one.health, other.health) || loadDiffers(one.load, other.load);
 }
--- a/src/managed/health/judgement-rules.ts
+++ b/src/managed/health/judgement-rules.ts
@@ -13,9 +13,15 @@
  */
 import type { Judgement, JudgedState, JudgementGroup, JudgementReason } from './judgement-state.js';
 
-/** Failed probes in a row that count as failing. Not measured; too low if the log shows `probes-fail` for back ends that accept opens. */
+/**
+ * Failed probes in a row that count as failing. Not measured; too low if the log shows `probes-fail` for back ends
+ * that accept opens.
+ */
 const FAILED_PROBES_FOR_DOWN = 3;
-/** An open accepted within this time outweighs failed probes, in milliseconds. Not measured; too long if opens time out at a dead back end. */
+/**
+ * An open accepted within this time outweighs failed probes, in milliseconds. Not measured; too long if opens time
+ * out at a dead back end.
+ */
 const ACCEPTED_PROOF_MS = 2_000;
 /**
  * Part of a service's back ends beyond which failed probes are taken for a fault of the prober's own network. Not measured;
@@ -24,9 +30,15 @@
 const MAX_FAILING_SHARE = 0.5;
 /** Timeouts in a row that confirm failed probes; as many as for an ejection. Not measured. */
 const TIMEOUTS_FOR_DOWN = 3;
-/** Use of the connection limit below which a full back end is no longer full. Not measured; too high if a back end changes between ready and busy. */
+/**
+ * Use of the connection limit below which a full back end is no longer full. Not measured; too high if a back end
+ * changes between ready and busy.
+ */
 const NO_LONGER_FULL_BELOW = 0.95;
-/** How long a loss of readiness is counted, in milliseconds, and the most ready probes in a row that are asked for. Not measured. */
+/**
+ * How long a loss of readiness is counted, in milliseconds, and the most ready probes in a row that are asked for.
+ * Not measured.
+ */
 const UNREADY_MEMORY_MS = 60_000;
 const MAX_READY_PROBES = 16;
 
@@ -108,7 +120,10 @@
   return undefined;
 }
 
-/** One at first; twice as many with each loss of readiness in the last minute, so a flapping back end returns ever more slowly. */
+/**
+ * One at first; twice as many with each loss of readiness in the last minute, so a flapping back end returns ever
+ * more slowly.
+ */
 function readyProbesNeeded(judgement: Judgement, nowMs: number): number {
   const losses = judgement.unreadyAtMs.filter((atMs) => nowMs - atMs < UNREADY_MEMORY_MS).length;
   return Math.min(MAX_READY_PROBES, 2 ** losses);
--- a/src/managed/health/probe-schedule.ts
+++ b/src/managed/health/probe-schedule.ts
@@ -1,71 +1,60 @@
 /**
- * @file Which back ends this balancer probes, and when. The balancers of a zone share the probes: each
- * back end has a few probers, chosen by rendezvous among the zone's live balancers, and the others take
- * their results. A balancer probes by itself what it has had no result for. The rate of probes is
- * bounded, so that the interval grows with the back ends and no balancer does work for all at once.
+ * @file Which back ends does this balancer probe now? The balancers of a zone share the probes: each back end has a few
+ * probers (`prober-selection.ts`), visited in turn within a bounded rate (`probe-ring.ts`), and the others use their results.
+ * A balancer probes by itself what it has had no result for, and a back end that it has not seen before at once.
+ *
+ * Inputs: the back ends in force, the live balancers of the zone, when each back end was last asked, the lease, the time in
+ * milliseconds. Returns the probes to begin. Owns `ProbeSchedule`.
  */
 import type { Backend } from '../control/routing-config.js';
-import { hashText, rendezvousScore } from '../../shared/common/rendezvous.js';
+import { hashText } from '../../shared/common/rendezvous.js';
+import {
+  createRing,
+  dueTargets,
+  ringIntervalMs,
+  type ProbeTarget,
+  type TargetRing,
+} from './probe-ring.js';
+import {
+  emptyGroupHashes,
+  groupHashes,
+  isProber,
+  type GroupHashes,
+  type ProberGroup,
+} from './prober-selection.js';
 
-/** Balancers of a zone that probe one back end. */
-const PROBERS = 3;
-/** Probes a second that a balancer takes on for back ends of its own zone. */
+/**
+ * Bounds of the probes a second of one balancer, for back ends of its own zone and of others. A probe took 0.239 ms of
+ * processor time, so 50 a second are 1.2 % of a core (docs/CAPACITY.md).
+ */
 const MAX_LOCAL_PROBES_PER_SECOND = 30;
-/** The same for back ends of other zones. */
 const MAX_REMOTE_PROBES_PER_SECOND = 20;
-/** Probes a second in place of results that did not come, with a lease and without. */
+/**
+ * Bounds of the probes a second in place of results that did not come, with a lease and without. Without a lease each back
+ * end must confirm its identity every 3 s. Not measured; too low if `lease-expired` is counted while back ends answer.
+ */
 const MAX_FALLBACK_PROBES_PER_SECOND = 5;
 const MAX_URGENT_FALLBACK_PROBES_PER_SECOND = 20;
-/** Probes of back ends not seen before that are begun at a time. */
+/** Probes of back ends not seen before that are begun in one call. Not measured; thousands at once used up the balancer's ports. */
 const MAX_FIRST_PROBES = 50;
-/** After this many intervals without a result a balancer that has no lease probes by itself. */
+/** After this many intervals without a result a balancer without a lease probes by itself. Not measured. */
 const STALE_INTERVALS = 3;
-/** How much later one with a lease does so, in milliseconds. */
+/** How much later a balancer with a lease does so, in milliseconds. Not measured. */
 const STALE_EXTRA_MS = 5_000;
-/** A probe that has brought no answer for this time is given up, in milliseconds. */
+/** A probe without an end for this time is given up, in milliseconds; above the timeout of the request, 1 s. */
 const PROBE_LIFETIME_MS = 5_000;
 
-/** Probe this back end; answered by a `probe-result` event. */
+/** Probes this back end; a `probe-result` event follows. */
 export interface ProbeEffect {
   readonly type: 'probe';
   readonly backend: Backend;
   /**
-   * True where the balancer may tell the back end which one it is and to drain. Without a lease it may
-   * only ask: another back end may be at the address.
+   * True where the probe also sends the back end its identity and the order to drain. Without a lease it only asks:
+   * another back end may be at the address.
    */
   readonly isAuthoritative: boolean;
 }
 
-/** The live balancers of the own zone, this one included. */
-export interface ProberGroup {
-  /** Name of this balancer. */
-  readonly selfId: string;
-  readonly ids: readonly string[];
-  /** Differs whenever the IDs do. */
-  readonly version: number;
-}
-
-/** A back end that is probed by somebody. */
-interface ProbeTarget {
-  backend: Backend;
-  readonly keyHash: number;
-  /** When the last result was asked for, by whomever, or the back end was added. */
-  observedAtMs: number | undefined;
-  /** When the probe that is under way began. */
-  startedAtMs: number | undefined;
-  /** Whether this balancer is a prober, as of a version of the group. */
-  assignment: { readonly version: number; readonly isOwn: boolean } | undefined;
-}
-
-/** Targets that are visited in turn. */
-interface TargetRing {
-  readonly maxProbesPerSecond: number;
-  readonly targets: Map<number, ProbeTarget>;
-  cursor: Iterator<ProbeTarget>;
-  /** Visits that are due; a fraction is kept. */
-  allowance: number;
-}
-
 /** The state of a probe schedule. */
 export interface ProbeSchedule {
   readonly intervalMs: number;
@@ -74,7 +63,7 @@
   readonly remote: TargetRing;
   /** Back ends not seen before. */
   readonly unseen: Set<number>;
-  group: { readonly version: number; readonly hashes: readonly number[]; readonly ownHash: number };
+  group: GroupHashes;
   fallbackAllowance: number;
   /** False while the balancer depends on what back ends said a moment ago. */
   hasLease: boolean;
@@ -92,7 +81,7 @@
     local: createRing(MAX_LOCAL_PROBES_PER_SECOND),
     remote: createRing(MAX_REMOTE_PROBES_PER_SECOND),
     unseen: new Set(),
-    group: { version: Number.NEGATIVE_INFINITY, hashes: [], ownHash: 0 },
+    group: emptyGroupHashes(),
     fallbackAllowance: 0,
     hasLease: false,
     lastCallAtMs: undefined,
@@ -100,7 +89,7 @@
 }
 
 /**
- * Takes a back end in, or its changed settings.
+ * Adds a back end, or updates the one of that ID.
  */
 export function setProbeTarget(schedule: ProbeSchedule, backend: Backend): void {
   const known = findTarget(schedule, backend.id);
@@ -120,7 +109,7 @@
 }
 
 /**
- * Forgets a back end.
+ * Removes a back end.
  */
 export function removeProbeTarget(schedule: ProbeSchedule, backendId: number): void {
   schedule.local.targets.delete(backendId);
@@ -136,7 +125,7 @@
   group: ProberGroup,
   nowMs: number,
 ): ProbeEffect[] {
-  updateGroup(schedule, group);
+  schedule.group = groupHashes(schedule.group, group);
   const elapsedMs = nowMs - (schedule.lastCallAtMs ?? nowMs);
   schedule.lastCallAtMs = nowMs;
   const maxFallback = schedule.hasLease
@@ -152,8 +141,8 @@
 }
 
 /**
- * Notes that a probe has ended.
- * @returns when it began; undefined where none was under way
+ * Ends a probe.
+ * @returns when it began, in milliseconds; undefined where none was in progress
  */
 export function endProbe(schedule: ProbeSchedule, backendId: number): number | undefined {
   const target = findTarget(schedule, backendId);
@@ -166,7 +155,7 @@
 }
 
 /**
- * Notes a result, of this balancer or another.
+ * Records when a back end was asked, by this balancer or another one.
  * @param observedAtMs when the back end was asked
  * @returns false where a later one is known
  */
@@ -183,11 +172,6 @@
   return true;
 }
 
-function createRing(maxProbesPerSecond: number): TargetRing {
-  const targets = new Map<number, ProbeTarget>();
-  return { maxProbesPerSecond, targets, cursor: targets.values(), allowance: 0 };
-}
-
 function ringOf(schedule: ProbeSchedule, backend: Backend): TargetRing {
   return backend.zone === schedule.zone ? schedule.local : schedule.remote;
 }
@@ -196,12 +180,6 @@
   return local.targets.get(backendId) ?? remote.targets.get(backendId);
 }
 
-function updateGroup(schedule: ProbeSchedule, { selfId, ids, version }: ProberGroup): void {
-  if (version !== schedule.group.version) {
-    schedule.group = { version, hashes: ids.map(hashText), ownHash: hashText(selfId) };
-  }
-}
-
 function firstProbes(schedule: ProbeSchedule, nowMs: number): ProbeEffect[] {
   const effects: ProbeEffect[] = [];
   for (const backendId of schedule.unseen) {
@@ -227,36 +205,14 @@
   elapsedMs: number,
   nowMs: number,
 ): ProbeEffect[] {
-  const size = ring.targets.size;
-  const intervalMs = ringInterval(schedule, ring);
-  ring.allowance = Math.min(size, ring.allowance + (elapsedMs * size) / intervalMs);
+  const intervalMs = ringIntervalMs(ring, schedule.intervalMs, schedule.group);
   const effects: ProbeEffect[] = [];
-  for (; ring.allowance >= 1; ring.allowance -= 1) {
-    const target = nextTarget(ring);
-    if (target !== undefined) {
-      effects.push(...visit(schedule, target, intervalMs, nowMs));
-    }
+  for (const target of dueTargets(ring, elapsedMs, intervalMs)) {
+    effects.push(...visit(schedule, target, intervalMs, nowMs));
   }
   return effects;
 }
 
-/** @returns the interval in which the own share of the targets can be probed */
-function ringInterval({ intervalMs, group }: ProbeSchedule, ring: TargetRing): number {
-  const members = Math.max(1, group.hashes.length);
-  const share = (ring.targets.size * Math.min(PROBERS, members)) / members;
-  return Math.max(intervalMs, (share * 1_000) / ring.maxProbesPerSecond);
-}
-
-function nextTarget(ring: TargetRing): ProbeTarget | undefined {
-  const next = ring.cursor.next();
-  if (next.done !== true) {
-    return next.value;
-  }
-  ring.cursor = ring.targets.values();
-  const first = ring.cursor.next();
-  return first.done === true ? undefined : first.value;
-}
-
 function visit(
   schedule: ProbeSchedule,
   target: ProbeTarget,
@@ -284,16 +240,10 @@
   return [{ type: 'probe', backend: target.backend, isAuthoritative }];
 }
 
-/** @returns true where fewer than `PROBERS` balancers have a higher score than this one */
+/** Kept with the target until the group changes. */
 function isOwn({ group }: ProbeSchedule, target: ProbeTarget): boolean {
-  if (target.assignment?.version === group.version) {
-    return target.assignment.isOwn;
-  }
-  const ownScore = rendezvousScore(target.keyHash, group.ownHash);
-  let higher = 0;
-  for (const hash of group.hashes) {
-    higher += rendezvousScore(target.keyHash, hash) > ownScore ? 1 : 0;
+  if (target.assignment?.version !== group.version) {
+    target.assignment = { version: group.version, isOwn: isProber(target.keyHash, group) };
   }
-  target.assignment = { version: group.version, isOwn: higher < PROBERS };
   return target.assignment.isOwn;
 }
--- a/src/managed/health/report-trust.ts
+++ b/src/managed/health/report-trust.ts
@@ -9,10 +9,16 @@
  */
 import type { LoadReport } from './backend-report.js';
 
-/** Equal reports in a row, and opens accepted in the meantime, after which reports count as frozen. Too low if idle services show `frozen`. */
+/**
+ * Equal reports in a row, and opens accepted in the meantime, after which reports count as frozen. Too low if idle
+ * services show `frozen`.
+ */
 const FROZEN_AFTER_REPORTS = 2;
 const FROZEN_AFTER_ACCEPTED = 10;
-/** Refusals in a row under reports of an idle back end after which these are not believed. Too high if refusals go on for long. */
+/**
+ * Refusals in a row under reports of an idle back end after which these are not believed. Too high if refusals go on
+ * for long.
+ */
 const IDLE_LIE_AFTER_REFUSED = 3;
 /** Accepted opens in a row after which reports of an idle back end are believed again. */
 const TRUST_AFTER_ACCEPTED = 5;
--- a/src/managed/limits/open-limits.ts
+++ b/src/managed/limits/open-limits.ts
@@ -27,7 +27,10 @@
   type TokenRate,
 } from './token-bucket.js';
 
-/** Burst of a service, in seconds of its rate. Not measured; too small if a service below its limit sees `rate-limited`. */
+/**
+ * Burst of a service, in seconds of its rate. Not measured; too small if a service below its limit sees
+ * `rate-limited`.
+ */
 const SERVICE_BURST_SECONDS = 1;
 /**
  * When a caller retries where no rate says it, in milliseconds; spread at random up to twice as long. Not measured; too
--- a/src/managed/limits/retry-budget.ts
+++ b/src/managed/limits/retry-budget.ts
@@ -13,7 +13,10 @@
 const RETRIES_PER_OPEN = 0.18;
 /** Retries that a service has before any open came: few enough to keep within a factor of 1.2 from 500 opens on. */
 const INITIAL_RETRIES = 10;
-/** Most retries that are saved up. Not measured; too low if opens fail at the loss of one back end while the others are ready. */
+/**
+ * Most retries that are saved up. Not measured; too low if opens fail at the loss of one back end while the others
+ * are ready.
+ */
 const MAX_SAVED_RETRIES = 200;
 
 /** What is left of one service's budget. */
--- a/src/managed/routing/adaptive-policy.ts
+++ b/src/managed/routing/adaptive-policy.ts
@@ -22,7 +22,10 @@
 import { slowStartWeight } from './slow-start.js';
 import { ZoneRotation } from './zone-rotation.js';
 
-/** How many candidates are compared; all of them where there are no more. Not measured; too few if peak over mean rises with back ends. */
+/**
+ * How many candidates are compared; all of them where there are no more. Not measured; too few if peak over mean
+ * rises with back ends.
+ */
 const CHOICES = 8;
 /**
  * Weight of the recent opens in the score, against 1 for the connections. In a tenfold surge, with reports that draw the
@@ -41,7 +44,9 @@
  * peak over mean of slots rose from 1.35 to 1.7. The 0.05 is not measured; too low if queues grow on some back ends only.
  */
 const QUEUE_WEIGHT = 0.05;
-/** What a recent refusal or timeout adds to the score. Not measured; too low if failing back ends keep getting opens. */
+/**
+ * What a recent refusal or timeout adds to the score. Not measured; too low if failing back ends keep getting opens.
+ */
 const FAILURE_WEIGHT = 0.1;
 
 /** How much of something each candidate has had, in the units that the score compares. */
--- a/src/managed/routing/load-estimate.ts
+++ b/src/managed/routing/load-estimate.ts
@@ -15,11 +15,20 @@
  * balancers, 5 s gave 1.066 and 1.090, 2 s gave 1.085 and 1.141 (docs/design/placement.md).
  */
 const REPORT_TIME_CONSTANT_MS = 5_000;
-/** Time constant in milliseconds with which recent opens are forgotten. Not measured; wrong if the peak over mean rises with the delay of reports. */
+/**
+ * Time constant in milliseconds with which recent opens are forgotten. Not measured; wrong if the peak over mean
+ * rises with the delay of reports.
+ */
 const RECENT_OPENS_TIME_CONSTANT_MS = 1_000;
-/** Time constant in milliseconds with which refusals and timeouts are forgotten. Not measured; too short if one back end is tried and fails again and again. */
+/**
+ * Time constant in milliseconds with which refusals and timeouts are forgotten. Not measured; too short if one back
+ * end is tried and fails again and again.
+ */
 const FAILURE_TIME_CONSTANT_MS = 2_000;
-/** The connection limit of a back end that has reported none. Only its ratio to other back ends counts, and they get the same. */
+/**
+ * The connection limit of a back end that has reported none. Only its ratio to other back ends counts, and they get
+ * the same.
+ */
 export const ASSUMED_CONNECTION_LIMIT = 1_000;
 
 /** The estimate of one back end's load. Its functions keep it; others read it. */
--- a/src/managed/routing/zone-rotation.ts
+++ b/src/managed/routing/zone-rotation.ts
@@ -7,7 +7,10 @@
 import { slowStartWeight } from './slow-start.js';
 import { shareOverZones, type ZoneCapacity } from './zone-shares.js';
 
-/** How long shares are kept before they are computed again, in milliseconds. Not measured; it saves a pass over all candidates for each open. */
+/**
+ * How long shares are kept before they are computed again, in milliseconds. Not measured; it saves a pass over all
+ * candidates for each open.
+ */
 const SHARES_LIFE_MS = 250;
 
 interface ZoneTurn {
