--- a/src/managed/balancer/backend-evidence.ts
+++ b/src/managed/balancer/backend-evidence.ts
@@ -19,11 +19,11 @@
 import { groupOf, recordTransition } from './candidates.js';
 import type { ServiceGroup } from './service-groups.js';
 
-/** Weight of the newest report in the typical use of a service's back ends. */
+/** Weight of the newest report in the typical use of a service's back ends. Not measured. */
 const TYPICAL_USE_GAIN = 0.1;
 
 /**
- * Takes the outcome of a health probe.
+ * Records the result of a health probe, own or shared.
  */
 export function recordProbe(state: BalancerState, result: ProbeResult, context: StepContext): void {
   const view = state.views.get(result.backendId);
@@ -43,7 +43,7 @@
 }
 
 /**
- * An attempt to open a flow there begins.
+ * Records that an open was sent to the back end.
  */
 export function recordAttempt(state: BalancerState, view: BackendView, context: StepContext): void {
   view.pendingOpens += 1;
@@ -51,8 +51,8 @@
 }
 
 /**
- * An attempt to open a flow there has ended.
- * @param incarnation the back end's present incarnation, where it told it
+ * Records how an open sent to the back end ended.
+ * @param incarnation the back end's present incarnation, where its answer carried one
  */
 export function recordAttemptEnd(
   state: BalancerState,
@@ -98,14 +98,16 @@
   }
 }
 
-/** What reports that are now not believed have drawn the estimate down by is made good. */
+/**
+ * Reports that are no longer believed may have drawn the estimate too low; it is raised to the mean of the service.
+ */
 function raiseToMean({ estimate }: BackendView, { views }: ServiceGroup): void {
   const uses = views.map(({ estimate: one }) => one.connections / one.connectionLimit);
   const meanUse = uses.reduce((sum, use) => sum + use, 0) / Math.max(1, uses.length);
   estimate.connections = Math.max(estimate.connections, meanUse * estimate.connectionLimit);
 }
 
-/** A report that is not believed is replaced by the typical one of the service. */
+/** A report that is not believed is replaced by the typical use of the service. */
 function recordLoad(
   view: BackendView,
   { load }: ProbeResult,
@@ -125,7 +127,7 @@
   }
 }
 
-/** How many balancers send their flows as this one does: those of the zone for a local back end. */
+/** The balancers that send flows to this back end as this one does: those of the zone for a local back end. */
 function balancersSendingTo({ options, fleet }: BalancerState, { backend }: BackendView): number {
   return backend.zone === options.zone ? fleet.localBalancerCount : fleet.balancerCount;
 }
--- a/src/managed/balancer/backend-identity.ts
+++ b/src/managed/balancer/backend-identity.ts
@@ -11,8 +11,8 @@
 import type { BalancerState } from './balancer-state.js';
 
 /**
- * Notes which back end answered a probe. What it says holds from when it was asked: an answer may have
- * waited while this process was paused.
+ * Records which back end answered a probe. The answer holds from when the probe began, since it may have waited while
+ * this process was paused.
  */
 export function recordIdentity(
   state: BalancerState,
--- a/src/managed/balancer/backend-view.ts
+++ b/src/managed/balancer/backend-view.ts
@@ -1,5 +1,6 @@
 /**
- * @file What a balancer knows of one back end.
+ * @file What a balancer knows of one back end. `backend-evidence.ts` changes it, but for `backend` (`config-tables.ts`) and the
+ * identity (`backend-identity.ts`).
  */
 import type { Backend } from '../control/routing-config.js';
 import type { HealthReport } from '../health/backend-report.js';
@@ -10,10 +11,10 @@
 /** What a balancer knows of one back end. */
 export interface BackendView extends PlacementCandidate {
   backend: Backend;
-  /** The last health report, with the incarnation that the back end told last. */
+  /** The last health report, with the last known incarnation. */
   health: HealthReport | undefined;
   pendingOpens: number;
-  /** When the back end was asked what it last answered to with its own ID. */
+  /** When the probe began that the back end last answered with its own ID, in milliseconds. */
   identityConfirmedAtMs: number;
   readonly judgement: Judgement;
   readonly estimate: LoadEstimate;
--- a/src/managed/balancer/balancer-events.ts
+++ b/src/managed/balancer/balancer-events.ts
@@ -1,5 +1,5 @@
 /**
- * @file What can happen to a balancer, and what its step asks of its surroundings.
+ * @file The events of a balancer's step and the effects that it returns.
  */
 import type { Address } from '../../shared/common/address.js';
 import type {
@@ -12,13 +12,13 @@
 import type { PeerDatagram } from '../gossip/gossip-messages.js';
 import type { ProbeEffect } from '../health/probe-schedule.js';
 
-/** What can happen to a balancer. */
+/** An event of a balancer's step. */
 export type BalancerEvent =
   /** A datagram from the fabric; `replyTo` is the address that it came from. */
   | { readonly type: 'client-datagram'; readonly datagram: Uint8Array; readonly replyTo: Address }
   /** A datagram from a back end: an answer to an open. */
   | { readonly type: 'backend-datagram'; readonly datagram: Uint8Array }
-  /** A link that was asked for by `link-open` stands. */
+  /** A link of the effect `link-open` can be used; its connection may still be under way. */
   | { readonly type: 'link-opened'; readonly linkId: number }
   | {
       readonly type: 'link-message';
@@ -64,6 +64,6 @@
   readonly message: PeerDatagram;
 }
 
-/** What a balancer's step asks of its surroundings. */
+/** An effect of a balancer's step, for the daemon to perform in order. */
 export type BalancerEffect =
   SendEffect | SubscriptionEffect | ProbeEffect | PeerSendEffect | PeerDatagramEffect;
--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -1,6 +1,11 @@
 /**
- * @file The state of a balancer: the configuration in force, tables derived from it, what is known
- * of each back end, and pending opens. Nothing here grows with established flows.
+ * @file The state of a balancer: the configuration in force, tables derived from it, what is known of each back end, and
+ * pending opens. Nothing here grows with established flows. Each part is changed by one module:
+ *
+ * - configuration and tables: `config-tables.ts`; groups and changes to log: `candidates.ts`;
+ * - views: `backend-evidence.ts`, their identity `backend-identity.ts`;
+ * - pending opens: `open-handling.ts` and `open-attempts.ts`; limits: `limits/open-limits.ts`;
+ * - subscription, publisher, gossip, fleet: `control-links.ts`; probes and shared results: `shared-health.ts`.
  */
 import type { AddressKey } from '../../shared/common/address.js';
 import type { ErrorKind } from '../../shared/common/error-kinds.js';
@@ -27,7 +32,7 @@
 import type { PendingOpen } from './pending-open.js';
 import { createServiceGroups, type BackendChange, type ServiceGroups } from './service-groups.js';
 
-/** How many balancers share the traffic, as far as this one knows. */
+/** How many balancers share the traffic, by what this one knows. */
 interface FleetSize {
   /** All live balancers, this one included. */
   balancerCount: number;
@@ -55,22 +60,22 @@
   /** Datagrams and opens that ended in each error kind. */
   readonly errorCounts: Map<ErrorKind, number>;
   readonly subscription: SubscriptionState;
-  /** Passes the configuration on to balancers that are linked to this one. */
+  /** For the balancers that are linked to this one. */
   readonly publisher: PublisherState;
   readonly gossip: GossipState | undefined;
   /** Version of the members for which the links were planned last. */
   linkPlanVersion: number;
-  /** Messages of the control plane; counted by whoever sends and receives them. */
+  /** Messages of the control plane; counted by the daemon where it sends and receives them. */
   readonly traffic: Traffic;
   readonly probes: ProbeSchedule;
   /** The balancers that share the probes, as of a version of the members. */
   readonly probers: { group: ProberGroup; plannedVersion: number };
   readonly sharing: HealthSharing;
-  /** When results were last told to others. */
+  /** When results were last sent to others. */
   resultsSharedAtMs: number;
   nextFleetCountAtMs: number;
   healthTickAtMs: number | undefined;
-  /** Before this time other balancers' results are not taken. */
+  /** Until this time other balancers' results are ignored. */
   distrustUntilMs: number;
   forwardedPackets: number;
   acceptedOpens: number;
--- a/src/managed/balancer/balancer-step.ts
+++ b/src/managed/balancer/balancer-step.ts
@@ -1,5 +1,5 @@
 /**
- * @file The decision step of a balancer: one event in, effects out.
+ * @file The decision step of a balancer: one event in, effects out. Deterministic; time and randomness come with the step.
  */
 import { match } from 'ts-pattern';
 import { packedAddressKey, type Address } from '../../shared/common/address.js';
@@ -20,10 +20,11 @@
 } from './control-links.js';
 import { routePacket } from './forwarding.js';
 import { handleProbeResult, probesDue, sharedHealthTick } from './shared-health.js';
-import { expireOpens, handleOpen, handleOpenReply } from './open-handling.js';
+import { expireOpens } from './open-attempts.js';
+import { handleOpen, handleOpenReply } from './open-handling.js';
 
 /**
- * Takes one event.
+ * Handles one event.
  * @returns the effects, in order
  */
 export function balancerStep(
--- a/src/managed/balancer/candidates.ts
+++ b/src/managed/balancer/candidates.ts
@@ -24,11 +24,12 @@
 } from './service-groups.js';
 
 /**
- * In a large service the list of candidates is made anew at most this often, in milliseconds, so that
- * many changes of state in a row don't each cost a pass over all back ends.
+ * In a large service the list of candidates is rebuilt at most this often, in milliseconds, so that many changes of state
+ * in a row don't each cost a pass over all back ends. Not measured; too long if opens go to back ends that were just judged
+ * down.
  */
 const REBUILD_INTERVAL_MS = 20;
-/** Number of back ends from which a service is large. */
+/** Number of back ends from which a service is large. Not measured. */
 const LARGE_FROM = 256;
 
 /** Changes of state that wait to be logged; further ones push out the oldest. */
@@ -82,7 +83,7 @@
 }
 
 /**
- * Keeps a change of state for the log, and the list of candidates up to date.
+ * Records a change of state for the log, and marks the list of candidates as outdated.
  * @param change undefined where there was none
  */
 export function recordTransition(
@@ -128,7 +129,7 @@
   byServiceId.set(serviceId, group);
 }
 
-/** Takes over what stays, so that an unchanged list of candidates remains the same array. */
+/** Keeps the former list of candidates where it is unchanged, so that it stays the same array. */
 function inheritGroup(
   state: BalancerState,
   group: ServiceGroup,
--- a/src/managed/balancer/config-tables.ts
+++ b/src/managed/balancer/config-tables.ts
@@ -19,8 +19,8 @@
 import type { BalancerState } from './balancer-state.js';
 
 /**
- * Takes a configuration update where it is newer and, for a delta, follows on what is in force.
- * @returns true where it was taken
+ * Applies a configuration update where it is newer and, for a delta, starts from exactly the index in force.
+ * @returns true where it was applied
  */
 export function applyConfigUpdate(state: BalancerState, update: ConfigUpdate): boolean {
   if (!isNewerPosition(update.to, state.position)) {
@@ -39,7 +39,7 @@
   return true;
 }
 
-/** Changes the configuration and what is derived from it; the rest of the tables is not looked at. */
+/** Changes the configuration and the entries derived from it, no others. */
 function applyChange(state: BalancerState, change: ConfigChange): void {
   const { config } = state;
   if (change.type === 'service-set') {
--- a/src/managed/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -1,6 +1,9 @@
 /**
- * @file A balancer's part in the control plane: its link upwards, the balancers that are linked to it,
- * and its membership.
+ * @file A balancer's part in the control plane: its link upwards (`dissemination/subscription.ts`), the balancers that are
+ * linked to it (`dissemination/publisher.ts`), and gossip with the others (`gossip`). Updates of the configuration come in
+ * here, go into the tables (`config-tables.ts`) and on to the balancers below.
+ *
+ * Owns the link plan's version and the size of the fleet.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
@@ -34,11 +37,14 @@
 import { applyConfigUpdate } from './config-tables.js';
 import { applyHealthState, applySharedResults } from './shared-health.js';
 
-/** Time between two counts of the live balancers, in milliseconds. */
+/**
+ * Time between two counts of the live balancers, in milliseconds. Not measured; it saves a pass over all members per
+ * tick.
+ */
 const FLEET_COUNT_INTERVAL_MS = 500;
 
 /**
- * The link upwards stands.
+ * Subscribes over the link upwards, which has just been opened.
  */
 export function handleUplinkOpened(
   state: BalancerState,
@@ -49,7 +55,7 @@
 }
 
 /**
- * Takes a message over the link upwards, and passes on an update that is new.
+ * Handles a message of the link upwards; a newer update is applied, acknowledged and passed on to the balancers below.
  * @returns the effects, and whether the configuration changed
  */
 export function handleUplinkMessage(
@@ -76,7 +82,8 @@
 }
 
 /**
- * Takes a message of a balancer that is linked to this one.
+ * Handles a message of a balancer that is linked to this one. One that has no configuration yet also gets the known
+ * health of back ends.
  */
 export function handlePeerMessage(
   state: BalancerState,
@@ -93,14 +100,14 @@
 }
 
 /**
- * The link of another balancer is closed.
+ * Removes the link of another balancer, which is closed.
  */
 export function handlePeerClosed(state: BalancerState, linkId: LinkId): void {
   handleSubscriberGone(state.publisher, linkId);
 }
 
 /**
- * Takes a datagram of another balancer.
+ * Handles a datagram of another balancer: gossip, or results of health probes.
  */
 export function handlePeerDatagram(
   state: BalancerState,
@@ -117,7 +124,7 @@
 }
 
 /**
- * Time has passed.
+ * Runs gossip, follows changes of the members with the link plan, and keeps the link upwards.
  */
 export function controlLinksTick(state: BalancerState, context: StepContext): BalancerEffect[] {
   const { gossip, subscription, publisher } = state;
@@ -129,7 +136,7 @@
 }
 
 /**
- * A planned stop begins: the others needn't find out.
+ * Sends the others that this balancer stops, so that they needn't suspect it first.
  */
 export function leaveGossip(state: BalancerState, context: StepContext): BalancerEffect[] {
   const { gossip } = state;
--- a/src/managed/balancer/open-handling.ts
+++ b/src/managed/balancer/open-handling.ts
@@ -1,59 +1,29 @@
 /**
- * @file Opens: choosing a back end, retrying on another one, and answering the caller. Pending
- * opens are the only state per flow; the table is bounded and its entries expire.
+ * @file An open from a caller, and the answer of a back end to it. An open is refused at once while the balancer stops or
+ * where a limit says so (`limits/open-limits.ts`); otherwise it is pending and goes to a back end (`open-attempts.ts`) until
+ * one accepts it or it is given up. A copy of a pending open is only counted.
+ *
+ * Owns the table `pendingOpens` together with `open-attempts.ts`. Nothing is logged here: each refusal and each datagram
+ * that is dropped counts in the metric `amberlift_errors_total` under its error kind.
  */
-import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
-import type { Address } from '../../shared/common/address.js';
-import { addressKey, formatAddress } from '../../shared/common/address.js';
+import { addressKey, type Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
 import type { Service } from '../control/routing-config.js';
-import { decodeEnvelope, encodeEnvelope, type Envelope } from '../flow/envelope.js';
-import {
-  amberliftError,
-  type AmberliftError,
-  type ErrorKind,
-} from '../../shared/common/error-kinds.js';
-import { answerFor } from '../../shared/common/error-kinds.js';
-import {
-  encodeLongHeader,
-  FLOW_ID_LENGTH_BYTES,
-  hasLongHeader,
-  parseLongHeader,
-} from '../flow/header.js';
-import { decodeMessage, encodeMessage, type OpenMessage } from '../flow/messages.js';
-import {
-  hasValidMac,
-  mintToken,
-  readBackendId,
-  readKeyId,
-  TOKEN_LENGTH_BYTES,
-} from '../flow/token.js';
-import type { OpenOutcome } from '../health/judgement.js';
-import {
-  admitOpen,
-  admitRetry,
-  updateServices,
-  OVERLOAD_RETRY_AFTER_MS,
-  releaseOpen,
-  type OpenRefusal,
-} from '../limits/open-limits.js';
+import type { Envelope } from '../flow/envelope.js';
+import { hasValidMac, readBackendId, readKeyId } from '../flow/token.js';
+import { admitOpen, updateServices, type OpenRefusal } from '../limits/open-limits.js';
 import type { BalancerEffect, SendEffect } from './balancer-events.js';
 import { countError, type BalancerState } from './balancer-state.js';
-import type { PendingOpen } from './pending-open.js';
-import { recordAttempt, recordAttemptEnd } from './backend-evidence.js';
-import { chooseBackend } from './choose-backend.js';
+import { attemptOpen, endAttempt, forgetOpen, refuseOpen, retryOpen } from './open-attempts.js';
 import { recordOpenLatency } from './open-latencies.js';
-
-const EMPTY_ID = new Uint8Array(0);
-
-interface ParsedOpen {
-  readonly flowId: Uint8Array;
-  readonly message: OpenMessage;
-}
+import { parseOpen, parseOpenReply } from './open-packets.js';
+import { pendingKey, type PendingOpen } from './pending-open.js';
 
 /**
- * Takes an open from a caller.
+ * Handles an open from a caller.
+ * @param replyTo address in the fabric that takes the answer
+ * @returns the open to a back end or the refusal; nothing for a copy or a packet that is no valid open
  */
 export function handleOpen(
   state: BalancerState,
@@ -100,7 +70,8 @@
 }
 
 /**
- * Takes a back end's answer to an open.
+ * Handles a back end's answer to an open.
+ * @returns the accept passed on to the caller, the next attempt, or the refusal
  */
 export function handleOpenReply(
   state: BalancerState,
@@ -134,7 +105,7 @@
     })
     .with({ type: 'refuse' }, ({ kind, incarnation }) => {
       countError(state, kind);
-      // A late answer of a back end that was given up says nothing of the present one.
+      // A late refusal of a back end that was given up doesn't end the attempt at the present one.
       if (readBackendId(token, 0) !== open.triedBackendIds.at(-1)) {
         return [];
       }
@@ -147,114 +118,6 @@
     });
 }
 
-/**
- * Ends attempts whose time is up: on another back end, or with a refusal at the open's deadline.
- */
-export function expireOpens(state: BalancerState, context: StepContext): BalancerEffect[] {
-  const effects: BalancerEffect[] = [];
-  for (const open of state.pendingOpens.values()) {
-    if (open.attemptEndsAtMs <= context.nowMs) {
-      endAttempt(state, open, 'timed-out', undefined, context);
-      const isLate = open.deadlineAtMs <= context.nowMs;
-      const cause = isLate ? 'deadline-exceeded' : 'no-backend-ready';
-      effects.push(retryOpen(state, open, cause, context));
-    }
-  }
-  return effects;
-}
-
-function parseOpen(packet: Uint8Array): Result<ParsedOpen, AmberliftError> {
-  return parseLongHeader(packet).andThen(({ sourceId, body }) => {
-    if (sourceId.length !== FLOW_ID_LENGTH_BYTES) {
-      return err(amberliftError('malformed-datagram', 'The flow ID has a wrong length.'));
-    }
-    return decodeMessage(body).andThen((message) =>
-      message.type === 'open'
-        ? ok({ flowId: sourceId, message })
-        : err(amberliftError('malformed-datagram', 'A long header carries no open.')),
-    );
-  });
-}
-
-function parseOpenReply(datagram: Uint8Array) {
-  return decodeEnvelope(datagram).andThen((envelope) => {
-    if (!hasLongHeader(envelope.packet)) {
-      return err(amberliftError('malformed-datagram', 'An answer to an open has a long header.'));
-    }
-    return parseLongHeader(envelope.packet).andThen(({ destinationId, sourceId, body }) =>
-      sourceId.length === TOKEN_LENGTH_BYTES
-        ? decodeMessage(body).map((message) => ({
-            envelope,
-            flowId: destinationId,
-            token: sourceId,
-            message,
-          }))
-        : err(amberliftError('malformed-datagram', 'An answer to an open carries no token.')),
-    );
-  });
-}
-
-function pendingKey(client: Address, flowId: Uint8Array): string {
-  return `${formatAddress(client)}/${Buffer.from(flowId).toString('hex')}`;
-}
-
-function attemptOpen(state: BalancerState, open: PendingOpen, context: StepContext): SendEffect {
-  const keyId = state.currentKeyId;
-  const key = keyId === undefined ? undefined : state.preparedKeys.get(keyId);
-  const view = chooseBackend(state, open, context);
-  if (view === undefined || keyId === undefined || key === undefined) {
-    forgetOpen(state, open);
-    return refuseOpen(state, open, 'no-backend-ready', context);
-  }
-  const backend = view.backend;
-  open.triedBackendIds.push(backend.id);
-  open.attemptEndsAtMs = Math.min(
-    context.nowMs + state.options.openAttemptTimeoutMs,
-    open.deadlineAtMs,
-  );
-  recordAttempt(state, view, context);
-  state.limits.sentOpens += 1;
-  const fields = {
-    keyId,
-    serviceId: open.service.id,
-    backendId: backend.id,
-    incarnation: view.health?.incarnation ?? 0,
-    flowId: open.flowId,
-  };
-  const body = encodeMessage({ type: 'open', deadlineMs: open.deadlineAtMs - context.nowMs });
-  const packet = encodeLongHeader(mintToken(fields, key), open.flowId, body);
-  const datagram = encodeEnvelope({ client: open.client, service: open.service.address, packet });
-  return { type: 'send', to: backend.address, via: 'backends', datagram };
-}
-
-function retryOpen(
-  state: BalancerState,
-  open: PendingOpen,
-  cause: ErrorKind,
-  context: StepContext,
-): SendEffect {
-  const exhausted = open.triedBackendIds.length >= state.options.maxOpenAttempts;
-  const isLate = open.deadlineAtMs <= context.nowMs;
-  if (exhausted || isLate || !admitRetry(state.limits, open.service.id)) {
-    forgetOpen(state, open);
-    return refuseOpen(state, open, cause, context);
-  }
-  return attemptOpen(state, open, context);
-}
-
-function endAttempt(
-  state: BalancerState,
-  open: PendingOpen,
-  outcome: OpenOutcome,
-  incarnation: number | undefined,
-  context: StepContext,
-): void {
-  const view = state.views.get(open.triedBackendIds.at(-1) ?? 0);
-  if (view !== undefined) {
-    recordAttemptEnd(state, view, outcome, incarnation, context);
-  }
-}
-
 function admit(
   state: BalancerState,
   service: Service,
@@ -265,32 +128,3 @@
   const surroundings = { liveBalancerCount: fleet.balancerCount, limits, nowMs };
   return admitOpen(state.limits, service, surroundings);
 }
-
-function forgetOpen(state: BalancerState, open: PendingOpen): void {
-  state.pendingOpens.delete(open.key);
-  releaseOpen(state.limits, open.service.owner);
-}
-
-/**
- * A refused open is truthfully "not run": an open runs nothing. It is refused at once; when to come
- * back is spread at random over as long again, so that refused callers don't come back all together.
- */
-function refuseOpen(
-  state: BalancerState,
-  open: PendingOpen,
-  kind: ErrorKind,
-  { random }: StepContext,
-  retryAfterMs = OVERLOAD_RETRY_AFTER_MS,
-): SendEffect {
-  countError(state, kind);
-  const spreadMs = Math.ceil(retryAfterMs * (1 + random.nextFloat()));
-  const body = encodeMessage({
-    type: 'refuse',
-    kind,
-    surelyNotRun: true,
-    ...(answerFor(kind).retryable && { retryAfterMs: spreadMs }),
-  });
-  const packet = encodeLongHeader(open.flowId, EMPTY_ID, body);
-  const datagram = encodeEnvelope({ client: open.client, service: open.service.address, packet });
-  return { type: 'send', to: open.replyTo, via: 'fabric', datagram };
-}
--- a/src/managed/balancer/open-latencies.ts
+++ b/src/managed/balancer/open-latencies.ts
@@ -15,7 +15,7 @@
 }
 
 /**
- * Takes the time of one accepted open.
+ * Records the time of one accepted open.
  */
 export function recordOpenLatency(latencies: OpenLatencies, latencyMs: number): void {
   latencies.histogram ??= build({
--- /dev/null
+++ b/src/managed/balancer/open-packets.ts
@@ -0,0 +1,60 @@
+/**
+ * @file Decodes opens of callers and answers of back ends to opens. Each function returns `malformed-datagram` (or what the
+ * decoders of `flow` return) for anything else.
+ */
+import { err, ok, type Result } from 'neverthrow';
+import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
+import { decodeEnvelope, type Envelope } from '../flow/envelope.js';
+import { FLOW_ID_LENGTH_BYTES, hasLongHeader, parseLongHeader } from '../flow/header.js';
+import { decodeMessage, type Message, type OpenMessage } from '../flow/messages.js';
+import { TOKEN_LENGTH_BYTES } from '../flow/token.js';
+
+interface ParsedOpen {
+  readonly flowId: Uint8Array;
+  readonly message: OpenMessage;
+}
+
+/** A back end's answer to an open. */
+interface OpenReply {
+  readonly envelope: Envelope;
+  readonly flowId: Uint8Array;
+  readonly token: Uint8Array;
+  readonly message: Message;
+}
+
+/**
+ * @param packet a long-header packet of a caller
+ */
+export function parseOpen(packet: Uint8Array): Result<ParsedOpen, AmberliftError> {
+  return parseLongHeader(packet).andThen(({ sourceId, body }) => {
+    if (sourceId.length !== FLOW_ID_LENGTH_BYTES) {
+      return err(amberliftError('malformed-datagram', 'The flow ID has a wrong length.'));
+    }
+    return decodeMessage(body).andThen((message) =>
+      message.type === 'open'
+        ? ok({ flowId: sourceId, message })
+        : err(amberliftError('malformed-datagram', 'A long header carries no open.')),
+    );
+  });
+}
+
+/**
+ * @param datagram a datagram of a back end
+ */
+export function parseOpenReply(datagram: Uint8Array): Result<OpenReply, AmberliftError> {
+  return decodeEnvelope(datagram).andThen((envelope) => {
+    if (!hasLongHeader(envelope.packet)) {
+      return err(amberliftError('malformed-datagram', 'An answer to an open has a long header.'));
+    }
+    return parseLongHeader(envelope.packet).andThen(({ destinationId, sourceId, body }) =>
+      sourceId.length === TOKEN_LENGTH_BYTES
+        ? decodeMessage(body).map((message) => ({
+            envelope,
+            flowId: destinationId,
+            token: sourceId,
+            message,
+          }))
+        : err(amberliftError('malformed-datagram', 'An answer to an open carries no token.')),
+    );
+  });
+}
--- a/src/managed/balancer/service-groups.ts
+++ b/src/managed/balancer/service-groups.ts
@@ -16,18 +16,18 @@
   readonly judgements: JudgementGroup;
   /** Those that may receive new flows. */
   candidates: readonly BackendView[];
-  /** True where a state has changed since the list was made. */
+  /** True where a state has changed since the list was built. */
   candidatesOutdated: boolean;
   candidatesMadeAtMs: number;
   /** Those of them that may be used without a lease, as of the last open without one. */
   usableCandidates: readonly BackendView[];
-  /** Connections over limit, averaged over the reports of late that are believed. */
+  /** Connections over limit, averaged over recent reports that are believed. */
   typicalUse: number;
 }
 
 /** The back ends of all services, as of one configuration. */
 export interface ServiceGroups {
-  /** Log index of the configuration that the index was made from; undefined before the first. */
+  /** Log index of the configuration that the groups were built from; undefined before the first. */
   configIndex: number | undefined;
   readonly byServiceId: Map<number, ServiceGroup>;
 }
--- a/src/managed/balancer/shared-health.ts
+++ b/src/managed/balancer/shared-health.ts
@@ -1,6 +1,10 @@
 /**
- * @file A balancer's part in the shared probing of back ends: its own probes, the results of other
- * balancers of its zone, and what it tells them.
+ * @file A balancer's part in the shared probing of back ends: begins its own probes (`health/probe-schedule.ts`), applies
+ * results of the other balancers of its zone, and sends its own on (`health/health-sharing.ts`).
+ *
+ * When does a result count? A result of this balancer always; one of another balancer where it is from the same zone, later
+ * than what is known, and this process was not paused a moment ago: datagrams that waited meanwhile would show the past as
+ * the present. Ages travel in milliseconds, so no clocks are compared. Owns the time of the last tick and of the last pause.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { isLeaseHeld } from '../dissemination/lease.js';
@@ -17,18 +21,24 @@
 import { recordIdentity } from './backend-identity.js';
 import { recordProbe } from './backend-evidence.js';
 
-/** Time between two messages to others, in milliseconds: with news, and without. */
+/**
+ * Time between two messages to others, in milliseconds, while changes wait and otherwise. Bounds the bytes of shared
+ * probes. Not measured alone.
+ */
 const CHANGES_INTERVAL_MS = 500;
 const IDLE_INTERVAL_MS = 1_000;
-/** How many others are told at a time. */
+/** Receivers of each message. Not measured; too few if a change takes long to reach the zone. */
 const SHARE_FANOUT = 2;
-/** A gap between ticks beyond which this process was paused, in milliseconds. */
+/** A gap between ticks beyond which this process counts as paused, in milliseconds; the daemon ticks every 20 ms. */
 const PAUSE_LIMIT_MS = 500;
-/** After a pause, what came meanwhile is not taken for this time, in milliseconds. */
+/**
+ * How long after a pause other balancers' results are ignored, in milliseconds: while the datagrams queued meanwhile
+ * are read. Not measured.
+ */
 const DISTRUST_AFTER_PAUSE_MS = 1_000;
 
 /**
- * Takes the outcome of an own probe.
+ * Records the result of an own probe.
  */
 export function handleProbeResult(
   state: BalancerState,
@@ -44,7 +54,7 @@
 }
 
 /**
- * Takes results of another balancer of the zone, those that are later than what is known.
+ * Applies results of another balancer of the zone where they are later than what is known.
  */
 export function applySharedResults(
   state: BalancerState,
@@ -67,8 +77,8 @@
 }
 
 /**
- * Takes what another balancer told over a link when this one joined. A link may have held it up for
- * long, so it confirms no identity and is not told on.
+ * Applies the results that the balancer above sent when this one joined. TCP may have delayed them for long, so they
+ * confirm no identity and are not sent on.
  */
 export function applyHealthState(
   state: BalancerState,
@@ -84,7 +94,7 @@
 }
 
 /**
- * Begins the probes that are due, and tells others what is known.
+ * Begins the probes that are due, and sends results to others.
  */
 export function sharedHealthTick(state: BalancerState, context: StepContext): BalancerEffect[] {
   detectPause(state, context.nowMs);
@@ -100,7 +110,7 @@
   return dueProbes(state.probes, proberGroup(state), nowMs);
 }
 
-/** Datagrams that waited while this process was paused tell a past for the present. */
+/** Datagrams that waited while this process was paused show the past as the present. */
 function detectPause(state: BalancerState, nowMs: number): void {
   if (nowMs - (state.healthTickAtMs ?? nowMs) > PAUSE_LIMIT_MS) {
     state.distrustUntilMs = nowMs + DISTRUST_AFTER_PAUSE_MS;
@@ -139,7 +149,10 @@
   return effects;
 }
 
-/** Enough for a piece of news to reach all members, each telling it on. */
+/**
+ * Sends per change, by which it reaches all members with high probability where each sends it on: the rounds of a
+ * doubling, and two more.
+ */
 function sendsPerChange({ gossip }: BalancerState): number {
   const others = gossip?.list.members.size ?? 0;
   return others === 0 ? 0 : Math.ceil(Math.log2(others + 1)) + 2;
--- a/src/managed/health/health-sharing.ts
+++ b/src/managed/health/health-sharing.ts
@@ -8,13 +8,21 @@
 import type { HealthReport, LoadReport, ProbeResult } from './backend-report.js';
 import { createMapCursor, nextEntry, type MapCursor } from './map-cursor.js';
 
-/** Bound of results in one message. Two messages of this size twice a second bound what a balancer sends (docs/CAPACITY.md). */
+/**
+ * Bound of results in one message. Two messages of this size twice a second bound what a balancer sends
+ * (docs/CAPACITY.md).
+ */
 export const MAX_SHARED_RESULTS = 32;
-/** Unchanged results that are repeated in one message. Not measured; too few if balancers probe by themselves what others probe. */
+/**
+ * Unchanged results that are repeated in one message. Not measured; too few if balancers probe by themselves what
+ * others probe.
+ */
 const MAX_REPEATED_RESULTS = 12;
 /** Out of how many results in turn the repeated ones are chosen. Not measured. */
 const REPEAT_CANDIDATES = 60;
-/** Connections must differ by this share of the limit to count as a change; coarse, to save messages. Not measured. */
+/**
+ * Connections must differ by this share of the limit to count as a change; coarse, to save messages. Not measured.
+ */
 const CONNECTION_STEP = 0.02;
 /** A result that was observed longer ago is not sent, in milliseconds. */
 const MAX_SHARED_AGE_MS = 60_000;
--- a/src/managed/health/probe-schedule.ts
+++ b/src/managed/health/probe-schedule.ts
@@ -35,7 +35,10 @@
  */
 const MAX_FALLBACK_PROBES_PER_SECOND = 5;
 const MAX_URGENT_FALLBACK_PROBES_PER_SECOND = 20;
-/** Probes of back ends not seen before that are begun in one call. Not measured; thousands at once used up the balancer's ports. */
+/**
+ * Probes of back ends not seen before that are begun in one call. Not measured; thousands at once used up the
+ * balancer's ports.
+ */
 const MAX_FIRST_PROBES = 50;
 /** After this many intervals without a result a balancer without a lease probes by itself. Not measured. */
 const STALE_INTERVALS = 3;
--- a/src/managed/health/prober-selection.ts
+++ b/src/managed/health/prober-selection.ts
@@ -4,7 +4,10 @@
  */
 import { hashText, rendezvousScore } from '../../shared/common/rendezvous.js';
 
-/** Balancers of a zone that probe one back end. Not measured; too few if a zone learns late of a failure when one is lost. */
+/**
+ * Balancers of a zone that probe one back end. Not measured; too few if a zone learns late of a failure when one is
+ * lost.
+ */
 export const PROBERS = 3;
 
 /** The live balancers of the own zone, this one included. */
