--- a/src/managed/control/audit.ts
+++ b/src/managed/control/audit.ts
@@ -5,9 +5,9 @@
 import type { AuditEntry, OwnerState, ServiceVersion } from './cluster-state.js';
 import type { Service } from './routing-config.js';
 
-/** How many lines of the audit log are kept for one operator. */
+/** Lines of the audit log that are kept for one operator. Bounds the snapshot; not measured. */
 const MAX_AUDIT_ENTRIES = 1_000;
-/** How many revisions can be told to be in force or not; older ones count as in force. */
+/** Revisions whose log index is kept; older ones count as in force. Bounds the snapshot; not measured. */
 const MAX_REVISION_MARKS = 1_000;
 
 /**
--- a/src/managed/control/backend-commands.ts
+++ b/src/managed/control/backend-commands.ts
@@ -17,7 +17,7 @@
 } from './decision.js';
 import { idInBlock } from './id-blocks.js';
 
-/** How many back ends one service may have. */
+/** Back ends that one service may have. Not measured; callers need 12,000 in all (DEVELOPERS.md). */
 const MAX_BACKENDS_PER_SERVICE = 2_000;
 
 /** What the commands on one back end have in common. */
--- a/src/managed/control/cluster-join.ts
+++ b/src/managed/control/cluster-join.ts
@@ -1,7 +1,10 @@
 /**
- * @file How a control machine with an empty disk comes to a cluster. It announces itself to the peers
- * of its settings. A machine that belongs to a cluster shows it to its operators, who may add it. Where
- * all peers answer that they have no cluster either, the first of them by node ID begins one with all.
+ * @file How does a control machine with an empty disk come to a cluster? It announces itself to the peers of its settings. A
+ * machine that belongs to a cluster shows it to the administrators, who may add it. Where all peers answer that they have no
+ * cluster either, the first of them by node ID begins one with all of them.
+ *
+ * Owns `JoinState`. Times are in milliseconds on this machine's clock. `AnnouncedMachine` is also shown as JSON by
+ * `GET /v1/members`, so its field names are part of that interface.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
@@ -14,9 +17,15 @@
 } from '../../shared/consensus/membership.js';
 import type { PeerEnvelope, Announcement } from './peer-messages.js';
 
-/** Time between two announcements, in milliseconds. */
+/**
+ * Time between two announcements, in milliseconds. A machine with an empty disk joined in 0.63 s
+ * (docs/design/consensus.md).
+ */
 const ANNOUNCE_INTERVAL_MS = 300;
-/** How long an announcement counts, in milliseconds. */
+/**
+ * How long an announcement counts, in milliseconds. Not measured; too short if a waiting machine comes and goes in
+ * the list.
+ */
 const ANNOUNCEMENT_LIFETIME_MS = 5_000;
 
 /** A peer of the settings. */
@@ -32,19 +41,20 @@
   readonly linkAddress: Address;
   readonly operatorAddress: Address;
   readonly clusterId: string | undefined;
-  /** When it last answered this very machine, with this very disk; undefined where it never did. */
+  /** When it last answered an announcement of this machine with its present disk; undefined where it never did. */
   readonly answeredUsAtMs: number | undefined;
+  /** When its last announcement came. */
   readonly heardAtMs: number;
 }
 
-/** What a machine knows of itself and of others outside the membership. */
+/** What a machine knows of itself and of machines outside the membership. */
 export interface JoinState {
   readonly linkAddress: Address;
   readonly operatorAddress: Address;
   /** The other machines of the first membership. */
   readonly peers: readonly PeerAddress[];
   readonly announced: Map<NodeId, AnnouncedMachine>;
-  /** Where machines outside the membership are answered. */
+  /** Link addresses for answers to machines outside the membership. */
   readonly replyAddresses: Map<NodeId, Address>;
   nextAnnounceAtMs: number;
   /** Why a peer refused this machine, for logs and `show`. */
@@ -52,7 +62,7 @@
 }
 
 /**
- * Notes an announcement.
+ * Records an announcement.
  */
 export function applyAnnouncement(
   join: JoinState,
@@ -115,7 +125,7 @@
   return { type: 'bootstrap', clusterId: storageId, membership: sortedMembership(voters) };
 }
 
-/** Only an answer to this machine's own announcement tells that the peer has no cluster now. */
+/** Only an answer to this machine's own announcement proves that the peer has no cluster now. */
 function blankPeer(
   join: JoinState,
   nodeId: NodeId,
@@ -134,7 +144,7 @@
 }
 
 /**
- * @returns machines that announced themselves lately and belong to no cluster, for operators to add
+ * @returns machines that announced themselves within the last seconds and belong to no cluster, for operators to add
  */
 export function machinesToAdd(
   join: JoinState,
--- a/src/managed/control/command-records.ts
+++ b/src/managed/control/command-records.ts
@@ -1,27 +1,32 @@
 /**
- * @file Results of commands by command ID, bounded so that an old command can't apply twice.
+ * @file Has this command been applied before, and may it be applied now? The outcome of each command is kept under its ID, so
+ * that the same command sent again gets the same outcome. The records are bounded, without letting an old command apply twice:
  *
- * An ID that carries its time is refused as `command-expired` from the moment its record may have
- * been forgotten, and both are decided by the same rule: the ID's own time against a limit that
- * only rises. The limit is the replicated time less the window, or higher where an operator has sent
- * so many commands that the oldest records had to go. An ID without time has a record for good, and
- * past a small number of them no further one is taken.
+ * - An ID that carries its time is refused as `command-expired` from the moment its record may have been dropped. Both follow
+ *   from one rule: the ID's own time against a limit that only rises. The limit is the replicated time less the window, or
+ *   higher where an operator has sent so many commands that the oldest records had to go.
+ * - The record of an ID without a time is kept for good, and past a bound no further such ID is accepted.
+ *
+ * Times are Unix milliseconds of the replicated clock. Owns `commandRecords`, `untimedRecordCount` and `expiredUpToMs`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { CommandRecord, OwnerState } from './cluster-state.js';
 import { commandIssueTimeMs } from './command-id.js';
 
-/** How long the result of a command is kept, in milliseconds. */
+/**
+ * How long the outcome of a command is kept, in milliseconds: operators resend within minutes, scripts within a day.
+ * Not measured.
+ */
 const COMMAND_WINDOW_MS = 24 * 60 * 60 * 1000;
-/** How many results are kept for one operator; beyond it the window shrinks. */
+/** Outcomes that are kept for one operator; beyond it the window shrinks. Bounds the snapshot; not measured. */
 const MAX_COMMAND_RECORDS = 20_000;
-/** How many IDs without time one operator may use, ever. */
+/** IDs without a time that one operator may use, ever. Bounds the snapshot; not measured. */
 const MAX_UNTIMED_COMMAND_IDS = 20_000;
-/** Which part of the records goes at once when there are too many. */
+/** Part of the records that is dropped at once when there are too many, so that few commands pay for the pass. */
 const EVICTED_PART = 0.1;
 
-/** What may be changed for tests: small bounds reach the same code with fewer commands. */
+/** Bounds of the records; tests use smaller ones to reach the same code with fewer commands. */
 export interface RecordBounds {
   readonly windowMs: number;
   readonly maxRecords: number;
@@ -36,7 +41,7 @@
 };
 
 /**
- * Forgets what is past the window at the present replicated time.
+ * Drops the records that are past the window at the present replicated time.
  */
 export function forgetExpiredRecords(
   owner: OwnerState,
@@ -49,7 +54,7 @@
       continue;
     }
     if (record.issuedAtMs > owner.expiredUpToMs) {
-      // Records stand in the order of arrival; the rest is looked at once this one goes.
+      // Records stand in the order of arrival; the rest is checked once this one is dropped.
       break;
     }
     owner.commandRecords.delete(commandId);
@@ -78,7 +83,7 @@
 }
 
 /**
- * Keeps a result.
+ * Records the outcome of a command.
  */
 export function keepRecord(owner: OwnerState, record: CommandRecord, bounds: RecordBounds): void {
   owner.commandRecords.set(record.commandId, record);
@@ -90,7 +95,7 @@
   }
 }
 
-/** Raises the limit so far that the oldest part of the records may be forgotten. */
+/** Raises the limit so far that the oldest part of the records can be dropped. */
 function evictOldest(owner: OwnerState, bounds: RecordBounds): void {
   const times = [...owner.commandRecords.values()]
     .map((record) => record.issuedAtMs)
--- a/src/managed/control/commands.ts
+++ b/src/managed/control/commands.ts
@@ -1,6 +1,6 @@
 /**
- * @file Commands of operators and of the system, as they stand in the replicated log, and their
- * outcomes.
+ * @file Commands of operators and of the system, as they stand in the replicated log, and their outcomes. Field names are
+ * stored and sent as they are here.
  */
 import { z } from 'zod';
 import { addressSchema } from '../../shared/common/address-schema.js';
@@ -92,7 +92,7 @@
 
 const planChange = z.strictObject({
   type: z.literal('plan-change'),
-  /** When: Unix time in milliseconds, or a delay from the moment the command is taken. */
+  /** When: Unix time in milliseconds, or a delay from when the command is applied. */
   when: z.union([
     z.strictObject({ atMs: z.number().int().nonnegative() }),
     z.strictObject({ inMs: z.number().int().nonnegative().max(MAX_PLAN_DELAY_MS) }),
@@ -174,12 +174,12 @@
   readonly atMs?: number | undefined;
 }
 
-/** What an accepted command gave. */
+/** The outcome of an accepted command. */
 export interface AcceptedOutcome {
   readonly accepted: true;
   /** Index of the log entry; the configuration of this index has the change. */
   readonly index: number;
-  /** Counts the accepted commands of this operator alone; what operators are shown. */
+  /** Counts the accepted commands of this operator alone; shown to operators in place of the index. */
   readonly revision?: number;
   /** Version of the service after the change. */
   readonly version?: number;
@@ -188,7 +188,7 @@
   readonly planId?: number;
 }
 
-/** What a refused command gave. */
+/** The outcome of a refused command. */
 interface RefusedOutcome {
   readonly accepted: false;
   readonly error: AmberliftError;
@@ -196,7 +196,7 @@
   readonly leader?: Address;
 }
 
-/** What came of a command that was applied or refused by the replicated step. */
+/** The outcome of a command that the replicated step applied or refused. */
 export type CommandOutcome = AcceptedOutcome | RefusedOutcome;
 
 /**
--- a/src/managed/control/config-lookup.ts
+++ b/src/managed/control/config-lookup.ts
@@ -7,7 +7,7 @@
 import type { Backend, RoutingConfig, Service } from './routing-config.js';
 import { applyConfigChange, type ConfigChange } from './config-delta.js';
 
-/** Who uses an address. */
+/** The user of an address. */
 interface AddressUse {
   readonly usedBy: 'service' | 'backend';
   readonly id: number;
--- a/src/managed/control/control-events.ts
+++ b/src/managed/control/control-events.ts
@@ -1,5 +1,5 @@
 /**
- * @file Events and effects of a control machine's step.
+ * @file The events of a control machine's step and the effects that it returns.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { NodeId } from '../../shared/consensus/membership.js';
@@ -18,11 +18,11 @@
   readonly nodeId: NodeId;
 }
 
-/** What can happen to a control machine. */
+/** An event of a control machine's step. */
 export type ControlEvent =
-  /** A command came; without request ID it is the system's own. */
+  /** A command for the log; without request ID it is the system's own. */
   | { readonly type: 'propose'; readonly requestId?: RequestId; readonly entry: CommandEntry }
-  /** A question came that must not be answered from the past. */
+  /** A query, which must not be answered from an outdated state. */
   | { readonly type: 'query'; readonly requestId: RequestId }
   | {
       readonly type: 'change-members';
@@ -39,7 +39,7 @@
   | { readonly type: 'link-closed'; readonly linkId: LinkId }
   /** A planned stop is near: leadership is handed over. */
   | { readonly type: 'stop' }
-  /** Comes often. `wallTimeMs`: time of day in milliseconds since 1970, for the leader's duties. */
+  /** Comes every 20 ms. */
   | {
       readonly type: 'tick';
       /** Unix time in milliseconds. */
@@ -48,7 +48,7 @@
       readonly freshSecret: Uint8Array;
     };
 
-/** What a control machine's step asks of its surroundings. */
+/** An effect of a control machine's step, for the daemon to perform in order. */
 export type ControlEffect =
   | LinkSendEffect
   | PersistEffect
@@ -62,7 +62,7 @@
       readonly requestId: RequestId;
       readonly outcome: CommandOutcome;
     }
-  /** The state may be shown now, or why it may not. */
+  /** A query may be answered from the state now, or why it may not. */
   | {
       readonly type: 'query-reply';
       readonly requestId: RequestId;
--- a/src/managed/control/control-state.ts
+++ b/src/managed/control/control-state.ts
@@ -1,6 +1,8 @@
 /**
- * @file The state of a control machine: its part in the consensus, the replicated state, and what
- * waits for an answer.
+ * @file The state of a control machine: its part in the consensus, the replicated state, and the requests that wait. Each part
+ * is changed by one module: `cluster` by `apply-command.ts`, `publisher` by `dissemination/publisher.ts`, `leaseAuthority` by
+ * `dissemination/lease-authority.ts`, `consensus` by the consensus step, `join` by `cluster-join.ts`, `pendingProposals` by
+ * `consensus-driver.ts`.
  */
 import type { Address } from '../../shared/common/address.js';
 import {
@@ -31,7 +33,10 @@
 import type { FirstOperator } from './first-commands.js';
 import { clusterProof } from './peer-messages.js';
 
-/** Entries after which a snapshot is taken. */
+/**
+ * Entries after which a snapshot is made. A snapshot of 9,000 back ends is 2.99 MB and a change 253 bytes of the log
+ * (docs/design/consensus.md); the interval itself is not measured. Too long if a restart replays for long.
+ */
 const SNAPSHOT_INTERVAL_ENTRIES = 2_000;
 
 /** Names a request of an operator while this process runs. */
@@ -49,7 +54,7 @@
   readonly cluster: ClusterState;
   readonly publisher: PublisherState;
   readonly leaseAuthority: LeaseAuthority;
-  /** Messages over links; counted by whoever sends and receives them. */
+  /** Messages over links; counted by the daemon where it sends and receives them. */
   readonly traffic: Traffic;
   readonly consensus: ConsensusState;
   readonly join: JoinState;
@@ -59,7 +64,7 @@
   /** The operators of a new cluster. */
   readonly firstOperators: readonly FirstOperator[];
   readonly snapshotIntervalEntries: number;
-  /** Unix time in milliseconds as the last tick told it; undefined before the first. */
+  /** Unix time in milliseconds of the last tick; undefined before the first. */
   wallTimeMs: number | undefined;
 }
 
@@ -77,7 +82,7 @@
   readonly operators?: readonly FirstOperator[];
   readonly recovered: RecoveredState;
   readonly consensus?: Partial<ConsensusOptions>;
-  /** Entries after which a snapshot is taken. Default 2,000. */
+  /** Entries after which a snapshot is made. Default 2,000. */
   readonly snapshotIntervalEntries?: number;
 }
 
@@ -122,7 +127,7 @@
   return state;
 }
 
-/** What applying an entry gave. */
+/** The result of applying an entry. */
 interface EntryResult {
   readonly outcome: CommandOutcome;
   readonly sends: readonly LinkSendEffect[];
--- a/src/managed/control/id-blocks.ts
+++ b/src/managed/control/id-blocks.ts
@@ -1,10 +1,11 @@
 /**
- * @file IDs of services and back ends. Each operator has a block of the 32-bit IDs, so that an ID
- * tells nothing of another operator's activity, and counts through it once: no ID is used again.
+ * @file IDs of services and back ends. Each operator has a block of the 32-bit IDs and counts through it once: no ID is used
+ * again, and an ID reveals nothing of another operator's activity.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
+/** Size of a block: 256 blocks fill the 32 bits. */
 const IDS_PER_OWNER = 2 ** 24;
 /** How many operators there can be. */
 export const MAX_OPERATORS = 256;
--- a/src/managed/control/leader-duties.ts
+++ b/src/managed/control/leader-duties.ts
@@ -1,7 +1,10 @@
 /**
- * @file What the leader proposes of its own accord: planned changes that are due, steps of the key
- * rotation, and the release of addresses. Each entry may be proposed again without harm, so a leader
- * that is not sure whether one went through proposes it again.
+ * @file What does the leader propose on its own? Planned changes that are due, the next step of the key rotation, and the
+ * release of addresses whose removal is fenced. Each entry may be proposed again without harm, so a leader that is not sure
+ * whether one was committed proposes it again.
+ *
+ * Inputs: the replicated state, Unix time in milliseconds on the leader's clock, and how far the configuration has come
+ * (`dissemination/publisher.ts`).
  */
 import { match } from 'ts-pattern';
 import { releasableAddresses } from './address-fence.js';
@@ -15,7 +18,7 @@
 } from './key-rotation.js';
 import { duePlannedChanges } from './plan-commands.js';
 
-/** What the leader knows when it looks for duties. */
+/** What the leader's duties depend on, besides the replicated state. */
 interface DutyContext {
   /** Unix time in milliseconds on the leader's clock. */
   readonly nowMs: number;
@@ -29,7 +32,7 @@
 }
 
 /**
- * @returns the entries to propose now; none where all waits
+ * @returns the entries to propose now
  */
 export function leaderDuties(state: ClusterState, context: DutyContext): CommandEntry[] {
   const commands: SystemCommand[] = duePlannedChanges(state, context.nowMs).map(
--- a/src/managed/control/peer-gate.ts
+++ b/src/managed/control/peer-gate.ts
@@ -1,6 +1,8 @@
 /**
- * @file The door for messages of other control machines: only those of the same cluster, meant for this
- * very disk, get in; others are refused by name.
+ * @file Is a consensus message of another control machine accepted? Only with the same cluster key, of the same cluster, and
+ * for this machine with its present disk; a machine without a cluster joins the sender's where the message names its disk.
+ * Another key, cluster or disk is refused with the reason `wrong-cluster`, which the refused machine logs as
+ * `A peer refuses this machine`. Also builds the envelopes that this machine sends.
  */
 import type { Address } from '../../shared/common/address.js';
 import { findMember, type NodeId } from '../../shared/consensus/membership.js';
@@ -9,7 +11,7 @@
 import type { ControlState } from './control-state.js';
 import type { PeerEnvelope, PeerMessage, PeerRefusal } from './peer-messages.js';
 
-/** What the door decided. */
+/** The decision on a message. */
 type GateDecision = 'accept' | 'join-cluster' | 'ignore' | PeerRefusal;
 
 /**
@@ -39,7 +41,7 @@
   return { type: 'peer-refusal', kind: 'wrong-cluster', reason };
 }
 
-/** Messages that a member sends of its own accord name the disk that they are meant for. */
+/** Requests name the disk that they are meant for; replies don't. */
 const ADDRESSED_TO_DISK: readonly PeerMessage['type'][] = [
   'pre-vote-request',
   'vote-request',
--- a/src/managed/control/peer-messages.ts
+++ b/src/managed/control/peer-messages.ts
@@ -7,7 +7,7 @@
 import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
 import type { NodeId } from '../../shared/consensus/membership.js';
 
-/** Tells a peer of a machine that may have no cluster yet. */
+/** Announces a machine that may have no cluster yet. */
 export interface Announcement {
   readonly type: 'announcement';
   readonly operatorAddress: Address;
@@ -15,7 +15,7 @@
   readonly wantsAnswer: boolean;
 }
 
-/** Tells a peer why its messages are not taken. */
+/** Why the sender refuses messages of the receiver. */
 export interface PeerRefusal {
   readonly type: 'peer-refusal';
   readonly kind: 'wrong-cluster';
@@ -46,7 +46,7 @@
 const PROOF_LENGTH = 16;
 
 /**
- * @returns a digest of the cluster key, by which a peer with another key is noticed
+ * @returns a digest of the cluster key, by which a peer with another key is detected
  */
 export function clusterProof(clusterKey: string): string {
   return createHash('sha256').update(`peer:${clusterKey}`).digest('hex').slice(0, PROOF_LENGTH);
--- a/src/managed/control/plan-commands.ts
+++ b/src/managed/control/plan-commands.ts
@@ -8,7 +8,7 @@
 import type { OperatorCommand } from './commands.js';
 import type { CommandSource, DecisionResult } from './decision.js';
 
-/** How many planned changes may wait for one operator. */
+/** Planned changes that may wait for one operator. Bounds the snapshot; not measured. */
 const MAX_PLANNED_CHANGES = 1_000;
 
 /** Plans a change; whether it is allowed is decided when it is executed. */
--- a/src/managed/control/service-commands.ts
+++ b/src/managed/control/service-commands.ts
@@ -16,7 +16,7 @@
 } from './decision.js';
 import { idInBlock } from './id-blocks.js';
 
-/** How many services one operator may have. */
+/** Services that one operator may have. Callers need 5,000 addresses in all (DEVELOPERS.md). */
 const MAX_SERVICES_PER_OPERATOR = 5_000;
 
 /** Defines a service. */
--- a/src/managed/control/views/backend-load.ts
+++ b/src/managed/control/views/backend-load.ts
@@ -1,18 +1,19 @@
 /**
- * @file What back ends carry, as far as balancers have reported it to control machines.
+ * @file The load of back ends as shown to operators. Balancers don't report load to control machines, so the daemon shows it as
+ * unknown (`unknownLoad`).
  */
 
-/** What one back end carries. */
+/** The load of one back end. */
 export interface BackendLoad {
   /** Established flows that balancers forwarded to it. */
   readonly connections: number;
-  /** Requests in progress, as the back end last told; may lag. */
+  /** Requests in progress, by the back end's last report; may lag. */
   readonly busySlots?: number | undefined;
   /** How many balancers the figures come from. */
   readonly reportingBalancers: number;
 }
 
-/** What is known of the load of back ends and of the shared balancers. */
+/** The load of back ends and of the shared balancers, as far as it is known. */
 export interface LoadView {
   /** By back end ID; absent where nothing was reported. */
   readonly backends: ReadonlyMap<number, BackendLoad>;
