--- a/src/managed/balancer/balancer-events.ts
+++ b/src/managed/balancer/balancer-events.ts
@@ -7,7 +7,7 @@
   ControlToBalancerMessage,
 } from '../dissemination/link-messages.js';
 import type { LinkId } from '../dissemination/publisher.js';
-import type { SubscriptionEffect } from '../dissemination/subscription.js';
+import type { SubscriptionEffect } from '../dissemination/subscription-state.js';
 import type { ProbeResult } from '../health/backend-report.js';
 import type { PeerDatagram } from '../gossip/gossip-messages.js';
 import type { ProbeEffect } from '../health/probe-schedule.js';
--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -17,7 +17,7 @@
   type Service,
 } from '../control/routing-config.js';
 import { createPublisher, type PublisherState } from '../dissemination/publisher.js';
-import { createSubscription, type SubscriptionState } from '../dissemination/subscription.js';
+import { createSubscription, type SubscriptionState } from '../dissemination/subscription-state.js';
 import { createTraffic, type Traffic } from '../dissemination/traffic.js';
 import type { PreparedTokenKey } from '../flow/token.js';
 import { createGossip, type GossipState } from '../gossip/gossip-state.js';
--- a/src/managed/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -20,13 +20,12 @@
   type LinkSendEffect,
 } from '../dissemination/publisher.js';
 import {
-  acknowledge,
   handleControlMessage,
   handleLinkOpened,
-  setLinkPlan,
   subscriptionTick,
-  type ReportSource,
 } from '../dissemination/subscription.js';
+import { acknowledge, type ReportSource } from '../dissemination/upward-report.js';
+import { setLinkPlan } from '../dissemination/link-choice.js';
 import { expireReports } from '../dissemination/subtree-report.js';
 import type { PeerDatagram } from '../gossip/gossip-messages.js';
 import { allSharedResults } from '../health/health-sharing.js';
--- a/src/managed/control/command-records.ts
+++ b/src/managed/control/command-records.ts
@@ -15,7 +15,7 @@
 import { commandIssueTimeMs } from './command-id.js';
 
 /**
- * How long the outcome of a command is kept, in milliseconds: operators resend within minutes, scripts within a day.
+ * How long the outcome of a command is kept, in milliseconds; a later resend is refused as `command-expired`.
  * Not measured.
  */
 const COMMAND_WINDOW_MS = 24 * 60 * 60 * 1000;
