--- a/src/managed/dissemination/lease-authority.ts
+++ b/src/managed/dissemination/lease-authority.ts
@@ -1,19 +1,23 @@
 /**
- * @file The control machine's side of leases, and the fence that follows from them.
+ * @file May this control machine grant a lease, and which log index is fenced? A leader grants leases that end
+ * `LEASE_DURATION_MS` after the start of the last round in which a quorum confirmed that it leads. No later leader can have
+ * been elected before that start, so a leader that waits out one lease after its election has outlived all that earlier
+ * leaders granted.
  *
- * A leader grants leases that end `LEASE_DURATION_MS` after the start of the last round in which a
- * quorum confirmed that it leads. No later leader can have been elected before that start, so a leader
- * that waits out one lease after its election has outlived all that earlier leaders granted.
+ * Each grant names a floor: the log index that a balancer must have in force to use it. The floor only rises. An index is
+ * fenced once a lease and its margin have passed since the last grant below it: then every balancer has the index in force or
+ * is past its lease, and no list of balancers is needed to know it.
  *
- * Each grant names a floor: the log index that a balancer must have in force to take it. The floor only
- * rises. An index is fenced once a lease has passed since the last grant below it: then every balancer
- * has the index in force or is past its lease, and no list of balancers is needed to know it.
+ * Inputs: what the consensus knows of this machine's leadership, and its clock in milliseconds. Owns `LeaseAuthority`.
  */
 import { LEASE_DURATION_MS, LEASE_MARGIN_MS, type LeaseGrant } from './lease.js';
 
-/** Time between two rounds that confirm leadership, in milliseconds. */
+/** Time between two rounds that confirm leadership, in milliseconds: a small part of a lease. Not measured. */
 const CONFIRM_INTERVAL_MS = 500;
-/** How long a balancer may take to get an entry in force before grants ask for it, in milliseconds. */
+/**
+ * How long a balancer may take to get an entry in force before grants require it, in milliseconds. Not measured; too
+ * short if leases run out after changes.
+ */
 const FLOOR_DELAY_MS = 2_000;
 
 /** A log index at a time. */
@@ -22,23 +26,23 @@
   readonly atMs: number;
 }
 
-/** What a control machine knows of its own leadership; times on its own clock, in milliseconds. */
+/** The leadership of a control machine, for leases; times on its own clock, in milliseconds. */
 export interface LeaseAuthority {
   /** The term that it leads; undefined where it does not. */
   term: number | undefined;
   /** Start of the last round that a quorum confirmed. */
   confirmedAtMs: number;
-  /** The round under way. */
+  /** The round in progress. */
   round: { readonly readId: number; readonly startedAtMs: number } | undefined;
   nextRoundAtMs: number;
   nextReadId: number;
-  /** Commit indexes as they were seen, oldest first, none older than the next floor. */
+  /** Commit indexes by when they were reached, oldest first, none older than the next floor. */
   commits: IndexAt[];
   /** Each floor and when the first grant with it could be made, oldest first. */
   floors: IndexAt[];
 }
 
-/** What the consensus says of this machine. */
+/** What the consensus knows of this machine. */
 interface LeadershipView {
   /** True for a leader that knows what is committed. */
   readonly isLeading: boolean;
@@ -83,7 +87,7 @@
 }
 
 /**
- * A quorum has confirmed a read.
+ * Applies that a quorum has confirmed a read.
  * @returns true where the read was one of this authority's
  */
 export function applyConfirmation(authority: LeaseAuthority, readId: number): boolean {
@@ -119,7 +123,7 @@
 }
 
 /**
- * @returns true once all balancers that hold a lease have been heard by this leader
+ * @returns true once every balancer that holds a lease has reported to this leader
  */
 export function hasOutlivedEarlierLeases(authority: LeaseAuthority, nowMs: number): boolean {
   return fencedIndex(authority, nowMs) > 0;
--- a/src/managed/dissemination/lease.ts
+++ b/src/managed/dissemination/lease.ts
@@ -1,20 +1,29 @@
 /**
- * @file A balancer's lease, and what a balancer may do without one. While the lease runs, no address
- * that a balancer knows can have joined another service. Once it has run out, a back end is used only
- * as long as it has itself confirmed a moment ago which back end it is.
+ * @file May a balancer use the addresses of its configuration? While its lease runs, yes: no address that it knows can have
+ * joined another service. Once the lease has run out, a back end is used only as long as it has itself confirmed a moment ago
+ * which back end it is.
  *
- * A lease is counted on the balancer's own clock from the moment when the balancer asked for it, never
- * from when the answer came: an answer that waited in a buffer while the process was paused extends
- * nothing. Whoever holds a lease may pass on what is left of it.
+ * A lease is counted on the balancer's own clock from when the balancer asked for it, never from when the answer came: an
+ * answer that waited in a buffer while the process was paused extends nothing. A balancer may pass on what is left of its
+ * lease. Times are in milliseconds. Reasons and alternatives: docs/design/dissemination.md.
  */
 
-/** How long a lease runs, in milliseconds. */
+/**
+ * How long a lease runs, in milliseconds. Not measured; it delays the release of addresses by as long. Too short if
+ * `amberlift_lease_held` falls to 0 during an election, which took about 1 s (docs/design/consensus.md).
+ */
 export const LEASE_DURATION_MS = 10_000;
 
-/** What clocks may differ by over one lease, at most, in milliseconds; five percent. */
+/**
+ * How far clocks may differ over one lease, in milliseconds: 5 %. Tests run clocks 1 % fast and slow; not measured on
+ * machines.
+ */
 export const LEASE_MARGIN_MS = 500;
 
-/** How long a back end's own word holds on which back end it is, in milliseconds. */
+/**
+ * How long a back end's confirmation of its identity holds, in milliseconds. Not measured; too short if `lease-expired` is
+ * counted while the back end answers its probes. An address may be taken over within this time without being noticed here.
+ */
 export const IDENTITY_LIFETIME_MS = 3_000;
 
 /** Extends a lease. */
@@ -23,7 +32,7 @@
   readonly askedAtMs: number;
   /** How much longer the lease runs, counted from `askedAtMs`. */
   readonly remainingMs: number;
-  /** Only for a balancer that has this log index in force. */
+  /** The grant holds only for a balancer that has this log index in force. */
   readonly floorIndex: number;
 }
 
@@ -50,7 +59,7 @@
 }
 
 /**
- * Takes a grant, where the balancer has in force what the grant asks for.
+ * Applies a grant where the balancer has in force what the grant requires.
  * @param positionIndex the log index in force
  * @returns true where it extended the lease
  */
@@ -78,8 +87,7 @@
 }
 
 /**
- * @param identityConfirmedAtMs when the balancer asked the back end what it last answered to with
- *   the ID by which the balancer knows it
+ * @param identityConfirmedAtMs when the probe began that the back end last answered with the ID by which the balancer knows it
  * @returns true where packets may be sent to the back end
  */
 export function mayUseBackend(lease: Lease, identityConfirmedAtMs: number, nowMs: number): boolean {
--- a/src/managed/dissemination/link-messages.ts
+++ b/src/managed/dissemination/link-messages.ts
@@ -1,12 +1,34 @@
 /**
- * @file Messages between a balancer and the one that it gets the configuration from, over TCP, as
- * MessagePack. That one is a control machine or another balancer, which passes on what it has.
+ * @file Messages between a balancer and the one that it gets the configuration from, over TCP, as MessagePack. That one is a
+ * control machine or another balancer, which passes on what it has. Field names are sent as they are here.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConfigPosition, ConfigUpdate } from '../control/config-delta.js';
 import type { SharedResult } from '../health/health-sharing.js';
 import type { LeaseGrant } from './lease.js';
-import type { SubtreeReport } from './subtree-report.js';
+
+/** A balancer below the sender of a report. */
+export interface ReportedMember {
+  readonly balancerId: string;
+  readonly zone: string;
+  /** False where its link is closed and its next one is not known yet. */
+  readonly isLinked: boolean;
+}
+
+/** A balancer that lags behind the others of a report. */
+interface Laggard {
+  readonly balancerId: string;
+  readonly index: number;
+}
+
+/** What is in force below the sender. */
+export interface SubtreeReport {
+  /** Sent where they changed since the last report on this link. */
+  readonly members?: readonly ReportedMember[];
+  /** Every member that is not among the laggards has this log index in force. */
+  readonly commonIndex: number;
+  readonly laggards: readonly Laggard[];
+}
 
 /** Balancer to control: asks for the configuration from a position on; the first message. */
 export interface SubscribeMessage {
--- a/src/managed/dissemination/link-plan.ts
+++ b/src/managed/dissemination/link-plan.ts
@@ -1,15 +1,22 @@
 /**
- * @file Where a balancer links to get the configuration and its lease: a list of candidates, best
- * first, of which it takes the first that works.
+ * @file Where may a balancer link to get the configuration and its lease? Two relays of each zone, chosen by rendezvous hashing
+ * among the zone's live balancers, prefer control machines; the others prefer the relays, half to each. Other balancers come
+ * last, for when no control machine can be reached.
+ *
+ * Inputs: the members known by gossip, and the control addresses of the settings. Returns the candidates, best first;
+ * `link-choice.ts` uses the first that works.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { otherZoneContacts, zoneMembers, type GossipState } from '../gossip/gossip-state.js';
 import { linkAddress, type MemberRecord } from '../gossip/member.js';
 import { chooseByRendezvous, hashText } from '../../shared/common/rendezvous.js';
 
-/** Balancers of a zone that link to control machines; the others link to these. */
+/**
+ * Relays of a zone: with 20 zones the leader has 40 links (docs/design/dissemination.md). With one, its loss would
+ * cut its whole zone off for a while.
+ */
 const RELAYS_PER_ZONE = 2;
-/** Bound of the other balancers of the zone, and of those elsewhere, that are candidates. */
+/** Bound of the other balancers of the zone, and of other zones, that are candidates. Not measured. */
 const MAX_PEER_CANDIDATES = 3;
 
 /** Candidates for a link, best first. */
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -1,8 +1,9 @@
 /**
- * @file Keeps balancers up to date, as decision steps: on control machines, and on balancers that pass on
- * what they have in force.
- * Each subscriber gets the deltas that it lacks, or a snapshot where the kept deltas don't reach, and
- * acknowledges what it has in force.
+ * @file What does a publisher send to a subscriber? The deltas that it lacks, or a snapshot where the deltas that are kept
+ * don't reach back; and with each report a heartbeat with the committed position and a lease. Control machines publish what
+ * is committed, balancers pass on what they have in force.
+ *
+ * Owns `PublisherState`: subscribers, the last deltas, and the reports of the balancers below (`subtree-report.ts`).
  */
 import type { Address } from '../../shared/common/address.js';
 import type { RoutingConfig } from '../control/routing-config.js';
@@ -36,7 +37,7 @@
   type SubtreeReports,
 } from './subtree-report.js';
 
-/** How many deltas are kept for subscribers that lag. */
+/** Deltas that are kept for subscribers that lag. Not measured; too few if balancers that reconnect get snapshots. */
 const MAX_KEPT_DELTAS = 1_000;
 
 /** Names a link of this process; never used again while the process runs. */
@@ -55,7 +56,7 @@
   readonly message: ControlToBalancerMessage;
 }
 
-/** Where a publisher takes the leases from that it grants. */
+/** The source of the leases that a publisher grants. */
 type LeaseSource =
   | { readonly type: 'authority'; readonly authority: LeaseAuthority }
   /** A balancer's own lease, of which it passes on what is left. */
@@ -90,7 +91,7 @@
 }
 
 /**
- * Takes the changes of one committed entry.
+ * Publishes the changes of one committed entry.
  * @returns what to send to subscribers
  */
 export function publishChanges(
@@ -112,7 +113,7 @@
 }
 
 /**
- * Passes on an update that this balancer has taken.
+ * Passes on an update that this balancer has applied.
  * @returns what to send to subscribers
  */
 export function passOnUpdate(state: PublisherState, update: ConfigUpdate): LinkSendEffect[] {
@@ -133,7 +134,7 @@
 }
 
 /**
- * Takes a message from a balancer.
+ * Handles a message of a balancer.
  * @param config the committed configuration, for snapshots
  */
 export function handleSubscriberMessage(
@@ -155,7 +156,7 @@
 }
 
 /**
- * Forgets a link that is closed. Its balancer is counted until it is past its lease.
+ * Removes a link that is closed. Its balancer is counted until it is past its lease.
  */
 export function handleSubscriberGone(state: PublisherState, linkId: LinkId): void {
   state.subscribers.delete(linkId);
@@ -172,7 +173,7 @@
 
 /**
  * @param authority the leader's
- * @returns how far the configuration has come; zeros until the leader has outlived earlier leases
+ * @returns how far the configuration has come; zeros until the leader has outlived earlier leases, see `lease-authority.ts`
  */
 export function disseminationStatus(
   state: PublisherState,
@@ -180,9 +181,9 @@
   nowMs: number,
 ): DisseminationStatus {
   expireReports(state.reports, nowMs);
-  const heardAll = hasOutlivedEarlierLeases(authority, nowMs);
+  const isComplete = hasOutlivedEarlierLeases(authority, nowMs);
   return {
-    inForceIndex: heardAll ? lowestIndex(state.reports, state.committed.index) : 0,
+    inForceIndex: isComplete ? lowestIndex(state.reports, state.committed.index) : 0,
     fencedIndex: fencedIndex(authority, nowMs),
   };
 }
--- a/src/managed/dissemination/subtree-report.ts
+++ b/src/managed/dissemination/subtree-report.ts
@@ -1,38 +1,15 @@
 /**
- * @file What balancers have in force, gathered on the way up: each balancer reports to the one that it
- * is linked to, which reports for all below it. A report costs about the same for one and for a
- * hundred balancers, since it names only those that differ from most.
+ * @file Which balancers are below, and what does each have in force? Gathers the reports of all links: each balancer reports
+ * to the one that it is linked to, which reports for all below it. A balancer counts at the link over which it was reported
+ * last; after its link is closed until it is linked again or past its lease.
+ *
+ * Owns `SubtreeReports`. Log indexes are those of the configuration; times are in milliseconds.
  */
 import { LEASE_DURATION_MS, LEASE_MARGIN_MS } from './lease.js';
+import type { ReportedMember, SubtreeReport } from './link-messages.js';
 
-/** A balancer that has not reported for this time is past its lease and no longer counted, in ms. */
+/** A balancer without a report for this time is past its lease and no longer counted, in milliseconds. */
 export const REPORT_LIFETIME_MS = LEASE_DURATION_MS + LEASE_MARGIN_MS;
-/** Bound of the balancers that a report names one by one; those that lag most go first. */
-export const MAX_LAGGARDS = 20;
-
-/** A balancer below the sender of a report. */
-interface ReportedMember {
-  readonly balancerId: string;
-  readonly zone: string;
-  /** False where its link is closed and nobody knows yet where it went. */
-  readonly isLinked: boolean;
-}
-
-/** A balancer that lags behind the others of a report. */
-interface Laggard {
-  readonly balancerId: string;
-  readonly index: number;
-}
-
-/** What is in force below the sender. */
-export interface SubtreeReport {
-  /** Sent where they changed since the last report on this link. */
-  readonly members?: readonly ReportedMember[];
-  /** Every member that is not among the laggards has this log index in force. */
-  readonly commonIndex: number;
-  readonly laggards: readonly Laggard[];
-}
-
 /** What one balancer has in force, as far as it is known. */
 export interface BalancerReport {
   readonly balancerId: string;
@@ -40,7 +17,7 @@
   readonly index: number;
 }
 
-/** What came over one link. */
+/** The last report of one link. */
 interface LinkReports {
   readonly balancerId: string;
   readonly zone: string;
@@ -78,7 +55,7 @@
 }
 
 /**
- * @returns reports of nobody
+ * @returns a state without reports
  */
 export function createSubtreeReports(): SubtreeReports {
   return {
@@ -91,7 +68,7 @@
 }
 
 /**
- * Takes a report. Who reports over several links counts where it was linked last.
+ * Applies a report. A balancer that reports over several links counts at the last one.
  */
 export function applyReport(
   reports: SubtreeReports,
@@ -123,7 +100,7 @@
 }
 
 /**
- * Notes that a link is closed. Who was below it counts until it is linked again or past its lease.
+ * Removes a link that is closed. The balancers below it count until they are linked again or past their lease.
  */
 export function dropLink(reports: SubtreeReports, linkId: number): void {
   const link = reports.links.get(linkId);
@@ -138,7 +115,7 @@
 }
 
 /**
- * Forgets who is past its lease.
+ * Removes the balancers that are past their lease.
  */
 export function expireReports(reports: SubtreeReports, nowMs: number): void {
   for (const [linkId, { reportedAtMs }] of reports.links) {
@@ -156,7 +133,7 @@
 }
 
 /**
- * @param highest the result where nobody reports a lower one
+ * @param highest the result where no balancer reports a lower one
  * @returns the log index that all have in force
  */
 export function lowestIndex(reports: SubtreeReports, highest: number): number {
@@ -181,34 +158,6 @@
   return [...linked, ...unlinked];
 }
 
-/**
- * Sums the reports up for the next one above.
- * @param withMembers true where the receiver does not have the present members
- * @returns the report, or undefined where nobody is below
- */
-export function subtreeReport(
-  reports: SubtreeReports,
-  withMembers: boolean,
-): SubtreeReport | undefined {
-  const all = allReports(reports).sort((one, other) => one.index - other.index);
-  const highest = all.at(-1)?.index;
-  if (highest === undefined) {
-    return withMembers ? { members: [], commonIndex: 0, laggards: [] } : undefined;
-  }
-  const behind = all.filter(({ index }) => index < highest);
-  const firstUnnamed = behind[MAX_LAGGARDS];
-  const members = all.map(({ balancerId, zone }) => ({
-    balancerId,
-    zone,
-    isLinked: !reports.unlinked.has(balancerId),
-  }));
-  return {
-    ...(withMembers && { members }),
-    commonIndex: firstUnnamed?.index ?? highest,
-    laggards: behind.slice(0, MAX_LAGGARDS).map(({ balancerId, index }) => ({ balancerId, index })),
-  };
-}
-
 function newLink(balancerId: string, zone: string): LinkReports {
   return {
     balancerId,
@@ -231,7 +180,7 @@
   link.members = new Map();
   for (const member of members) {
     const { balancerId, isLinked } = member;
-    // Whoever lost a balancer's link does not know where it went; the one it is linked to does.
+    // The balancer that lost the link doesn't know where the other one went; the one that it is linked to does.
     if (isLinked || !isKnownElsewhere(reports, linkId, balancerId)) {
       removeElsewhere(reports, linkId, balancerId);
       link.members.set(balancerId, member);
@@ -249,7 +198,7 @@
   return false;
 }
 
-/** Removes a balancer from wherever else it was known. */
+/** Removes a balancer from every other link. */
 function removeElsewhere(reports: SubtreeReports, linkId: number, balancerId: string): void {
   reports.unlinked.delete(balancerId);
   for (const [otherId, other] of reports.links) {
--- a/src/managed/dissemination/upward-report.ts
+++ b/src/managed/dissemination/upward-report.ts
@@ -5,7 +5,8 @@
  */
 import type { ConfigPosition } from '../control/config-delta.js';
 import type { AcknowledgeMessage } from './link-messages.js';
-import { subtreeReport, type SubtreeReports } from './subtree-report.js';
+import type { SubtreeReports } from './subtree-report.js';
+import { subtreeReport } from './subtree-summary.js';
 import type { SubscriptionEffect, SubscriptionState } from './subscription-state.js';
 
 /** Time between two requests to extend the lease, in milliseconds; five fall into one lease. */
--- a/test/managed/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -21,10 +21,18 @@
   type LinkSendEffect,
   type PublisherState,
 } from '../../../src/managed/dissemination/publisher.js';
-import { handleControlMessage, handleLinkOpened, subscriptionTick } from '../../../src/managed/dissemination/subscription.js';
+import {
+  handleControlMessage,
+  handleLinkOpened,
+  subscriptionTick,
+} from '../../../src/managed/dissemination/subscription.js';
 import { acknowledge } from '../../../src/managed/dissemination/upward-report.js';
 import { handleLinkClosed } from '../../../src/managed/dissemination/link-choice.js';
-import { createSubscription, type SubscriptionEffect, type SubscriptionState } from '../../../src/managed/dissemination/subscription-state.js';
+import {
+  createSubscription,
+  type SubscriptionEffect,
+  type SubscriptionState,
+} from '../../../src/managed/dissemination/subscription-state.js';
 
 const TICK_MS = 50;
 const HOP_MS = 1;
--- a/test/managed/dissemination/subtree-report.test.ts
+++ b/test/managed/dissemination/subtree-report.test.ts
@@ -7,13 +7,12 @@
   dropLink,
   expireReports,
   lowestIndex,
-  MAX_LAGGARDS,
   REPORT_LIFETIME_MS,
-  subtreeReport,
   applyReport,
-  type SubtreeReport,
   type SubtreeReports,
 } from '../../../src/managed/dissemination/subtree-report.js';
+import { MAX_LAGGARDS, subtreeReport } from '../../../src/managed/dissemination/subtree-summary.js';
+import type { SubtreeReport } from '../../../src/managed/dissemination/link-messages.js';
 
 const ZONE = 'zone-a';
 
