--- a/src/registered/daemon/call-listener.ts
+++ b/src/registered/daemon/call-listener.ts
@@ -1,6 +1,9 @@
 /**
- * @file The HTTP server for calls of back ends and operators to a control machine. Which request means
- * which call is left to an adapter: the product's own names, or those of a platform.
+ * @file Calls of back ends and operators to a control machine, over HTTP. Which request means which call is left to an
+ * adapter: the product's own names (`declared-api.ts`), or those of a platform.
+ *
+ * What a caller gets back: 200 with JSON; the status of the error kind (`shared/common/error-kinds.ts`) with
+ * `{"error": {kind, message}}`; and with 503 a `Retry-After`, since the same call may succeed at another machine or later.
  */
 import type {
   IncomingMessage,
@@ -12,17 +15,17 @@
 import type { GroupReply } from '../group/group-events.js';
 import type { GroupCall } from './group-process.js';
 
-/** An answer to an HTTP request. */
-export interface HttpAnswer {
+/** The reply to an HTTP request. */
+export interface HttpReply {
   readonly status: number;
   /** JSON text. */
   readonly body: string;
 }
 
-/** The call that an HTTP request asks for, or its answer where there is nothing to ask. */
+/** The call that an HTTP request asks for, or its reply where there is nothing to call. */
 export type TranslatedCall =
   | { readonly type: 'call'; readonly call: GroupCall }
-  | { readonly type: 'answer'; readonly answer: HttpAnswer };
+  | { readonly type: 'reply'; readonly reply: HttpReply };
 
 /** Brings a call into the group. */
 export type PerformCall = (call: GroupCall) => Promise<GroupReply>;
@@ -40,8 +43,18 @@
   readonly bearerToken: string;
 }
 
+/**
+ * The largest call is a whole configuration. Not measured how large one gets; a refusal `The body is too large.` of a
+ * configuration would show it too small. It bounds the memory of one call.
+ */
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
+/**
+ * Tells callers when to try again, in whole seconds, the unit of the header. Where no leader is known, a new one is elected
+ * within some 0.7 s (`group/timing.ts`), so a second later the call can be decided. Not measured; 503 answers that
+ * repeat at the same caller would show it too short.
+ */
 const RETRY_AFTER_S = 1;
+const UNAVAILABLE_STATUS = 503;
 
 /**
  * @returns the listener of the HTTP server
@@ -52,41 +65,43 @@
 ): RequestListener {
   return (request, response) => {
     answerRequest(request, response).catch(() => {
-      respond(response, errorAnswer('internal', 'The call failed.'));
+      // Nearly always a caller that went away while its body was read, often under load: without a line, and the reply
+      // reaches nobody. A fault of ours in a call shows as status 500 at the caller.
+      respond(response, errorReply('internal', 'The call failed.'));
     });
   };
 
   async function answerRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readText(request);
     if (body === undefined) {
-      respond(response, errorAnswer('invalid-command', 'The body is too large.'));
+      respond(response, errorReply('invalid-command', 'The body is too large.'));
       return;
     }
     const translated = translate(callRequestOf(request, body));
     switch (translated.type) {
-      case 'answer':
-        respond(response, translated.answer);
+      case 'reply':
+        respond(response, translated.reply);
         return;
       case 'call':
-        respond(response, answerOf(await perform(translated.call)));
+        respond(response, replyOf(await perform(translated.call)));
         return;
     }
   }
 }
 
 /**
- * @returns the answer that the table of errors gives for a kind
+ * @returns the reply that the table of errors gives for a kind
  */
-function errorAnswer(kind: ErrorKind, message: string): HttpAnswer {
+function errorReply(kind: ErrorKind, message: string): HttpReply {
   const error = amberliftError(kind, message);
   return { status: answerFor(kind).httpStatus, body: JSON.stringify({ error }) };
 }
 
 /**
- * @returns an answer in place of a call
+ * @returns a refusal in place of a call
  */
 export function refusedCall(kind: ErrorKind, message: string): TranslatedCall {
-  return { type: 'answer', answer: errorAnswer(kind, message) };
+  return { type: 'reply', reply: errorReply(kind, message) };
 }
 
 /**
@@ -97,6 +112,7 @@
     const part = decodeURIComponent(text);
     return part.length > 0 && part.length <= maxLength ? part : undefined;
   } catch {
+    // Percent signs that stand for no character: the caller of this function refuses the call with a reason of its own.
     return undefined;
   }
 }
@@ -108,6 +124,7 @@
   try {
     return JSON.parse(text) as unknown;
   } catch {
+    // No schema accepts `undefined`, so the call is refused, with the reason that its schema gives.
     return undefined;
   }
 }
@@ -118,29 +135,29 @@
   return { method: method ?? '', path, body, bearerToken };
 }
 
-function answerOf(reply: GroupReply): HttpAnswer {
+function replyOf(reply: GroupReply): HttpReply {
   switch (reply.type) {
     case 'accepted':
       return { status: 200, body: '{}' };
     case 'config':
       return reply.document === undefined
-        ? errorAnswer('not-found', 'There is no configuration yet.')
+        ? errorReply('not-found', 'There is no configuration yet.')
         : { status: 200, body: reply.document.text };
     case 'zones':
       return { status: 200, body: JSON.stringify({ zones: reply.zones }) };
     case 'unknown-zone':
-      return errorAnswer('not-found', `The deployment has no zone ${reply.zone}.`);
+      return errorReply('not-found', `The deployment has no zone ${reply.zone}.`);
     case 'unavailable':
-      return errorAnswer('no-quorum', reply.reason);
+      return errorReply('no-quorum', reply.reason);
   }
 }
 
-function respond(response: ServerResponse, { status, body }: HttpAnswer): void {
+function respond(response: ServerResponse, { status, body }: HttpReply): void {
   const headers: OutgoingHttpHeaders = {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
   };
-  if (status === 503) {
+  if (status === UNAVAILABLE_STATUS) {
     headers['retry-after'] = String(RETRY_AFTER_S);
   }
   response.writeHead(status, headers);
--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -1,7 +1,16 @@
 /**
- * @file TCP links that notice by themselves that the other end is gone: each end sends a pulse now and
- * then, and an end that hears nothing for some time closes the link. Cuts of the network say nothing,
- * and a link that hangs would otherwise hang for minutes.
+ * @file When is a TCP link given up?
+ *
+ * Inputs: when bytes last came and were last sent (ms on the monotonic clock), bytes that wait to be sent, and the times of
+ * `group/timing.ts`.
+ *
+ * Each end sends a pulse when it has sent nothing for a while, and closes a link that has brought nothing for
+ * `silentAfterMs`, that does not stand within `connectTimeoutMs`, or that brings what doesn't belong there. A cut of the
+ * network says nothing, and without this a link would hang for minutes. A message for a link on which too much waits is
+ * dropped: the protocols above send again.
+ *
+ * Owns all links of a process, dialed and accepted, and the timer of their pulses. Who dials again, and when, is decided by
+ * `shared/common/dialed-links.ts` and `ingress/feed-source.ts`.
  */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
@@ -21,6 +30,10 @@
   readonly maxUnsentBytes: number;
 }
 
+/**
+ * Feeds never come near it: bounded messages leave some 20 KB under way to each balancer (docs/design/links.md). Not measured otherwise; memory that grows with the number of
+ * links whose other end reads nothing would show it too large.
+ */
 const MAX_UNSENT_BYTES = 4 * 1024 * 1024;
 
 /**
@@ -42,7 +55,7 @@
   close(): void;
 }
 
-/** What the owner of links wants to hear. */
+/** What the owner of links is called back with. */
 export interface FrameLinkHandlers {
   /** @returns false where the message is not one that belongs here; the link is closed then */
   onMessage(message: unknown, link: FrameLink): boolean;
@@ -53,7 +66,7 @@
 
 interface OpenLink extends FrameLink {
   readonly socket: Socket;
-  /** Closes the link; its owner hears why. */
+  /** Closes the link; `onClose` gets the reason. */
   giveUp(reason: string): void;
   receivedAtMs: number;
   sentAtMs: number;
@@ -64,9 +77,7 @@
   private readonly links = new Set<OpenLink>();
   private readonly servers = new Set<Server>();
   private readonly timer: NodeJS.Timeout;
-  /** Messages that were dropped since their link was full. */
-  droppedMessages = 0;
-  /** Links that were closed since what they brought did not belong there. */
+  /** Links that were closed since they brought what did not belong there. */
   malformedLinks = 0;
 
   /**
@@ -106,6 +117,8 @@
     const server = createServer((socket) => this.wrap(socket, handlers));
     server.listen(address.port, address.host);
     await once(server, 'listening');
+    // After this only accepting can fail, as without descriptors: the caller dials again, and a line for each try of each
+    // caller would be a flood.
     server.on('error', () => undefined);
     this.servers.add(server);
     const { port } = server.address() as AddressInfo;
@@ -135,26 +148,9 @@
         socket.destroy();
       },
     };
-    const refuse = (cause: string) => {
-      this.malformedLinks += 1;
-      link.giveUp(cause);
-    };
     this.links.add(link);
     socket.setNoDelay(true);
-    socket.on('data', (chunk) => {
-      link.receivedAtMs = performance.now();
-      const decoded = decoder.push(chunk);
-      if (decoded.type === 'malformed') {
-        refuse(decoded.reason);
-        return;
-      }
-      const isFit = decoded.messages.every((message) => handlers.onMessage(message, link));
-      if (!isFit) {
-        refuse('A message does not belong here.');
-      } else if (decoder.isInsideFrame) {
-        handlers.onProgress?.(link);
-      }
-    });
+    socket.on('data', (chunk) => this.read(chunk, decoder, link, handlers));
     socket.on('error', (cause) => {
       reason = cause.message;
     });
@@ -165,10 +161,34 @@
     return link;
   }
 
+  private read(
+    chunk: Buffer,
+    decoder: FrameDecoder,
+    link: OpenLink,
+    handlers: FrameLinkHandlers,
+  ): void {
+    link.receivedAtMs = performance.now();
+    const decoded = decoder.push(chunk);
+    if (decoded.type === 'malformed') {
+      this.refuse(link, decoded.reason);
+      return;
+    }
+    const isFit = decoded.messages.every((message) => handlers.onMessage(message, link));
+    if (!isFit) {
+      this.refuse(link, 'A message does not belong here.');
+    } else if (decoder.isInsideFrame) {
+      handlers.onProgress?.(link);
+    }
+  }
+
+  private refuse(link: OpenLink, reason: string): void {
+    this.malformedLinks += 1;
+    link.giveUp(reason);
+  }
+
   private sendFrame(link: OpenLink, frame: Buffer): number {
     const { socket } = link;
     if (socket.writableLength > this.options.maxUnsentBytes) {
-      this.droppedMessages += 1;
       return 0;
     }
     if (!socket.writable) {
--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -1,5 +1,6 @@
 /**
- * @file The daemon of a control machine of a group: disk, links and timer around its process. The calls
+ * @file The daemon of a control machine of a group: owns its disk, its links (dialed ones to other control machines,
+ * accepted ones from these and from balancers) and its timer, around the process that decides (`group-process.ts`). Calls
  * of back ends and operators come in through `call`.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -23,13 +24,26 @@
 import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 import { systemContextSource } from '../../shared/daemon/system-context.js';
 
+/** Of the order of a heartbeat interval of the group (`group/timing.ts`: 38 to 150 ms). Not measured. */
 const TICK_INTERVAL_MS = 50;
+/**
+ * A write that failed, or a disk that can't be opened, is tried again after this time: a full disk is freed by somebody
+ * else. Not measured; a group that takes long to go on once its disks are freed would show it too long.
+ */
 const RETRY_WRITE_AFTER_MS = 200;
-/** A link to another control machine that could not be opened is tried again after this time. */
+/**
+ * A link to another control machine that could not be opened is tried again after this time, without backing off: there are
+ * few, and an election waits for them. Not measured.
+ */
 const RETRY_LINK_AFTER_MS = 50;
+/** A disk that can't be opened for a minute (300 times `RETRY_WRITE_AFTER_MS`) ends the start. Not measured. */
 const MAX_OPEN_ATTEMPTS = 300;
+/** A write that takes longer is logged: it is most of an election timeout (`group/timing.ts`). Not measured. */
 const SLOW_WRITE_MS = 500;
-/** Time for what was sent at a stop to leave. */
+/**
+ * Time for the messages that hand leadership over to leave, in milliseconds: some round trips and a synced write. Not
+ * measured; an election after each planned stop of a leader would show it too short.
+ */
 const STOP_DELAY_MS = 250;
 
 /** A running control machine. */
@@ -63,7 +77,7 @@
 
   /**
    * Opens the disk, waiting where it is full or does not answer, and starts.
-   * @param listenAddress where to listen for links, where that is not the address that others are told
+   * @param listenAddress where to listen for links, where that is not the address that others use
    * @returns the daemon, or `storage-failed` where the disk is damaged
    */
   static async start(
@@ -79,12 +93,12 @@
     return created;
   }
 
-  /** Brings a call of a client into the group; answered within the request deadline. */
+  /** Brings a call of a client into the group; resolves within the request deadline. */
   call(call: GroupCall): Promise<GroupReply> {
     return new Promise((resolve) => this.group.call(call, resolve));
   }
 
-  /** Takes other seeds, by which this machine finds the group. */
+  /** Replaces the seeds, by which this machine finds the group. */
   updateSeeds(seeds: readonly Address[]): void {
     this.group.state.seeds = seeds;
   }
--- a/src/registered/daemon/group-process.ts
+++ b/src/registered/daemon/group-process.ts
@@ -1,6 +1,9 @@
 /**
- * @file A control machine of a group without its sockets and its disk: it carries out the effects of the
- * group step through its surroundings, which are real in the daemon and virtual in the simulator.
+ * @file A control machine of a group without its sockets and its disk: it hands events to the group step
+ * (`group/group-step.ts`) and carries out its effects through surroundings that are real in the daemon and virtual in the
+ * simulator.
+ *
+ * Owns the calls that wait for their reply, by request ID, and the counts of replies. The state belongs to the step.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
@@ -11,6 +14,7 @@
 import type { GroupState } from '../group/group-state.js';
 import { groupStep } from '../group/group-step.js';
 import type { DecisionFields } from './decision-log.js';
+import { countEvent, type EventCounts } from './event-counts.js';
 
 type DistributiveOmit<T, K extends PropertyKey> = T extends unknown ? Omit<T, K> : never;
 
@@ -27,14 +31,14 @@
   sendFeed(linkId: LinkId, message: FeedMessage): void;
   /** Resolves once the write lasts; never rejects. */
   persist(effect: PersistEffect): Promise<void>;
-  /** Takes the line of a decision. */
+  /** Writes the line of a decision. */
   logDecision(name: string, fields: DecisionFields): void;
 }
 
-/** Hears of latencies, for metrics. */
+/** Is called back with latencies, for metrics. */
 export interface GroupObserver {
-  /** A call was answered after `latencyMs`. */
-  onAnswered(call: GroupCall['type'], latencyMs: number): void;
+  /** A call got its reply after `latencyMs`. */
+  onReplied(call: GroupCall['type'], latencyMs: number): void;
   /** A synced write took `latencyMs`. */
   onPersisted(latencyMs: number): void;
 }
@@ -42,9 +46,9 @@
 /** A control machine of a group. */
 export class GroupProcess {
   private readonly calls = new Map<RequestId, (reply: GroupReply) => void>();
-  private nextNumber = 1;
-  /** Calls by kind and answer. */
-  readonly counts = new Map<string, number>();
+  private nextRequestId: RequestId = 1;
+  /** Calls by kind and reply. */
+  readonly counts: EventCounts = new Map();
   /** Set once somebody asks for metrics. */
   observer: GroupObserver | undefined;
 
@@ -54,14 +58,14 @@
     private readonly surroundings: GroupSurroundings,
   ) {}
 
-  /** Brings a call of a client into the group; answered within the request deadline. */
-  call(call: GroupCall, answer: (reply: GroupReply) => void): void {
-    const requestId = this.nextNumber;
-    this.nextNumber += 1;
+  /** Brings a call of a client into the group; `onReply` is called within the request deadline. */
+  call(call: GroupCall, onReply: (reply: GroupReply) => void): void {
+    const requestId = this.nextRequestId;
+    this.nextRequestId += 1;
     const startedAtMs = this.surroundings.context().nowMs;
     this.calls.set(requestId, (reply) => {
       this.recordReply(call.type, reply.type, this.surroundings.context().nowMs - startedAtMs);
-      answer(reply);
+      onReply(reply);
     });
     this.step({ ...call, requestId });
   }
@@ -70,7 +74,7 @@
     this.step({ type: 'peer-message', message });
   }
 
-  /** Takes a message of a balancer: it wants the feed on its link, or tells its load. */
+  /** Handles a message of a balancer: it wants the feed on its link, acknowledges it, or reports its load. */
   handleBalancerMessage(linkId: LinkId, message: BalancerLinkMessage): void {
     switch (message.type) {
       case 'subscribe':
@@ -98,10 +102,9 @@
     this.step({ type: 'stop' });
   }
 
-  private recordReply(call: GroupCall['type'], answer: string, latencyMs: number): void {
-    const name = `${call} ${answer}`;
-    this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
-    this.observer?.onAnswered(call, latencyMs);
+  private recordReply(call: GroupCall['type'], reply: GroupReply['type'], latencyMs: number): void {
+    countEvent(this.counts, `${call} ${reply}`);
+    this.observer?.onReplied(call, latencyMs);
   }
 
   private persist(effect: PersistEffect): void {
--- a/src/registered/daemon/metrics/group-metrics.ts
+++ b/src/registered/daemon/metrics/group-metrics.ts
@@ -15,10 +15,10 @@
 const MS_PER_SECOND = 1_000;
 const LATENCY_BUCKETS_S = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
 
-/** What is served, and what must be told for it. */
+/** What is served, and what must be observed for it. */
 export interface GroupMetrics {
   readonly source: MetricsSource;
-  /** Takes latencies from now on. */
+  /** Records latencies from now on. */
   readonly observer: GroupObserver;
 }
 
@@ -74,8 +74,8 @@
   if (role.name !== 'leader') {
     return Math.max(0, nowMs - leaderContactAtMs);
   }
-  const heardAtMs = [...role.progress.values()].map((progress) => progress.receivedAtMs);
-  return Math.max(0, nowMs - Math.min(nowMs, ...heardAtMs));
+  const receivedAtMs = [...role.progress.values()].map((progress) => progress.receivedAtMs);
+  return Math.max(0, nowMs - Math.min(nowMs, ...receivedAtMs));
 }
 
 function registerState(registry: Registry, { state, counts }: GroupProcess): void {
@@ -112,7 +112,7 @@
     registers: [registry],
   });
   return {
-    onAnswered: (call, latencyMs) => calls.observe({ call }, latencyMs / MS_PER_SECOND),
+    onReplied: (call, latencyMs) => calls.observe({ call }, latencyMs / MS_PER_SECOND),
     onPersisted: (latencyMs) => writes.observe(latencyMs / MS_PER_SECOND),
   };
 }
--- a/test/platform/control-api.test.ts
+++ b/test/platform/control-api.test.ts
@@ -48,7 +48,7 @@
 }
 
 function statusOf(translated: TranslatedCall): number {
-  return translated.type === 'answer' ? translated.answer.status : 0;
+  return translated.type === 'reply' ? translated.reply.status : 0;
 }
 
 t.test('zones are emptied and taken back', async (t) => {
@@ -143,7 +143,7 @@
   fc.assert(
     fc.property(fc.constantFrom('GET', 'POST'), path, body, (method, url, text) => {
       const translated = translate(method, url, text);
-      return translated.type === 'call' || translated.answer.status >= 400;
+      return translated.type === 'call' || translated.reply.status >= 400;
     }),
     { seed: 1, numRuns: 1_000 },
   );
--- a/test/registered/daemon/declared-api.test.ts
+++ b/test/registered/daemon/declared-api.test.ts
@@ -21,7 +21,7 @@
 }
 
 function statusOf(translated: TranslatedCall): number {
-  return translated.type === 'answer' ? translated.answer.status : 0;
+  return translated.type === 'reply' ? translated.reply.status : 0;
 }
 
 t.test('a heartbeat with its defaults', async (t) => {
@@ -92,7 +92,7 @@
   fc.assert(
     fc.property(fc.constantFrom('GET', 'PUT', 'DELETE'), paths, bodies, (method, path, body) => {
       const translated = call(method, path, body);
-      return translated.type === 'call' || translated.answer.status >= 400;
+      return translated.type === 'call' || translated.reply.status >= 400;
     }),
     { numRuns: 2_000, seed: 1 },
   );
