--- a/src/registered/daemon/decision-log.ts
+++ b/src/registered/daemon/decision-log.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * The same where the fields are text already.
+ * Writes the line of a decision whose fields are text already.
  */
 export function logLine(part: LogPart, name: string, fieldsText: string): void {
   const logger = loggers.get(part) ?? makeLogger(part);
--- a/src/registered/daemon/declared-api.ts
+++ b/src/registered/daemon/declared-api.ts
@@ -1,10 +1,10 @@
 /**
  * @file The product's own calls to a control machine of a group, over HTTP with JSON bodies:
  *
- * - `PUT /v1/backends/ID` is a heartbeat, `DELETE /v1/backends/ID` the last word of a back end.
+ * - `PUT /v1/backends/ID` is a heartbeat, `DELETE /v1/backends/ID` the departure of a back end that has ended.
  * - `PUT /v1/config` declares a whole configuration, `GET /v1/config` reads the one that holds. Both need
  *   `Authorization: Bearer TOKEN` where the settings give a token.
- * - `PUT /v1/zones/ZONE/evacuation` evacuates a zone, `DELETE` readmits it, `GET /v1/zones` tells how zones stand and
+ * - `PUT /v1/zones/ZONE/evacuation` evacuates a zone, `DELETE` readmits it, `GET /v1/zones` lists the state of each zone and
  *   what works there; with the same token.
  */
 import * as z from 'zod/mini';
--- a/src/registered/daemon/paced-sender.ts
+++ b/src/registered/daemon/paced-sender.ts
@@ -1,6 +1,8 @@
 /**
- * @file Sends datagrams no faster than the link of the machine carries them: the timer and the socket
- * around the packet scheduler. Without a rate everything is sent at once.
+ * @file Sends datagrams no faster than the link of the machine carries them: the timer and the socket around
+ * `egress/packet-scheduler.ts`, which decides. Without a rate everything is sent at once.
+ *
+ * Owns the datagrams that wait, by reference, and the counts of how long they waited.
  */
 import type { Address } from '../../shared/common/address.js';
 import {
@@ -21,7 +23,7 @@
   onDropped(reason: SchedulerDrop, label: PacketLabel): void;
 }
 
-/** What a sender has done, for metrics. */
+/** What a sender has done so far, for metrics. */
 export interface PacedSenderCounts {
   /** Packets that waited, by the upper bound of their waiting time in milliseconds. */
   readonly waitedMs: ReadonlyMap<number, number>;
@@ -49,7 +51,7 @@
   readonly label: PacketLabel;
 }
 
-/** Upper bounds of the histogram of waiting times, in milliseconds. */
+/** Upper bounds of the histogram of waiting times, in milliseconds; labels of `amberlift_ingress_waited_packets_total`. */
 const WAIT_BOUNDS_MS = [5, 20, 50, 100, 200, 400, 800, 1_600] as const;
 
 /** @returns a sender with nothing waiting */
--- a/src/registered/daemon/request-log.ts
+++ b/src/registered/daemon/request-log.ts
@@ -1,10 +1,13 @@
 /**
- * @file Lines of decisions on single packets and requests, within a budget for each kind of line. What is
- * over it is counted, and one line tells how many: a flood of requests must not become a flood of lines.
+ * @file May a line on a single packet or request be written?
+ *
+ * Inputs: the kind of the line, its size, and how many lines and characters of that kind were written in the last second. A
+ * flood of requests must not become a flood of lines, so each kind has a budget; what exceeds it is counted, and one line
+ * `skipped kind=... lines=...` says how many.
  */
 import { formatFields, type DecisionFields } from './decision-log.js';
 
-/** What one kind of line may take in a second. */
+/** The budget of each kind of line. */
 export interface LineBudget {
   readonly linesPerSecond: number;
   readonly bytesPerSecond: number;
@@ -13,19 +16,22 @@
 /** What the log needs of the world. */
 export interface RequestLogOptions {
   nowMs(): number;
-  /** Takes a line: the name of the decision and its fields as text. */
+  /** Writes a line: the name of the decision and its fields as text. */
   write(name: string, fieldsText: string): void;
   readonly budget: LineBudget;
 }
 
-/** Takes decisions on packets and requests. */
+/** Writes the lines of decisions on packets and requests. */
 export interface RequestLog {
   log(name: string, fields: DecisionFields): void;
-  /** Tells what was left out in the seconds before; called on each tick of the process. */
+  /** Says how many lines were left out in windows that are over; called on each tick of the process. */
   flush(): void;
 }
 
-/** Enough for every flow of a balancer at today's load, and for a few at any load. */
+/**
+ * Enough for every flow of a balancer at today's load, and for a few at any load. What a line costs is not measured;
+ * `skipped` lines on an ordinary day would show it too small.
+ */
 export const defaultLineBudget: LineBudget = { linesPerSecond: 150, bytesPerSecond: 32 * 1024 };
 
 const WINDOW_MS = 1_000;
--- a/src/registered/egress/flow-queues.ts
+++ b/src/registered/egress/flow-queues.ts
@@ -1,13 +1,16 @@
 /**
- * @file Packets that wait for a link, a queue for each flow. The flow that the link has served least comes next, and one
- * packet in four is the one that came first, so that none starves.
+ * @file Which packet that waits for a link leaves next?
  *
- * Within a flow packets leave in the order of its stream. Those of a burst come in any order; what leaves ahead of an
- * earlier one is not acknowledged, and its sender repeats all of it.
+ * Inputs: the flow, size in bytes, place in its stream and time of arrival of each packet, and what the link has lately
+ * carried of each flow, in bytes.
  *
- * It answers links of which one upload takes a fifth of a second and more, and which several share: a request of one
+ * There is a queue for each flow. The flow that the link has served least comes next, and one packet in four is the one
+ * that came first, so that none starves. Within a flow packets leave in the order of its stream. Those of a burst come
+ * in any order; what leaves ahead of an earlier one is not acknowledged, and its sender repeats all of it.
+ *
+ * The reason are links that several uploads share, of which one takes a fifth of a second and more: a request of one
  * packet leaves at once, short uploads end before long ones, and a long one keeps a quarter of the link. Least attained
- * service is what is best for the mean where sizes vary much and are not known (Nuyens and Wierman, 2008). With
+ * service is best for the mean where sizes vary much and are not known (Nuyens and Wierman, 2008). With
  * uploads of 10 to 240 KB over 80 balancers, most with links of 1.5 megabits a second: 93 of 1,618 came late, none failed
  * and one in a hundred took 2.9 s; with equal turns in the order of coming 159, 18 and 5.2 s. Of 5,460 small
  * requests 73 and 174 came late.
@@ -45,7 +48,7 @@
    * @returns false where none waits
    */
   replace(packet: WaitingPacket<Payload>): boolean;
-  /** @returns the packet whose turn it is, taken out; undefined where none waits */
+  /** Removes the packet whose turn it is. @returns it; undefined where none waits */
   takeNext(nowMs: number): WaitingPacket<Payload> | undefined;
 }
 
@@ -56,14 +59,18 @@
   bytes: number;
 }
 
-/** One packet in so many is the one that came first: a quarter of the link goes to what waits for longest. */
+/**
+ * One packet in so many is the one that came first: a quarter of the link goes to what has waited longest. Not measured
+ * against other shares; long uploads that fail while short ones are on time would show it too rare.
+ */
 const TURN_EVERY = 4;
 /**
- * A flow that rested for this long begins anew: it carries another request, whose sender would have repeated it by now.
- * A connection would be held for all that it ever sent otherwise.
+ * What the link has done for a flow that rested this long is forgotten: it carries another request, since a sender that
+ * still wanted the last one would have repeated it within 1.6 s. Otherwise a long connection would be placed behind
+ * all others for all that it ever sent.
  */
 const REST_MS = 2_000;
-/** What the link has done for a flow is forgotten once so many flows have waited since. */
+/** What the link has done for a flow is forgotten once so many flows have waited since. Bounds memory; not measured. */
 const MAX_SERVED_FLOWS = 1_000;
 
 /** @returns queues without any packet */
@@ -71,7 +78,7 @@
   const queues = new Map<string, FlowQueue<Payload>>();
   const served = createServedBytes();
   let arrivalCount = 0;
-  let takenCount = 0;
+  let turnCount = 0;
   let bytes = 0;
 
   return {
@@ -110,12 +117,12 @@
   }
 
   function takeNext(nowMs: number): WaitingPacket<Payload> | undefined {
-    takenCount += 1;
-    const flow = takenCount % TURN_EVERY === 0 ? firstCome() : leastServed(nowMs);
+    turnCount += 1;
+    const flow = turnCount % TURN_EVERY === 0 ? longestWaiting() : leastServed(nowMs);
     return flow === undefined ? undefined : takeFrom(flow, nowMs);
   }
 
-  function firstCome(): string | undefined {
+  function longestWaiting(): string | undefined {
     return flowWithLeast((_flow, { arrivals }) => arrivals[0] ?? Number.POSITIVE_INFINITY);
   }
 
@@ -171,7 +178,7 @@
   return one !== undefined && other !== undefined && ((one - other) | 0) < 0;
 }
 
-/** What the link has taken lately of each flow that had to wait. */
+/** What the link has lately carried of each flow that had to wait. */
 interface ServedBytes {
   bytesOf(flow: string, nowMs: number): number;
   record(flow: string, bytes: number, nowMs: number): void;
--- a/src/registered/egress/packet-scheduler.ts
+++ b/src/registered/egress/packet-scheduler.ts
@@ -1,10 +1,16 @@
 /**
- * @file When a packet leaves towards a link of known rate. A network card or a router drops what comes
- * faster than the link carries, and each loss costs the sender a retransmission timer; so what exceeds the
- * rate waits here instead: short packets first (opens, acknowledgements, the system's own messages), then
- * the flows that the link has served least.
+ * @file When does a packet leave towards a link of known rate, and when is it dropped?
  *
- * A token bucket gives the rate. What other sockets of the process send is charged to the same bucket.
+ * Inputs: the rate of the link in bytes a millisecond, the size of each packet in bytes, its flow and place in the stream,
+ * and the time. Returns at once whether a packet leaves, waits, is merged with a copy, or is dropped; and on each
+ * timer those whose time has come.
+ *
+ * A network card or a router drops what comes faster than the link carries, and each loss costs the sender a
+ * retransmission timer of 200 ms and more. So what exceeds the rate waits here: short packets first (opens,
+ * acknowledgements), since others wait for them, then by `flow-queues.ts`. `byte-budget.ts` gives the rate; what other
+ * sockets of the process send is charged to it. `sent-copies.ts` holds back what the receiver has already.
+ *
+ * Design and measurements: docs/design/links.md, docs/design/hard-load.md.
  */
 import { createByteBudget } from './byte-budget.js';
 import { createFlowQueues, type WaitingPacket } from './flow-queues.js';
@@ -20,13 +26,13 @@
 export interface PacketLabel {
   /** Names the flow; packets of one flow keep their order. */
   readonly flow: string;
-  /** Names what the packet carries within its flow; undefined where no retransmission can be told. */
+  /** Names what the packet carries within its flow; undefined where a retransmission can't be recognized. */
   readonly content: string | undefined;
   /** Where the packet stands in the stream of its flow, 32 bits; undefined for behind what waits. */
   readonly position?: number | undefined;
 }
 
-/** Why a packet was not sent. */
+/** Why a packet was not sent; a reason of the line and the metric of dropped packets. */
 export type SchedulerDrop =
   /** The queue was full, and the flow of the packet had the most packets in it. */
   | 'queue-full'
@@ -46,12 +52,12 @@
   | { readonly type: 'send'; readonly payload: Payload; readonly waitedMs: number }
   | { readonly type: 'dropped'; readonly payload: Payload; readonly reason: SchedulerDrop };
 
-/** Decides when packets leave. */
+/** The packets that wait for one link. */
 export interface PacketScheduler<Payload> {
   /** Bytes that wait. */
   readonly queuedBytes: number;
   /**
-   * Takes a packet.
+   * Sends, queues, merges or drops a packet.
    * @param label called only where the packet has to wait
    */
   offer(payload: Payload, bytes: number, label: () => PacketLabel, nowMs: number): Offered;
@@ -63,20 +69,25 @@
   charge(bytes: number, nowMs: number): void;
 }
 
-/** Share of the link's rate that is used: packet heads that the kernel adds take some 3 % of a full packet. */
+/** Share of the link's rate that is used: packet heads that the kernel adds take some 3 % of a full packet. The rest of
+ * the 5 % is not measured; losses behind the link would show it too large.
+ */
 const RATE_SHARE = 0.95;
-/** Packets up to this size go before bulk, in bytes: opens, acknowledgements, messages of the system. */
+/**
+ * Packets up to this size go before bulk, in bytes: opens, acknowledgements, short requests. Not measured; bulk that gets
+ * `too-old` while short packets never wait would show it too large.
+ */
 const SHORT_BYTES = 300;
 /**
- * What may wait, as the time that the link needs for it. A flow has 16 packets under way, 110 ms at 1.5 megabits a
+ * What may wait, as the time that the link needs for it, in milliseconds. A flow has 16 packets under way, 110 ms at 1.5 megabits a
  * second, so this holds the windows of 18 flows at once; each packet that is dropped costs its sender a timer that
  * doubles up to 1.6 s.
  */
 const MAX_QUEUE_MS = 2_000;
-/** An open or an acknowledgement that waited for longer is of no use: its sender repeats it after 200 and 600 ms. */
+/** A short packet that waited for longer is of no use, in milliseconds: its sender repeats it after 200 and 600 ms. */
 const MAX_SHORT_WAIT_MS = 400;
 /**
- * Data that waited for longer is not wanted any more: a sender that still wants it repeats it within 1.6 s, and the copy
+ * Data that waited for longer is not wanted any more, in milliseconds: a sender that still wants it repeats it within 1.6 s, and the copy
  * takes the place of what waits.
  */
 const MAX_BULK_WAIT_MS = 2_000;
--- a/src/registered/egress/sent-copies.ts
+++ b/src/registered/egress/sent-copies.ts
@@ -1,19 +1,22 @@
 /**
- * @file Which packets have just left a queue. While packets wait, a copy of one that has is not sent: its receiver has
- * it, and the client repeats it since an earlier one of the stream still waits. Of 4,600 full packets at the three
+ * @file Has the same packet just left?
+ *
+ * Inputs: flow and content of a packet, and when packets that had to wait left, in milliseconds. While packets wait, a copy
+ * of one that has just left is not sent: its receiver has it, and the client repeats it since an earlier one of the
+ * stream still waits. Of 4,600 full packets at the three
  * fullest of 80 balancers, with links of 1.5 megabits a second, 2,716 were such copies. A packet that was lost behind the
  * link is sent again with a later copy.
  */
 import { createPeriodMap } from '../../shared/common/period-map.js';
 import type { WaitingPacket } from './flow-queues.js';
 
-/** What left lately. */
+/** The packets that left lately. */
 export interface SentCopies {
   record(packet: WaitingPacket<unknown>, nowMs: number): void;
   has(packet: WaitingPacket<unknown>, nowMs: number): boolean;
 }
 
-/** Clients repeat first after 200 ms, and next 400 ms later: the first copy is held back, the second is not. */
+/** In milliseconds. Clients repeat after 200 ms and 400 ms after that: the first copy is held back, the second is not. */
 const COPY_AFTER_MS = 300;
 /** Packets are remembered up to this number in that time: 50 megabits a second of full ones. */
 const MAX_REMEMBERED = 1_500;
--- a/src/shared/common/dialed-links.ts
+++ b/src/shared/common/dialed-links.ts
@@ -1,7 +1,14 @@
 /**
- * @file The links that a process opens to others: one to each address, opened when there is something to
- * send, and again, after a delay, once it broke. What can't be sent meanwhile is dropped; the protocols
- * above send again.
+ * @file When is a link that broke dialed again?
+ *
+ * Inputs: when the link was opened and when it closed (ms on the process's clock), and the bounds of the delay.
+ *
+ * A process has one link to each address, dialed when there is something to send. Once it broke it is dialed again after a
+ * delay, which doubles with each failure that follows and begins anew for a link that lasted longer than the longest
+ * delay. What can't be sent meanwhile is dropped, since the protocols above send again; nothing is dialed without a
+ * message to send, so an address that is gone for good costs nothing.
+ *
+ * Owns the links by address; the caller gives the delays and their reason.
  */
 import { formatAddress, type Address } from './address.js';
 
@@ -20,7 +27,7 @@
    */
   dial(to: Address, onClose: () => void): Link | undefined;
   readonly firstRetryDelayMs: number;
-  /** The delay doubles up to here; a link that lasted for longer begins anew. */
+  /** The delay doubles up to here; after a link that lasted longer it is `firstRetryDelayMs` again. */
   readonly maxRetryDelayMs: number;
 }
 
--- a/src/shared/common/error-kinds.ts
+++ b/src/shared/common/error-kinds.ts
@@ -1,7 +1,6 @@
 /**
- * @file The closed list of error kinds, and the table from each kind to its answers: what a caller
- * hears, what an operator hears over HTTP, the exit code of a command, and whether the work surely
- * did not run.
+ * @file The closed list of error kinds, and the table from each kind to its answers: what a caller gets, what an operator
+ * gets over HTTP, the exit code of a command, and whether it is certain that the work did not run.
  */
 import { match } from 'ts-pattern';
 
@@ -54,9 +53,9 @@
 
 /** The answers that belong to one error kind. */
 export interface ErrorAnswer {
-  /** What the caller hears. */
+  /** What the caller gets. */
   readonly callerAnswer: CallerAnswer;
-  /** True where the open or request surely did not run, so that "not run" may be said. */
+  /** True where it is certain that the open or request did not run, so that "not run" may be said. */
   readonly surelyNotRun: boolean;
   /** True where the same thing may be tried again later without change. */
   readonly retryable: boolean;
--- a/src/shared/common/frame-codec.ts
+++ b/src/shared/common/frame-codec.ts
@@ -8,12 +8,18 @@
 
 const LENGTH_BYTES = 4;
 
-/** The longest frame that is taken, in bytes. */
+/**
+ * The longest frame that is accepted, in bytes, also once inflated; it bounds memory against what is no frame at all.
+ * Not measured; links closed with `A frame of N bytes is too long.` would show it too small.
+ */
 const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
 /** Set in the length of a frame whose content is compressed. */
 const COMPRESSED_FLAG = 0x8000_0000;
-/** Shorter content is sent as it is: most messages are short, and compressing them costs more than it saves. */
+/**
+ * Shorter content is sent as it is, in bytes: most messages are short, and compressing them costs more than it saves. Where
+ * the two meet is not measured.
+ */
 const COMPRESS_FROM_BYTES = 4_096;
 
 const packr = new Packr({ useRecords: false });
@@ -48,7 +54,7 @@
   /** The stream can not be read on. */
   | { readonly type: 'malformed'; readonly reason: string };
 
-/** Takes a stream apart into messages. */
+/** Splits a stream into messages. */
 export class FrameDecoder {
   private waiting: Buffer[] = [];
   private waitingBytes = 0;
@@ -62,7 +68,7 @@
     return this.waitingBytes > LENGTH_BYTES;
   }
 
-  /** Takes the next bytes; `malformed` is final. */
+  /** Adds the next bytes; `malformed` is final. */
   push(chunk: Buffer): DecodedFrames {
     this.waiting.push(chunk);
     this.waitingBytes += chunk.length;
@@ -86,6 +92,8 @@
           const content = bytes.subarray(LENGTH_BYTES, end);
           messages.push(packr.unpack(isCompressed ? this.inflate(content) : content));
         } catch {
+          // The cause is of no use to the reader of the log: the bytes come from another process, whose link is closed with
+          // this reason.
           return { type: 'malformed', reason: 'A frame is no MessagePack.' };
         }
       }
--- a/src/shared/common/logger.ts
+++ b/src/shared/common/logger.ts
@@ -31,7 +31,7 @@
 /** A logger of one part. */
 export type Logger = Pick<loglevel.Logger, 'trace' | 'debug' | 'info' | 'warn' | 'error'>;
 
-/** Takes a line with its end. */
+/** Writes a line, given with its end. */
 export type LogSink = (line: string) => void;
 
 let sink: LogSink = (line) => {
@@ -39,7 +39,7 @@
 };
 
 /**
- * Sends all lines elsewhere from now on; daemons must not wait for whoever reads their lines.
+ * Sends all lines elsewhere from now on; daemons must not wait for the reader of their lines.
  */
 export function setLogSink(newSink: LogSink): void {
   sink = newSink;
--- a/src/shared/common/stall-guard.ts
+++ b/src/shared/common/stall-guard.ts
@@ -1,10 +1,12 @@
 /**
- * @file Notices that this process stood still for a while: its machine was paused, or had no processor. What
- * waited meanwhile may be old without showing it: opens that other balancers have placed since, orders that
- * their sender has taken back at another machine.
+ * @file May what this process reads now be out of date?
+ *
+ * Inputs: the times of the process's turns (inputs and ticks), in milliseconds. A pause between two turns means that the
+ * process stood still: its machine was paused, or had no processor. What waited meanwhile may be old without showing it:
+ * opens that other balancers have placed since, orders that their sender has cancelled at another machine.
  */
 
-/** How what is read now is to be taken. */
+/** How far what is read now can be trusted. */
 export type InputTrust =
   /** It has just come. */
   | 'fresh'
@@ -15,7 +17,7 @@
 
 /** Watches the turns of a process. */
 export interface StallGuard {
-  /** Notes that the process runs; called with each input and each tick, before anything is decided. */
+  /** Records that the process runs; called with each input and each tick, before anything is decided. */
   recordTurn(nowMs: number): void;
   trustAt(nowMs: number): InputTrust;
 }
@@ -28,7 +30,10 @@
   readonly rememberedMs: number;
 }
 
-/** What waited is read within this time after a stall; what comes meanwhile is sent again anyway. */
+/**
+ * What waited is read within this time after a stall, in milliseconds; what comes anew meanwhile is sent again anyway.
+ * Not measured; old copies of opens that are placed right after a stall would show it too short.
+ */
 const BACKLOG_MS = 300;
 
 /** @returns a guard of a process that has just started */
--- a/src/shared/daemon/line-writer.ts
+++ b/src/shared/daemon/line-writer.ts
@@ -1,6 +1,6 @@
 /**
- * @file Writes log lines without ever waiting for whoever reads them. Lines gather while a write is under
- * way; what is beyond the bound is dropped and counted, and a line tells how many.
+ * @file Writes log lines without ever waiting for their reader. Lines gather while a write is under way; what exceeds the
+ * bound is dropped and counted, and the line `N lines were dropped here` says how many.
  */
 import { write } from 'node:fs';
 
@@ -11,6 +11,7 @@
 export const STANDARD_OUTPUT = 1;
 /** Descriptor of standard error. */
 export const STANDARD_ERROR = 2;
+/** Bounds the memory of lines that nobody reads. Not measured. */
 const MAX_WAITING_CHARACTERS = 256 * 1024;
 
 /** A bounded queue of lines before a file. */
@@ -27,7 +28,7 @@
     private readonly maxWaitingCharacters: number = MAX_WAITING_CHARACTERS,
   ) {}
 
-  /** Takes a line with its end; returns at once. */
+  /** Queues a line, given with its end; returns at once. */
   writeLine(line: string): void {
     if (this.waitingCharacters + line.length > this.maxWaitingCharacters) {
       this.droppedLines += 1;
@@ -58,7 +59,7 @@
   }
 }
 
-/** A pipe that takes nothing without waiting is tried again after this time. */
+/** A full pipe that was set not to wait is tried again after this time. Not measured. */
 const RETRY_FULL_AFTER_MS = 10;
 
 /**
@@ -69,7 +70,10 @@
   return (text, ended) => writeAll(descriptor, Buffer.from(text), ended);
 }
 
-/** A pipe may take a part only, or nothing where it was set not to wait. */
+/**
+ * A pipe may accept a part only, or nothing where it was set not to wait. Any other error ends the write without a word:
+ * the output itself is what failed, and nothing else is left to write to.
+ */
 function writeAll(descriptor: number, bytes: Uint8Array, ended: () => void): void {
   write(descriptor, bytes, 0, bytes.length, null, (error, writtenBytes) => {
     if (error?.code === 'EAGAIN') {
--- a/src/shared/daemon/metrics/metrics-listener.ts
+++ b/src/shared/daemon/metrics/metrics-listener.ts
@@ -1,5 +1,5 @@
 /**
- * @file What whoever watches a daemon is answered: `/metrics` in the format of Prometheus, and `/health`.
+ * @file The HTTP interface for monitoring a daemon: `/metrics` in the format of Prometheus, and `/health`.
  */
 import type { RequestListener, ServerResponse } from 'node:http';
 import type { Registry } from 'prom-client';
--- a/src/shared/daemon/system-context.ts
+++ b/src/shared/daemon/system-context.ts
@@ -1,6 +1,5 @@
 /**
- * @file The real clock and a random source seeded by the system; the only place where daemons take
- * them from.
+ * @file The real clock and a random source seeded by the system; the only place where daemons get them from.
  */
 import { randomInt } from 'node:crypto';
 import { seededRandom } from '../common/random.js';
--- a/src/shared/daemon/udp-socket.ts
+++ b/src/shared/daemon/udp-socket.ts
@@ -8,6 +8,10 @@
 
 const IPV4_FAMILY = 4;
 const IPV6_FAMILY = 6;
+/**
+ * What the system may hold for a process that is busy or paused, in bytes; the system may grant less. Not measured;
+ * datagrams that the system counts as dropped would show it too small.
+ */
 const BUFFER_BYTES = 4 * 1024 * 1024;
 
 /** A bound UDP socket. */
