--- a/src/managed/control/service-commands.ts
+++ b/src/managed/control/service-commands.ts
@@ -3,7 +3,8 @@
  */
 import { err, ok } from 'neverthrow';
 import { amberliftError } from '../../shared/common/error-kinds.js';
-import type { ClusterState, Service } from './cluster-state.js';
+import type { ClusterState } from './cluster-state.js';
+import type { Service } from './routing-config.js';
 import type { ChangeCommand } from './commands.js';
 import { serviceNameKey } from './config-lookup.js';
 import {
@@ -16,7 +17,7 @@
 import { idInBlock } from './id-blocks.js';
 
 /** How many services one operator may have. */
-export const MAX_SERVICES_PER_OPERATOR = 5_000;
+const MAX_SERVICES_PER_OPERATOR = 5_000;
 
 /** Defines a service. */
 export function defineService(
--- a/src/managed/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -24,7 +24,7 @@
 const STOP_POLL_INTERVAL_MS = 50;
 
 /** A running balancer daemon. */
-export interface BalancerDaemon {
+interface BalancerDaemon {
   readonly frontAddress: Address;
   readonly gossipAddress: Address;
   /** The state; to be read only. */
@@ -46,7 +46,7 @@
     balancerId: nodeId,
     zone,
     clusterKey,
-    membership: {
+    gossip: {
       ...peers.addresses,
       incarnation: Math.floor(Date.now() / MILLISECONDS_PER_SECOND),
       seeds: balancer.seeds,
--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -1,6 +1,6 @@
 /**
  * @file The link of a balancer to the control machine that feeds it. Which control machine that is, and when it is given up
- * or tried again, is decided by `ingress/feed-source.ts`; what a message changes by `ingress/feed-step.ts`. This module
+ * or tried again, is decided by `decisions/feed-source.ts`; what a message changes by `ingress/feed-step.ts`. This module
  * carries both out: it opens and closes the link, acknowledges messages, reports loads, and logs what changed.
  *
  * Owns the link and what was counted on it. Relies on frame links that close by themselves when the other end is silent.
@@ -11,7 +11,7 @@
 import type { BalancerLinkMessage, FeedMessage } from '../group/group-messages.js';
 import { applyFeedMessage } from '../ingress/feed-step.js';
 import { createLoadReporter, type LoadReporter } from '../ingress/load-reporter.js';
-import { FEED_RETRY_AFTER_MS, FeedSource } from '../ingress/feed-source.js';
+import { FEED_RETRY_AFTER_MS, FeedSource } from '../decisions/feed-source.js';
 import { isReady, type IngressState } from '../ingress/ingress-state.js';
 import { hashText } from '../../shared/common/rendezvous.js';
 import type { DecisionFields } from './decision-log.js';
@@ -81,7 +81,7 @@
 
   return {
     tick,
-    updateSeeds: (seeds) => source.takeSeeds(seeds),
+    updateSeeds: (seeds) => source.setSeeds(seeds),
   };
 
   function tick(nowMs: number): void {
@@ -90,7 +90,7 @@
   }
 
   function follow(nowMs: number): void {
-    const action = source.act(nowMs);
+    const action = source.nextAction(nowMs);
     if (action.type === 'close') {
       packetLog.log('feed left', { why: action.why });
       followed?.link.close();
@@ -112,9 +112,9 @@
       return false;
     }
     const nowMs = options.nowMs();
-    source.heard(message.isCurrent, nowMs);
+    source.recordMessage(message.isCurrent, nowMs);
     if (message.controls !== undefined) {
-      source.takeControls(message.controls);
+      source.applyControls(message.controls);
     }
     const isFit = applyMessage(message, nowMs);
     if (message.isCounted) {
@@ -136,7 +136,7 @@
 
   function onProgress(from: ControlLink): void {
     if (followed?.link === from) {
-      source.progressed(options.nowMs());
+      source.recordProgress(options.nowMs());
     }
   }
 
@@ -146,7 +146,7 @@
     }
     const { to } = followed;
     followed = undefined;
-    logClosed(options, source.closed(options.nowMs()), to, reason);
+    logClosed(options, source.recordClosed(options.nowMs()), to, reason);
     options.after(FEED_RETRY_AFTER_MS, () => follow(options.nowMs()));
   }
 
@@ -160,7 +160,8 @@
 }
 
 /** @returns how long ago a control machine last said that its feed is current, in milliseconds; undefined for never */
-export function feedAgeMs({ currentAtMs }: IngressState, nowMs: number): number | undefined {
+export function feedAgeMs({ feedStatus }: IngressState, nowMs: number): number | undefined {
+  const { currentAtMs } = feedStatus;
   return currentAtMs === undefined ? undefined : Math.round(nowMs - currentAtMs);
 }
 
--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -10,7 +10,7 @@
  * dropped: the protocols above send again.
  *
  * Owns all links of a process, dialed and accepted, and the timer of their pulses. Who dials again, and when, is decided by
- * `shared/common/dialed-links.ts` and `ingress/feed-source.ts`.
+ * `shared/common/dialed-links.ts` and `decisions/feed-source.ts`.
  */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
--- a/src/registered/daemon/ingress-log.ts
+++ b/src/registered/daemon/ingress-log.ts
@@ -6,8 +6,8 @@
  * balancer believes are few and written at once.
  */
 import { unpackHost } from '../../shared/common/address.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
-import type { LivenessTransition } from '../ingress/feed-step.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
+import type { LivenessTransition } from '../ingress/liveness-log.js';
 import type { IngressState } from '../ingress/ingress-state.js';
 import type { DropReason, FoundBy } from '../ingress/packet-step.js';
 import type { PacketView } from '../ingress/packet-view.js';
@@ -68,7 +68,7 @@
         load: Math.round(foundBy.load * LOAD_DIGITS) / LOAD_DIGITS,
       }),
       backend: backend.id,
-      liveness: LIVENESS_LABELS[backend.liveness],
+      liveness: LIVENESS_LABELS[backend.registration.liveness],
       ...knowledgeOf(state, options.nowMs()),
     });
   }
@@ -79,7 +79,7 @@
       flow: describeFlow(packet),
       seq: packet.sequence,
       backend: backend.id,
-      departure: backend.departure,
+      departure: backend.registration.departure,
     });
   }
 
@@ -117,7 +117,7 @@
       failure,
       holdMs,
       evidence,
-    } of state.placement.failing.takeEjections()) {
+    } of state.placement.ejections.takeEjections()) {
       const { stalled, busy } = evidence;
       const answered = Math.round(evidence.answered);
       const short = Math.round(evidence.short);
@@ -131,7 +131,7 @@
       backend: backend.id,
       from: LIVENESS_LABELS[from],
       to: LIVENESS_LABELS[to],
-      silentMs: Math.round(nowMs - backend.lastHeartbeatAtMs),
+      silentMs: Math.round(nowMs - backend.registration.lastHeartbeatAtMs),
     });
   }
 }
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -5,7 +5,7 @@
  * | part | does | rules |
  * | --- | --- | --- |
  * | `packet-handler.ts` | packets of clients, opens that are held | `ingress/packet-step.ts` |
- * | `feed-follower.ts` | the feed of a control machine | `ingress/feed-source.ts`, `ingress/feed-step.ts` |
+ * | `feed-follower.ts` | the feed of a control machine | `decisions/feed-source.ts`, `ingress/feed-step.ts` |
  * | `zone-gossip.ts` | orders for zones while cut off from control | |
  * | `paced-sender.ts` | packets that wait for the link | `egress/packet-scheduler.ts` |
  * | `ingress-log.ts` | log lines | |
@@ -142,9 +142,7 @@
     handlePacket: (datagram) => packets.handlePacket(datagram),
     handleBalancerMessage: (message) => handleBalancerMessage(message, zones, packets),
     updateSeeds: (seeds) => feed.updateSeeds(seeds),
-    leave: () => {
-      state.isStopping = true;
-    },
+    leave: () => state.beginStop(),
     tick,
   };
 
--- a/src/registered/daemon/open-sharing.ts
+++ b/src/registered/daemon/open-sharing.ts
@@ -5,16 +5,16 @@
  * places an open publishes the placement to the holders of its key, which all balancers choose alike
  * (`ingress/peer-table.ts`). One that gets a copy which it does not know holds it for a moment and asks them: what they
  * know decides; where none answers in time the open is placed here; where another balancer asked first
- * (`ingress/open-claims.ts`) the copy is dropped, since that one places it.
+ * (`decisions/open-claims.ts`) the copy is dropped, since that one places it.
  *
  * Owns the opens that are held. The memory of placements is `IngressState.opens`.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { OpenMessage } from '../group/message-schemas.js';
 import type { IngressState } from '../ingress/ingress-state.js';
-import { CLAIM_MS, createOpenClaims } from '../ingress/open-claims.js';
+import { CLAIM_MS, createOpenClaims } from '../decisions/open-claims.js';
 import type { FlowKey, PacketView } from '../ingress/packet-view.js';
-import { ASKED_HOLDERS, TOLD_HOLDERS } from '../ingress/peer-table.js';
+import { ASKED_HOLDERS, NOTIFIED_HOLDERS } from '../ingress/peer-table.js';
 
 /** An open that waits for the answer of the holders. */
 export interface HeldOpen {
@@ -81,7 +81,7 @@
   return { publishPlacement, askHolders, handleMessage };
 
   function publishPlacement(key: FlowKey, token: number): void {
-    sendToHolders(key, TOLD_HOLDERS, { type: 'open-placed', key, token });
+    sendToHolders(key, NOTIFIED_HOLDERS, { type: 'open-placed', key, token });
   }
 
   function askHolders(key: FlowKey, open: HeldOpen): void {
--- a/src/registered/daemon/packet-handler.ts
+++ b/src/registered/daemon/packet-handler.ts
@@ -7,11 +7,11 @@
 import type { Address } from '../../shared/common/address.js';
 import type { PacketLabel } from '../egress/packet-scheduler.js';
 import type { BalancerMessage, OpenMessage } from '../group/message-schemas.js';
-import type { KnownBackend } from '../ingress/backend-table.js';
+import type { KnownBackend } from '../ingress/known-backend.js';
 import type { IngressState } from '../ingress/ingress-state.js';
 import {
   decidePacket,
-  placeAsPeerDid,
+  followPeer,
   placeOpen,
   type DropReason,
   type FoundBy,
@@ -61,7 +61,7 @@
       carryOut(placeOpen(state, packet, options.nowMs()), datagram, packet),
     onClaimed: ({ packet }) => refuse('dropped', 'claimed-elsewhere', packet),
     onFound: ({ datagram, packet }, key, token) =>
-      carryOut(placeAsPeerDid(state, key, token, options.nowMs()), datagram, packet),
+      carryOut(followPeer(state, key, token, options.nowMs()), datagram, packet),
   });
   let lastPacketAtMs = 0;
 
