--- a/src/registered/group/feed-plan.ts
+++ b/src/registered/group/feed-plan.ts
@@ -15,7 +15,7 @@
  *
  * Together with the columns of feed-codec.ts these bounds made the difference on links of 2 Mbit/s: see "The large
  * deployment" in docs/design/decisions.md, and docs/design/links.md for what was weighed. Log lines at the balancer:
- * `feed`, `feed lost`, `feed left`.
+ * `feed lost`, `feed left`, `feed not reached`.
  */
 import { partOf, type ConfigPart, type ConfigUpdate } from '../declared/config-update.js';
 import type { FullSyncStage } from './group-messages.js';
--- a/src/registered/group/liveness-updates.ts
+++ b/src/registered/group/liveness-updates.ts
@@ -12,7 +12,7 @@
  * ends whose next heartbeat is on its way; with none, those that are gone would get flows for longer.
  *
  * Tests: test/registered/group/balancer-feed ("silence while the machine was cut off"), backend-list. Log line at the
- * balancer: `backend liveness`; see docs/decisions/group.md.
+ * balancer: `backend judged`.
  */
 import type { GroupState } from './group-state.js';
 import { isCurrent } from './leadership.js';
