--- a/src/registered/registry/backend-record.ts
+++ b/src/registered/registry/backend-record.ts
@@ -1,26 +1,27 @@
 /**
- * @file What a back end tells of itself with each heartbeat, and what was said of its end.
+ * @file What a back end says of itself with each heartbeat, and that it leaves. Both are part of the wire format and of
+ * stored snapshots, so the fields keep their names.
  */
 import type { Address } from '../../shared/common/address.js';
 
 /** The last heartbeat of one start of a back end. */
 export interface BackendRecord {
-  /** Names one start of a back end; never used again. */
+  /** Names one start of a back end; not used again after a restart. */
   readonly id: string;
-  /** The number by which datagrams name this start, as 16 hexadecimal digits. */
+  /** The number from which the token of packets is made, as 16 hexadecimal digits. */
   readonly instanceNumber: string;
   readonly service: string;
   readonly address: Address;
   readonly zone: string;
-  /** How many requests it works on at once. */
+  /** How many requests it works on at once; its slots. */
   readonly capacity: number;
-  /** How much longer it is slow from its start, in milliseconds. */
+  /** How much longer it is cold, in milliseconds. */
   readonly warmUpLeftMs: number;
   /** Rises with each heartbeat of this start. */
   readonly sequence: number;
 }
 
-/** `draining` takes no new flows and keeps its own; `gone` has said that it ends. Both are final. */
+/** `draining` gets no new flows and keeps its own; `gone` has deregistered. Both are final. */
 export type DepartureKind = 'draining' | 'gone';
 
 /** A departure of a back end. */
@@ -30,7 +31,7 @@
 }
 
 /**
- * @returns true where a departure says more than what is known
+ * @returns true where a departure goes further than the known one, and so changes something
  */
 export function isLaterDeparture(kind: DepartureKind, known: DepartureKind | undefined): boolean {
   return known === undefined || (known === 'draining' && kind === 'gone');
--- a/src/registered/registry/heartbeat-registry.ts
+++ b/src/registered/registry/heartbeat-registry.ts
@@ -1,34 +1,41 @@
 /**
- * @file The heartbeats of back ends as one control machine knows them: state that is rebuilt from the
- * next heartbeats wherever it is lost, and so is never written to disk.
+ * @file Which heartbeats count, and which of them change anything?
+ *
+ * Inputs: a record with its sequence number, when its heartbeat came, and the last one that is known of the same start
+ * of the back end; times in milliseconds on the clock of this process. Returns `late`, `alive` or `changed`. A
+ * heartbeat whose sequence number is not above the known one is late and changes nothing: heartbeats reach a control
+ * machine directly and through others, so the same one may come twice or overtaken.
+ *
+ * The registry owns the last heartbeat and the liveness of each back end. It is soft state, rebuilt from the next
+ * heartbeats wherever it is lost. It relies on address-holders.ts for reused addresses and on backend-liveness.ts for
+ * the meaning of silence.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { createAddressHolders, type AddressHolders } from './address-holders.js';
 import { livenessOf, type LivenessChange, type Liveness } from './backend-liveness.js';
 import type { BackendRecord } from './backend-record.js';
 
-/** A record with the time at which its heartbeat came. */
-export interface ReceivedRecord {
-  readonly record: BackendRecord;
-  /** On the clock of this process, in milliseconds. */
-  readonly lastHeartbeatAtMs: number;
-}
-
-/** What a heartbeat brought. */
-export type HeartbeatOutcome =
-  /** It came after a later one of the same back end, and was passed over. */
+/** What a heartbeat changed. */
+type HeartbeatOutcome =
+  /** It came after a later one of the same back end, and was dropped. */
   | 'late'
   /** The back end is alive; all else is as it was. */
   | 'alive'
-  /** A back end not heard of before, or one that tells something else of itself. */
+  /** The back end was not known, or its record says something else than before. */
   | 'changed';
 
-/** A record as it was judged last. */
-export interface RegisteredBackend extends ReceivedRecord {
+/** The last heartbeat of a back end, and its liveness as it was updated last. */
+interface RegisteredBackend {
+  readonly record: BackendRecord;
+  /** On the clock of this process, in milliseconds. */
+  readonly lastHeartbeatAtMs: number;
   readonly liveness: Liveness;
 }
 
-/** A warm-up that ends earlier or later than was told by more than this is news. */
+/**
+ * A warm-up whose end moves by more than this is a change that balancers are sent. Not measured; it has to exceed the
+ * jitter of heartbeats on their way, or each of them would be a change.
+ */
 const WARM_UP_TOLERANCE_MS = 500;
 
 /** The last heartbeat of each back end. */
@@ -50,7 +57,7 @@
     return this.records.get(id);
   }
 
-  /** All known back ends, in the order in which they were first heard of. */
+  /** All known back ends, in the order of their first heartbeats here. */
   all(): IterableIterator<RegisteredBackend> {
     return this.records.values();
   }
@@ -65,8 +72,8 @@
     return this.holders.holderOf(address);
   }
 
-  /** Takes a heartbeat. */
-  apply(record: BackendRecord, heardAtMs: number): HeartbeatOutcome {
+  /** Applies a heartbeat that came at a time of this process's clock, in milliseconds. */
+  apply(record: BackendRecord, receivedAtMs: number): HeartbeatOutcome {
     const known = this.records.get(record.id);
     if (known !== undefined && known.record.sequence >= record.sequence) {
       return 'late';
@@ -74,17 +81,17 @@
     if (known !== undefined && !isSameAddress(known.record, record)) {
       this.holders.remove(record.id, known.record.address);
     }
-    this.holders.recordHeartbeat(record.id, record.address, heardAtMs);
-    return this.keep(record, heardAtMs, known);
+    this.holders.recordHeartbeat(record.id, record.address, receivedAtMs);
+    return this.store(record, receivedAtMs, known);
   }
 
-  /** Takes a back end of the replicated list that nothing was heard of here. */
-  applyListed(record: BackendRecord, heardAtMs: number): void {
+  /** Adds a back end of the replicated list of which no heartbeat came here, as if one had at that time. */
+  applyListed(record: BackendRecord, assumedAtMs: number): void {
     this.holders.recordListed(record.id, record.address);
-    this.keep(record, heardAtMs, undefined);
+    this.store(record, assumedAtMs, undefined);
   }
 
-  private keep(
+  private store(
     record: BackendRecord,
     lastHeartbeatAtMs: number,
     known: RegisteredBackend | undefined,
@@ -97,12 +104,12 @@
   }
 
   /**
-   * Judges all back ends anew.
-   * @param listeningSinceMs since when this machine hears of all heartbeats; silence before does not count
-   * @returns those that are judged otherwise than before
+   * Updates the liveness of all back ends; one whose address another one holds is dead.
+   * @param listeningSinceMs since when this machine gets all heartbeats; silence before does not count
+   * @returns the changes
    */
   updateLiveness(nowMs: number, listeningSinceMs: number): LivenessChange[] {
-    const judgements: LivenessChange[] = [];
+    const changes: LivenessChange[] = [];
     for (const [backendId, known] of this.records) {
       const silentMs = nowMs - Math.max(known.lastHeartbeatAtMs, listeningSinceMs);
       const liveness = this.isSuperseded(backendId)
@@ -110,10 +117,10 @@
         : livenessOf(silentMs, this.heartbeatIntervalMs);
       if (liveness !== known.liveness) {
         this.records.set(backendId, { ...known, liveness });
-        judgements.push({ backendId, liveness, silentMs: Math.max(0, Math.round(silentMs)) });
+        changes.push({ backendId, liveness, silentMs: Math.max(0, Math.round(silentMs)) });
       }
     }
-    return judgements;
+    return changes;
   }
 
   /** Forgets back ends that have been silent for longer than `afterMs`. */
@@ -127,9 +134,16 @@
   }
 }
 
-function isUnchanged(known: ReceivedRecord, record: BackendRecord, heardAtMs: number): boolean {
+function isUnchanged(
+  known: RegisteredBackend,
+  record: BackendRecord,
+  receivedAtMs: number,
+): boolean {
   const { record: before } = known;
-  const expectedWarmUpMs = Math.max(0, before.warmUpLeftMs - (heardAtMs - known.lastHeartbeatAtMs));
+  const expectedWarmUpMs = Math.max(
+    0,
+    before.warmUpLeftMs - (receivedAtMs - known.lastHeartbeatAtMs),
+  );
   return (
     before.service === record.service &&
     before.zone === record.zone &&
