--- a/src/registered/declared/check-config.ts
+++ b/src/registered/declared/check-config.ts
@@ -1,12 +1,12 @@
 /**
- * @file What a declared configuration must fulfil beyond its form.
+ * @file Checks of a declared configuration that its schema (parse-config.ts) can't express: whether its parts fit.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { DeclaredConfig, DeclaredRoute } from './declared-config.js';
 
 /**
- * Checks what the parts of a configuration say of each other.
+ * Checks whether the parts of a configuration fit each other.
  * @returns the configuration, or `invalid-command` with the first fault
  */
 export function checkDeclaredConfig(
--- a/src/registered/declared/config-update.ts
+++ b/src/registered/declared/config-update.ts
@@ -1,7 +1,7 @@
 /**
- * @file A configuration as balancers take it: what they need of each route, as the changes that lead from
- * one version to another, or from nothing. Changes are in one order that all processes agree on, so that a
- * transfer that breaks can go on where it ended, also from another sender.
+ * @file A config update: the changes that lead from one version of a declared configuration to another, or from
+ * nothing, with only what balancers need of a route. Changes are in one order on all machines, so that an update whose
+ * link breaks goes on where it ended, also from another control machine.
  */
 import type {
   DeclaredConfig,
@@ -10,7 +10,7 @@
   WeightedTarget,
 } from './declared-config.js';
 
-/** One route that is new, goes elsewhere, or is dropped. */
+/** One route that is new, has other targets, or is dropped. */
 export interface RouteChange {
   /** IPv4 number as text. */
   readonly host: string;
@@ -27,7 +27,7 @@
   readonly version: number;
   /** The version that the changes are made to; `NO_VERSION` for all routes. */
   readonly baseVersion: number;
-  /** A flow that has rested for this long may be forgotten, in milliseconds. */
+  /** A flow that is idle for this long may be forgotten, in milliseconds. */
   readonly idleTimeoutMs: number;
   /** All services whose back ends are cold after their start. */
   readonly warmUps: readonly ServiceWarmUp[];
@@ -35,7 +35,7 @@
   readonly changes: readonly RouteChange[];
 }
 
-/** Some of the changes of an update. */
+/** Some of the changes of an update, as many as fit into a message. */
 export interface ConfigPart extends ConfigUpdate {
   /** How many changes of the update come before these. */
   readonly firstChange: number;
@@ -44,7 +44,7 @@
 }
 
 /**
- * @returns the update that says all of a configuration
+ * @returns the update that leads from nothing to a configuration
  */
 export function wholeUpdate(config: DeclaredConfig): ConfigUpdate {
   const { version, idleTimeoutMs, routes } = config;
@@ -53,7 +53,7 @@
     baseVersion: NO_VERSION,
     idleTimeoutMs,
     warmUps: warmUpsOf(config),
-    changes: routes.map(changeTo).sort(byHostAndPort),
+    changes: routes.map(asChange).sort(byHostAndPort),
   };
 }
 
@@ -66,8 +66,8 @@
   for (const route of next.routes) {
     const known = before.get(keyOfRoute(route));
     before.delete(keyOfRoute(route));
-    if (known === undefined || !isSameTargets(known.targets, route.targets)) {
-      changes.push(changeTo(route));
+    if (known === undefined || !hasSameTargets(known.targets, route.targets)) {
+      changes.push(asChange(route));
     }
   }
   for (const { host, port } of before.values()) {
@@ -81,7 +81,7 @@
 
 /**
  * @param updates each made to the version that the one before leads to
- * @returns one update with the outcome of all; undefined for none
+ * @returns one update with the effect of all; undefined for none
  */
 export function joinUpdates(updates: readonly ConfigUpdate[]): ConfigUpdate | undefined {
   const [first] = updates;
@@ -99,7 +99,7 @@
 
 /**
  * @param count at most so many changes
- * @returns the part of an update that begins with a change
+ * @returns the part of an update from a change on
  */
 export function partOf(update: ConfigUpdate, firstChange: number, count: number): ConfigPart {
   return {
@@ -116,7 +116,7 @@
   );
 }
 
-function changeTo({ host, port, targets }: DeclaredRoute): RouteChange {
+function asChange({ host, port, targets }: DeclaredRoute): RouteChange {
   return { host, port, targets };
 }
 
@@ -124,7 +124,7 @@
   return `${host}:${port}`;
 }
 
-/** Any order will do, as long as it is the same everywhere. */
+/** Any order will do that is the same on all machines. */
 function byHostAndPort(one: RouteChange, other: RouteChange): number {
   if (one.host !== other.host) {
     return one.host < other.host ? -1 : 1;
@@ -132,7 +132,7 @@
   return one.port - other.port;
 }
 
-function isSameTargets(one: readonly WeightedTarget[], other: readonly WeightedTarget[]): boolean {
+function hasSameTargets(one: readonly WeightedTarget[], other: readonly WeightedTarget[]): boolean {
   return (
     one.length === other.length &&
     one.every(({ service, weight }, index) => {
--- a/src/registered/declared/declared-config.ts
+++ b/src/registered/declared/declared-config.ts
@@ -1,6 +1,6 @@
 /**
- * @file A declared configuration: one whole document with a version that says which routes exist, where
- * the flows of each go, and the services behind them. The highest version that was accepted holds.
+ * @file A declared configuration: one whole document with a version that says which routes exist, where the flows of
+ * each go, and the services behind them. The highest version that was accepted is in force.
  */
 
 /** How the requests on a route may be repeated. */
@@ -9,11 +9,11 @@
 /** A service that takes a share of the new flows of a route. */
 export interface WeightedTarget {
   readonly service: string;
-  /** Share relative to the other targets of the route; 0 takes no flows. */
+  /** Share relative to the other targets of the route; 0 gets no flows. */
   readonly weight: number;
 }
 
-/** An address and port at which flows are taken. */
+/** An address and port at which flows are accepted. */
 export interface DeclaredRoute {
   readonly name: string;
   /** IPv4 number as text. */
@@ -34,7 +34,7 @@
   readonly coldRequestsPerS?: number | undefined;
 }
 
-/** How the back ends of a service warm up, as balancers are told. */
+/** How the back ends of a service warm up, as balancers are sent it. */
 export interface ServiceWarmUp {
   readonly service: string;
   readonly warmUpMs: number;
@@ -47,6 +47,6 @@
   readonly version: number;
   readonly routes: readonly DeclaredRoute[];
   readonly services: readonly DeclaredService[];
-  /** A flow that has rested for this long may be forgotten, in milliseconds. */
+  /** A flow that is idle for this long may be forgotten, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
--- a/src/registered/declared/parse-config.ts
+++ b/src/registered/declared/parse-config.ts
@@ -1,5 +1,6 @@
 /**
- * @file The product's own form of a declared configuration, checked whole.
+ * @file The schema of a declared configuration in its own JSON form, which operators' tools send. The adapter to a
+ * platform with a form of its own translates that, and relies on check-config.ts alone.
  */
 import { err, type Result } from 'neverthrow';
 import * as z from 'zod/mini';
@@ -8,6 +9,10 @@
 import { checkDeclaredConfig } from './check-config.js';
 import type { DeclaredConfig } from './declared-config.js';
 
+/**
+ * Idle time-out of a configuration that names none, in milliseconds. Not measured; too short would show as flows that
+ * are forgotten between two requests.
+ */
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 const MAX_PORT = 65_535;
 
@@ -39,7 +44,7 @@
 });
 
 /**
- * @param content what a file or a call holds, as plain values
+ * @param content of a file or a call, as parsed JSON
  * @returns the configuration, or `invalid-command` with every fault of its form, or the first beyond it
  */
 export function parseDeclaredConfig(content: unknown): Result<DeclaredConfig, AmberliftError> {
--- a/src/registered/group/backend-calls.ts
+++ b/src/registered/group/backend-calls.ts
@@ -2,7 +2,7 @@
  * @file How heartbeats and departures of back ends are handled.
  *
  * A heartbeat is accepted by any machine that is current, and takes no entry of the log. A departure is acknowledged
- * once it is committed, since it is final: a back end that was told so may end, and must get no new flow after any
+ * once it is committed, since it is final: a back end may end once it has the reply, and must get no new flow after any
  * restart. Departures that are committed already need no leader.
  */
 import { formatAddress } from '../../shared/common/address.js';
--- a/src/registered/group/feed-plan.ts
+++ b/src/registered/group/feed-plan.ts
@@ -13,8 +13,9 @@
  * - Where nothing is to be sent, a pulse says whether this machine is current: at once when that changes, otherwise
  *   every `feedPulseIntervalMs` (timing.ts).
  *
- * Together with the columns of feed-codec.ts these bounds made the difference on links of 2 Mbit/s: see "The large
- * deployment" in docs/design/decisions.md, and docs/design/links.md for what was weighed. Log lines at the balancer:
+ * Before, one message carried a whole configuration of 2,710 routes, 287,446 bytes and 1.15 s of a link of 2 Mbit/s, and
+ * feeds were given up before it had come (docs/incidents/tv-cartago-grown-drain.md). The ways weighed are in
+ * docs/design/links.md. Log lines at the balancer:
  * `feed lost`, `feed left`, `feed not reached`.
  */
 import { partOf, type ConfigPart, type ConfigUpdate } from '../declared/config-update.js';
@@ -126,8 +127,8 @@
 
 /**
  * Departures of known back ends come in the order of their records, so that none is sent after its record: in between
- * the balancer would place flows on it. Of the others the newest come; a balancer that still knows an older one takes
- * it for suspect at the end of the full sync.
+ * the balancer would place flows on it. Of the others the newest come; a balancer that still knows an older one
+ * marks it suspect at the end of the full sync.
  */
 function departuresForFullSync({ registry, replicated }: FeedPlanState): string[] {
   const ofRecords = [...registry.all()].map(({ record }) => record.id);
--- a/src/registered/group/group-events.ts
+++ b/src/registered/group/group-events.ts
@@ -16,7 +16,7 @@
 import type { ConfigDocument } from './replicated-state.js';
 import type { ZoneOrderKind } from './zone-orders.js';
 
-/** Names a call of a back end or operator until it is answered; positive. */
+/** Names a call of a back end or operator until its reply; positive. */
 export type RequestId = number;
 
 /** What can happen to a control machine. */
@@ -28,7 +28,7 @@
       readonly isDraining: boolean;
     }
   | { readonly type: 'deregister'; readonly requestId: RequestId; readonly backendId: string }
-  /** The document is valid; it holds where its version is the highest. */
+  /** The document is valid; it comes into force where its version is the highest. */
   | {
       readonly type: 'declare-config';
       readonly requestId: RequestId;
@@ -52,14 +52,14 @@
   /** The process is about to stop: leadership is handed over. */
   | { readonly type: 'stop' };
 
-/** How a call is answered. */
+/** The reply to a call. */
 export type GroupReply =
   | { readonly type: 'accepted' }
   | { readonly type: 'config'; readonly document: ConfigDocument | undefined }
   | { readonly type: 'zones'; readonly zones: readonly ZoneReport[] }
   /** Nothing was ordered: the deployment has no such zone. */
   | { readonly type: 'unknown-zone'; readonly zone: string }
-  /** Nothing is promised: it may or may not come to hold. */
+  /** Nothing is promised: the call may or may not take effect. */
   | { readonly type: 'unavailable'; readonly reason: string };
 
 /** What the step asks of its surroundings. */
--- a/src/registered/group/group-formation.ts
+++ b/src/registered/group/group-formation.ts
@@ -1,8 +1,8 @@
 /**
  * @file How a machine finds its group and leaves it, with no operator. The first members begin the group with one
  * entry that is the same on each. Any other machine announces itself to the seeds and to the members that it knows;
- * whoever is not the leader passes the announcement on. A voter that stops asks to be removed, where the group can
- * spare it. Who is taken in or removed is decided in member-changes.ts.
+ * a machine that does not lead passes the announcement on to the leader. A voter that stops asks to be removed, where the group can
+ * spare it. Who is admitted or removed is decided in member-changes.ts.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
@@ -89,7 +89,7 @@
 }
 
 /**
- * Records that a machine asks to be taken in, or passes that on to the leader.
+ * Records that a machine asks to be admitted, or passes that on to the leader.
  */
 export function handleAnnouncement(
   state: FormationState,
--- a/src/registered/group/group-messages.ts
+++ b/src/registered/group/group-messages.ts
@@ -1,6 +1,7 @@
 /**
- * @file Messages of the control group: among control machines, and between a control machine and the
- * balancers that it feeds. They travel as MessagePack in frames over TCP.
+ * @file Messages of the control group: among control machines, and between a control machine and the balancers that it
+ * feeds. They travel as MessagePack in frames over TCP; feeds are packed before (feed-codec.ts), all others travel with
+ * these field names. Where a name is older than the term of the code, its comment gives the term.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
@@ -12,7 +13,7 @@
 import type { ConfigDocument, GroupCommand } from './replicated-state.js';
 import type { ZoneStatus } from './zone-orders.js';
 
-/** A heartbeat that is passed on, with its age so that clocks need not agree. */
+/** A heartbeat that is passed on; it carries its age, since clocks need not agree. */
 export interface AgedRecord {
   readonly record: BackendRecord;
   /** Milliseconds since the heartbeat came. */
@@ -34,20 +35,19 @@
   readonly zone?: string;
 }
 
-/** A zone as balancers are told of it. */
+/** A zone as balancers are sent it. */
 export interface ZoneUpdate extends ZoneStatus {
   /**
-   * Milliseconds since it was readmitted, as far as the sender has seen that happen: its back ends may have turned
-   * cold shortly before.
+   * Milliseconds since it was readmitted, where the sender saw that: its back ends may have turned cold shortly before.
    */
   readonly readmittedAgoMs?: number | undefined;
 }
 
 /** What is known of the work of a zone. */
 export interface ZoneReport extends ZoneStatus {
-  /** Back ends there that are heard of and stay. */
+  /** Active back ends there that are alive. */
   readonly backendCount: number;
-  /** How many requests these work on at once. */
+  /** How many requests these work on at the same time. */
   readonly slots: number;
   /** Requests that seem to be in progress there. */
   readonly busy: number;
@@ -59,7 +59,7 @@
   | { readonly type: 'read-config' }
   | { readonly type: 'read-zones' };
 
-/** How the leader answered. */
+/** The leader's reply. */
 export type LeaderReply =
   | { readonly type: 'committed' }
   | { readonly type: 'config'; readonly document: ConfigDocument | undefined }
@@ -72,12 +72,12 @@
       readonly type: 'consensus';
       readonly clusterId: string;
       readonly from: Sender;
-      /** Where the sender is reached. */
+      /** Link address of the sender. */
       readonly replyTo: Address;
       readonly toNodeId: string;
       readonly message: ConsensusMessage;
     }
-  /** The sender belongs to no group, or has not heard from its leader for some time. */
+  /** The sender belongs to no group, or got nothing from its leader for some time. */
   | { readonly type: 'announce'; readonly from: Sender; readonly linkAddress: Address }
   /** The sender stops for good, or at least for now; asked of the leader. */
   | { readonly type: 'leave'; readonly from: Sender }
@@ -89,12 +89,13 @@
       readonly zone: string;
       readonly balancers: readonly BalancerInfo[];
     }
-  /** What passes the balancers that the sender feeds, in place of what it told before. */
+  /** The load exchange: sums over the balancers that the sender feeds, in place of its last ones. */
   | {
       readonly type: 'load-sums';
       readonly sender: Address;
-      /** Undefined where the ones that were told before still hold; so are the signals. */
+      /** Undefined where the last ones still hold. */
       readonly loads?: PackedLoads | undefined;
+      /** Answer stats; undefined where the last ones still hold. */
       readonly signals?: PackedAnswerStats | undefined;
     }
   | {
@@ -103,6 +104,7 @@
       readonly replyTo: Address;
       readonly request: LeaderRequest;
     }
+  /** `answer` is the leader's reply. */
   | { readonly type: 'forward-reply'; readonly forwardId: number; readonly answer: LeaderReply };
 
 /** From a balancer to the control machine that feeds it; the first message of a link. */
@@ -111,7 +113,7 @@
   readonly balancer: BalancerInfo;
   /** Version of the configuration that it holds; 0 for none. */
   readonly configVersion: number;
-  /** What it has of a newer one, from a link that ended before all had come. */
+  /** What it has of an update to a newer version, from a link that ended before all had come. */
   readonly unfinished?: UnfinishedConfig;
 }
 
@@ -124,28 +126,28 @@
   readonly changesTaken: number;
 }
 
-/** From a balancer to the control machine that feeds it: what passes it, in place of what it told before. */
+/** From a balancer to the control machine that feeds it: its own tables of the load exchange, in place of the last ones. */
 export interface LoadReportMessage {
   readonly type: 'load-report';
-  /** Undefined where what was told before still holds. */
+  /** Undefined where the last ones still hold. */
   readonly loads?: PackedLoads | undefined;
-  /** How back ends answer here; undefined where what was told before still holds. */
+  /** Answer stats; undefined where the last ones still hold. */
   readonly signals?: PackedAnswerStats | undefined;
 }
 
-/** From a balancer to the control machine that feeds it: it has taken what it was sent. */
+/** The acknowledgement of a balancer: it has applied what it was sent. */
 export interface FeedTakenMessage {
   readonly type: 'feed-taken';
-  /** How many messages that are counted it has taken on this link. */
+  /** How many counted messages it has applied on this link. */
   readonly count: number;
 }
 
-/** Where a message stands in the transfer of a whole state. */
+/** Where a message stands in a full sync. */
 export type FullSyncStage =
-  /** The first of several messages; what was known before is doubted unless they name it. */
+  /** The first of several messages. */
   | 'begins'
   | 'goes-on'
-  /** The last one: what none of them named is gone. */
+  /** The last one: back ends that no message of a current full sync named are suspect from now on. */
   | 'ends'
   /** The only one. */
   | 'whole';
@@ -155,16 +157,16 @@
   readonly type: 'feed';
   /** True where the sender follows a leader that a quorum follows, and so knows what is committed. */
   readonly isCurrent: boolean;
-  /** True where the receiver, with this message, has been told all that the sender knows. */
+  /** True where the receiver, with this message, has all that the sender knows. */
   readonly isComplete: boolean;
-  /** True where the receiver answers that it has taken the message; the sender waits for that at times. */
+  /** True where the receiver acknowledges the message; the sender counts it as under way until then. */
   readonly isCounted: boolean;
-  /** Set while all that the sender knows of back ends and balancers is told. */
+  /** The stage of a full sync; absent for updates. */
   readonly transfer?: FullSyncStage;
   readonly config?: ConfigPart;
-  /** Back ends that were not heard of before, or that tell something else of themselves. */
+  /** Back ends that are new, or whose record has changed. */
   readonly records?: readonly AgedRecord[];
-  /** Back ends that are judged otherwise than before. */
+  /** Changes of liveness. */
   readonly judgements?: readonly LivenessChange[];
   readonly departures?: readonly Departure[];
   /** Balancers that came. */
@@ -174,9 +176,9 @@
   readonly controls?: readonly ControlInfo[];
   /** All zones for which there ever was an order. */
   readonly zones?: readonly ZoneUpdate[];
-  /** What passes all other balancers, in place of what was told before. */
+  /** Loads: the sums over all other balancers, in place of the last ones. */
   readonly loads?: PackedLoads;
-  /** How back ends answer at all other balancers, in place of what was told before. */
+  /** Answer stats: the sums over all other balancers, in place of the last ones. */
   readonly signals?: PackedAnswerStats;
 }
 
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -49,7 +49,7 @@
   readonly backendList: BackendListProgress;
   /** Calls and proposals that wait (pending-calls.ts). */
   readonly calls: PendingCalls;
-  /** Machines that ask to be taken in, and this one's own asking (announcements.ts). */
+  /** Machines that ask to be admitted, and this one's own request (announcements.ts). */
   readonly announcements: Announcements;
   /** Balancers that are fed here, by their links; changed by balancer-feed.ts. */
   readonly subscribers: Map<LinkId, Subscriber>;
--- a/src/registered/group/heartbeats.ts
+++ b/src/registered/group/heartbeats.ts
@@ -14,7 +14,7 @@
 
 /**
  * Balancers disregard heartbeats of the first two intervals after a zone was readmitted, since a heartbeat that is
- * sent again tells of the time before (docs/design/shifted-work.md, "Cold back ends"); of the next two one comes, also
+ * sent again may be older than the readmission (docs/design/shifted-work.md, "Cold back ends"); of the next two one comes, also
  * where one is lost. The half is for their jitter. Not measured; too short would show as back ends that balancers
  * count as cold for long.
  */
--- a/src/registered/group/leadership.ts
+++ b/src/registered/group/leadership.ts
@@ -13,7 +13,7 @@
 import { currentMembership, type ConsensusState } from '../../shared/consensus/consensus-state.js';
 import { findMember, type Member } from '../../shared/consensus/membership.js';
 
-/** What is needed to tell who leads and who else there is. */
+/** Consensus, from which follow the leader and the other members. */
 export interface WithConsensus {
   readonly consensus: ConsensusState;
 }
--- a/src/registered/group/member-changes.ts
+++ b/src/registered/group/member-changes.ts
@@ -2,7 +2,7 @@
  * @file Who becomes a voter of the group, who is removed, and when?
  *
  * Inputs: the membership and the progress of each member as the leader knows them, the announcements of machines that
- * ask to be taken in, the time in milliseconds, and the options `tolerableLosses` (disks) and `removeVoterAfterMs`.
+ * ask to be admitted, the time in milliseconds, and the options `tolerableLosses` (disks) and `removeVoterAfterMs`.
  * Returns one change of the membership, or none; the next one is made only once that is committed. In this order:
  *
  * 1. A learner that has all committed entries becomes a voter. It takes the place of the voter at the same address, in
--- a/src/registered/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -1,6 +1,6 @@
 /**
- * @file Schemas of the messages between processes: whatever comes in on an internal port is checked by
- * one of them before any decision sees it.
+ * @file Schemas of the messages between processes: all that comes in on an internal port is checked by one of them
+ * before any decision sees it.
  */
 import * as z from 'zod/mini';
 import {
@@ -17,7 +17,8 @@
 import { packedRowsSchema } from './packed-rows-schema.js';
 import type { ControlInboundMessage } from './group-messages.js';
 
-const DOCUMENT_BYTES = 4 * 1024 * 1024;
+/** Room for the largest configuration document, against faulty senders. */
+const MAX_DOCUMENT_BYTES = 4 * 1024 * 1024;
 
 const record = z.object({
   id: text,
@@ -38,13 +39,13 @@
   readonly loads?: unknown;
   readonly signals?: unknown;
 }
-const saysSomething = z.refine<Tables>(
+const hasTable = z.refine<Tables>(
   ({ loads: one, signals: other }) => one !== undefined || other !== undefined,
   'There is no table.',
 );
 const configDocument = z.object({
   version: index,
-  text: z.string().check(z.maxLength(DOCUMENT_BYTES)),
+  text: z.string().check(z.maxLength(MAX_DOCUMENT_BYTES)),
 });
 const zoneStatus = { zone: text, isEvacuated: z.boolean(), orders: index };
 const zoneOrder = z.object({
@@ -65,7 +66,7 @@
   z.object({ type: z.literal('read-config') }),
   z.object({ type: z.literal('read-zones') }),
 ]);
-const leaderAnswer = z.discriminatedUnion('type', [
+const leaderReply = z.discriminatedUnion('type', [
   z.object({ type: z.literal('committed') }),
   z.object({ type: z.literal('config'), document: z.optional(z.nullable(configDocument)) }),
   z.object({ type: z.literal('zones'), zones: list(zoneReport) }),
@@ -96,8 +97,8 @@
     replyTo: address,
     request: leaderRequest,
   }),
-  z.object({ type: z.literal('forward-reply'), forwardId: index, answer: leaderAnswer }),
-  z.object({ type: z.literal('load-sums'), sender: address, loads, signals }).check(saysSomething),
+  z.object({ type: z.literal('forward-reply'), forwardId: index, answer: leaderReply }),
+  z.object({ type: z.literal('load-sums'), sender: address, loads, signals }).check(hasTable),
   z.object({
     type: z.literal('subscribe'),
     balancer,
@@ -105,7 +106,7 @@
     unfinished: z.optional(z.object({ version: index, baseVersion: index, changesTaken: index })),
   }),
   z.object({ type: z.literal('feed-taken'), count: index }),
-  z.object({ type: z.literal('load-report'), loads, signals }).check(saysSomething),
+  z.object({ type: z.literal('load-report'), loads, signals }).check(hasTable),
 ]);
 
 const balancerMessage = z.discriminatedUnion('type', [
@@ -123,7 +124,7 @@
 /** From one balancer to another, in a datagram. */
 export type BalancerMessage = z.infer<typeof balancerMessage>;
 
-/** What one balancer tells another of opens. */
+/** What balancers send each other about opens. */
 export type OpenMessage = Exclude<BalancerMessage, { type: 'find-zones' | 'zones-known' }>;
 
 /**
--- a/src/registered/group/packed-feed.ts
+++ b/src/registered/group/packed-feed.ts
@@ -1,6 +1,6 @@
 /**
- * @file The columns in which a feed travels, and whether they fit each other: nothing of a message is
- * believed before.
+ * @file The schema of a feed as it travels, in columns, and the check that these fit each other. Nothing of a message
+ * is used before. The fields are the names on the wire; feed-codec.ts translates them.
  */
 import * as z from 'zod/mini';
 import { indexShape as index, textShape as text } from '../../shared/consensus/message-shapes.js';
@@ -11,19 +11,19 @@
 import type { DepartureKind } from '../registry/backend-record.js';
 import type { FullSyncStage } from './group-messages.js';
 
-/** Room for the largest fleet in one message, against senders that went astray. */
+/** Room for the largest fleet in one message, against faulty senders. */
 const MAX_ITEMS = 50_000;
-/** Bytes of the number by which datagrams name a start of a back end. */
+/** Bytes of the number from which the token of a back end is made. */
 export const INSTANCE_BYTES = 8;
 /** Stands for a route that is dropped, in the column of target lists. */
 export const DROPPED = 0;
-/** Stands for a time that is not known. */
+/** Stands for a readmission that the sender has not seen. */
 export const NOT_SEEN = -1;
-/** Kinds by their numbers. */
+/** Liveness by its number on the wire. */
 export const LIVENESS: readonly Liveness[] = ['alive', 'suspect', 'dead'];
-/** Kinds by their numbers. */
+/** Kinds of departures by their numbers on the wire. */
 export const DEPARTURES: readonly DepartureKind[] = ['draining', 'gone'];
-/** Kinds by their numbers. */
+/** Stages of a full sync by their numbers on the wire. */
 export const TRANSFERS: readonly FullSyncStage[] = ['begins', 'goes-on', 'ends', 'whole'];
 
 const numbers = z.array(z.int()).check(z.maxLength(MAX_ITEMS));
@@ -72,7 +72,7 @@
   /** Milliseconds since each was readmitted; `NOT_SEEN` where that was not seen. */
   readmittedAgo: numbers,
 });
-const judgements = z.object({ ids: texts, kinds: indexes, silentMs: indexes });
+const livenessChanges = z.object({ ids: texts, kinds: indexes, silentMs: indexes });
 const departures = z.object({ ids: texts, kinds: indexes });
 
 const packedFeed = z.object({
@@ -82,7 +82,7 @@
   isCounted: z.boolean(),
   transfer: z.optional(index),
   records: z.optional(packedRecords),
-  judgements: z.optional(judgements),
+  judgements: z.optional(livenessChanges),
   departures: z.optional(departures),
   balancers: z.optional(packedBalancers),
   lost: z.optional(texts),
@@ -116,7 +116,7 @@
   return parsed.success && hasEqualColumns(parsed.data) ? parsed.data : undefined;
 }
 
-/** Each column of a table must say as much as the others, and name only what is there. */
+/** The columns of a table must be equally long, and refer only to entries that exist. */
 function hasEqualColumns(feed: PackedFeed): boolean {
   const { records, balancers, controls, config, zones } = feed;
   return [
--- a/src/registered/group/packed-rows-schema.ts
+++ b/src/registered/group/packed-rows-schema.ts
@@ -1,11 +1,11 @@
 /**
- * @file The form of a table of numbers by back end in a message.
+ * @file The schema of a table of the load exchange in a message.
  */
 import * as z from 'zod/mini';
 import { indexShape } from '../../shared/consensus/message-shapes.js';
 import type { RowShape } from '../load-exchange/packed-rows.js';
 
-/** Room for 20,000 back ends, against senders that went astray. */
+/** Room for 20,000 back ends, against faulty senders. */
 const MAX_ROWS = 20_000;
 
 /** @returns the schema of a flat list of rows, none of which is cut short */
--- a/src/registered/group/replicated-state.ts
+++ b/src/registered/group/replicated-state.ts
@@ -1,7 +1,10 @@
 /**
- * @file What the control group agrees on and never loses: the declared configuration that holds, which zones are
- * evacuated, which back ends exist, and which have said that they leave. Heartbeats stay out of it: it tells where a back
- * end is, not how it does, so that a group that restarts as a whole need not wait for all of them.
+ * @file What the control group agrees on and never loses: the declared configuration in force, which zones are
+ * evacuated, which back ends exist, and which have said that they leave. It is the state machine of the log: the same
+ * commands give the same state on every member.
+ *
+ * Heartbeats stay out of it: it says where back ends are, not whether they are alive, so that a group that restarts as a
+ * whole need not wait for their next heartbeats. Commands and snapshots are stored, so their fields keep their names.
  */
 import { Packr } from 'msgpackr';
 import {
@@ -24,7 +27,7 @@
   | { readonly type: 'declare-config'; readonly document: ConfigDocument }
   | { readonly type: 'note-departure'; readonly departure: Departure }
   | { readonly type: 'order-zone'; readonly order: ZoneOrder }
-  /** Back ends that were heard of for the first time. */
+  /** Back ends whose first heartbeat came. */
   | { readonly type: 'register-backends'; readonly records: readonly BackendRecord[] }
   /** Back ends that were silent for so long that no flow of theirs can live. */
   | { readonly type: 'forget-backends'; readonly backendIds: readonly string[] };
@@ -38,7 +41,10 @@
   | { readonly type: 'order-outdated'; readonly order: ZoneOrder }
   | { readonly type: 'nothing-changed' };
 
-/** Departures beyond this number are forgotten, oldest first. */
+/**
+ * Departures beyond this number are forgotten, oldest first: those of weeks. Not measured; too few would show as back
+ * ends that left and are listed again by a late heartbeat.
+ */
 const MAX_DEPARTURES = 20_000;
 
 const packr = new Packr({ useRecords: false });
@@ -51,14 +57,14 @@
   readonly zones?: ZoneStatus[];
 }
 
-/** The state machine of the group; the same commands give the same state on every member. */
+/** The replicated state. */
 export class ReplicatedState {
   readonly zones = createZoneOrders();
   private document: ConfigDocument | undefined;
   private departures = new Map<string, DepartureKind>();
   private backends = new Map<string, BackendRecord>();
 
-  /** The configuration that holds. */
+  /** The configuration in force. */
   get config(): ConfigDocument | undefined {
     return this.document;
   }
@@ -68,7 +74,7 @@
     return [...this.departures].map(([backendId, kind]) => ({ backendId, kind }));
   }
 
-  /** The back ends that exist, as they were when they were first heard of. */
+  /** The back ends that exist, with the records of their first heartbeats. */
   allBackends(): IterableIterator<BackendRecord> {
     return this.backends.values();
   }
--- a/src/registered/group/zone-orders.ts
+++ b/src/registered/group/zone-orders.ts
@@ -1,10 +1,18 @@
 /**
- * @file What operators have ordered for zones: a zone that is evacuated gets no new flows until it is
- * readmitted. It is a part of the replicated state.
+ * @file Does a committed order for a zone take effect, or does it come too late?
  *
- * An order may come late: held by a machine that stood still, or on a link that was cut, while its sender gave it
- * to another machine, had it acknowledged, and has taken it back since. Each order therefore names how many orders
- * the machine that took it knew of; one that does not follow the last order of its zone changes nothing.
+ * Inputs: the order with the number of orders for its zone that were known to the machine that accepted it, and how the
+ * zone stands. Returns `changed`, `known` or `outdated`. An order that does not follow the last one for its zone changes
+ * nothing.
+ *
+ * Reason: an order may be held by a machine that stood still, or on a link that was cut, while its sender gave it to
+ * another machine, had it acknowledged, and has taken it back since. An age that is carried along was weighed and left
+ * out, since nobody sees how long an order lay in a socket (docs/design/shifted-work.md, "Evacuations"; a mutant that
+ * applies late orders is caught by test/registered/ingress/evacuation). Log lines: `zone evacuated`, `zone readmitted`,
+ * `order outdated`.
+ *
+ * A zone that is evacuated gets no new flows until it is readmitted. The statuses are a part of the replicated state and
+ * of its snapshots, so the fields keep their names.
  */
 
 /** What an operator may order for a zone. */
@@ -14,11 +22,11 @@
 export interface ZoneOrder {
   readonly zone: string;
   readonly kind: ZoneOrderKind;
-  /** How many orders that changed the zone the machine knew that took this one from the operator. */
+  /** How many orders that changed the zone were known to the machine that accepted this one. */
   readonly afterOrders: number;
 }
 
-/** How a zone stands by the orders for it. */
+/** Whether a zone is evacuated, by the orders for it. */
 export interface ZoneStatus {
   readonly zone: string;
   readonly isEvacuated: boolean;
@@ -27,16 +35,16 @@
 }
 
 /** What became of an order. */
-export type ZoneOrderOutcome =
+type ZoneOrderOutcome =
   | 'changed'
-  /** The zone stands so already: it is acknowledged again. */
+  /** The zone is in that state already: the order is acknowledged again. */
   | 'known'
-  /** Another order came between; whoever still wants this one sends it again. */
+  /** Another order came between; an operator who still wants this one sends it again. */
   | 'outdated';
 
 /** All orders for zones. */
 export interface ZoneOrders {
-  /** @returns how a zone stands; readmitted without any order */
+  /** @returns the status of a zone; not evacuated where there was no order for it */
   statusOf(zone: string): ZoneStatus;
   /** All zones for which there ever was an order. */
   all(): ZoneStatus[];
@@ -45,12 +53,12 @@
   restore(statuses: readonly ZoneStatus[]): void;
 }
 
-/** @returns true where a zone stands as an order wants it */
+/** @returns true where a zone is in the state that an order asks for */
 export function isFulfilled({ kind }: ZoneOrder, { isEvacuated }: ZoneStatus): boolean {
   return isEvacuated === (kind === 'evacuate');
 }
 
-/** @returns the state of a group to which nothing was ordered */
+/** @returns the orders of a group to which none was given */
 export function createZoneOrders(): ZoneOrders {
   const statuses = new Map<string, ZoneStatus>();
 
--- a/src/registered/load-exchange/answer-stats.ts
+++ b/src/registered/load-exchange/answer-stats.ts
@@ -1,34 +1,34 @@
 /**
- * @file What the flows of back ends show of how well these answer, as processes tell it to each other beside the
- * loads. Sums over balancers say more than any one of them sees: of 80 balancers each sees one answer of a back end in
- * ten seconds, all together some ten a second.
+ * @file The table of answer stats: how back ends answer as their flows show it, exchanged beside the loads. Sums over
+ * balancers say more than one of them can see: of 80 balancers each sees one answer of a back end in ten seconds, all
+ * together some ten a second. Messages call this table `signals`.
  */
 import { eachRow, type PackedRows, type RowShape } from './packed-rows.js';
 
-/** How a back end answers, as far as one process or several have seen it. */
+/** How a back end answers, as one process or several have seen it. */
 export interface AnswerStats {
-  /** Flows whose client has sent the same again, and which have shown no sign of the back end since. */
+  /** Flows whose client has repeated what it sent, with nothing from the back end since. */
   readonly stalled: number;
   /** Answers of usual size that came lately; older ones count for less. */
   readonly answered: number;
-  /** What they took together, from the last data of the request to the first sign of the answer, in milliseconds. */
+  /** What they took together, from the last data of the request to the first of the answer, in milliseconds. */
   readonly answerMs: number;
   /** Answers that came lately and were far shorter than is usual on their route; older ones count for less. */
   readonly short: number;
 }
 
-/** Rows of five numbers: token, stalled flows, answers in tenths, milliseconds, short answers in tenths. */
+/** Rows of ANSWER_STATS_ROWS. */
 export type PackedAnswerStats = PackedRows;
 
-/** Token, stalled flows, answers in parts, milliseconds, short answers in parts. */
+/** Rows of token, stalled flows, answers in tenths, their milliseconds, short answers in tenths. */
 export const ANSWER_STATS_ROWS: RowShape = { numbers: 5, bytes: 11 };
 
-/** Answers that fade are no whole numbers; they travel in so many parts. */
+/** Counts of answers decay, so they are no whole numbers; they travel in tenths. */
 const PARTS_PER_ANSWER = 10;
 
 /** @returns the entries as a flat list; what would be all 0 is left out */
 export function packAnswerStats(
-  entries: Iterable<readonly [token: number, signals: AnswerStats]>,
+  entries: Iterable<readonly [token: number, stats: AnswerStats]>,
 ): PackedAnswerStats {
   const packed: number[] = [];
   for (const [token, { stalled, answered, answerMs, short }] of entries) {
@@ -41,14 +41,14 @@
   return packed;
 }
 
-/** Calls back with each entry of a flat list; one that is cut short is passed over. */
+/** Calls back with each entry of a flat list; one that is cut short is left out. */
 export function eachAnswerStats(
   packed: PackedAnswerStats,
-  take: (token: number, signals: AnswerStats) => void,
+  visit: (token: number, stats: AnswerStats) => void,
 ): void {
   eachRow(packed, ANSWER_STATS_ROWS, (token, row) => {
     const [stalled = 0, parts = 0, answerMs = 0, shortParts = 0] = row;
     const answered = parts / PARTS_PER_ANSWER;
-    take(token, { stalled, answered, answerMs, short: shortParts / PARTS_PER_ANSWER });
+    visit(token, { stalled, answered, answerMs, short: shortParts / PARTS_PER_ANSWER });
   });
 }
--- a/src/registered/load-exchange/backend-load.ts
+++ b/src/registered/load-exchange/backend-load.ts
@@ -1,6 +1,6 @@
 /**
- * @file The load of back ends as processes tell it to each other: a flat list of numbers, since it is sent
- * several times a second.
+ * @file The table of loads: how many requests seem to be in progress at each back end, as balancers and control
+ * machines exchange it.
  */
 import { eachRow, LOAD_ROWS, type PackedRows } from './packed-rows.js';
 
@@ -24,7 +24,7 @@
   return packed;
 }
 
-/** Calls back with each entry of a flat list; one that is cut short is passed over. */
-export function eachLoad(packed: PackedLoads, take: (token: number, busy: number) => void): void {
-  eachRow(packed, LOAD_ROWS, (token, [busy = 0]) => take(token, busy));
+/** Calls back with each entry of a flat list; one that is cut short is left out. */
+export function eachLoad(packed: PackedLoads, visit: (token: number, busy: number) => void): void {
+  eachRow(packed, LOAD_ROWS, (token, [busy = 0]) => visit(token, busy));
 }
--- a/src/registered/load-exchange/load-outlet.ts
+++ b/src/registered/load-exchange/load-outlet.ts
@@ -1,20 +1,23 @@
 /**
- * @file When a list of loads is sent on a link: where it has changed, at most once in the period that follows
- * from its length, and now and then unchanged where the receiver forgets it otherwise.
+ * @file When is a table of the load exchange sent on a link?
+ *
+ * Inputs: the table, the one that was sent last, and the time, in milliseconds. Sent is a table that has changed, at
+ * most once in the period that follows from the length of the last one (exchange-period.ts); and an unchanged one after
+ * `refreshMs`, where the receiver forgets it otherwise. An outlet owns what was sent last on its link.
  */
 import { exchangePeriodMs } from './exchange-period.js';
-import { isSameRows, LOAD_ROWS, type PackedRows, type RowShape } from './packed-rows.js';
+import { hasSameRows, LOAD_ROWS, type PackedRows, type RowShape } from './packed-rows.js';
 
-/** What was sent on one link, or on several that get the same. */
+/** What was sent on one link, or on several that are sent the same. */
 export interface LoadOutlet {
-  /** @returns true while nothing may be sent, so that the list need not be made */
+  /** @returns true while nothing may be sent, so that the table need not be made */
   isWaiting(nowMs: number): boolean;
-  /** @returns true where the list is to be sent now; it counts as sent then */
-  offer(loads: PackedRows, nowMs: number): boolean;
+  /** @returns true where the table is to be sent now; it counts as sent then */
+  offer(rows: PackedRows, nowMs: number): boolean;
 }
 
 /**
- * @param refreshMs an unchanged list is sent again after this time, in milliseconds
+ * @param refreshMs an unchanged table is sent again after this time, in milliseconds
  * @returns an outlet that has sent nothing yet
  */
 export function createLoadOutlet(
@@ -31,19 +34,19 @@
     return nowMs < nextAtMs;
   }
 
-  function offer(loads: PackedRows, nowMs: number): boolean {
-    const isNews = sent === undefined || !isSameRows(loads, sent) || nowMs - sentAtMs >= refreshMs;
-    if (!isNews || isWaiting(nowMs)) {
+  function offer(rows: PackedRows, nowMs: number): boolean {
+    const isDue = sent === undefined || !hasSameRows(rows, sent) || nowMs - sentAtMs >= refreshMs;
+    if (!isDue || isWaiting(nowMs)) {
       return false;
     }
-    sent = loads;
+    sent = rows;
     sentAtMs = nowMs;
-    nextAtMs = nowMs + exchangePeriodMs(loads, shape);
+    nextAtMs = nowMs + exchangePeriodMs(rows, shape);
     return true;
   }
 }
 
-/** @returns a table whose time has come; undefined where it has not, or where it says what it said before */
+/** @returns the rows of a table that is to be sent now, which count as sent then; undefined where none is */
 export function rowsToSend(
   outlet: LoadOutlet,
   make: () => PackedRows,
--- a/src/registered/load-exchange/load-totals.ts
+++ b/src/registered/load-exchange/load-totals.ts
@@ -1,23 +1,24 @@
 /**
- * @file What a control machine knows of the load of back ends, or of another table of numbers by back end: the reports
- * of the balancers that it feeds, and the sums that the other control machines made of theirs. A balancer gets the sum of all but itself,
- * so that what it sends and gets does not grow with the number of balancers.
+ * @file Which reports of the load exchange count on a control machine, and how are they summed?
  *
- * Reports are soft state. A report counts until the next one of the same link or the end of the link; the
- * sums of a control machine count for `sumsLifetimeMs`, since a machine that is cut off says nothing.
+ * It owns one table: the reports of the balancers that are fed here, and the sums that the other control machines made
+ * of theirs. A balancer is sent the sum over all but itself, so that what it sends and gets does not grow with the
+ * number of balancers. A report counts until the next one of the same link or the end of the link; the sums of a control
+ * machine count for `sumsLifetimeMs` (load-tables.ts), since a machine that is cut off says nothing. All of it is soft
+ * state. Why through control machines: docs/design/decisions.md, "The load exchange, and the ways weighed".
  */
 import type { LinkId } from '../../shared/common/link-table.js';
 import { eachRow, LOAD_ROWS, type PackedRows, type RowShape } from './packed-rows.js';
 
-/** The load of back ends over all balancers. */
+/** One table over all balancers. */
 export interface LoadTotals {
-  /** Takes what passes a balancer that is fed here, in place of its last report. */
-  applyReport(reporter: LinkId, loads: PackedRows): void;
+  /** Applies the report of a balancer that is fed here, in place of its last one. */
+  applyReport(reporter: LinkId, rows: PackedRows): void;
   /** Forgets a balancer whose link is closed. */
   dropReporter(reporter: LinkId): void;
-  /** Takes the sums of another control machine, in place of its last ones. */
-  applySums(sender: string, loads: PackedRows, nowMs: number): void;
-  /** Forgets control machines that have not told their sums for long. */
+  /** Applies the sums of another control machine, in place of its last ones. */
+  applySums(sender: string, rows: PackedRows, nowMs: number): void;
+  /** Forgets the sums of control machines that have sent none for long. */
   forgetSilentSenders(nowMs: number): void;
   /** @returns the sum over the balancers that are fed here, for the other control machines */
   ownSums(): PackedRows;
@@ -33,12 +34,12 @@
 type RowSums = Map<number, readonly number[]>;
 
 interface SenderSums {
-  readonly loads: PackedRows;
+  readonly rows: PackedRows;
   readonly receivedAtMs: number;
 }
 
-/** Sums that were made of all reports at one version. */
-interface MadeSums {
+/** Sums of all reports at one version. */
+interface CachedSums {
   readonly version: number;
   readonly own: PackedRows;
   readonly all: ReadonlyMap<number, readonly number[]>;
@@ -53,7 +54,7 @@
   const reports = new Map<LinkId, PackedRows>();
   const senders = new Map<string, SenderSums>();
   let version = 0;
-  let made: MadeSums | undefined;
+  let cached: CachedSums | undefined;
 
   return {
     applyReport,
@@ -68,8 +69,8 @@
     },
   };
 
-  function applyReport(reporter: LinkId, loads: PackedRows): void {
-    reports.set(reporter, loads);
+  function applyReport(reporter: LinkId, rows: PackedRows): void {
+    reports.set(reporter, rows);
     version += 1;
   }
 
@@ -79,8 +80,8 @@
     }
   }
 
-  function applySums(sender: string, loads: PackedRows, nowMs: number): void {
-    senders.set(sender, { loads, receivedAtMs: nowMs });
+  function applySums(sender: string, rows: PackedRows, nowMs: number): void {
+    senders.set(sender, { rows, receivedAtMs: nowMs });
     version += 1;
   }
 
@@ -99,16 +100,16 @@
     return packSums(sums);
   }
 
-  /** Made once for all balancers that are told of one version. */
-  function currentSums(): MadeSums {
-    if (made?.version !== version) {
+  /** Made once for all balancers that are sent the same version. */
+  function currentSums(): CachedSums {
+    if (cached?.version !== version) {
       const sums: RowSums = new Map();
-      reports.forEach((loads) => addTo(sums, loads, 1));
+      reports.forEach((rows) => addTo(sums, rows, 1));
       const own = packSums(sums);
-      senders.forEach(({ loads }) => addTo(sums, loads, 1));
-      made = { version, own, all: sums };
+      senders.forEach(({ rows }) => addTo(sums, rows, 1));
+      cached = { version, own, all: sums };
     }
-    return made;
+    return cached;
   }
 
   function addTo(sums: RowSums, rows: PackedRows, sign: 1 | -1): void {
--- a/test/registered/load-exchange/load-totals.test.ts
+++ b/test/registered/load-exchange/load-totals.test.ts
@@ -11,7 +11,7 @@
   exchangePeriodMs,
   SHORTEST_EXCHANGE_PERIOD_MS,
 } from '../../../src/registered/load-exchange/exchange-period.js';
-import { isSameRows } from '../../../src/registered/load-exchange/packed-rows.js';
+import { hasSameRows } from '../../../src/registered/load-exchange/packed-rows.js';
 import { createLoadTotals } from '../../../src/registered/load-exchange/load-totals.js';
 
 const LIFETIME_MS = 1_000;
@@ -103,8 +103,8 @@
   const seen: number[] = [];
   eachLoad([7, 1, 8], (token) => seen.push(token));
   t.same(seen, [7]);
-  t.notOk(isSameRows([7, 1], [7, 2]));
-  t.notOk(isSameRows([7, 1], [7, 1, 8, 1]));
+  t.notOk(hasSameRows([7, 1], [7, 2]));
+  t.notOk(hasSameRows([7, 1], [7, 1, 8, 1]));
 });
 
 t.test('long lists are told less often, so that the bytes a second stay bounded', async (t) => {
