--- a/src/registered/group/announcements.ts
+++ b/src/registered/group/announcements.ts
@@ -1,7 +1,7 @@
 /**
- * @file Which machines ask to be admitted to the group, and where machines outside of it are reached. It owns the announcements
- * that came in here, the time of this machine's own next one, and the addresses at which it looks for the group. All
- * of it is soft state: machines announce themselves until they are admitted.
+ * @file Which machines ask to be admitted to the group, and where machines outside of it are reached. It owns the
+ * announcements that came in here, the time of this machine's own next one, and the addresses at which it looks for the
+ * group. All of it is soft state: machines announce themselves until they are admitted.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { NodeId } from '../../shared/consensus/membership.js';
--- a/src/registered/group/backend-list-progress.ts
+++ b/src/registered/group/backend-list-progress.ts
@@ -1,6 +1,6 @@
 /**
- * @file How far the registry of heartbeats and the replicated list of back ends are in step: the change of the list that
- * is under way, and whether the list is in the registry. Soft state.
+ * @file How far the registry of heartbeats and the replicated list of back ends are in step: the change of the list
+ * that is under way, and whether the list is in the registry. Soft state.
  */
 
 /** How far the registry and the replicated list are in step. */
--- a/src/registered/group/config-history.ts
+++ b/src/registered/group/config-history.ts
@@ -2,12 +2,12 @@
  * @file Does a balancer get the changes since the version that it holds, or all routes?
  *
  * Inputs: the version that the balancer holds, the configuration in force, and the updates between the last versions.
- * Returns a config update, or none where the balancer lacks nothing. It gets the changes, joined over all versions since
- * its own, unless that version is not kept any more or they are more than the routes there are.
+ * Returns a config update, or none where the balancer lacks nothing. It gets the changes, joined over all versions
+ * since its own, unless that version is not kept any more or they are more than the routes there are.
  *
  * Reason: whole configurations fill links. One of 2,710 routes, sent whole, was 287,446 bytes and occupied a balancer's
- * link of 2 Mbit/s for 1.15 s (docs/incidents/tv-cartago-grown-drain.md). The history owns the configuration in force in its parsed form; it is
- * soft state but for the newest version, which is in the replicated state.
+ * link of 2 Mbit/s for 1.15 s (docs/incidents/tv-cartago-grown-drain.md). The history owns the configuration in force
+ * in its parsed form; it is soft state but for the newest version, which is in the replicated state.
  */
 import {
   joinUpdates,
@@ -33,8 +33,8 @@
 }
 
 /**
- * Steps that are kept: the changes of four minutes at one a second. Not measured; too few would show as feeds that carry
- * all routes after a short outage of a link.
+ * Steps that are kept: the changes of four minutes at one a second. Not measured; too few would show as feeds that
+ * carry all routes after a short outage of a link.
  */
 const MAX_STEPS = 256;
 /** Changes of routes that are kept over all steps; at some 100 bytes each 2 MB of memory. Not measured. */
--- a/src/registered/group/feed-codec.ts
+++ b/src/registered/group/feed-codec.ts
@@ -1,7 +1,7 @@
 /**
- * @file The form in which feeds travel: columns in place of named fields, names that repeat written once, sorted numbers
- * as differences. A full sync takes a sixth of what the messages take field by field, which decides how long a link of
- * a few megabits needs for it (docs/design/links.md).
+ * @file The form in which feeds travel: columns in place of named fields, names that repeat written once, sorted
+ * numbers as differences. A full sync takes a sixth of what the messages take field by field, which decides how long a
+ * link of a few megabits needs for it (docs/design/links.md).
  *
  * This module knows the names on the wire: liveness and departures travel as numbers (packed-feed.ts), a full sync
  * is `transfer`, changes of liveness are `judgements`, answer stats are `signals`.
--- a/src/registered/group/group-formation.ts
+++ b/src/registered/group/group-formation.ts
@@ -1,8 +1,8 @@
 /**
- * @file How a machine finds its group and leaves it, with no operator. The first members begin the group with one
- * entry that is the same on each. Any other machine announces itself to the seeds and to the members that it knows;
- * a machine that does not lead passes the announcement on to the leader. A voter that stops asks to be removed, where the group can
- * spare it. Who is admitted or removed is decided in member-changes.ts.
+ * @file How a machine finds its group and leaves it, with no operator. The first members begin the group with one entry
+ * that is the same on each. Any other machine announces itself to the seeds and to the members that it knows; a machine
+ * that does not lead passes the announcement on to the leader. A voter that stops asks to be removed, where the group
+ * can spare it. Who is admitted or removed is decided in member-changes.ts.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
--- a/src/registered/group/group-messages.ts
+++ b/src/registered/group/group-messages.ts
@@ -126,7 +126,7 @@
   readonly changesTaken: number;
 }
 
-/** From a balancer to the control machine that feeds it: its own tables of the load exchange, in place of the last ones. */
+/** From a balancer to the control machine that feeds it: its tables of the load exchange, in place of the last ones. */
 export interface LoadReportMessage {
   readonly type: 'load-report';
   /** Undefined where the last ones still hold. */
--- a/src/registered/group/leader-requests.ts
+++ b/src/registered/group/leader-requests.ts
@@ -5,8 +5,8 @@
  * the request deadline of the options. Returns effects: the call is proposed here, forwarded to the leader, or
  * answered `unavailable`.
  *
- * - Where no leader is known, the client gets its reply at once and goes on to another machine; waiting here could only end
- *   at its deadline.
+ * - Where no leader is known, the client gets its reply at once and goes on to another machine; waiting here could
+ *   only end at its deadline.
  * - A call is forwarded once. A machine that gets a forwarded call and does not lead refuses it, so that calls can't
  *   circle among machines that disagree about the leader.
  * - There are no retries here: the client repeats its call, and repeated commands change nothing (leader-replies.ts).
--- a/src/registered/group/member-changes.ts
+++ b/src/registered/group/member-changes.ts
@@ -9,8 +9,9 @@
  *    one step: that is the same machine before it lost its disk, and can never vote again. Otherwise it needs a free
  *    place below MAX_VOTERS.
  * 2. A machine that announces itself becomes a learner; an earlier learner at its address is removed first.
- * 3. A voter that is silent for longer than `removeVoterAfterMs` is removed, but only where more voters remain than
- *    2 × `tolerableLosses` + 1: with fewer a removal makes no quorum smaller and costs a vote when the machine returns.
+ * 3. A voter that is silent for longer than `removeVoterAfterMs` is removed, but only where the group has more voters
+ *    than 2 × `tolerableLosses` + 1: with fewer a removal makes no quorum smaller and costs a vote when the machine
+ *    returns.
  * 4. A learner that is silent for LEARNER_SILENT_MS is removed.
  *
  * Why the replacement in one step is safe, and what it has to do with the copies of an entry, is explained in
--- a/src/registered/group/packed-names.ts
+++ b/src/registered/group/packed-names.ts
@@ -1,5 +1,6 @@
 /**
- * @file Columns of names and addresses in packed messages: what repeats is written once, and rows refer to it by number.
+ * @file Columns of names and addresses in packed messages: what repeats is written once, and rows refer to it by
+ * number.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { PackedAddresses } from './packed-feed.js';
--- a/src/registered/group/replicated-state.ts
+++ b/src/registered/group/replicated-state.ts
@@ -3,8 +3,8 @@
  * evacuated, which back ends exist, and which have said that they leave. It is the state machine of the log: the same
  * commands give the same state on every member.
  *
- * Heartbeats stay out of it: it says where back ends are, not whether they are alive, so that a group that restarts as a
- * whole need not wait for their next heartbeats. Commands and snapshots are stored, so their fields keep their names.
+ * Heartbeats stay out of it: it says where back ends are, not whether they are alive, so that a group that restarts as
+ * a whole need not wait for their next heartbeats. Commands and snapshots are stored, so their fields keep their names.
  */
 import { Packr } from 'msgpackr';
 import {
--- a/src/registered/group/zone-orders.ts
+++ b/src/registered/group/zone-orders.ts
@@ -2,8 +2,8 @@
  * @file Does a committed order for a zone take effect, or does it come too late?
  *
  * Inputs: the order with the number of orders for its zone that were known to the machine that accepted it, and how the
- * zone stands. Returns `changed`, `known` or `outdated`. An order that does not follow the last one for its zone changes
- * nothing.
+ * zone stands. Returns `changed`, `known` or `outdated`. An order that does not follow the last one for its zone
+ * changes nothing.
  *
  * Reason: an order may be held by a machine that stood still, or on a link that was cut, while its sender gave it to
  * another machine, had it acknowledged, and has taken it back since. An age that is carried along was weighed and left
@@ -11,8 +11,8 @@
  * applies late orders is caught by test/registered/ingress/evacuation). Log lines: `zone evacuated`, `zone readmitted`,
  * `order outdated`.
  *
- * A zone that is evacuated gets no new flows until it is readmitted. The statuses are a part of the replicated state and
- * of its snapshots, so the fields keep their names.
+ * A zone that is evacuated gets no new flows until it is readmitted. The statuses are a part of the replicated state
+ * and of its snapshots, so the fields keep their names.
  */
 
 /** What an operator may order for a zone. */
--- a/src/registered/registry/address-holders.ts
+++ b/src/registered/registry/address-holders.ts
@@ -6,8 +6,9 @@
  *
  * Reason: a back end that crashes says nothing, and the next one may start at its address before its silence is
  * noticed. A heartbeat that a cut held up may even come after the first one of the next start. New flows for the one
- * that is gone would get no answer. So the newcomer holds the address at once, and one that is superseded holds it again
- * only by heartbeats that go on while the holder's do not: what the network held up comes once, a process goes on.
+ * that is gone would get no answer. So the newcomer holds the address at once, and one that is superseded holds it
+ * again only by heartbeats that go on while the holder's do not: what the network held up comes once, a process goes
+ * on.
  *
  * Test: test/registered/ingress/reborn-backend. Its first form showed that the holder must have ceased, too
  * (docs/FINDINGS.md). Log lines: `backend registered` with `supersedes`, and `backend judged` at the balancer.
