--- a/src/managed/control/config-lookup.ts
+++ b/src/managed/control/config-lookup.ts
@@ -4,11 +4,11 @@
  */
 import { match } from 'ts-pattern';
 import { formatAddress } from '../../shared/common/address.js';
-import type { Backend, RoutingConfig, Service } from './cluster-state.js';
+import type { Backend, RoutingConfig, Service } from './routing-config.js';
 import { applyConfigChange, type ConfigChange } from './config-delta.js';
 
 /** Who uses an address. */
-export interface AddressUse {
+interface AddressUse {
   readonly usedBy: 'service' | 'backend';
   readonly id: number;
 }
--- a/src/managed/dissemination/lease-authority.ts
+++ b/src/managed/dissemination/lease-authority.ts
@@ -17,7 +17,7 @@
 const FLOOR_DELAY_MS = 2_000;
 
 /** A log index at a time. */
-export interface IndexAt {
+interface IndexAt {
   readonly index: number;
   readonly atMs: number;
 }
@@ -39,7 +39,7 @@
 }
 
 /** What the consensus says of this machine. */
-export interface LeadershipView {
+interface LeadershipView {
   /** True for a leader that knows what is committed. */
   readonly isLeading: boolean;
   readonly term: number;
@@ -86,7 +86,7 @@
  * A quorum has confirmed a read.
  * @returns true where the read was one of this authority's
  */
-export function takeConfirmation(authority: LeaseAuthority, readId: number): boolean {
+export function applyConfirmation(authority: LeaseAuthority, readId: number): boolean {
   if (authority.round?.readId === readId) {
     authority.confirmedAtMs = authority.round.startedAtMs;
     authority.round = undefined;
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -5,7 +5,7 @@
  * acknowledges what it has in force.
  */
 import type { Address } from '../../shared/common/address.js';
-import type { RoutingConfig } from '../control/cluster-state.js';
+import type { RoutingConfig } from '../control/routing-config.js';
 import {
   snapshotOf,
   type ConfigChange,
@@ -31,7 +31,7 @@
   dropLink,
   expireReports,
   lowestIndex,
-  takeReport,
+  applyReport,
   type BalancerReport,
   type SubtreeReports,
 } from './subtree-report.js';
@@ -43,7 +43,7 @@
 export type LinkId = number;
 
 /** A balancer that is linked here. */
-export interface Subscriber {
+interface Subscriber {
   readonly balancerId: string;
   readonly zone: string;
 }
@@ -56,7 +56,7 @@
 }
 
 /** Where a publisher takes the leases from that it grants. */
-export type LeaseSource =
+type LeaseSource =
   | { readonly type: 'authority'; readonly authority: LeaseAuthority }
   /** A balancer's own lease, of which it passes on what is left. */
   | { readonly type: 'held'; readonly lease: Lease };
@@ -150,7 +150,7 @@
   }
   const { position, sentAtMs, subtree } = message;
   const report = { ...subscriber, index: position.index, ...(subtree && { subtree }) };
-  takeReport(state.reports, linkId, report, nowMs);
+  applyReport(state.reports, linkId, report, nowMs);
   return [...updates, heartbeat(state, linkId, sentAtMs, nowMs)];
 }
 
@@ -163,7 +163,7 @@
 }
 
 /** How far the configuration has come. */
-export interface DisseminationStatus {
+interface DisseminationStatus {
   /** Every balancer that is not past its lease has this log index in force. */
   readonly inForceIndex: number;
   /** Every balancer has this log index in force, or is past its lease. */
--- a/src/registered/group/group-formation.ts
+++ b/src/registered/group/group-formation.ts
@@ -64,7 +64,7 @@
   const isSettled =
     consensus.role.name === 'leader' ||
     (isVoter(consensus) &&
-      nowMs - consensus.heardFromLeaderAtMs < LEADERLESS_ELECTION_TIMEOUTS * electionTimeoutMs);
+      nowMs - consensus.leaderContactAtMs < LEADERLESS_ELECTION_TIMEOUTS * electionTimeoutMs);
   if (isSettled || !announcements.startSending(nowMs)) {
     return [];
   }
--- a/src/registered/group/leadership.ts
+++ b/src/registered/group/leadership.ts
@@ -22,12 +22,12 @@
  * @returns true where this machine leads a quorum, or follows a leader that sent something lately
  */
 export function isCurrent({ consensus }: WithConsensus, nowMs: number): boolean {
-  const { role, leaderId, heardFromLeaderAtMs, options, commitIndex } = consensus;
+  const { role, leaderId, leaderContactAtMs, options, commitIndex } = consensus;
   if (role.name === 'leader') {
     return commitIndex >= role.termStartIndex;
   }
   const isFollowing = leaderId !== undefined;
-  return isFollowing && nowMs - heardFromLeaderAtMs <= options.electionTimeoutMs;
+  return isFollowing && nowMs - leaderContactAtMs <= options.electionTimeoutMs;
 }
 
 /**
--- a/src/registered/group/member-changes.ts
+++ b/src/registered/group/member-changes.ts
@@ -151,7 +151,7 @@
 
 /** @returns how long the leader got nothing from a member; 0 where it has not sent it anything yet */
 function silenceMs(role: LeaderRole, nodeId: NodeId, nowMs: number): number {
-  return nowMs - (role.progress.get(nodeId)?.heardAtMs ?? nowMs);
+  return nowMs - (role.progress.get(nodeId)?.receivedAtMs ?? nowMs);
 }
 
 function isSameMachine(member: Member, linkAddress: Address): boolean {
--- a/src/shared/consensus/proposals.ts
+++ b/src/shared/consensus/proposals.ts
@@ -1,6 +1,7 @@
 /**
  * @file Proposals of commands and of membership changes, at the leader.
  */
+import { hasQuorumContact } from './check-quorum.js';
 import type { RefusalKind, StepScope } from './consensus-events.js';
 import { currentMembership, type ConsensusState, type LeaderRole } from './consensus-state.js';
 import type { EntryContent } from './log.js';
@@ -11,7 +12,7 @@
   type Membership,
   type NodeId,
 } from './membership.js';
-import { hasHeardFromQuorum, replicateToAll } from './replication.js';
+import { replicateToAll } from './replication.js';
 import { appendOwnEntry, refreshProgress } from './roles.js';
 
 /** How far a learner may lag behind to be promoted, in entries. */
@@ -69,7 +70,7 @@
   if (isPromotion && !hasCaughtUp(state, role, change.nodeId)) {
     return `Member ${change.nodeId} has not caught up.`;
   }
-  if (!hasHeardFromQuorum(scope, role, membership)) {
+  if (!hasQuorumContact(scope, role, membership)) {
     return 'Too few of the voters that this leaves answer now.';
   }
   return undefined;
@@ -93,7 +94,7 @@
 
 function leaderWhichTakesProposals(scope: StepScope, proposalId: number): LeaderRole | undefined {
   const { role, storageFailed } = scope.state;
-  if (role.name === 'leader' && role.transfer === undefined) {
+  if (role.name === 'leader' && role.leadershipTransfer === undefined) {
     return role;
   }
   if (storageFailed) {
