--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -4,7 +4,7 @@
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { NO_VERSION } from '../declared/config-update.js';
-import { unpackFeed } from '../group/feed-codec.js';
+import { unpackFeed } from '../group/wire/feed-codec.js';
 import type { BalancerLinkMessage, FeedMessage } from '../group/group-messages.js';
 import { applyFeedMessage } from '../ingress/feed-step.js';
 import { createLoadReporter, type LoadReporter } from '../ingress/load-reporter.js';
--- a/src/registered/group/applied-entries.ts
+++ b/src/registered/group/applied-entries.ts
@@ -9,7 +9,7 @@
 import type { GroupEffect } from './group-events.js';
 import type { LeaderReply } from './group-messages.js';
 import type { GroupState } from './group-state.js';
-import { finishCall, outdatedOrder, type ReplyState } from './leader-replies.js';
+import { finishCall, outdatedOrder, type ReplyState } from './calls/leader-replies.js';
 import type { WithConsensus } from './leadership.js';
 import { decodeGroupCommand, type AppliedChange } from './replicated-state.js';
 import type { ZoneStatus } from './zone-orders.js';
--- a/src/registered/group/backend-list.ts
+++ b/src/registered/group/backends/backend-list.ts
@@ -9,9 +9,9 @@
  * One command at a time carries all that is due, so that many heartbeats at once cost one entry, and no heartbeat waits
  * for an entry.
  */
-import type { BackendRecord } from '../registry/backend-record.js';
-import type { GroupState } from './group-state.js';
-import type { GroupCommand, ReplicatedState } from './replicated-state.js';
+import type { BackendRecord } from '../../registry/backend-record.js';
+import type { GroupState } from '../group-state.js';
+import type { GroupCommand, ReplicatedState } from '../replicated-state.js';
 
 /**
  * @returns the next change of the list that this machine should make as the leader; none while one is under way
--- a/src/registered/group/heartbeat-exchange.ts
+++ b/src/registered/group/backends/heartbeat-exchange.ts
@@ -2,7 +2,7 @@
  * @file The heartbeats that wait to be sent to the other control machines, and since when this machine gets all
  * heartbeats. Both are soft state, lost with the process.
  */
-import type { AgedRecord } from './group-messages.js';
+import type { AgedRecord } from '../group-messages.js';
 
 /** Heartbeats on their way through a control machine. */
 export interface HeartbeatExchange {
--- a/src/registered/group/heartbeats.ts
+++ b/src/registered/group/backends/heartbeats.ts
@@ -7,11 +7,11 @@
  * after the zone of the back end was readmitted. Which heartbeats are late is decided in
  * registry/heartbeat-registry.ts.
  */
-import type { BackendRecord } from '../registry/backend-record.js';
-import type { GroupEffect } from './group-events.js';
-import type { AgedRecord } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { otherMembers } from './leadership.js';
+import type { BackendRecord } from '../../registry/backend-record.js';
+import type { GroupEffect } from '../group-events.js';
+import type { AgedRecord } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { otherMembers } from '../leadership.js';
 
 /**
  * Balancers disregard heartbeats of the first two intervals after a zone was readmitted, since a heartbeat that is sent
--- a/src/registered/group/liveness-updates.ts
+++ b/src/registered/group/backends/liveness-updates.ts
@@ -14,8 +14,8 @@
  * Tests: test/registered/group/balancer-feed ("silence while the machine was cut off"), backend-list. Log line at the
  * balancer: `backend judged`.
  */
-import type { GroupState } from './group-state.js';
-import { isCurrent } from './leadership.js';
+import type { GroupState } from '../group-state.js';
+import { isCurrent } from '../leadership.js';
 
 /** What the update of liveness reads and changes. */
 export type LivenessState = Pick<
--- a/src/registered/group/backend-calls.ts
+++ b/src/registered/group/calls/backend-calls.ts
@@ -5,19 +5,19 @@
  * once it is committed, since it is final: a back end may end once it has the reply, and must get no new flow after any
  * restart. Departures that are committed already need no leader.
  */
-import { formatAddress } from '../../shared/common/address.js';
+import { formatAddress } from '../../../shared/common/address.js';
 import {
   isLaterDeparture,
   type BackendRecord,
   type Departure,
-} from '../registry/backend-record.js';
-import type { GroupEffect, GroupEvent, RequestId } from './group-events.js';
-import type { AgedRecord } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { applyHeartbeat } from './heartbeats.js';
+} from '../../registry/backend-record.js';
+import type { GroupEffect, GroupEvent, RequestId } from '../group-events.js';
+import type { AgedRecord } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { applyHeartbeat } from '../backends/heartbeats.js';
 import { accepted, unavailable, type RunConsensus } from './leader-replies.js';
 import { startCall, type CallState } from './leader-requests.js';
-import { isCurrent } from './leadership.js';
+import { isCurrent } from '../leadership.js';
 
 /** What calls of back ends read and change. */
 export type BackendCallState = CallState &
--- a/src/registered/group/leader-replies.ts
+++ b/src/registered/group/calls/leader-replies.ts
@@ -7,14 +7,18 @@
  * effect already.
  */
 import { match } from 'ts-pattern';
-import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
-import type { GroupEffect, GroupReply, RequestId } from './group-events.js';
-import type { LeaderReply, LeaderRequest } from './group-messages.js';
-import type { GroupState } from './group-state.js';
+import type { ConsensusEvent } from '../../../shared/consensus/consensus-events.js';
+import type { GroupEffect, GroupReply, RequestId } from '../group-events.js';
+import type { LeaderReply, LeaderRequest } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
 import type { ReplyTo } from './pending-calls.js';
-import { encodeGroupCommand, type GroupCommand, type ReplicatedState } from './replicated-state.js';
-import { isFulfilled } from './zone-orders.js';
-import { zoneReports, type ZoneReportState } from './zone-reports.js';
+import {
+  encodeGroupCommand,
+  type GroupCommand,
+  type ReplicatedState,
+} from '../replicated-state.js';
+import { isFulfilled } from '../zone-orders.js';
+import { zoneReports, type ZoneReportState } from '../zone-reports.js';
 
 /** Runs a consensus event and gives its effects. */
 export type RunConsensus = (event: ConsensusEvent) => GroupEffect[];
--- a/src/registered/group/leader-requests.ts
+++ b/src/registered/group/calls/leader-requests.ts
@@ -15,10 +15,10 @@
  *
  * `requestDeadlineMs` comes from the program that embeds the group: it has to be shorter than what its clients wait.
  */
-import type { GroupEffect, RequestId } from './group-events.js';
-import type { LeaderRequest, PeerMessage } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { leaderAddress } from './leadership.js';
+import type { GroupEffect, RequestId } from '../group-events.js';
+import type { LeaderRequest, PeerMessage } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { leaderAddress } from '../leadership.js';
 import {
   performAsLeader,
   refused,
--- a/src/registered/group/order-guard.ts
+++ b/src/registered/group/calls/order-guard.ts
@@ -4,7 +4,7 @@
  * Returns the guard that zone-order-calls.ts asks before it accepts an order. How long orders are refused after a pause
  * stands in shared/common/stall-guard.ts.
  */
-import { createStallGuard, type StallGuard } from '../../shared/common/stall-guard.js';
+import { createStallGuard, type StallGuard } from '../../../shared/common/stall-guard.js';
 
 /**
  * A pause of this process from which on orders may be late. An order that waited for less is as new as any that was on
--- a/src/registered/group/pending-calls.ts
+++ b/src/registered/group/calls/pending-calls.ts
@@ -3,9 +3,9 @@
  * deadline, and what the leader has to reply to: proposals and reads under way, for clients or for other machines.
  * Both are lost with the process; clients repeat their calls.
  */
-import type { Address } from '../../shared/common/address.js';
-import type { RequestId } from './group-events.js';
-import type { LeaderRequest } from './group-messages.js';
+import type { Address } from '../../../shared/common/address.js';
+import type { RequestId } from '../group-events.js';
+import type { LeaderRequest } from '../group-messages.js';
 
 /** Who gets the reply to a proposal or read of this leader. */
 export type ReplyTo =
--- a/src/registered/group/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -11,11 +11,11 @@
  * weighed: docs/design/shifted-work.md, "Evacuations"). Log lines: `zone evacuated`, `zone readmitted`,
  * `order outdated`.
  */
-import type { GroupEffect, GroupEvent, GroupReply } from './group-events.js';
-import type { GroupState } from './group-state.js';
+import type { GroupEffect, GroupEvent, GroupReply } from '../group-events.js';
+import type { GroupState } from '../group-state.js';
 import { startCall, type CallState } from './leader-requests.js';
 import type { RunConsensus } from './leader-replies.js';
-import { isCurrent } from './leadership.js';
+import { isCurrent } from '../leadership.js';
 
 type ZoneOrderCall = Extract<GroupEvent, { readonly type: 'order-zone' }>;
 
--- a/src/registered/group/balancer-feed.ts
+++ b/src/registered/group/feed/balancer-feed.ts
@@ -3,13 +3,13 @@
  * gathered for a tick, and a pulse where nothing changes. It owns the subscribers. What each gets and when is decided
  * in feed-plan.ts; feed-messages.ts makes the messages.
  */
-import type { LinkId } from '../../shared/common/link-table.js';
+import type { LinkId } from '../../../shared/common/link-table.js';
 import { messageOf, type FeedMessageState } from './feed-messages.js';
 import { isBehind, planMessages, type FeedPlanState } from './feed-plan.js';
-import type { GroupEffect } from './group-events.js';
-import type { SubscribeMessage } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { isCurrent } from './leadership.js';
+import type { GroupEffect } from '../group-events.js';
+import type { SubscribeMessage } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { isCurrent } from '../leadership.js';
 import { hasNoUpdates, mergeUpdates } from './pending-updates.js';
 import { createSubscriber, type Subscriber } from './subscribers.js';
 
--- a/src/registered/group/balancer-list-duties.ts
+++ b/src/registered/group/feed/balancer-list-duties.ts
@@ -1,11 +1,11 @@
 /**
  * @file How control machines keep each other's lists of balancers: each sends the others which ones it feeds.
  */
-import { formatAddress } from '../../shared/common/address.js';
-import type { GroupEffect } from './group-events.js';
-import type { PeerMessage } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { otherMembers } from './leadership.js';
+import { formatAddress } from '../../../shared/common/address.js';
+import type { GroupEffect } from '../group-events.js';
+import type { PeerMessage } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { otherMembers } from '../leadership.js';
 
 type BalancerListState = Pick<GroupState, 'balancers' | 'updates'>;
 type BalancersMessage = Extract<PeerMessage, { readonly type: 'balancers' }>;
--- a/src/registered/group/balancer-list.ts
+++ b/src/registered/group/feed/balancer-list.ts
@@ -3,7 +3,7 @@
  * control machines send of the balancers that they feed, and the joined list that the balancers fed here know of. Soft
  * state: lists are sent again every second.
  */
-import type { BalancerInfo } from './group-messages.js';
+import type { BalancerInfo } from '../group-messages.js';
 
 /** The balancers that all control machines feed. */
 export interface BalancerList {
--- a/src/registered/group/config-history.ts
+++ b/src/registered/group/feed/config-history.ts
@@ -15,8 +15,8 @@
   updateBetween,
   wholeUpdate,
   type ConfigUpdate,
-} from '../declared/config-update.js';
-import type { DeclaredConfig } from '../declared/declared-config.js';
+} from '../../declared/config-update.js';
+import type { DeclaredConfig } from '../../declared/declared-config.js';
 
 /** The configuration in force, and the changes that led to it. */
 export interface ConfigHistory {
--- a/src/registered/group/feed-messages.ts
+++ b/src/registered/group/feed/feed-messages.ts
@@ -2,10 +2,10 @@
  * @file Makes the messages to balancers from their plans: the state of each name is looked up now. Balancers that lack
  * the same get the same message object, whose bytes are then made once; it owns these messages until the next tick.
  */
-import { formatAddress } from '../../shared/common/address.js';
-import { currentMembership } from '../../shared/consensus/consensus-state.js';
-import type { LivenessChange } from '../registry/backend-liveness.js';
-import type { Departure } from '../registry/backend-record.js';
+import { formatAddress } from '../../../shared/common/address.js';
+import { currentMembership } from '../../../shared/consensus/consensus-state.js';
+import type { LivenessChange } from '../../registry/backend-liveness.js';
+import type { Departure } from '../../registry/backend-record.js';
 import type { MessagePlan } from './feed-plan.js';
 import type {
   AgedRecord,
@@ -13,8 +13,8 @@
   ControlInfo,
   FeedMessage,
   ZoneUpdate,
-} from './group-messages.js';
-import type { GroupState } from './group-state.js';
+} from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
 import type { PendingUpdates } from './pending-updates.js';
 
 /** What messages are made from. */
--- a/src/registered/group/feed-plan.ts
+++ b/src/registered/group/feed/feed-plan.ts
@@ -17,9 +17,9 @@
  * and feeds were given up before it had come (docs/incidents/tv-cartago-grown-drain.md). The ways weighed are in
  * docs/design/links.md. Log lines at the balancer: `feed lost`, `feed left`, `feed not reached`.
  */
-import { partOf, type ConfigPart, type ConfigUpdate } from '../declared/config-update.js';
-import type { FullSyncStage } from './group-messages.js';
-import type { GroupState } from './group-state.js';
+import { partOf, type ConfigPart, type ConfigUpdate } from '../../declared/config-update.js';
+import type { FullSyncStage } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
 import {
   createPendingUpdates,
   hasNoUpdates,
--- a/src/registered/group/load-duties.ts
+++ b/src/registered/group/feed/load-duties.ts
@@ -3,15 +3,15 @@
  * other control machines, and to each balancer the sums over all other balancers. When a table is sent is decided in
  * load-exchange/load-outlet.ts. Messages call the answer stats `signals`.
  */
-import { formatAddress } from '../../shared/common/address.js';
-import type { LinkId } from '../../shared/common/link-table.js';
-import { rowsToSend } from '../load-exchange/load-outlet.js';
-import type { PackedRows } from '../load-exchange/packed-rows.js';
+import { formatAddress } from '../../../shared/common/address.js';
+import type { LinkId } from '../../../shared/common/link-table.js';
+import { rowsToSend } from '../../load-exchange/load-outlet.js';
+import type { PackedRows } from '../../load-exchange/packed-rows.js';
 import { isBehind, isBusy } from './feed-plan.js';
-import type { GroupEffect } from './group-events.js';
-import type { LoadReportMessage, PeerMessage } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { isCurrent, otherMembers } from './leadership.js';
+import type { GroupEffect } from '../group-events.js';
+import type { LoadReportMessage, PeerMessage } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { isCurrent, otherMembers } from '../leadership.js';
 import type { ExchangedTable } from './load-tables.js';
 import type { PublishedTable } from './subscribers.js';
 
--- a/src/registered/group/load-tables.ts
+++ b/src/registered/group/feed/load-tables.ts
@@ -2,9 +2,9 @@
  * @file A table of the load exchange on a control machine: totals over all balancers, and when the sums over the own
  * balancers are sent to the other control machines. There are two: loads, and answer stats.
  */
-import { createLoadOutlet, type LoadOutlet } from '../load-exchange/load-outlet.js';
-import { createLoadTotals, type LoadTotals } from '../load-exchange/load-totals.js';
-import type { RowShape } from '../load-exchange/packed-rows.js';
+import { createLoadOutlet, type LoadOutlet } from '../../load-exchange/load-outlet.js';
+import { createLoadTotals, type LoadTotals } from '../../load-exchange/load-totals.js';
+import type { RowShape } from '../../load-exchange/packed-rows.js';
 
 /** A table of numbers by back end, as control machines exchange it. */
 export interface ExchangedTable {
--- a/src/registered/group/subscribers.ts
+++ b/src/registered/group/feed/subscribers.ts
@@ -2,10 +2,10 @@
  * @file A balancer that gets its feed from this control machine, as the machine keeps it while the link lives. Changed
  * by balancer-feed.ts and feed-plan.ts, and by load-duties.ts for the published tables; others only read it.
  */
-import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
-import { createLoadOutlet, type LoadOutlet } from '../load-exchange/load-outlet.js';
-import { LOAD_ROWS, type RowShape } from '../load-exchange/packed-rows.js';
-import type { BalancerInfo, SubscribeMessage, UnfinishedConfig } from './group-messages.js';
+import { ANSWER_STATS_ROWS } from '../../load-exchange/answer-stats.js';
+import { createLoadOutlet, type LoadOutlet } from '../../load-exchange/load-outlet.js';
+import { LOAD_ROWS, type RowShape } from '../../load-exchange/packed-rows.js';
+import type { BalancerInfo, SubscribeMessage, UnfinishedConfig } from '../group-messages.js';
 import { createPendingUpdates, type PendingUpdates } from './pending-updates.js';
 
 /** How much a balancer has been sent. */
--- a/src/registered/group/group-consensus.ts
+++ b/src/registered/group/group-consensus.ts
@@ -14,7 +14,7 @@
 import type { GroupEffect } from './group-events.js';
 import type { PeerMessage } from './group-messages.js';
 import type { GroupState } from './group-state.js';
-import { finishCall, finishRead, refused, type ReplyState } from './leader-replies.js';
+import { finishCall, finishRead, refused, type ReplyState } from './calls/leader-replies.js';
 import type { WithConsensus } from './leadership.js';
 import { isSnapshotDue } from './snapshot-schedule.js';
 
--- a/src/registered/group/group-messages.ts
+++ b/src/registered/group/group-messages.ts
@@ -1,7 +1,7 @@
 /**
  * @file Messages of the control group: among control machines, and between a control machine and the balancers that it
- * feeds. They travel as MessagePack in frames over TCP; feeds are packed before (feed-codec.ts), all others travel with
- * these field names. Where a name is older than the term of the code, its comment gives the term.
+ * feeds. They travel as MessagePack in frames over TCP; feeds are packed before (wire/feed-codec.ts), all others travel
+ * with these field names. Where a name is older than the term of the code, its comment gives the term.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
--- a/src/registered/group/group-options.ts
+++ b/src/registered/group/group-options.ts
@@ -1,6 +1,6 @@
 /**
  * @file Options of a control machine. They are fixed at the start; only the addresses at which it looks for its
- * group may change later (announcements.ts).
+ * group may change later (members/announcements.ts).
  */
 import type { Address } from '../../shared/common/address.js';
 import type { DeclaredConfig } from '../declared/declared-config.js';
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -15,20 +15,23 @@
 import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
 import { HeartbeatRegistry } from '../registry/heartbeat-registry.js';
-import { createAnnouncements, type Announcements } from './announcements.js';
-import { createBackendListProgress, type BackendListProgress } from './backend-list-progress.js';
-import { createBalancerList, type BalancerList } from './balancer-list.js';
-import { createConfigHistory, type ConfigHistory } from './config-history.js';
+import {
+  createBackendListProgress,
+  type BackendListProgress,
+} from './backends/backend-list-progress.js';
+import { createHeartbeatExchange, type HeartbeatExchange } from './backends/heartbeat-exchange.js';
+import { createOrderGuard } from './calls/order-guard.js';
+import { createPendingCalls, type PendingCalls } from './calls/pending-calls.js';
+import { createBalancerList, type BalancerList } from './feed/balancer-list.js';
+import { createConfigHistory, type ConfigHistory } from './feed/config-history.js';
+import { createExchangedTable, type ExchangedTable } from './feed/load-tables.js';
+import { createUpdateCollector, type UpdateCollector } from './feed/pending-updates.js';
+import type { Subscriber } from './feed/subscribers.js';
+import { createAnnouncements, type Announcements } from './members/announcements.js';
+import { memberName } from './members/member-identity.js';
 import type { FeedMessage } from './group-messages.js';
 import type { GroupOptions } from './group-options.js';
-import { createHeartbeatExchange, type HeartbeatExchange } from './heartbeat-exchange.js';
-import { createExchangedTable, type ExchangedTable } from './load-tables.js';
-import { memberName } from './member-identity.js';
-import { createOrderGuard } from './order-guard.js';
-import { createPendingCalls, type PendingCalls } from './pending-calls.js';
-import { createUpdateCollector, type UpdateCollector } from './pending-updates.js';
 import { decodeGroupCommand, ReplicatedState } from './replicated-state.js';
-import type { Subscriber } from './subscribers.js';
 import type { Timing } from './timing.js';
 import { createZoneReadmissions, type ZoneReadmissions } from './zone-readmissions.js';
 
@@ -41,33 +44,33 @@
   readonly consensus: ConsensusState;
   /** What the group agrees on; changed by applied-entries.ts. */
   readonly replicated: ReplicatedState;
-  /** The last heartbeat of each back end; changed by heartbeat-exchange.ts and liveness-updates.ts. */
+  /** The last heartbeat of each back end; changed by heartbeats.ts and liveness-updates.ts of backends/. */
   readonly registry: HeartbeatRegistry;
-  /** Heartbeats that wait to be sent to the other control machines (heartbeat-exchange.ts). */
+  /** Heartbeats that wait to be sent to the other control machines (backends/heartbeat-exchange.ts). */
   readonly heartbeats: HeartbeatExchange;
-  /** How far registry and replicated list are in step (backend-list-progress.ts). */
+  /** How far registry and replicated list are in step (backends/backend-list-progress.ts). */
   readonly backendList: BackendListProgress;
-  /** Calls and proposals that wait (pending-calls.ts). */
+  /** Calls and proposals that wait (calls/pending-calls.ts). */
   readonly calls: PendingCalls;
-  /** Machines that ask to be admitted, and this one's own request (announcements.ts). */
+  /** Machines that ask to be admitted, and this one's own request (members/announcements.ts). */
   readonly announcements: Announcements;
-  /** Balancers that are fed here, by their links; changed by balancer-feed.ts. */
+  /** Balancers that are fed here, by their links; changed by feed/balancer-feed.ts. */
   readonly subscribers: Map<LinkId, Subscriber>;
-  /** Messages that were made since the last tick, by their plans; changed by feed-messages.ts and balancer-feed.ts. */
+  /** Messages that were made since the last tick, by their plans; changed by feed-messages.ts of feed/. */
   readonly feedMessages: Map<string, FeedMessage>;
-  /** What has changed for all balancers since the last tick (pending-updates.ts). */
+  /** What has changed for all balancers since the last tick (feed/pending-updates.ts). */
   readonly updates: UpdateCollector;
-  /** The balancers of all control machines (balancer-list.ts). */
+  /** The balancers of all control machines (feed/balancer-list.ts). */
   readonly balancers: BalancerList;
-  /** Loads of back ends (load-tables.ts). */
+  /** Loads of back ends (feed/load-tables.ts). */
   readonly loads: ExchangedTable;
-  /** How back ends answer (load-tables.ts). */
+  /** How back ends answer (feed/load-tables.ts). */
   readonly answerStats: ExchangedTable;
-  /** The configuration in force, with what changed lately (config-history.ts). */
+  /** The configuration in force, with what changed lately (feed/config-history.ts). */
   readonly configs: ConfigHistory;
   /** When this machine saw zones being readmitted (zone-readmissions.ts). */
   readonly readmissions: ZoneReadmissions;
-  /** Detects pauses of this process, for orders that waited meanwhile (order-guard.ts). */
+  /** Detects pauses of this process, for orders that waited meanwhile (calls/order-guard.ts). */
   readonly stallGuard: StallGuard;
 }
 
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -5,18 +5,18 @@
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
-import { handleDeparture, handleHeartbeat } from './backend-calls.js';
-import { addSubscriber, applyFeedTaken, feedOne, removeSubscriber } from './balancer-feed.js';
+import { handleDeparture, handleHeartbeat } from './calls/backend-calls.js';
+import { addSubscriber, applyFeedTaken, feedOne, removeSubscriber } from './feed/balancer-feed.js';
 import { runConsensus } from './group-consensus.js';
 import type { GroupEffect, GroupEvent } from './group-events.js';
-import { askToLeave } from './group-formation.js';
+import { askToLeave } from './members/group-formation.js';
 import type { GroupState } from './group-state.js';
 import { handleTick } from './group-tick.js';
-import type { RunConsensus } from './leader-replies.js';
-import { startCall } from './leader-requests.js';
-import { applyLoadReport } from './load-duties.js';
+import type { RunConsensus } from './calls/leader-replies.js';
+import { startCall } from './calls/leader-requests.js';
+import { applyLoadReport } from './feed/load-duties.js';
 import { handlePeerMessage } from './peer-messages.js';
-import { orderZone } from './zone-order-calls.js';
+import { orderZone } from './calls/zone-order-calls.js';
 
 /**
  * Handles one event.
--- a/src/registered/group/group-tick.ts
+++ b/src/registered/group/group-tick.ts
@@ -4,18 +4,18 @@
  * ends, informs the other control machines, and feeds the balancers with what has changed.
  */
 import type { StepContext } from '../../shared/common/step.js';
-import { nextBackendListCommand } from './backend-list.js';
-import { feedSubscribers } from './balancer-feed.js';
-import { forgetSilentPeers, shareBalancers } from './balancer-list-duties.js';
+import { nextBackendListCommand } from './backends/backend-list.js';
+import { feedSubscribers } from './feed/balancer-feed.js';
+import { forgetSilentPeers, shareBalancers } from './feed/balancer-list-duties.js';
 import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
 import type { GroupEffect } from './group-events.js';
-import { announceWhereDue, askToLeave, firstMembershipEvent } from './group-formation.js';
+import { announceWhereDue, askToLeave, firstMembershipEvent } from './members/group-formation.js';
 import type { GroupState } from './group-state.js';
-import { shareHeartbeats } from './heartbeats.js';
-import { expireCalls } from './leader-requests.js';
-import { updateLiveness } from './liveness-updates.js';
-import { publishLoads, shareLoadSums } from './load-duties.js';
-import { nextMemberChange } from './member-changes.js';
+import { shareHeartbeats } from './backends/heartbeats.js';
+import { expireCalls } from './calls/leader-requests.js';
+import { updateLiveness } from './backends/liveness-updates.js';
+import { publishLoads, shareLoadSums } from './feed/load-duties.js';
+import { nextMemberChange } from './members/member-changes.js';
 import { encodeGroupCommand } from './replicated-state.js';
 
 /**
--- a/src/registered/group/leadership.ts
+++ b/src/registered/group/leadership.ts
@@ -3,7 +3,7 @@
  *
  * Inputs: the state of its consensus and the time, in milliseconds. Returns a boolean. A machine that is not current
  * accepts no heartbeats, detects no silence, and says in its feed that it is not current, so that balancers look for
- * another one (src/registered/ingress/feed-source.ts).
+ * another one (src/registered/decisions/feed-source.ts).
  *
  * Reason: a leader is current once an entry of its own term is committed, since only then are all entries of earlier
  * terms known as committed. A follower is current as long as a new leader can't have been elected without it: for one
--- a/src/registered/group/announcements.ts
+++ b/src/registered/group/members/announcements.ts
@@ -3,8 +3,8 @@
  * announcements that came in here, the time of this machine's own next one, and the addresses at which it looks for the
  * group. All of it is soft state: machines announce themselves until they are admitted.
  */
-import type { Address } from '../../shared/common/address.js';
-import type { NodeId } from '../../shared/consensus/membership.js';
+import type { Address } from '../../../shared/common/address.js';
+import type { NodeId } from '../../../shared/consensus/membership.js';
 
 /** A machine that asks to be admitted. */
 export interface Announcement {
--- a/src/registered/group/group-formation.ts
+++ b/src/registered/group/members/group-formation.ts
@@ -4,19 +4,19 @@
  * that does not lead passes the announcement on to the leader. A voter that stops asks to be removed, where the group
  * can spare it. Who is admitted or removed is decided in member-changes.ts.
  */
-import { formatAddress, type Address } from '../../shared/common/address.js';
-import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
-import { currentMembership, isVoter } from '../../shared/consensus/consensus-state.js';
+import { formatAddress, type Address } from '../../../shared/common/address.js';
+import type { ConsensusEvent } from '../../../shared/consensus/consensus-events.js';
+import { currentMembership, isVoter } from '../../../shared/consensus/consensus-state.js';
 import {
   findMember,
   sortedMembership,
   type Member,
   type MemberChange,
-} from '../../shared/consensus/membership.js';
-import type { GroupEffect } from './group-events.js';
-import type { PeerMessage } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { leaderAddress, otherMembers } from './leadership.js';
+} from '../../../shared/consensus/membership.js';
+import type { GroupEffect } from '../group-events.js';
+import type { PeerMessage } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { leaderAddress, otherMembers } from '../leadership.js';
 import { hasSpareVoter } from './member-changes.js';
 import { firstStorageId, memberName } from './member-identity.js';
 
--- a/src/registered/group/member-changes.ts
+++ b/src/registered/group/members/member-changes.ts
@@ -17,21 +17,21 @@
  * Why the replacement in one step is safe, and what it has to do with the copies of an entry, is explained in
  * docs/design/platform.md, "Formation and repair". Log line: `membership`.
  */
-import { formatAddress, type Address } from '../../shared/common/address.js';
+import { formatAddress, type Address } from '../../../shared/common/address.js';
 import {
   currentMembership,
   type ConsensusState,
   type LeaderRole,
-} from '../../shared/consensus/consensus-state.js';
+} from '../../../shared/consensus/consensus-state.js';
 import {
   findMember,
   votersOf,
   type Member,
   type MemberChange,
   type NodeId,
-} from '../../shared/consensus/membership.js';
-import type { GroupState } from './group-state.js';
-import type { WithConsensus } from './leadership.js';
+} from '../../../shared/consensus/membership.js';
+import type { GroupState } from '../group-state.js';
+import type { WithConsensus } from '../leadership.js';
 
 /** What changes of the membership depend on. */
 export type MemberChangeState = Pick<GroupState, 'options' | 'consensus' | 'announcements'>;
--- a/src/registered/group/member-identity.ts
+++ b/src/registered/group/members/member-identity.ts
@@ -2,8 +2,8 @@
  * @file How members of the consensus group are named. A member is a machine with its disk: a machine that comes back
  * with an empty disk is another member. Votes are counted by storage IDs, so no two members may share one.
  */
-import { formatAddress, type Address } from '../../shared/common/address.js';
-import type { NodeId } from '../../shared/consensus/membership.js';
+import { formatAddress, type Address } from '../../../shared/common/address.js';
+import type { NodeId } from '../../../shared/consensus/membership.js';
 
 /**
  * @returns the storage ID of a member with which a group begins; all others know it before that member has started
--- a/src/registered/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -14,7 +14,7 @@
 } from '../../shared/consensus/message-shapes.js';
 import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
-import { packedRowsSchema } from './packed-rows-schema.js';
+import { packedRowsSchema } from './wire/packed-rows-schema.js';
 import type { ControlInboundMessage } from './group-messages.js';
 
 /** Room for the largest configuration document, against faulty senders. */
--- a/src/registered/group/timing.ts
+++ b/src/registered/group/timing.ts
@@ -89,7 +89,7 @@
 /**
  * A control machine that says for so long that it isn't current is given up: long enough for an acknowledgement of the
  * leader that is a little late. A balancer that stayed for 1.6 s with each machine of the smaller half of a split
- * handled flows by an old configuration (docs/FINDINGS.md); tests ingress/feed-source and ingress/split.
+ * handled flows by an old configuration (docs/FINDINGS.md); tests decisions/feed-source and ingress/split.
  */
 const FEED_STALE_MS = 200;
 /** A feed must bring its first message within this time; see FEED_SILENT_MS. */
--- a/src/registered/group/config-codec.ts
+++ b/src/registered/group/wire/config-codec.ts
@@ -2,9 +2,9 @@
  * @file Changes of routes as they travel in a feed. Lists of targets and names of services repeat, so each is written
  * once; host and port are one number, written as the difference from the one before.
  */
-import { packHost, unpackHost } from '../../shared/common/address.js';
-import type { ConfigPart, RouteChange } from '../declared/config-update.js';
-import type { ServiceWarmUp, WeightedTarget } from '../declared/declared-config.js';
+import { packHost, unpackHost } from '../../../shared/common/address.js';
+import type { ConfigPart, RouteChange } from '../../declared/config-update.js';
+import type { ServiceWarmUp, WeightedTarget } from '../../declared/declared-config.js';
 import { DROPPED, type PackedConfig } from './packed-feed.js';
 import { createNameTable } from './packed-names.js';
 
--- a/src/registered/group/feed-codec.ts
+++ b/src/registered/group/wire/feed-codec.ts
@@ -6,10 +6,10 @@
  * This module knows the names on the wire: liveness and departures travel as numbers (packed-feed.ts), a full sync
  * is `transfer`, changes of liveness are `judgements`, answer stats are `signals`.
  */
-import type { LivenessChange } from '../registry/backend-liveness.js';
-import type { Departure } from '../registry/backend-record.js';
+import type { LivenessChange } from '../../registry/backend-liveness.js';
+import type { Departure } from '../../registry/backend-record.js';
 import { packConfig, unpackConfig } from './config-codec.js';
-import type { FeedMessage } from './group-messages.js';
+import type { FeedMessage } from '../group-messages.js';
 import {
   packBalancers,
   packControls,
--- a/src/registered/group/list-codec.ts
+++ b/src/registered/group/wire/list-codec.ts
@@ -1,7 +1,7 @@
 /**
  * @file Balancers, control machines and zones as they travel in a feed.
  */
-import type { BalancerInfo, ControlInfo, ZoneUpdate } from './group-messages.js';
+import type { BalancerInfo, ControlInfo, ZoneUpdate } from '../group-messages.js';
 import {
   NOT_SEEN,
   type PackedBalancers,
--- a/src/registered/group/packed-feed.ts
+++ b/src/registered/group/wire/packed-feed.ts
@@ -3,13 +3,16 @@
  * is used before. The fields are the names on the wire; feed-codec.ts translates them.
  */
 import * as z from 'zod/mini';
-import { indexShape as index, textShape as text } from '../../shared/consensus/message-shapes.js';
-import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
-import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
+import {
+  indexShape as index,
+  textShape as text,
+} from '../../../shared/consensus/message-shapes.js';
+import { ANSWER_STATS_ROWS } from '../../load-exchange/answer-stats.js';
+import { LOAD_ROWS } from '../../load-exchange/packed-rows.js';
 import { packedRowsSchema } from './packed-rows-schema.js';
-import type { Liveness } from '../registry/backend-liveness.js';
-import type { DepartureKind } from '../registry/backend-record.js';
-import type { FullSyncStage } from './group-messages.js';
+import type { Liveness } from '../../registry/backend-liveness.js';
+import type { DepartureKind } from '../../registry/backend-record.js';
+import type { FullSyncStage } from '../group-messages.js';
 
 /** Room for the largest fleet in one message, against faulty senders. */
 const MAX_ITEMS = 50_000;
--- a/src/registered/group/packed-names.ts
+++ b/src/registered/group/wire/packed-names.ts
@@ -2,7 +2,7 @@
  * @file Columns of names and addresses in packed messages: what repeats is written once, and rows refer to it by
  * number.
  */
-import type { Address } from '../../shared/common/address.js';
+import type { Address } from '../../../shared/common/address.js';
 import type { PackedAddresses } from './packed-feed.js';
 
 /** @returns a table that numbers texts that repeat, in the order in which they come */
--- a/src/registered/group/packed-rows-schema.ts
+++ b/src/registered/group/wire/packed-rows-schema.ts
@@ -2,8 +2,8 @@
  * @file The schema of a table of the load exchange in a message.
  */
 import * as z from 'zod/mini';
-import { indexShape } from '../../shared/consensus/message-shapes.js';
-import type { RowShape } from '../load-exchange/packed-rows.js';
+import { indexShape } from '../../../shared/consensus/message-shapes.js';
+import type { RowShape } from '../../load-exchange/packed-rows.js';
 
 /** Room for 20,000 back ends, against faulty senders. */
 const MAX_ROWS = 20_000;
--- a/src/registered/group/record-codec.ts
+++ b/src/registered/group/wire/record-codec.ts
@@ -1,7 +1,7 @@
 /**
  * @file Records of back ends as they travel in a feed.
  */
-import type { AgedRecord } from './group-messages.js';
+import type { AgedRecord } from '../group-messages.js';
 import { INSTANCE_BYTES, type PackedRecords } from './packed-feed.js';
 import { addressAt, createNameTable, packAddresses } from './packed-names.js';
 
--- a/src/registered/registry/backend-liveness.ts
+++ b/src/registered/registry/backend-liveness.ts
@@ -3,8 +3,8 @@
  *
  * Inputs: how long no heartbeat came and the heartbeat interval, both in milliseconds. Returns the liveness. Control
  * machines detect silence, since they get all heartbeats; since when it counts for them is decided in
- * group/liveness-updates.ts. Balancers are sent changes only. A suspect back end gets new flows only where none is
- * alive; a dead one gets none (src/registered/decisions/placement.ts).
+ * group/backends/liveness-updates.ts. Balancers are sent changes only. A suspect back end gets new flows only where
+ * none is alive; a dead one gets none (src/registered/decisions/placement.ts).
  *
  * Reason: a back end that ends without a word is noticed by nothing else for some seconds. On a day with back ends that
  * fell dark, worth was 0.9467 with silence and 0.9279 without, elsewhere it made no difference
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -9,23 +9,23 @@
   feedSubscribers,
   applyFeedTaken,
   removeSubscriber,
-} from '../../../src/registered/group/balancer-feed.js';
-import { forgetSilentPeers } from '../../../src/registered/group/balancer-list-duties.js';
+} from '../../../src/registered/group/feed/balancer-feed.js';
+import { forgetSilentPeers } from '../../../src/registered/group/feed/balancer-list-duties.js';
 import type { GroupEffect } from '../../../src/registered/group/group-events.js';
 import type {
   FeedMessage,
   SubscribeMessage,
 } from '../../../src/registered/group/group-messages.js';
 import type { GroupState } from '../../../src/registered/group/group-state.js';
-import { applyHeartbeat } from '../../../src/registered/group/heartbeats.js';
+import { applyHeartbeat } from '../../../src/registered/group/backends/heartbeats.js';
 import { isCurrent } from '../../../src/registered/group/leadership.js';
-import { updateLiveness } from '../../../src/registered/group/liveness-updates.js';
+import { updateLiveness } from '../../../src/registered/group/backends/liveness-updates.js';
 import {
   publishLoads,
   shareLoadSums,
   applyLoadReport,
   applyLoadSums,
-} from '../../../src/registered/group/load-duties.js';
+} from '../../../src/registered/group/feed/load-duties.js';
 import {
   eachAnswerStats,
   packAnswerStats,
--- a/test/registered/group/config-history.test.ts
+++ b/test/registered/group/config-history.test.ts
@@ -7,7 +7,7 @@
   wholeUpdate,
 } from '../../../src/registered/declared/config-update.js';
 import type { DeclaredConfig } from '../../../src/registered/declared/declared-config.js';
-import { createConfigHistory } from '../../../src/registered/group/config-history.js';
+import { createConfigHistory } from '../../../src/registered/group/feed/config-history.js';
 import { RouteTable } from '../../../src/registered/ingress/route-table.js';
 
 const PORTS = 12;
--- a/test/registered/group/feed-codec.test.ts
+++ b/test/registered/group/feed-codec.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { Packr } from 'msgpackr';
 import t from 'tap';
-import { packFeed, unpackFeed } from '../../../src/registered/group/feed-codec.js';
+import { packFeed, unpackFeed } from '../../../src/registered/group/wire/feed-codec.js';
 import type { AgedRecord, FeedMessage } from '../../../src/registered/group/group-messages.js';
 
 const packr = new Packr({ useRecords: false });
--- a/test/registered/group/message-schemas.test.ts
+++ b/test/registered/group/message-schemas.test.ts
@@ -1,7 +1,7 @@
 /** @file Whatever comes in on an internal port is one of our messages or is refused; nothing throws. */
 import fc from 'fast-check';
 import t from 'tap';
-import { unpackFeed } from '../../../src/registered/group/feed-codec.js';
+import { unpackFeed } from '../../../src/registered/group/wire/feed-codec.js';
 import {
   parseBalancerMessage,
   parseControlInbound,
