--- a/src/registered/group/backend-calls.ts
+++ b/src/registered/group/calls/backend-calls.ts
@@ -2,22 +2,22 @@
  * @file How heartbeats and departures of back ends are handled.
  *
  * A heartbeat is accepted by any machine that is current, and takes no entry of the log. A departure is acknowledged
- * once it is committed, since it is final: a back end that was told so may end, and must get no new flow after any
+ * once it is committed, since it is final: a back end may end once it has the reply, and must get no new flow after any
  * restart. Departures that are committed already need no leader.
  */
-import { formatAddress } from '../../shared/common/address.js';
+import { formatAddress } from '../../../shared/common/address.js';
 import {
   isLaterDeparture,
   type BackendRecord,
   type Departure,
-} from '../registry/backend-record.js';
-import type { GroupEffect, GroupEvent, RequestId } from './group-events.js';
-import type { AgedRecord } from './group-messages.js';
-import type { GroupState } from './group-state.js';
-import { applyHeartbeat } from './heartbeats.js';
+} from '../../registry/backend-record.js';
+import type { GroupEffect, GroupEvent, RequestId } from '../group-events.js';
+import type { AgedRecord } from '../group-messages.js';
+import type { GroupState } from '../group-state.js';
+import { applyHeartbeat } from '../backends/heartbeats.js';
 import { accepted, unavailable, type RunConsensus } from './leader-replies.js';
 import { startCall, type CallState } from './leader-requests.js';
-import { isCurrent } from './leadership.js';
+import { isCurrent } from '../leadership.js';
 
 /** What calls of back ends read and change. */
 export type BackendCallState = CallState &
