--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -12,14 +12,9 @@
   type IngressOptions,
   type IngressState,
 } from '../ingress/ingress-state.js';
-import {
-  decidePacket,
-  placeOpen,
-  followPeer,
-  type DropReason,
-  type PacketDecision,
-  type FoundBy,
-} from '../ingress/packet-step.js';
+import { followPeer, placeOpen } from '../ingress/open-step.js';
+import type { DropReason, FoundBy, PacketDecision } from '../ingress/packet-decision.js';
+import { decidePacket } from '../ingress/packet-step.js';
 import type { PacketCodec } from '../ingress/packet-codec.js';
 import { flowKeyOf, type PacketView } from '../ingress/packet-view.js';
 import type { KnownBackend } from '../ingress/known-backend.js';
--- /dev/null
+++ b/src/registered/ingress/established-packet.ts
@@ -0,0 +1,46 @@
+/**
+ * @file A packet of an established flow: it goes to the back end that its token names, whatever else is known. Where
+ * that back end is proven dead the client is reset.
+ */
+import { isProvenDead, type UnansweredData } from '../decisions/dead-flow.js';
+import { knowsCurrent, type IngressState } from './ingress-state.js';
+import type { KnownBackend } from './known-backend.js';
+import type { PacketDecision } from './packet-decision.js';
+import { flowKeyOf, type PacketView } from './packet-view.js';
+
+/** Decides on a packet that is no open, and records what it shows of its back end. */
+export function decideEstablished(
+  state: IngressState,
+  packet: PacketView,
+  nowMs: number,
+): PacketDecision {
+  if (packet.token === 0) {
+    return { type: 'drop', reason: 'no-token' };
+  }
+  const backend = state.backends.resolve(packet.token);
+  if (backend === undefined) {
+    return { type: 'drop', reason: 'unknown-token' };
+  }
+  const unanswered = state.activities.recordPacket(flowKeyOf(packet), backend, packet, nowMs);
+  return unanswered !== undefined && isDead(state, backend, unanswered, nowMs)
+    ? { type: 'reset', reason: 'backend-dead' }
+    : { type: 'forward', backend };
+}
+
+function isDead(
+  state: IngressState,
+  backend: KnownBackend,
+  unanswered: UnansweredData,
+  nowMs: number,
+): boolean {
+  // Nearly all are alive: the evidence is gathered for the others only.
+  if (backend.registration.liveness === 'alive') {
+    return false;
+  }
+  const evidence = {
+    isFeedCurrent: knowsCurrent(state, nowMs),
+    isReplaced: state.backends.isReplaced(backend),
+    unanswered,
+  };
+  return isProvenDead(backend, evidence, state.options.switches);
+}
--- a/src/registered/ingress/open-memory.ts
+++ b/src/registered/ingress/open-memory.ts
@@ -1,11 +1,15 @@
 /**
- * @file A short memory of where opens went, so that a copy of an open goes where the first went. If two
- * back ends took one flow, the client's packets could reach the one that it did not choose.
+ * @file A short memory of where opens went, so that a copy of an open goes where the first went. If two back ends took
+ * one flow, the client's packets could reach the one that it did not choose. It is lost with the process; the holders
+ * of an open, other balancers, keep it as well.
  */
 import type { FlowKey } from './packet-view.js';
 import { createPeriodMap, type PeriodMap } from '../../shared/common/period-map.js';
 
-/** Opens beyond this number in one period are not remembered: other balancers may tell of any number. */
+/** How long copies of an open may come after the first, in milliseconds. */
+export const OPEN_LIFETIME_MS = 2_000;
+
+/** Opens beyond this number in one period are not remembered: other balancers may send any number. */
 const MAX_OPENS = 200_000;
 
 /** Tokens of the back ends to which the opens of the last one to two periods went. */
--- /dev/null
+++ b/src/registered/ingress/open-step.ts
@@ -0,0 +1,109 @@
+/**
+ * @file The way of an open: refused while this balancer knows too little; sent after its first copy where that is
+ * remembered; asked for at the holders where another balancer may have placed it; placed; refused where no back end may
+ * take it. The rules themselves are in `src/registered/decisions`.
+ */
+import { isLearning } from '../decisions/learning.js';
+import { admitOpen } from '../decisions/open-admission.js';
+import { refuseOpen } from '../decisions/open-refusal.js';
+import { isReady, knowsCurrent, type IngressState } from './ingress-state.js';
+import type { KnownBackend } from './known-backend.js';
+import type { FoundBy, PacketDecision } from './packet-decision.js';
+import { flowKeyOf, type FlowKey, type PacketView } from './packet-view.js';
+
+/** Decides on an open. */
+export function decideOpen(state: IngressState, packet: PacketView, nowMs: number): PacketDecision {
+  if (state.feedStatus.firstCurrentAtMs === undefined || state.routes.config === undefined) {
+    return { type: 'drop', reason: 'not-ready' };
+  }
+  const key = flowKeyOf(packet);
+  const rememberedToken = state.opens.recall(key, nowMs);
+  if (rememberedToken !== undefined) {
+    state.activities.recordOpenCopy(key, nowMs);
+    return forwardCopy(state, rememberedToken, { type: 'remembered' });
+  }
+  if (!state.routes.has(packet.destinationHost, packet.destinationPort)) {
+    return knowsCurrent(state, nowMs)
+      ? { type: 'reset', reason: 'no-route' }
+      : { type: 'drop', reason: 'not-current' };
+  }
+  switch (admitOpen(state.stallGuard.trustAt(nowMs), packet.copyNumber, canAskPeers(state))) {
+    case 'drop':
+      return { type: 'drop', reason: 'stale-open' };
+    case 'ask-peers':
+      return { type: 'ask-peers', key };
+    case 'place':
+      return placeOpen(state, packet, nowMs);
+  }
+}
+
+/** Places an open of which no earlier copy is known, here or at the holders that were asked. */
+export function placeOpen(state: IngressState, packet: PacketView, nowMs: number): PacketDecision {
+  const service = state.routes.nextService(packet.destinationHost, packet.destinationPort);
+  if (service === undefined) {
+    return { type: 'reset', reason: 'no-route' };
+  }
+  const active = state.backends.activeOf(service);
+  const eligible = active.filter(({ zone }) => !state.zones.isEvacuated(zone));
+  const backend = state.placement.choose(eligible, hashOf(packet), nowMs);
+  return backend === undefined
+    ? refuseOpen(active, eligible, mayLearnMore(state, nowMs))
+    : recordPlaced(state, packet, service, backend, nowMs);
+}
+
+/** Another balancer has placed the first copy of an open at the back end with this token. */
+export function followPeer(
+  state: IngressState,
+  key: FlowKey,
+  token: number,
+  nowMs: number,
+): PacketDecision {
+  state.opens.remember(key, token, nowMs);
+  return forwardCopy(state, token, { type: 'told-by-peer' });
+}
+
+function canAskPeers({ options, peers }: IngressState): boolean {
+  return options.switches.opens === 'shared' && peers.size > 0;
+}
+
+function forwardCopy(state: IngressState, token: number, foundBy: FoundBy): PacketDecision {
+  const backend = state.backends.resolve(token);
+  return backend === undefined
+    ? { type: 'drop', reason: 'unknown-token' }
+    : { type: 'forward', backend, foundBy };
+}
+
+function mayLearnMore(state: IngressState, nowMs: number): boolean {
+  const { switches, heartbeatIntervalMs } = state.options;
+  return (
+    switches.learning === 'dropped' &&
+    isLearning(isReady(state), state.feedStatus, heartbeatIntervalMs, nowMs)
+  );
+}
+
+/** The load that is logged counts the flows before this one. */
+function recordPlaced(
+  state: IngressState,
+  packet: PacketView,
+  service: string,
+  backend: KnownBackend,
+  nowMs: number,
+): PacketDecision {
+  state.slowStart.recordPlacement(backend, nowMs);
+  const load = state.placement.loadOf(backend, nowMs);
+  const key = flowKeyOf(packet);
+  state.opens.remember(key, backend.token, nowMs);
+  state.activities.recordOpen(key, backend, nowMs);
+  return { type: 'forward', backend, foundBy: { type: 'chosen', key, service, load } };
+}
+
+const HASH_MULTIPLIER = 0x9e3779b1;
+
+/** @returns 32 bits that spread the flows of one client over back ends */
+function hashOf(packet: PacketView): number {
+  const mixed = Math.imul(
+    packet.sourceHost ^ (packet.sourcePort * HASH_MULTIPLIER),
+    HASH_MULTIPLIER,
+  );
+  return (mixed ^ (mixed >>> 15)) >>> 0;
+}
--- a/src/registered/ingress/route-table.ts
+++ b/src/registered/ingress/route-table.ts
@@ -1,24 +1,16 @@
 /**
- * @file The routes in force at a balancer: which service the next flow of a route goes to, so that the
- * flows keep the weights of the route.
+ * @file The configuration in force at a balancer: its version, and which service the next flow of each route goes to.
+ * It owns the routes; they change only as a whole update of the configuration is applied.
  */
 import { packHost } from '../../shared/common/address.js';
 import { NO_VERSION, type ConfigUpdate } from '../declared/config-update.js';
 import type { ServiceWarmUp, WeightedTarget } from '../declared/declared-config.js';
+import {
+  createWeightedRoundRobin,
+  type WeightedRoundRobin,
+} from '../decisions/weighted-round-robin.js';
 import { routeKey, type RouteKey } from './packet-view.js';
 
-interface WeightedShare {
-  readonly service: string;
-  readonly weight: number;
-  /** What the share is owed; the one that is owed most comes next. */
-  credit: number;
-}
-
-interface RouteEntry {
-  readonly shares: WeightedShare[];
-  readonly totalWeight: number;
-}
-
 /** The configuration in force. */
 export interface ConfigInForce {
   readonly version: number;
@@ -31,19 +23,19 @@
 /** What became of an update. */
 export type UpdateOutcome =
   | 'applied'
-  /** What is held is as new. */
+  /** What is in force is as new. */
   | 'known'
-  /** It is made to another version than the one that is held. */
+  /** It is made to another version than the one in force. */
   | 'unfit';
 
 /** Routes by address and port. */
 export class RouteTable {
-  private routes = new Map<RouteKey, RouteEntry>();
-  private held: ConfigInForce | undefined;
+  private routes = new Map<RouteKey, WeightedRoundRobin>();
+  private inForce: ConfigInForce | undefined;
 
-  /** The configuration in force here. */
+  /** Undefined before the first update. */
   get config(): ConfigInForce | undefined {
-    return this.held;
+    return this.inForce;
   }
 
   /** How many routes there are. */
@@ -52,14 +44,9 @@
   }
 
   /** Puts an update of the configuration in force; an older one never follows a newer one. */
-  applyUpdate({
-    version,
-    baseVersion,
-    idleTimeoutMs,
-    warmUps,
-    changes,
-  }: ConfigUpdate): UpdateOutcome {
-    const heldVersion = this.held?.version ?? NO_VERSION;
+  applyUpdate(update: ConfigUpdate): UpdateOutcome {
+    const { version, baseVersion, idleTimeoutMs, warmUps, changes } = update;
+    const heldVersion = this.inForce?.version ?? NO_VERSION;
     if (version <= heldVersion) {
       return 'known';
     }
@@ -67,7 +54,7 @@
       return 'unfit';
     }
     const before = this.routes;
-    this.routes = baseVersion === NO_VERSION ? new Map<RouteKey, RouteEntry>() : before;
+    this.routes = baseVersion === NO_VERSION ? new Map<RouteKey, WeightedRoundRobin>() : before;
     for (const { host, port, targets } of changes) {
       const key = routeKey(Number(packHost(host)), port);
       if (targets === undefined) {
@@ -77,49 +64,25 @@
       }
     }
     const byService = new Map(warmUps.map((warmUp) => [warmUp.service, warmUp]));
-    this.held = { version, idleTimeoutMs, warmUps: byService };
+    this.inForce = { version, idleTimeoutMs, warmUps: byService };
     return 'applied';
   }
 
+  /** @param host IPv4 number as 32 bits */
   has(host: number, port: number): boolean {
     return this.routes.has(routeKey(host, port));
   }
 
-  /** @returns the service that the next flow of a route goes to; undefined where there is no route */
+  /** @returns the service that the next flow of a route goes to; undefined where there is no route, or no weight */
   nextService(host: number, port: number): string | undefined {
-    const entry = this.routes.get(routeKey(host, port));
-    if (entry === undefined) {
-      return undefined;
-    }
-    let next: WeightedShare | undefined;
-    for (const share of entry.shares) {
-      share.credit += share.weight;
-      next = next === undefined || share.credit > next.credit ? share : next;
-    }
-    if (next !== undefined) {
-      next.credit -= entry.totalWeight;
-    }
-    return next?.service;
+    return this.routes.get(routeKey(host, port))?.next();
   }
 }
 
-/** A route whose targets did not change goes on where it was. */
+/** A route whose targets did not change goes on with its turns. */
 function keptOrNew(
-  before: RouteEntry | undefined,
-  allTargets: readonly WeightedTarget[],
-): RouteEntry {
-  const targets = allTargets.filter(({ weight }) => weight > 0);
-  const isSame =
-    before?.shares.length === targets.length &&
-    targets.every(({ service, weight }, index) => {
-      const share = before.shares[index];
-      return share?.service === service && share.weight === weight;
-    });
-  if (isSame) {
-    return before;
-  }
-  return {
-    shares: targets.map(({ service, weight }) => ({ service, weight, credit: 0 })),
-    totalWeight: targets.reduce((sum, { weight }) => sum + weight, 0),
-  };
+  before: WeightedRoundRobin | undefined,
+  targets: readonly WeightedTarget[],
+): WeightedRoundRobin {
+  return before?.hasTargets(targets) === true ? before : createWeightedRoundRobin(targets);
 }
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -7,7 +7,7 @@
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { ingressMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
 import { timingFor } from '../../registered/group/timing.js';
-import { countedFlowsFor } from '../../registered/ingress/ingress-state.js';
+import { countedFlowsFor } from '../../registered/ingress/counted-flows.js';
 import { tokenPacketCodec } from '../../registered/ingress/token-packet.js';
 import { ingressSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
