--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -6,10 +6,10 @@
 import { createDialedLinks, type DialedLinks } from '../../shared/common/dialed-links.js';
 import { createLinkTable } from '../../shared/common/link-table.js';
 import type { GroupReply } from '../../registered/group/group-events.js';
-import { createGroupState, firstStorageId } from '../../registered/group/group-state.js';
+import { createGroupState } from '../../registered/group/group-state.js';
 import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import type { ConsensusState } from '../../shared/consensus/consensus-state.js';
-import { isFirstMember } from '../../registered/group/membership-duties.js';
+import { firstStorageId, isFirstMember } from '../../registered/group/member-identity.js';
 import { packFeed } from '../../registered/group/feed-codec.js';
 import { isBalancerLinkMessage } from '../../registered/group/group-messages.js';
 import { parseControlInbound } from '../../registered/group/message-schemas.js';
@@ -159,7 +159,7 @@
       sendToPeer: (to, message) => peerLinks.send(to, message),
       sendFeed: (linkId, message) => this.feedLinks.find(linkId)?.send(packFeed(message)),
       persist: (effect) => this.persist(storage, effect, generation),
-      note: (name, fields) => {
+      logDecision: (name, fields) => {
         this.parts.note(this.address.host, name, fields);
         this.noteLeader(state.consensus);
       },
@@ -212,9 +212,9 @@
       return false;
     }
     if (isBalancerLinkMessage(parsed)) {
-      this.process?.takeBalancerMessage(this.feedLinks.idOf(link), parsed);
+      this.process?.handleBalancerMessage(this.feedLinks.idOf(link), parsed);
     } else {
-      this.process?.takePeerMessage(parsed);
+      this.process?.handlePeerMessage(parsed);
     }
     return true;
   }
--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -11,8 +11,9 @@
 import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import type { GroupReply } from '../group/group-events.js';
-import { createGroupState, firstStorageId, type GroupOptions } from '../group/group-state.js';
-import { isFirstMember } from '../group/membership-duties.js';
+import type { GroupOptions } from '../group/group-options.js';
+import { createGroupState } from '../group/group-state.js';
+import { firstStorageId, isFirstMember } from '../group/member-identity.js';
 import { packFeed } from '../group/feed-codec.js';
 import { isBalancerLinkMessage, type FeedMessage } from '../group/group-messages.js';
 import { parseControlInbound } from '../group/message-schemas.js';
@@ -56,7 +57,7 @@
       sendToPeer: (to, message) => this.peers.send(to, message),
       sendFeed: (linkId, message) => this.feedLinks.find(linkId)?.sendFrame(frameOf(message)),
       persist: (effect) => persist(storage, effect),
-      note: (name, fields) => logDecision('control', name, fields),
+      logDecision: (name, fields) => logDecision('control', name, fields),
     };
     this.group = new GroupProcess(createGroupState(options, storage.recovered), surroundings);
   }
@@ -85,8 +86,8 @@
   }
 
   /** Takes other seeds, by which this machine finds the group. */
-  takeSeeds(seeds: readonly Address[]): void {
-    this.group.state.seeds = seeds;
+  updateSeeds(seeds: readonly Address[]): void {
+    this.group.state.announcements.setSeeds(seeds);
   }
 
   /** Hands leadership over and stops. */
@@ -114,9 +115,9 @@
       return false;
     }
     if (isBalancerLinkMessage(parsed)) {
-      this.group.takeBalancerMessage(this.feedLinks.idOf(link), parsed);
+      this.group.handleBalancerMessage(this.feedLinks.idOf(link), parsed);
     } else {
-      this.group.takePeerMessage(parsed);
+      this.group.handlePeerMessage(parsed);
     }
     return true;
   }
--- a/src/registered/ingress/load-reporter.ts
+++ b/src/registered/ingress/load-reporter.ts
@@ -13,7 +13,7 @@
   type BackendLoadEntry,
   type PackedLoads,
 } from '../load-exchange/backend-load.js';
-import { createLoadOutlet, offered } from '../load-exchange/load-outlet.js';
+import { createLoadOutlet, rowsToSend } from '../load-exchange/load-outlet.js';
 import type { IngressState } from './ingress-state.js';
 
 /** Reports on one link. */
@@ -30,8 +30,8 @@
   return { due };
 
   function due(nowMs: number): LoadReportMessage | undefined {
-    const loads = offered(loadsOutlet, () => ownLoads(state), nowMs);
-    const signals = offered(statsOutlet, () => ownAnswerStats(state, nowMs), nowMs);
+    const loads = rowsToSend(loadsOutlet, () => ownLoads(state), nowMs);
+    const signals = rowsToSend(statsOutlet, () => ownAnswerStats(state, nowMs), nowMs);
     return loads === undefined && signals === undefined
       ? undefined
       : { type: 'load-report', ...(loads && { loads }), ...(signals && { signals }) };
