--- a/src/registered/decisions/answer-sizes.ts
+++ b/src/registered/decisions/answer-sizes.ts
@@ -11,7 +11,7 @@
 import type { RouteKey } from '../ingress/packet-view.js';
 
 /** The usual sizes of answers. */
-export interface AnswerSizes {
+interface AnswerSizes {
   /**
    * Records the size of an answer.
    * @param bytes that its client acknowledged first; of a long answer these are a few packets
--- a/src/registered/decisions/answer-times.ts
+++ b/src/registered/decisions/answer-times.ts
@@ -14,7 +14,7 @@
 import type { ObservedBackend } from './fleet-answer-stats.js';
 
 /** How long a back end takes, as a share of what its service takes on average: 2 is twice as slow. */
-export type RelativeTime = number;
+type RelativeTime = number;
 
 /**
  * A back end of which little is known counts as average, as if it had given so many average answers: where one answer
--- a/src/registered/decisions/dead-flow.ts
+++ b/src/registered/decisions/dead-flow.ts
@@ -24,7 +24,7 @@
 }
 
 /** What is known of the back end of a flow that brings data. */
-export interface DeadFlowEvidence {
+interface DeadFlowEvidence {
   /** True where this balancer is current. */
   readonly isFeedCurrent: boolean;
   /** True where another back end, which is alive, has the same address. */
--- a/src/registered/decisions/ejection/by-answers.ts
+++ b/src/registered/decisions/ejection/by-answers.ts
@@ -35,7 +35,7 @@
 }
 
 /** An ejection that begins. */
-export interface Ejection {
+interface Ejection {
   readonly backendId: string;
   readonly failure: Failure;
   /** For how long at least, in milliseconds. */
@@ -44,7 +44,7 @@
 }
 
 /** What the flows of a back end show at all balancers together. */
-export interface EjectionEvidence extends AnswerStats {
+interface EjectionEvidence extends AnswerStats {
   /** Requests in progress. */
   readonly busy: number;
 }
--- a/src/registered/decisions/ejection/failure-signs.ts
+++ b/src/registered/decisions/ejection/failure-signs.ts
@@ -21,7 +21,7 @@
   | 'answers-short';
 
 /** Answers of a whole service over all balancers. */
-export interface ServiceAnswers {
+interface ServiceAnswers {
   /** Usual and short ones. */
   readonly answered: number;
   readonly short: number;
--- a/src/registered/decisions/feed-source.ts
+++ b/src/registered/decisions/feed-source.ts
@@ -18,7 +18,7 @@
 export const FEED_RETRY_AFTER_MS = 40;
 
 /** Why a link is closed from here; the line `feed left` has the same words. */
-export type CloseReason =
+type CloseReason =
   /** No first message came in time. */
   | 'no-feed'
   /** Nothing comes any more. */
@@ -29,13 +29,13 @@
   | 'returns-to-own-zone';
 
 /** What the owner of the link has to do now. */
-export type FeedAction =
+type FeedAction =
   | { readonly type: 'connect'; readonly address: Address }
   | { readonly type: 'close'; readonly why: CloseReason }
   | { readonly type: 'wait' };
 
 /** The balancer that looks for a control machine. */
-export interface FeedSeeker {
+interface FeedSeeker {
   /** Link addresses of control machines from the settings. */
   readonly seeds: readonly Address[];
   readonly zone: string;
--- a/src/registered/decisions/open-admission.ts
+++ b/src/registered/decisions/open-admission.ts
@@ -20,7 +20,7 @@
 import { OPEN_LIFETIME_MS } from '../ingress/open-memory.js';
 
 /** What to do with an open that is not remembered. */
-export type OpenAdmission = 'place' | 'ask-peers' | 'drop';
+type OpenAdmission = 'place' | 'ask-peers' | 'drop';
 
 /**
  * A pause of the process from which on opens may have waited, in milliseconds. Turns are at most a tick of 100 ms apart,
--- a/src/registered/decisions/open-claims.ts
+++ b/src/registered/decisions/open-claims.ts
@@ -19,7 +19,7 @@
 import { createPeriodMap } from '../../shared/common/period-map.js';
 
 /** Claims of opens that are about to be placed. */
-export interface OpenClaims {
+interface OpenClaims {
   /**
    * Claims an open for a balancer; a claim of its own is not renewed.
    * @param asker peer address of the balancer that asks
--- a/src/registered/decisions/service-estimates.ts
+++ b/src/registered/decisions/service-estimates.ts
@@ -13,7 +13,7 @@
 import type { EjectionByAnswers } from './ejection/by-answers.js';
 
 /** Estimates by service; owns when each was made. */
-export interface ServiceEstimates {
+interface ServiceEstimates {
   /**
    * @param backends all eligible ones of one service
    * @returns the weights; a back end that is not in it counts as average
--- a/src/registered/decisions/slow-start.ts
+++ b/src/registered/decisions/slow-start.ts
@@ -29,7 +29,7 @@
 }
 
 /** What slow start depends on. */
-export interface SlowStartOptions {
+interface SlowStartOptions {
   /** Undefined where the deployment bounds nothing: cold back ends only count as busier. */
   readonly bounds: SlowStartBounds | undefined;
   /** Time between two heartbeats of a back end, in milliseconds. */
--- a/src/registered/decisions/speed-draw.ts
+++ b/src/registered/decisions/speed-draw.ts
@@ -19,7 +19,7 @@
 import type { SpeedWeights } from './service-estimates.js';
 
 /** What a choice follows from, beside the back ends. */
-export interface ChoiceContext {
+interface ChoiceContext {
   /** 32 bits; the same hash draws the same back end. */
   readonly flowHash: number;
   readonly speeds: SpeedWeights;
--- a/src/registered/decisions/zone-choice.ts
+++ b/src/registered/decisions/zone-choice.ts
@@ -13,7 +13,7 @@
 import type { MechanismSwitches } from './mechanism-switches.js';
 
 /** Narrows candidates to those of the zones that come first. */
-export type ZoneChoice = (candidates: readonly KnownBackend[]) => readonly KnownBackend[];
+type ZoneChoice = (candidates: readonly KnownBackend[]) => readonly KnownBackend[];
 
 /**
  * Another zone is preferred only where it has fewer requests in progress for each slot by more than this. Not measured:
--- a/src/registered/ingress/config-assembly.ts
+++ b/src/registered/ingress/config-assembly.ts
@@ -11,7 +11,7 @@
 import type { UnfinishedConfig } from '../group/group-messages.js';
 
 /** What became of a part. */
-export type PartOutcome =
+type PartOutcome =
   /** More parts are to come. */
   | { readonly type: 'unfinished' }
   | { readonly type: 'complete'; readonly update: ConfigUpdate }
--- a/src/registered/ingress/feed-step.ts
+++ b/src/registered/ingress/feed-step.ts
@@ -7,7 +7,7 @@
 import type { IngressState } from './ingress-state.js';
 
 /** What a message did to the configuration. */
-export type ConfigOutcome =
+type ConfigOutcome =
   | { readonly type: 'unchanged' }
   | { readonly type: 'in-force'; readonly version: number }
   /** It does not follow what is held here: the control machine must begin anew. */
--- a/src/registered/ingress/full-sync.ts
+++ b/src/registered/ingress/full-sync.ts
@@ -5,7 +5,7 @@
 import type { FeedMessage } from '../group/group-messages.js';
 
 /** All that a full sync named. */
-export interface SyncedNames {
+interface SyncedNames {
   readonly backendIds: ReadonlySet<string>;
   readonly balancerNames: ReadonlySet<string>;
 }
--- a/src/registered/ingress/route-table.ts
+++ b/src/registered/ingress/route-table.ts
@@ -12,7 +12,7 @@
 import { routeKey, type RouteKey } from './packet-view.js';
 
 /** The configuration in force. */
-export interface ConfigInForce {
+interface ConfigInForce {
   readonly version: number;
   /** A flow that has rested for this long may be forgotten, in milliseconds. */
   readonly idleTimeoutMs: number;
@@ -21,7 +21,7 @@
 }
 
 /** What became of an update. */
-export type UpdateOutcome =
+type UpdateOutcome =
   | 'applied'
   /** What is in force is as new. */
   | 'known'
--- a/src/registered/ingress/token-packet.ts
+++ b/src/registered/ingress/token-packet.ts
@@ -33,7 +33,7 @@
 }
 
 /** A packet for a back end, with what names the one that is meant. */
-export interface PacketForBackend {
+interface PacketForBackend {
   readonly instance: string;
   readonly packet: TokenPacket;
 }
