--- a/src/registered/daemon/ingress-log.ts
+++ b/src/registered/daemon/ingress-log.ts
@@ -9,7 +9,7 @@
 import type { KnownBackend } from '../ingress/known-backend.js';
 import type { LivenessTransition } from '../ingress/liveness-log.js';
 import type { IngressState } from '../ingress/ingress-state.js';
-import type { DropReason, FoundBy } from '../ingress/packet-step.js';
+import type { DropReason, FoundBy } from '../ingress/packet-decision.js';
 import type { PacketView } from '../ingress/packet-view.js';
 import { LIVENESS_LABELS } from '../registry/backend-liveness.js';
 import type { SchedulerDrop } from '../egress/packet-scheduler.js';
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -8,7 +8,7 @@
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { ingressMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
 import { timingFor } from '../../registered/group/timing.js';
-import { countedFlowsFor } from '../../registered/ingress/ingress-state.js';
+import { countedFlowsFor } from '../../registered/ingress/counted-flows.js';
 import { tokenPacketCodec } from '../../registered/ingress/token-packet.js';
 import { ingressSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
