--- a/src/proof/sim-managed/run-scenario.ts
+++ b/src/proof/sim-managed/run-scenario.ts
@@ -1,8 +1,8 @@
 /**
- * @file Runs scenarios and has the oracle judge them.
+ * @file Runs a scenario from a seed and has the oracle check it: one seed, one trace.
  */
 import { seededRandom } from '../../shared/common/random.js';
-import { Faults } from './faults.js';
+import { ClusterFaults } from './cluster-faults.js';
 import type { CheckName, Violation } from './oracle/check.js';
 import { Oracle } from './oracle/oracle.js';
 import type { Scenario } from './scenarios/scenario.js';
@@ -46,7 +46,7 @@
 ): Promise<RunReport> {
   const oracle = new Oracle();
   const world = new World({ seed, plan: scenario.plan, listener: oracle, ...options });
-  const faults = new Faults(world);
+  const faults = new ClusterFaults(world);
   await world.setUp();
   scenario.schedule({ world, faults, random: seededRandom(seed) });
   const endMs = world.simulation.nowMs + scenario.durationMs;
@@ -56,7 +56,7 @@
       break;
     }
   }
-  world.noteFinalConfigs();
+  world.recordFinalConfigs();
   const { trace, nowMs } = world.simulation;
   oracle.finish(nowMs);
   const outcomeTypes = new Set(['outcome', 'notice', 'command-answered']);
--- a/src/proof/sim-managed/scenarios/scenario.ts
+++ b/src/proof/sim-managed/scenarios/scenario.ts
@@ -1,15 +1,15 @@
 /**
- * @file What a scenario is: a world, a time, and what is done to the world meanwhile.
+ * @file What a scenario is: a world, a duration, and what is done to the world meanwhile; and the helpers that draw times and targets.
  */
 import type { RandomSource } from '../../../shared/common/step.js';
-import type { Faults } from '../faults.js';
+import type { ClusterFaults } from '../cluster-faults.js';
 import type { WorldPlan } from '../world-plan.js';
 import type { World } from '../world.js';
 
 /** What a scenario acts on. */
 export interface ScenarioScope {
   readonly world: World;
-  readonly faults: Faults;
+  readonly faults: ClusterFaults;
   readonly random: RandomSource;
 }
 
--- a/src/proof/sim-managed/simulated-fabric.ts
+++ b/src/proof/sim-managed/simulated-fabric.ts
@@ -1,11 +1,12 @@
 /**
- * @file The simulated fabric: the stand-in's step. Its list of balancers is the platform's, which lags.
+ * @file The simulated fabric: runs the stand-in's step on the virtual network. Its list of balancers is the platform's,
+ * which lags.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { FabricEffect, FabricEvent, FabricState } from '../standins/fabric-step.js';
 import { readPacket } from './packet-notes.js';
 import type { SimulatedBalancer } from './simulated-balancer.js';
-import type { SimulatedCaller } from './simulated-caller.js';
+import type { CallerUplink, SimulatedCaller } from './simulated-caller.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { Simulation } from './simulation.js';
 
@@ -14,7 +15,7 @@
 const ZONE = 'zone-a';
 
 /** The fabric. */
-export class SimulatedFabric extends SimulatedProcess {
+export class SimulatedFabric extends SimulatedProcess implements CallerUplink {
   readonly returnAddress: Address = { host: HOST, port: PORT };
   private readonly state: FabricState;
   private readonly callers = new Map<string, SimulatedCaller>();
@@ -31,15 +32,14 @@
     this.callers.set(formatAddress(caller.address), caller);
   }
 
-  /** A packet from a caller. */
-  takeCallerPacket(packet: Uint8Array, client: Address, service: Address): void {
+  handleCallerPacket(packet: Uint8Array, client: Address, service: Address): void {
     this.step({ type: 'caller-packet', packet, client, service });
   }
 
   /** The list that the fabric sprays over from now on. */
   setList(balancers: readonly SimulatedBalancer[]): void {
     balancers.forEach(({ front, name }) => this.balancerNames.set(formatAddress(front), name));
-    this.simulation.note({ type: 'list', balancers: balancers.map(({ name }) => name) });
+    this.simulation.record({ type: 'list', balancers: balancers.map(({ name }) => name) });
     const list = balancers.map(({ front, zone }) => ({ address: front, zone }));
     this.step({ type: 'list', balancers: list });
   }
@@ -65,24 +65,24 @@
   private performEffect(effect: FabricEffect): void {
     const { network } = this.simulation;
     if (effect.type === 'to-balancer') {
-      this.notePacket(effect.datagram, effect.to);
+      this.recordPacket(effect.datagram, effect.to);
       network.send(this.returnAddress, effect.to, effect.datagram, effect.delayMs);
       return;
     }
     const { client, packet, delayMs } = effect;
     const caller = this.callers.get(formatAddress(client));
     if (caller !== undefined && !network.isCut(this.host, caller.host)) {
-      network.transmit(delayMs, () => caller.takePacket(packet));
+      network.transmit(delayMs, () => caller.handlePacket(packet));
     }
   }
 
-  private notePacket(datagram: Uint8Array, to: Address): void {
+  private recordPacket(datagram: Uint8Array, to: Address): void {
     const packet = this.simulation.trace.keepsPackets
       ? readPacket(this.simulation, datagram)
       : undefined;
     if (packet !== undefined) {
       const balancer = this.balancerNames.get(formatAddress(to)) ?? formatAddress(to);
-      this.simulation.note({ type: 'packet', from: 'fabric', to: balancer, ...packet });
+      this.simulation.record({ type: 'packet', from: 'fabric', to: balancer, ...packet });
     }
   }
 }
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -1,5 +1,5 @@
 /**
- * @file A control machine of the simulated deployment: its disk outlives its process.
+ * @file A control machine of the simulated deployment: the product's process of `group` over a virtual disk, which outlives it, and virtual wires.
  */
 import type { Address } from '../../shared/common/address.js';
 import { formatAddress } from '../../shared/common/address.js';
@@ -9,8 +9,8 @@
 import { createGroupState } from '../../registered/group/group-state.js';
 import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import type { ConsensusState } from '../../shared/consensus/consensus-state.js';
-import { firstStorageId, isFirstMember } from '../../registered/group/member-identity.js';
-import { packFeed } from '../../registered/group/feed-codec.js';
+import { firstStorageId, isFirstMember } from '../../registered/group/members/member-identity.js';
+import { packFeed } from '../../registered/group/wire/feed-codec.js';
 import { isBalancerLinkMessage } from '../../registered/group/group-messages.js';
 import { parseControlInbound } from '../../registered/group/message-schemas.js';
 import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
@@ -19,7 +19,7 @@
 import type { ConfigDocument } from '../../registered/group/replicated-state.js';
 import { VirtualDisk } from '../virtual/virtual-disk.js';
 import { createProcessGate, type ProcessGate } from './process-gate.js';
-import type { VirtualLink } from './virtual-wires.js';
+import type { VirtualLink } from '../virtual/virtual-wires.js';
 import type { IngressWorldParts } from './world-parts.js';
 
 const TICK_MS = 50;
@@ -72,7 +72,7 @@
         this.run(opened._unsafeUnwrap(), isFirstStart, generation);
       }
     });
-    clock.notePromise();
+    clock.markPromiseSettled();
   }
 
   /** The process dies; what was written stays. */
@@ -161,7 +161,7 @@
       persist: (effect) => this.persist(storage, effect, generation),
       logDecision: (name, fields) => {
         this.parts.note(this.address.host, name, fields);
-        this.noteLeader(state.consensus);
+        this.recordLeader(state.consensus);
       },
     });
     this.process = process;
@@ -179,19 +179,19 @@
     });
   }
 
-  /** The disk goes on while the process stands still; the process hears of it later. */
+  /** The disk goes on while the process stands still; the process gets the result later. */
   private persist(
     storage: ConsensusStorage,
     effect: PersistEffect,
     generation: number,
   ): Promise<void> {
     const { clock } = this.parts;
-    const written = storage.persist(effect).finally(() => clock.notePromise());
+    const written = storage.persist(effect).finally(() => clock.markPromiseSettled());
     return written.then(
       () =>
         new Promise((resolve) =>
           this.gate.whenRunning(generation, () => {
-            clock.notePromise();
+            clock.markPromiseSettled();
             resolve();
           }),
         ),
@@ -219,9 +219,9 @@
     return true;
   }
 
-  private noteLeader({ role, term }: ConsensusState): void {
+  private recordLeader({ role, term }: ConsensusState): void {
     if (role.name === 'leader') {
-      this.parts.oracle.noteLeader(term, this.address.host, this.parts.clock.nowMs);
+      this.parts.oracle.recordLeader(term, this.address.host, this.parts.clock.nowMs);
     }
   }
 
@@ -242,7 +242,7 @@
     const { clock } = this.parts;
     return new Promise((resolve) => {
       clock.after(RETRY_WRITE_MS, () => {
-        clock.notePromise();
+        clock.markPromiseSettled();
         resolve();
       });
     });
