--- a/src/registered/group/backends/liveness-updates.ts
+++ b/src/registered/group/backends/liveness-updates.ts
@@ -18,7 +18,7 @@
 import { isCurrent } from '../leadership.js';
 
 /** What the update of liveness reads and changes. */
-export type LivenessState = Pick<
+type LivenessState = Pick<
   GroupState,
   'backendList' | 'consensus' | 'heartbeats' | 'options' | 'registry' | 'replicated' | 'updates'
 >;
--- a/src/registered/group/calls/backend-calls.ts
+++ b/src/registered/group/calls/backend-calls.ts
@@ -20,7 +20,7 @@
 import { isCurrent } from '../leadership.js';
 
 /** What calls of back ends read and change. */
-export type BackendCallState = CallState &
+type BackendCallState = CallState &
   Pick<GroupState, 'heartbeats' | 'readmissions' | 'registry' | 'updates'>;
 
 /**
--- a/src/registered/group/calls/pending-calls.ts
+++ b/src/registered/group/calls/pending-calls.ts
@@ -13,7 +13,7 @@
   | { readonly type: 'peer'; readonly address: Address; readonly forwardId: number };
 
 /** A proposal or read under way. */
-export interface PendingReply {
+interface PendingReply {
   readonly replyTo: ReplyTo;
   readonly request: LeaderRequest;
 }
--- a/src/registered/group/calls/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -20,7 +20,7 @@
 type ZoneOrderCall = Extract<GroupEvent, { readonly type: 'order-zone' }>;
 
 /** What an order is checked against. */
-export type ZoneOrderState = CallState & Pick<GroupState, 'balancers' | 'stallGuard'>;
+type ZoneOrderState = CallState & Pick<GroupState, 'balancers' | 'stallGuard'>;
 
 /**
  * Handles the order of an operator.
--- a/src/registered/group/feed/balancer-feed.ts
+++ b/src/registered/group/feed/balancer-feed.ts
@@ -14,9 +14,7 @@
 import { createSubscriber, type Subscriber } from './subscribers.js';
 
 /** What the feed needs of the machine. */
-export type FeedState = FeedPlanState &
-  FeedMessageState &
-  Pick<GroupState, 'subscribers' | 'updates'>;
+type FeedState = FeedPlanState & FeedMessageState & Pick<GroupState, 'subscribers' | 'updates'>;
 
 /**
  * Adds a balancer that subscribed on a link.
--- a/src/registered/group/feed/feed-plan.ts
+++ b/src/registered/group/feed/feed-plan.ts
@@ -106,7 +106,7 @@
 }
 
 function isFullSync(phase: SubscriberPhase): boolean {
-  return phase === 'transfer-current' || phase === 'transfer-provisional';
+  return phase === 'sync-current' || phase === 'sync-provisional';
 }
 
 /** All that this machine knows becomes a pending update. */
@@ -121,7 +121,7 @@
     areZonesChanged: true,
   };
   subscriber.isInFullSync = false;
-  subscriber.phase = current ? 'transfer-current' : 'transfer-provisional';
+  subscriber.phase = current ? 'sync-current' : 'sync-provisional';
 }
 
 /**
@@ -160,7 +160,7 @@
   const isFirst = !subscriber.isInFullSync;
   subscriber.isInFullSync = !isLast;
   if (isLast) {
-    subscriber.phase = subscriber.phase === 'transfer-current' ? 'fed' : 'provisional';
+    subscriber.phase = subscriber.phase === 'sync-current' ? 'fed' : 'provisional';
     return isFirst ? 'whole' : 'ends';
   }
   return isFirst ? 'begins' : 'goes-on';
--- a/src/registered/group/feed/subscribers.ts
+++ b/src/registered/group/feed/subscribers.ts
@@ -13,9 +13,9 @@
   /** Nothing. */
   | 'new'
   /** Some of the whole state, while this machine was not current. */
-  | 'transfer-provisional'
+  | 'sync-provisional'
   /** Some of the whole state, while this machine was current. */
-  | 'transfer-current'
+  | 'sync-current'
   /** The whole state, while this machine was not current. */
   | 'provisional'
   /** The whole state, while this machine was current, and all changes since. */
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -1,6 +1,15 @@
 /**
  * @file The decision step of a control machine: calls of back ends and operators, messages of the other control
- * machines, links of balancers, the disk, and time. Each event is handled by the module that is named here.
+ * machines, links of balancers, the disk, and time. Each event is handled by the module that is named here:
+ *
+ * - `members`: how the group forms, and who belongs to it;
+ * - `calls`: the way of a call to the leader and back;
+ * - `backends`: heartbeats, liveness, and the replicated list of back ends;
+ * - `feed`: what balancers get, and the load exchange;
+ * - `wire`: how a feed is packed.
+ *
+ * Beside them stand the state and its parts (group-state.ts), what follows from committed entries (applied-entries.ts),
+ * and the times (timing.ts). The rules are listed in docs/decisions/group.md.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
--- a/src/registered/group/members/group-formation.ts
+++ b/src/registered/group/members/group-formation.ts
@@ -21,10 +21,7 @@
 import { firstStorageId, memberName } from './member-identity.js';
 
 /** What joining and leaving need of the machine. */
-export type FormationState = Pick<
-  GroupState,
-  'options' | 'consensus' | 'clusterId' | 'announcements'
->;
+type FormationState = Pick<GroupState, 'options' | 'consensus' | 'clusterId' | 'announcements'>;
 
 /**
  * A voter that got nothing from its leader for so many election time-outs announces itself: its address may be another
--- a/src/registered/group/members/member-changes.ts
+++ b/src/registered/group/members/member-changes.ts
@@ -34,7 +34,7 @@
 import type { WithConsensus } from '../leadership.js';
 
 /** What changes of the membership depend on. */
-export type MemberChangeState = Pick<GroupState, 'options' | 'consensus' | 'announcements'>;
+type MemberChangeState = Pick<GroupState, 'options' | 'consensus' | 'announcements'>;
 
 /**
  * A learner without a sign of life for so long is removed. Not measured; too short would show as learners that are
--- a/src/registered/group/wire/feed-codec.ts
+++ b/src/registered/group/wire/feed-codec.ts
@@ -22,7 +22,7 @@
   DEPARTURES,
   LIVENESS,
   parsePackedFeed,
-  TRANSFERS,
+  FULL_SYNC_STAGES,
   type PackedFeed,
 } from './packed-feed.js';
 import { packRecords, unpackRecords } from './record-codec.js';
@@ -36,7 +36,7 @@
     isCurrent: message.isCurrent,
     isComplete: message.isComplete,
     isCounted: message.isCounted,
-    ...(transfer && { transfer: TRANSFERS.indexOf(transfer) }),
+    ...(transfer && { transfer: FULL_SYNC_STAGES.indexOf(transfer) }),
     ...(records && { records: packRecords(records) }),
     ...(judgements && { judgements: packLivenessChanges(judgements) }),
     ...(departures && { departures: packDepartures(departures) }),
@@ -65,7 +65,7 @@
     isCurrent,
     isComplete,
     isCounted,
-    ...(transfer !== undefined && { transfer: TRANSFERS[transfer] ?? 'whole' }),
+    ...(transfer !== undefined && { transfer: FULL_SYNC_STAGES[transfer] ?? 'whole' }),
     ...(records && { records: unpackRecords(records) }),
     ...(judgements && { judgements: unpackLivenessChanges(judgements) }),
     ...(departures && { departures: unpackDepartures(departures) }),
--- a/src/registered/group/wire/packed-feed.ts
+++ b/src/registered/group/wire/packed-feed.ts
@@ -27,7 +27,7 @@
 /** Kinds of departures by their numbers on the wire. */
 export const DEPARTURES: readonly DepartureKind[] = ['draining', 'gone'];
 /** Stages of a full sync by their numbers on the wire. */
-export const TRANSFERS: readonly FullSyncStage[] = ['begins', 'goes-on', 'ends', 'whole'];
+export const FULL_SYNC_STAGES: readonly FullSyncStage[] = ['begins', 'goes-on', 'ends', 'whole'];
 
 const numbers = z.array(z.int()).check(z.maxLength(MAX_ITEMS));
 const indexes = z.array(index).check(z.maxLength(MAX_ITEMS));
@@ -140,7 +140,7 @@
         feed.judgements.silentMs.length === feed.judgements.ids.length),
     feed.departures === undefined ||
       isColumn(feed.departures.kinds, feed.departures.ids.length, DEPARTURES.length),
-    feed.transfer === undefined || feed.transfer < TRANSFERS.length,
+    feed.transfer === undefined || feed.transfer < FULL_SYNC_STAGES.length,
   ].every(Boolean);
 }
 
--- a/src/registered/group/zone-orders.ts
+++ b/src/registered/group/zone-orders.ts
@@ -43,7 +43,7 @@
   | 'outdated';
 
 /** All orders for zones. */
-export interface ZoneOrders {
+interface ZoneOrders {
   /** @returns the status of a zone; not evacuated where there was no order for it */
   statusOf(zone: string): ZoneStatus;
   /** All zones for which there ever was an order. */
