--- a/src/registered/group/backends/liveness-updates.ts
+++ b/src/registered/group/backends/liveness-updates.ts
@@ -9,7 +9,7 @@
  * current. Once it is current again, silence from before counts for one heartbeat interval at most, and back ends of
  * the replicated list that it does not know count as alive with a heartbeat of one interval ago: a back end that is
  * really gone is then suspect after the usual time less one interval. More than one interval would be unfair to back
- * ends whose next heartbeat is on its way; with none, those that are gone would get flows for longer.
+ * ends whose next heartbeat is on its way; with none, those that are gone would get flows for longer. Not measured.
  *
  * Tests: test/registered/group/balancer-feed ("silence while the machine was cut off"), backend-list. Log line at the
  * balancer: `backend judged`.
--- a/src/registered/group/feed/subscribers.ts
+++ b/src/registered/group/feed/subscribers.ts
@@ -1,6 +1,7 @@
 /**
- * @file A balancer that gets its feed from this control machine, as the machine keeps it while the link lives. Changed
- * by balancer-feed.ts and feed-plan.ts, and by load-duties.ts for the published tables; others only read it.
+ * @file A balancer that gets its feed from this control machine, as the machine keeps it while the link lives. Each field
+ * has one module that changes it: what was sent and how far a full sync and an update are, feed-plan.ts; what was
+ * acknowledged and merged, balancer-feed.ts; the published tables, load-duties.ts. Both that send set the next pulse.
  */
 import { ANSWER_STATS_ROWS } from '../../load-exchange/answer-stats.js';
 import { createLoadOutlet, type LoadOutlet } from '../../load-exchange/load-outlet.js';
--- a/src/registered/group/leadership.ts
+++ b/src/registered/group/leadership.ts
@@ -6,8 +6,9 @@
  * another one (src/registered/decisions/feed-source.ts).
  *
  * Reason: a leader is current once an entry of its own term is committed, since only then are all entries of earlier
- * terms known as committed. A follower is current as long as a new leader can't have been elected without it: for one
- * election time-out after the last message of its leader. The time-out stands in timing.ts.
+ * terms known as committed. A follower is current while the last message of its leader is younger than an election
+ * time-out (timing.ts): after that the others may follow a new leader. So a machine that is cut off says for at most
+ * that time that it is current.
  */
 import type { Address } from '../../shared/common/address.js';
 import { currentMembership, type ConsensusState } from '../../shared/consensus/consensus-state.js';
