--- a/src/proof/sim-registered/run-ingress-world.ts
+++ b/src/proof/sim-registered/run-ingress-world.ts
@@ -1,8 +1,8 @@
 /**
- * @file One run of the simulated deployment under faults drawn from a seed, with the oracle's verdict.
+ * @file One run of the simulated deployment of the registered pair under faults drawn from a seed, with the oracle's verdict.
  */
 import type { IngressViolation } from './ingress-oracle.js';
-import { IngressFaults, ingressFaultKinds, type IngressFaultKind } from './ingress-faults.js';
+import { DrawnFaults, drawnFaultKinds, type DrawnFaultKind } from './drawn-faults.js';
 import { IngressWorld } from './ingress-world.js';
 import { smallIngressWorld, type IngressWorldOptions } from './world-parts.js';
 
@@ -20,7 +20,7 @@
 export interface IngressRun extends WorldRun {
   readonly faultCount: number;
   /** Kinds that are drawn from. */
-  readonly kinds?: readonly IngressFaultKind[];
+  readonly kinds?: readonly DrawnFaultKind[];
 }
 
 /** What came out. */
@@ -39,7 +39,7 @@
 const ACKNOWLEDGE_WITHIN_MS = 8_000;
 
 /**
- * Runs the deployment, brings faults about, lets it recover and judges.
+ * Runs the deployment, causes faults, lets it recover and has the oracle check it.
  */
 export function runIngressWorld(run: IngressRun): Promise<IngressRunReport> {
   return runWorld(run, (world, faults) => strikeAll(world, faults, run));
@@ -47,14 +47,14 @@
 
 /**
  * The same with faults of any source.
- * @param strikeAll brings them about; resolves once the last one has begun
+ * @param strikeAll causes them; resolves once the last one has begun
  */
 export async function runWorld(
   run: WorldRun,
-  strikeAll: (world: IngressWorld, faults: IngressFaults) => Promise<void>,
+  strikeAll: (world: IngressWorld, faults: DrawnFaults) => Promise<void>,
 ): Promise<IngressRunReport> {
   const world = new IngressWorld(run.seed, { ...smallIngressWorld, ...run.options });
-  const faults = new IngressFaults(world);
+  const faults = new DrawnFaults(world);
   world.start();
   await world.run(FORMATION_MS);
   run.prepare?.(world);
@@ -63,7 +63,7 @@
   const servedBefore = world.oracle.servedRequests;
   await strikeAll(world, faults);
   await finish(world, faults, run.endsWithLoss);
-  await judgeRecovery(world, servedBefore);
+  await checkRecovery(world, servedBefore);
   return {
     violations: world.oracle.violations,
     servedRequests: world.oracle.servedRequests,
@@ -74,8 +74,8 @@
 
 async function strikeAll(
   world: IngressWorld,
-  faults: IngressFaults,
-  { faultCount, kinds = ingressFaultKinds }: IngressRun,
+  faults: DrawnFaults,
+  { faultCount, kinds = drawnFaultKinds }: IngressRun,
 ): Promise<void> {
   for (let struck = 0; struck < faultCount; struck += 1) {
     const kind = kinds[world.random.nextInt(kinds.length)];
@@ -88,7 +88,7 @@
 
 async function finish(
   world: IngressWorld,
-  faults: IngressFaults,
+  faults: DrawnFaults,
   endsWithLoss: boolean,
 ): Promise<void> {
   await world.run(SETTLE_MS);
@@ -99,12 +99,12 @@
   }
 }
 
-async function judgeRecovery(world: IngressWorld, servedBefore: number): Promise<void> {
+async function checkRecovery(world: IngressWorld, servedBefore: number): Promise<void> {
   const { oracle } = world;
   const servedAtStart = oracle.servedRequests;
   await world.run(MEASURED_MS);
   const servedShare = (oracle.servedRequests - servedAtStart) / Math.max(1, servedBefore);
-  oracle.noteRecovery(servedShare, LEAST_SERVED_SHARE, world.clock.nowMs);
+  oracle.checkRecovery(servedShare, LEAST_SERVED_SHARE, world.clock.nowMs);
   world.readBackFromAll();
   await world.run(MEASURED_MS);
 }
--- a/src/proof/sim-registered/world-parts.ts
+++ b/src/proof/sim-registered/world-parts.ts
@@ -1,5 +1,6 @@
 /**
- * @file What the machines of the simulated deployment share.
+ * @file What the machines of the simulated deployment share: clock, wires, oracle, options; and what stand-ins need of them, so that the soak
+ * can give them real ones.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { RandomSource } from '../../shared/common/step.js';
@@ -12,7 +13,7 @@
 import type { Timing } from '../../registered/group/timing.js';
 import type { VirtualClock } from '../virtual/virtual-clock.js';
 import type { IngressOracle, OracleBounds } from './ingress-oracle.js';
-import type { VirtualWires } from './virtual-wires.js';
+import type { VirtualWires } from '../virtual/virtual-wires.js';
 
 /** Bounds of the simulated deployment; times in milliseconds. */
 export interface IngressWorldOptions {
