--- a/src/registered/group/feed/feed-plan.ts
+++ b/src/registered/group/feed/feed-plan.ts
@@ -13,8 +13,8 @@
  * - Where nothing is to be sent, a pulse says whether this machine is current: at once when that changes, otherwise
  *   every `feedPulseIntervalMs` (timing.ts).
  *
- * Before, one message carried a whole configuration of 2,710 routes, 287,446 bytes and 1.15 s of a link of 2 Mbit/s,
- * and feeds were given up before it had come (docs/incidents/tv-cartago-grown-drain.md). The ways weighed are in
+ * Without bounds a configuration of 2,710 routes is one message of 287,446 bytes, 1.15 s of a link of 2 Mbit/s, and the
+ * feed is given up before it has come (docs/incidents/tv-cartago-grown-drain.md). The ways weighed are in
  * docs/design/links.md. Log lines at the balancer: `feed lost`, `feed left`, `feed not reached`.
  */
 import { partOf, type ConfigPart, type ConfigUpdate } from '../../declared/config-update.js';
@@ -106,7 +106,7 @@
 }
 
 function isFullSync(phase: SubscriberPhase): boolean {
-  return phase === 'transfer-current' || phase === 'transfer-provisional';
+  return phase === 'sync-current' || phase === 'sync-provisional';
 }
 
 /** All that this machine knows becomes a pending update. */
@@ -121,7 +121,7 @@
     areZonesChanged: true,
   };
   subscriber.isInFullSync = false;
-  subscriber.phase = current ? 'transfer-current' : 'transfer-provisional';
+  subscriber.phase = current ? 'sync-current' : 'sync-provisional';
 }
 
 /**
@@ -160,7 +160,7 @@
   const isFirst = !subscriber.isInFullSync;
   subscriber.isInFullSync = !isLast;
   if (isLast) {
-    subscriber.phase = subscriber.phase === 'transfer-current' ? 'fed' : 'provisional';
+    subscriber.phase = subscriber.phase === 'sync-current' ? 'fed' : 'provisional';
     return isFirst ? 'whole' : 'ends';
   }
   return isFirst ? 'begins' : 'goes-on';
