--- a/src/managed/gossip/failure-detector.ts
+++ b/src/managed/gossip/failure-detector.ts
@@ -1,45 +1,36 @@
 /**
- * @file SWIM's failure detection within a zone: each round one member is pinged; where it does not
- * answer, others ping it too; where nobody gets an answer it is suspected, and after a while, without
- * a refutation, believed dead.
+ * @file Which balancer of the zone is suspected? SWIM's failure detection: each round one member is pinged; where it doesn't
+ * answer, others ping it too; where none of them gets an answer within the round, it is suspected. What follows stands in
+ * `suspicion.ts`.
+ *
+ * Inputs: acknowledgements and the time of the step, in milliseconds. Owns the pending ping, the pings on behalf of others and
+ * the order of the rounds.
  */
 import type { StepContext } from '../../shared/common/step.js';
-import { MAX_RECORDS, type AckMessage, type GossipHeader } from './gossip-messages.js';
-import { isPresent, type MemberRecord } from './member.js';
-import { forgetMember, presentMembers, recordHash, setStatus, nextUpdates } from './member-list.js';
+import { ackMessage, pingMessage, zoneHeader } from './gossip-headers.js';
+import type { AckMessage } from './gossip-messages.js';
 import { sendTo, type GossipSendEffect, type GossipState } from './gossip-state.js';
-import { nextSummaries } from './zone-summaries.js';
+import { isPresent, type MemberRecord } from './member.js';
+import { presentMembers, setStatus } from './member-list.js';
+import { shuffled } from './shuffle.js';
+import { compensatePause, expireStatuses } from './suspicion.js';
 
-/** Time between two rounds, in milliseconds. */
+/**
+ * Time between two rounds, in milliseconds. A balancer of 75 in a zone sent 715 bytes a second in all
+ * (docs/design/dissemination.md).
+ */
 const ROUND_INTERVAL_MS = 1_000;
-/** How long the target may take before others are asked, in milliseconds. */
+/**
+ * How long the target may take before others ping it, in milliseconds; zones are 0.5 to 1.5 ms apart. Not measured.
+ */
 const PING_TIMEOUT_MS = 300;
-/** How many others are asked. */
+/** Others that ping the target. Not measured; too few if losses of packets lead to suspicions. */
 const INDIRECT_PROBES = 3;
-/** How long a suspected member has to refute, in milliseconds. */
-const SUSPICION_MS = 4_000;
-/** How long a dead member is remembered, in milliseconds: ten minutes. */
-const REMEMBER_DEAD_MS = 600_000;
-/** A gap between ticks beyond which this process was paused and blames nobody, in milliseconds. */
-const PAUSE_LIMIT_MS = 500;
-/** How long a ping on behalf of another waits, in milliseconds. */
+/** How long a ping on behalf of another waits, in milliseconds: one round. */
 const FORWARD_LIFETIME_MS = 1_000;
-/** Bound of pings on behalf of others that wait. */
+/** Bound of pings on behalf of others that wait. Not measured. */
 const MAX_FORWARDED = 64;
 
-/**
- * @returns what every datagram to a member of the zone carries
- * @param receiverId where known, so that it hears what is believed of it
- */
-export function zoneHeader(state: GossipState, receiverId?: string): GossipHeader {
-  return {
-    zone: state.options.zone,
-    sender: state.self,
-    updates: nextUpdates(state.list, MAX_RECORDS, receiverId),
-    zones: nextSummaries(state, 1),
-  };
-}
-
 /**
  * Runs the rounds.
  */
@@ -58,23 +49,7 @@
 }
 
 /**
- * @returns a ping to a member or to an address whose member is not known
- */
-export function pingMessage(state: GossipState, receiverId?: string) {
-  const sequence = allocateSequence(state);
-  const header = zoneHeader(state, receiverId);
-  return { type: 'ping' as const, ...header, sequence, digest: ownDigest(state) };
-}
-
-/**
- * @returns the answer to a ping
- */
-export function ackMessage(state: GossipState, sequence: number, receiverId?: string): AckMessage {
-  return { type: 'ack', ...zoneHeader(state, receiverId), sequence, digest: ownDigest(state) };
-}
-
-/**
- * Takes an acknowledgement: for the own ping, or for one on behalf of another.
+ * Handles an acknowledgement: of the own ping, or of one on behalf of another, to which it is passed on.
  */
 export function handleAck(state: GossipState, message: AckMessage): GossipSendEffect[] {
   const { pending } = state;
@@ -111,41 +86,6 @@
   return [sendTo(request.target, ping)];
 }
 
-/**
- * @returns a digest of all members, the sender among them, that is equal where the lists are
- */
-export function ownDigest(state: GossipState): number {
-  return (state.list.digest ^ recordHash(state.self)) >>> 0;
-}
-
-/** After a pause, answers that came late blame nobody. */
-function compensatePause(state: GossipState, nowMs: number): void {
-  const gapMs = nowMs - (state.lastTickAtMs ?? nowMs);
-  state.lastTickAtMs = nowMs;
-  if (gapMs <= PAUSE_LIMIT_MS) {
-    return;
-  }
-  state.pending = undefined;
-  for (const known of state.list.members.values()) {
-    if (known.record.status === 'suspect') {
-      known.changedAtMs += gapMs;
-    }
-  }
-}
-
-function expireStatuses(state: GossipState, nowMs: number): void {
-  for (const [id, { record, changedAtMs }] of state.list.members) {
-    const ageMs = nowMs - changedAtMs;
-    if (record.status === 'suspect' && ageMs >= SUSPICION_MS) {
-      setStatus(state.list, id, 'dead', nowMs);
-    } else if (record.status === 'dead' || record.status === 'left') {
-      if (ageMs >= REMEMBER_DEAD_MS) {
-        forgetMember(state.list, id);
-      }
-    }
-  }
-}
-
 function expireForwarded(state: GossipState, nowMs: number): void {
   for (const [sequence, { expiresAtMs }] of state.forwarded) {
     if (expiresAtMs <= nowMs) {
@@ -218,19 +158,3 @@
   }
   return undefined;
 }
-
-function allocateSequence(state: GossipState): number {
-  const sequence = state.nextSequence;
-  state.nextSequence += 1;
-  return sequence;
-}
-
-/**
- * @returns the items in a random order
- */
-export function shuffled<Item>(items: readonly Item[], { random }: StepContext): Item[] {
-  return items
-    .map((item) => ({ item, order: random.nextFloat() }))
-    .sort((one, other) => one.order - other.order)
-    .map(({ item }) => item);
-}
--- a/src/managed/gossip/gossip-codec.ts
+++ b/src/managed/gossip/gossip-codec.ts
@@ -1,5 +1,5 @@
 /**
- * @file The datagrams of membership as bytes: 8 bytes of SipHash-2-4 under a key made from the cluster
+ * @file The datagrams of gossip as bytes: 8 bytes of SipHash-2-4 under a key made from the cluster
  * key, then MessagePack. Records are arrays, since names of fields would be most of a datagram.
  */
 import { createHash } from 'node:crypto';
@@ -54,7 +54,7 @@
   count,
   count,
   count.max(3),
-  /** Incarnation, and the ID that the back end told; absent where it told none. */
+  /** Incarnation, and the ID that the back end reported; absent where it reported none. */
   count.max(MAX_UINT32),
   count.nullable(),
   /** As in `LoadReport`; absent where it is not known. */
--- a/src/managed/gossip/gossip-messages.ts
+++ b/src/managed/gossip/gossip-messages.ts
@@ -27,16 +27,16 @@
   readonly zone: string;
   /** The sender's record of itself. */
   readonly sender: MemberRecord;
-  /** News of members of the sender's zone. */
+  /** Records of members of the sender's zone that have changed. */
   readonly updates: readonly MemberRecord[];
   readonly zones: readonly ZoneSummary[];
 }
 
 /** Asks for an acknowledgement. */
-interface PingMessage extends GossipHeader {
+export interface PingMessage extends GossipHeader {
   readonly type: 'ping';
   readonly sequence: number;
-  /** Digest of the sender's member list, by which lists that differ are noticed. */
+  /** Digest of the sender's member list, by which lists that differ are detected. */
   readonly digest: number;
 }
 
@@ -47,7 +47,7 @@
   readonly target: MemberAddresses;
 }
 
-/** Answer to a ping, or the news that the target of a ping request answered. */
+/** Answer to a ping; or to a ping request, once its target has answered. */
 export interface AckMessage extends GossipHeader {
   readonly type: 'ack';
   readonly sequence: number;
@@ -67,7 +67,7 @@
   readonly wantsAnswer: boolean;
 }
 
-/** Any datagram of membership. */
+/** Any datagram of gossip. */
 export type GossipMessage =
   PingMessage | PingRequestMessage | AckMessage | SyncMessage | ZonesMessage;
 
@@ -78,5 +78,5 @@
   readonly results: readonly SharedResult[];
 }
 
-/** Any datagram between balancers, of membership or health. */
+/** Any datagram between balancers, of gossip or health. */
 export type PeerDatagram = GossipMessage | HealthMessage;
--- a/src/managed/gossip/gossip-state.ts
+++ b/src/managed/gossip/gossip-state.ts
@@ -1,13 +1,13 @@
 /**
- * @file What a balancer knows of the other balancers: the members of its own zone one by one, other
- * zones by a summary.
+ * @file The state of a balancer's gossip: the members of its own zone one by one, other zones by a summary. `member-list.ts`
+ * changes the list, `failure-detector.ts` and `suspicion.ts` the pings, `zone-summaries.ts` the zones, `gossip-step.ts` the rest.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { GossipMessage, ZoneSummary } from './gossip-messages.js';
 import { gossipAddress, type MemberAddresses, type MemberRecord } from './member.js';
 import { createMemberList, presentMembers, type MemberList } from './member-list.js';
 
-/** A summary of another zone that has not been renewed for this time is not counted, in ms. */
+/** A summary of another zone that was not renewed for this time is not counted, in milliseconds. Not measured. */
 const ZONE_LIFETIME_MS = 60_000;
 
 /** Options of a member. */
@@ -48,7 +48,7 @@
   self: MemberRecord;
   readonly list: MemberList;
   readonly zones: Map<string, KnownZone>;
-  /** Addresses in the own zone as others told them last; they help to find the zone. */
+  /** Addresses in the own zone, from the last summary of another balancer; they help to find the zone. */
   ownZoneContacts: readonly MemberAddresses[];
   pending: PendingPing | undefined;
   readonly forwarded: Map<number, ForwardedPing>;
@@ -120,7 +120,7 @@
 }
 
 /**
- * @returns addresses of balancers in other zones, those of zones heard of last first
+ * @returns addresses of balancers in other zones, those of the zones renewed last first
  */
 export function otherZoneContacts(state: GossipState): MemberAddresses[] {
   return [...state.zones]
--- a/src/managed/gossip/gossip-step.ts
+++ b/src/managed/gossip/gossip-step.ts
@@ -1,45 +1,40 @@
 /**
- * @file The decision step of membership: datagrams of other balancers and time in, datagrams out.
+ * @file The decision step of gossip: datagrams of other balancers and time in, datagrams out. A balancer keeps the members of
+ * its own zone one by one and other zones by a summary each. Which members are suspected or dead stands in
+ * `failure-detector.ts` and `suspicion.ts`, zones in `zone-summaries.ts`.
  */
 import { match } from 'ts-pattern';
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
-import {
-  ackMessage,
-  detectorTick,
-  forwardPing,
-  ownDigest,
-  pingMessage,
-  shuffled,
-  handleAck,
-  zoneHeader,
-} from './failure-detector.js';
+import { detectorTick, forwardPing, handleAck } from './failure-detector.js';
+import { ackMessage, ownDigest, pingMessage, zoneHeader } from './gossip-headers.js';
 import { MAX_RECORDS, type GossipMessage } from './gossip-messages.js';
 import { gossipAddress, type MemberRecord } from './member.js';
-import { presentMembers, applyRecord } from './member-list.js';
+import { applyRecord, presentMembers } from './member-list.js';
+import { shuffled } from './shuffle.js';
 import { sendTo, type GossipSendEffect, type GossipState } from './gossip-state.js';
 import { summaryOf, applySummaries, zonesMessage, zonesTick } from './zone-summaries.js';
 
-/** Time between two tries to find members, in milliseconds: while alone, and otherwise. */
+/** Time between two tries to find members, in milliseconds, while alone and otherwise. Not measured. */
 const LONELY_SEED_INTERVAL_MS = 500;
 const SEED_INTERVAL_MS = 10_000;
-/** Addresses that are tried at a time while alone. */
+/** Addresses that are tried at a time while alone. Not measured. */
 const SEEDS_AT_A_TIME = 5;
-/** Time between two whole lists sent, in milliseconds. */
+/** Time between two whole lists sent, in milliseconds; bounds the bytes of lists that differ. Not measured. */
 const SYNC_INTERVAL_MS = 5_000;
-/** Members that are told of a leave directly. */
+/** Members that get a leave directly; the others get it as an update. Not measured. */
 const LEAVE_MESSAGES = 5;
 
-/** What can happen to a member. */
+/** An event of the gossip step. */
 export type GossipEvent =
   | { readonly type: 'gossip'; readonly message: GossipMessage; readonly from: Address }
   /** Time has passed; comes at least every 100 ms. */
   | { readonly type: 'tick' }
-  /** This balancer stops; the others needn't find out. */
+  /** This balancer stops, and sends so. */
   | { readonly type: 'leave' };
 
 /**
- * Takes one event.
+ * Handles one event.
  * @returns the datagrams to send
  */
 export function gossipStep(
@@ -105,7 +100,7 @@
   const { zone, sender } = message;
   const { host, gossipPort, linkPort } = sender;
   const contacts = [{ host, gossipPort, linkPort }];
-  // Taken only where nothing is known of the zone.
+  // Applied only where nothing is known of the zone.
   applySummaries(state, [{ zone, version: 0, liveCount: 1, contacts }], context.nowMs);
   const wantsAnswer = message.type === 'ping' || (message.type === 'zones' && message.wantsAnswer);
   if (!wantsAnswer) {
@@ -117,7 +112,7 @@
   return [reply(from, { ...answer, zones: [...first, ...rest] })];
 }
 
-/** What others say of this very balancer is refuted by a higher incarnation. */
+/** Applies a record; a suspicion of this balancer itself is refuted by a higher incarnation. */
 function applyUpdate(state: GossipState, record: MemberRecord, nowMs: number): void {
   const { self } = state;
   if (record.id !== self.id) {
@@ -132,8 +127,8 @@
 }
 
 /**
- * A member that is alive here gets its time to refute, whoever believes it dead: after a cut, both
- * sides hear such news from each other.
+ * A member that is alive here gets its time to refute even where another balancer believes it dead: after a partition both
+ * sides receive such records from each other.
  */
 function deathAsSuspicion(state: GossipState, record: MemberRecord): MemberRecord {
   const known = state.list.members.get(record.id)?.record;
@@ -155,7 +150,7 @@
   return sendWholeList(state, to, true);
 }
 
-/** The dead are sent too: a list without them would be taken for one that has not heard of them. */
+/** Dead members are sent too; a list without them would look like one of a balancer that never knew them. */
 function sendWholeList(state: GossipState, to: Address, wantsAnswer: boolean): GossipSendEffect[] {
   const records = [...state.list.members.values()].map(({ record }) => record);
   const parts = Math.max(1, Math.ceil(records.length / MAX_RECORDS));
--- a/src/managed/gossip/member-list.ts
+++ b/src/managed/gossip/member-list.ts
@@ -1,20 +1,21 @@
 /**
- * @file The members of a zone as one balancer knows them, with the news that it still has to spread.
+ * @file The members of a zone as one balancer knows them, and the updates that it still has to send to others. Owns
+ * `MemberList`; a record is replaced only by later knowledge (`member.ts`).
  */
 import { hashText } from '../../shared/common/rendezvous.js';
 import { isPresent, supersedes, type MemberRecord, type MemberStatus } from './member.js';
 
-/** Each piece of news is sent this many times the logarithm of the number of members. */
+/** Each update is sent this many times the logarithm of the number of members, as in SWIM. Not measured. */
 const SPREAD_FACTOR = 3;
 
-/** A member with what this balancer notes about it. */
+/** A member as this balancer knows it. */
 interface KnownMember {
   record: MemberRecord;
   /** Since when the status is what it is, in milliseconds. */
   changedAtMs: number;
 }
 
-/** News that is being spread. */
+/** An update that is being spread. */
 interface PendingUpdate {
   sentCount: number;
 }
@@ -22,7 +23,7 @@
 /** The members of a zone, without the balancer itself. */
 export interface MemberList {
   readonly members: Map<string, KnownMember>;
-  /** News by member ID; the record is the list's. */
+  /** By member ID; the record is the list's. */
   readonly pendingUpdates: Map<string, PendingUpdate>;
   /** Combines the hashes of all records, whatever their order. */
   digest: number;
@@ -38,8 +39,8 @@
 }
 
 /**
- * Takes a record where it is later knowledge.
- * @returns true where it was taken
+ * Applies a record where it is later knowledge.
+ * @returns true where it was applied
  */
 export function applyRecord(list: MemberList, record: MemberRecord, nowMs: number): boolean {
   const known = list.members.get(record.id);
@@ -86,7 +87,7 @@
 }
 
 /**
- * Takes the news that was sent least often, and counts it as sent once more.
+ * Chooses the updates that were sent least often, and counts them as sent once more.
  * @param first a member whose record goes first, such as the receiver, so that it may refute it
  */
 export function nextUpdates(list: MemberList, bound: number, first?: string): MemberRecord[] {
--- a/src/managed/gossip/member.ts
+++ b/src/managed/gossip/member.ts
@@ -1,9 +1,9 @@
 /**
- * @file A balancer as its zone knows it, and which of two records about it counts.
+ * @file A balancer as its zone knows it, and which of two records of one balancer is later knowledge.
  */
 import type { Address } from '../../shared/common/address.js';
 
-/** What is believed of a member. `left` is a member that said itself that it stops. */
+/** The status of a member. `left` is a member that sent itself that it stops. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
 
 /** Where a member is reached. */
--- a/src/managed/gossip/zone-summaries.ts
+++ b/src/managed/gossip/zone-summaries.ts
@@ -1,7 +1,7 @@
 /**
- * @file What zones know of one another: each zone's number of live balancers and a few addresses. Two
- * representatives of a zone, chosen by rendezvous, renew its summary and talk to other zones; within
- * the zone the summaries travel along with pings.
+ * @file What do zones know of one another? Of each zone the number of live balancers and a few addresses. Two representatives
+ * of a zone, chosen by rendezvous hashing, renew its summary and exchange summaries with other zones; within the zone the
+ * summaries travel along with pings.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { MAX_CONTACTS, MAX_ZONES, type ZonesMessage, type ZoneSummary } from './gossip-messages.js';
@@ -9,17 +9,20 @@
 import { sendTo, zoneMembers, type GossipSendEffect, type GossipState } from './gossip-state.js';
 import { chooseByRendezvous } from '../../shared/common/rendezvous.js';
 
-/** Balancers of a zone that speak for it. */
+/** Representatives of a zone. Not measured; with one, its loss would leave the summary old for a while. */
 const REPRESENTATIVES = 2;
-/** Time between two summaries of the own zone, in milliseconds. */
+/** Time between two summaries of the own zone, in milliseconds. Not measured. */
 const SUMMARY_INTERVAL_MS = 5_000;
-/** Time between two messages of a representative to other zones, in milliseconds. */
+/** Time between two messages of a representative to other zones, in milliseconds. Not measured. */
 const ZONES_INTERVAL_MS = 2_000;
-/** A zone that was not renewed for this time is forgotten, in milliseconds: an hour. */
+/**
+ * A zone that was not renewed for this time is forgotten, in milliseconds: an hour; regions may lose each other for
+ * that long.
+ */
 const FORGET_ZONE_AFTER_MS = 3_600_000;
 
 /**
- * @returns the names of the balancers that speak for the own zone
+ * @returns the names of the own zone's representatives
  */
 function representatives(state: GossipState): string[] {
   const names = zoneMembers(state).map(({ id }) => id);
@@ -27,7 +30,7 @@
 }
 
 /**
- * Takes summaries that are of a higher version than known.
+ * Applies summaries of a higher version than known.
  */
 export function applySummaries(
   state: GossipState,
@@ -49,7 +52,7 @@
   }
 }
 
-/** Whoever is still alone in its zone calls on the contacts at once. */
+/** A balancer that is still alone in its zone tries the contacts at once. */
 function updateOwnZoneContacts(state: GossipState, { contacts }: ZoneSummary): void {
   const isFirst = state.ownZoneContacts.length === 0;
   state.ownZoneContacts = contacts;
@@ -97,7 +100,7 @@
 }
 
 /**
- * @returns what is told to a balancer of another zone
+ * @returns the message to a balancer of another zone
  */
 export function zonesMessage(state: GossipState, wantsAnswer: boolean): ZonesMessage {
   return {
@@ -121,9 +124,8 @@
 function renewSummary(state: GossipState, { nowMs, random }: StepContext): void {
   const { zone, id } = state.options;
   const members = zoneMembers(state);
-  const ids = members.map((member) => member.id);
   // The representatives are always among the contacts, others in turn.
-  const preferred = new Set([...chooseByRendezvous(`zone/${zone}`, ids, REPRESENTATIVES), id]);
+  const preferred = new Set([...representatives(state), id]);
   const others = members.filter((member) => !preferred.has(member.id));
   const extra = others[random.nextInt(Math.max(1, others.length))];
   const contacts = [
