--- a/src/managed/balancer/balancer-step.ts
+++ b/src/managed/balancer/balancer-step.ts
@@ -32,7 +32,7 @@
   event: BalancerEvent,
   context: StepContext,
 ): BalancerEffect[] {
-  // Comes for every packet, so it is told apart before the pattern match, which costs more.
+  // Comes for every packet, so it is checked before the pattern match, which costs more.
   if (event.type === 'client-datagram') {
     return handleClientDatagram(state, event.datagram, event.replyTo, context);
   }
--- a/src/managed/control/cluster-snapshot.ts
+++ b/src/managed/control/cluster-snapshot.ts
@@ -61,7 +61,7 @@
 }
 
 /**
- * @param bytes made by `encodeClusterState`; whether they are whole is checked by whoever keeps them
+ * @param bytes made by `encodeClusterState`; the storage checks that they are whole
  * @returns the state
  */
 export function decodeClusterState(bytes: Uint8Array): ClusterState {
--- a/src/managed/control/control-status.ts
+++ b/src/managed/control/control-status.ts
@@ -15,7 +15,7 @@
 interface MemberStatus extends Member {
   /** Highest index known to be on its disk; only at the leader. */
   readonly matchIndex?: number;
-  /** Time since it was last heard from, in milliseconds; only at the leader. */
+  /** Time since its last message, in milliseconds; only at the leader. */
   readonly silentMs?: number;
 }
 
--- a/src/managed/control/views/answer-query.ts
+++ b/src/managed/control/views/answer-query.ts
@@ -131,7 +131,7 @@
   });
 }
 
-/** Of a forgotten command it can't be told whether it was applied; of a recent one it can. */
+/** Whether a command was applied is unknown once its record has been dropped, and known until then. */
 function unknownCommand(owner: OwnerState, commandId: string): AmberliftError {
   const issuedAtMs = commandIssueTimeMs(commandId);
   return issuedAtMs !== undefined && issuedAtMs <= owner.expiredUpToMs
--- a/src/managed/control/views/entity-views.ts
+++ b/src/managed/control/views/entity-views.ts
@@ -98,7 +98,7 @@
   return { accepted: true, revision, version, serviceId, backendId, planId };
 }
 
-/** What was sent may be no command of an operator; it is then shown as it was sent. */
+/** What was sent may be no command of an operator; it is then shown unchanged. */
 function describeCommand(command: unknown): string {
   const parsed = operatorCommandSchema.safeParse(command);
   return parsed.success ? formatCommand(parsed.data) : JSON.stringify(command);
--- a/src/managed/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -19,8 +19,10 @@
 import { systemContextSource } from '../../shared/daemon/system-context.js';
 import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
+/** Time between two ticks of the decision step, in milliseconds. */
 const TICK_INTERVAL_MS = 20;
 const MILLISECONDS_PER_SECOND = 1_000;
+/** Time between two looks at whether opens are still pending at a planned stop, in milliseconds. */
 const STOP_POLL_INTERVAL_MS = 50;
 
 /** A running balancer daemon. */
@@ -130,7 +132,7 @@
   }
 
   private perform(effect: BalancerEffect): void {
-    // Comes for every packet, so it is told apart before the pattern match, which costs more.
+    // Comes for every packet, so it is checked before the pattern match, which costs more.
     if (effect.type === 'send') {
       const socket = effect.via === 'fabric' ? this.fabricSocket : this.backendSocket;
       socket?.send(effect.datagram, effect.to);
--- a/src/managed/daemon/control-daemon.ts
+++ b/src/managed/daemon/control-daemon.ts
@@ -26,6 +26,7 @@
 import { operatorApi } from './operator-api.js';
 import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 
+/** Time between two looks at whether the state has changed, in milliseconds, at start and stop. */
 const POLL_INTERVAL_MS = 5;
 /** How long a planned stop waits for another machine to lead, in milliseconds. */
 const TRANSFER_TIMEOUT_MS = 2_000;
@@ -153,7 +154,7 @@
 /** What balancers reported that they have in force. */
 function inForceView({ publisher, leaseAuthority }: ControlState): InForceView {
   const balancers = balancerReports(publisher);
-  // Till then balancers may go on by leases of an earlier leader without having reported here.
+  // Until then balancers may hold leases of an earlier leader without having reported here.
   const isComplete = hasOutlivedEarlierLeases(leaseAuthority, performance.now());
   return { balancers, isComplete };
 }
--- a/src/managed/daemon/control-edge.ts
+++ b/src/managed/daemon/control-edge.ts
@@ -24,11 +24,13 @@
 import type { QueryAnswer } from './operator-api.js';
 import { systemContextSource } from '../../shared/daemon/system-context.js';
 
+/** Time between two ticks of the decision step, in milliseconds. */
 const TICK_INTERVAL_MS = 20;
+/** Delays between two tries to reach a peer, the first and the longest, in milliseconds. Not measured. */
 const FIRST_RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 1_000;
 
-/** A control machine's step with its links, its disk and those who wait for answers. */
+/** A control machine's step with its links, its disk and the requests that wait for their outcome. */
 export class ControlEdge implements LinkHandlers {
   private readonly contexts = systemContextSource();
   private readonly logger = loggerFor('consensus');
--- a/src/managed/daemon/health-probe.ts
+++ b/src/managed/daemon/health-probe.ts
@@ -10,12 +10,16 @@
 import type { ProbeEffect } from '../health/probe-schedule.js';
 import { sendJson } from './http-json.js';
 
+/**
+ * How long one request of a probe may take, in milliseconds. Not measured; too short if probes of live back ends
+ * fail.
+ */
 const PROBE_TIMEOUT_MS = 1_000;
 
 /**
- * Asks a back end for its health and load. An authoritative probe also tells it which one it is, and to
- * drain where the operators want that.
- * @returns what it said; never rejects
+ * Asks a back end for its health and load. An authoritative probe also sends its identity, and the order to drain where
+ * the operators want that.
+ * @returns what it reported, undefined for each endpoint that gave no valid answer; never rejects
  */
 export async function probeBackend({
   backend,
--- a/src/managed/daemon/http-json.ts
+++ b/src/managed/daemon/http-json.ts
@@ -7,9 +7,10 @@
 import type { Address } from '../../shared/common/address.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
+/** Longest body that is read; a longer one is refused. */
 const MAX_BODY_BYTES = 1024 * 1024;
 
-/** One HTTP request of ours. */
+/** One HTTP request that this process sends. */
 export interface JsonRequest {
   readonly to: Address;
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
--- a/src/managed/daemon/link-schemas.ts
+++ b/src/managed/daemon/link-schemas.ts
@@ -1,6 +1,6 @@
 /**
  * @file Schemas of the messages on the links of control machines and balancers. Whatever comes in is
- * checked by them before a decision sees it; whoever sends anything else loses the link.
+ * checked by them before a decision sees it; a process that sends anything else loses its link.
  */
 import * as z from 'zod/mini';
 import {
--- a/src/managed/daemon/member-api.ts
+++ b/src/managed/daemon/member-api.ts
@@ -1,7 +1,7 @@
 /**
  * @file The interface for changes of the control machines themselves, HTTP with JSON.
  *
- * `GET /v1/members` tells the members and the machines that ask to be added, as this machine knows
+ * `GET /v1/members` lists the members and the machines that ask to be added, as this machine knows
  * them; `POST /v1/members` with `{type, nodeId}` adds a learner, promotes one that has caught up, or
  * removes a member. Both need `Authorization: Bearer TOKEN` with the admin token of the settings.
  */
--- a/src/managed/daemon/message-link.ts
+++ b/src/managed/daemon/message-link.ts
@@ -7,8 +7,15 @@
 import { encodeFrame, FrameDecoder } from '../../shared/common/frame-codec.js';
 import type { TrafficDirection } from '../dissemination/traffic.js';
 
+/**
+ * When TCP begins to check a link that is idle, in milliseconds. Not measured; the protocol above has shorter limits
+ * of its own.
+ */
 const KEEP_ALIVE_MS = 5_000;
-/** A link whose other end leaves more than this unread is closed; its owner opens it anew. */
+/**
+ * A link whose other end leaves more than this unread is closed, and its owner opens it again. A snapshot of 9,000
+ * back ends is 2.99 MB.
+ */
 const MAX_UNSENT_BYTES = 16 * 1024 * 1024;
 
 /** One end of a link. */
@@ -17,7 +24,7 @@
   close(): void;
 }
 
-/** What the owner of a link wants to hear. */
+/** What the owner of a link handles. */
 export interface LinkHandlers {
   /** @returns false where the message is not one that belongs here; the link is closed then */
   onMessage(message: unknown, link: MessageLink): boolean;
@@ -82,14 +89,14 @@
   socket.setNoDelay(true);
   socket.setKeepAlive(true, KEEP_ALIVE_MS);
   let countedBytes = 0;
-  const take = (message: unknown) => {
+  const receive = (message: unknown) => {
     handlers.onTraffic?.('received', kindOf(message), socket.bytesRead - countedBytes);
     countedBytes = socket.bytesRead;
     return handlers.onMessage(message, link);
   };
   socket.on('data', (chunk) => {
     const decoded = decoder.push(chunk);
-    if (decoded.type === 'malformed' || !decoded.messages.every(take)) {
+    if (decoded.type === 'malformed' || !decoded.messages.every(receive)) {
       socket.destroy();
     }
   });
--- a/src/managed/daemon/metrics/metrics-server.ts
+++ b/src/managed/daemon/metrics/metrics-server.ts
@@ -1,5 +1,5 @@
 /**
- * @file The HTTP endpoint for whoever watches a daemon.
+ * @file The HTTP endpoint of a daemon for `/metrics` and its health.
  */
 import type { Address } from '../../../shared/common/address.js';
 import { listenHttp, type HttpServer } from '../../../shared/daemon/http-server.js';
--- a/src/managed/daemon/operator-api.ts
+++ b/src/managed/daemon/operator-api.ts
@@ -66,7 +66,7 @@
   };
 }
 
-/** An operator who has shown their token. */
+/** An operator whose token was checked. */
 interface Sender {
   readonly operator: Operator;
   readonly owner: OwnerState;
--- a/src/managed/daemon/peer-sockets.ts
+++ b/src/managed/daemon/peer-sockets.ts
@@ -17,7 +17,7 @@
 import { listenForLinks, type LinkServer, type MessageLink } from './message-link.js';
 import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
-/** Who takes what comes in. */
+/** Handles what comes in. */
 interface PeerSocketsOwner {
   step(event: BalancerEvent): void;
   countTraffic(direction: TrafficDirection, kind: string, bytes: number): void;
@@ -94,7 +94,7 @@
     this.owner()?.step({ type: 'gossip', message: message.value, from });
   }
 
-  /** One line is enough: whoever has another key sends on. */
+  /** Logged once: a process with another cluster key goes on sending. */
   private warnOnce(reason: string, { host, port }: Address): void {
     if (!this.hasWarned) {
       this.hasWarned = true;
--- a/src/managed/dissemination/traffic.ts
+++ b/src/managed/dissemination/traffic.ts
@@ -8,7 +8,7 @@
   bytes: number;
 }
 
-/** Which way a message went. */
+/** Direction of a message. */
 export type TrafficDirection = 'sent' | 'received';
 
 /** Counts by direction and kind. */
--- a/src/managed/gossip/member-list.ts
+++ b/src/managed/gossip/member-list.ts
@@ -118,12 +118,12 @@
 }
 
 function countSent(list: MemberList, id: string, limit: number): void {
-  const news = list.pendingUpdates.get(id);
-  if (news === undefined) {
+  const update = list.pendingUpdates.get(id);
+  if (update === undefined) {
     return;
   }
-  news.sentCount += 1;
-  if (news.sentCount >= limit) {
+  update.sentCount += 1;
+  if (update.sentCount >= limit) {
     list.pendingUpdates.delete(id);
   }
 }
