--- a/src/managed/balancer/backend-evidence.ts
+++ b/src/managed/balancer/backend-evidence.ts
@@ -1,6 +1,7 @@
 /**
- * @file Records what a balancer observes of a back end, by probes and by its own opens, in the judgement (`health`), in the
- * load estimate (`routing/load-estimate.ts`) and in the group of its service. Placement reads what stands there.
+ * @file Records what a balancer observes of a back end, by probes and by its own opens, in the judgement (`health`),
+ * in the load estimate (`routing/load-estimate.ts`) and in the group of its service. Placement reads what stands
+ * there.
  *
  * This module is the only one that changes `pendingOpens`, `health` and `estimate` of a `BackendView`.
  */
--- a/src/managed/balancer/backend-identity.ts
+++ b/src/managed/balancer/backend-identity.ts
@@ -1,9 +1,11 @@
 /**
- * @file May packets go to this back end's address? While the lease runs, always. Without a lease the address may belong
- * to another service by now, so only as long as the back end has itself confirmed a moment ago which one it is.
+ * @file May packets go to this back end's address? While the lease runs, always. Without a lease the address may
+ * belong to another service by now, so only as long as the back end has itself confirmed a moment ago which one it
+ * is.
  *
- * Inputs: the lease, the time of the last confirmation and the time of the step, in milliseconds on the balancer's clock.
- * The rule itself and its constants stand in `dissemination/lease.ts`. This module owns `identityConfirmedAtMs`.
+ * Inputs: the lease, the time of the last confirmation and the time of the step, in milliseconds on the balancer's
+ * clock. The rule itself and its constants stand in `dissemination/lease.ts`. This module owns
+ * `identityConfirmedAtMs`.
  */
 import { mayUseBackend } from '../dissemination/lease.js';
 import type { ProbeResult } from '../health/backend-report.js';
--- a/src/managed/balancer/backend-view.ts
+++ b/src/managed/balancer/backend-view.ts
@@ -1,6 +1,6 @@
 /**
- * @file What a balancer knows of one back end. `backend-evidence.ts` changes it, but for `backend` (`config-tables.ts`) and the
- * identity (`backend-identity.ts`).
+ * @file What a balancer knows of one back end. `backend-evidence.ts` changes it, but for `backend`
+ * (`config-tables.ts`) and the identity (`backend-identity.ts`).
  */
 import type { Backend } from '../control/routing-config.js';
 import type { HealthReport } from '../health/backend-report.js';
--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -1,6 +1,6 @@
 /**
- * @file The state of a balancer: the configuration in force, tables derived from it, what is known of each back end, and
- * pending opens. Nothing here grows with established flows. Each part is changed by one module:
+ * @file The state of a balancer: the configuration in force, tables derived from it, what is known of each back end,
+ * and pending opens. Nothing here grows with established flows. Each part is changed by one module:
  *
  * - configuration and tables: `config-tables.ts`; groups and changes to log: `candidates.ts`;
  * - views: `backend-evidence.ts`, their identity `backend-identity.ts`;
--- a/src/managed/balancer/balancer-step.ts
+++ b/src/managed/balancer/balancer-step.ts
@@ -1,5 +1,6 @@
 /**
- * @file The decision step of a balancer: one event in, effects out. Deterministic; time and randomness come with the step.
+ * @file The decision step of a balancer: one event in, effects out. Deterministic; time and randomness come with the
+ * step.
  */
 import { match } from 'ts-pattern';
 import { packedAddressKey, type Address } from '../../shared/common/address.js';
--- a/src/managed/balancer/candidates.ts
+++ b/src/managed/balancer/candidates.ts
@@ -1,13 +1,14 @@
 /**
- * @file Which back ends of a service may receive a new flow? Those that are judged ready; where none is ready, those that
- * are busy; none that is starting, draining or down. Without a lease only those of them that confirmed their identity a
- * moment ago.
+ * @file Which back ends of a service may receive a new flow? Those that are judged ready; where none is ready, those
+ * that are busy; none that is starting, draining or down. Without a lease only those of them that confirmed their
+ * identity a moment ago.
  *
- * Inputs: the judged state of each back end, the lease, and the time of the step in milliseconds. Returns a list that stays
- * the same array until it changes, since placement policies keep what they derive from it.
+ * Inputs: the judged state of each back end, the lease, and the time of the step in milliseconds. Returns a list that
+ * stays the same array until it changes, since placement policies keep what they derive from it.
  *
- * This module owns the groups of `service-groups.ts`: an index by service that is made once per configuration, so that an
- * open looks at no other service's back ends. It also keeps the changes of judged state until the daemon logs them.
+ * This module owns the groups of `service-groups.ts`: an index by service that is made once per configuration, so
+ * that an open looks at no other service's back ends. It also keeps the changes of judged state until the daemon logs
+ * them.
  */
 import { isLeaseHeld } from '../dissemination/lease.js';
 import type { JudgementTransition } from '../health/judgement-state.js';
@@ -24,9 +25,9 @@
 } from './service-groups.js';
 
 /**
- * In a large service the list of candidates is rebuilt at most this often, in milliseconds, so that many changes of state
- * in a row don't each cost a pass over all back ends. Not measured; too long if opens go to back ends that were just judged
- * down.
+ * In a large service the list of candidates is rebuilt at most this often, in milliseconds, so that many changes of
+ * state in a row don't each cost a pass over all back ends. Not measured; too long if opens go to back ends that were
+ * just judged down.
  */
 const REBUILD_INTERVAL_MS = 20;
 /** Number of back ends from which a service is large. Not measured. */
--- a/src/managed/balancer/choose-backend.ts
+++ b/src/managed/balancer/choose-backend.ts
@@ -1,9 +1,11 @@
 /**
- * @file Which back end gets the next attempt of an open? The placement policy of the service chooses among the candidates,
- * without those that the open was tried on and those that hold as many connections as the service allows each.
+ * @file Which back end gets the next attempt of an open? The placement policy of the service chooses among the
+ * candidates, without those that the open was tried on and those that hold as many connections as the service allows
+ * each.
  *
- * Inputs: the pending open, the candidates (`candidates.ts`), the connection limit of the service (`limits/backend-limits.ts`)
- * and how many balancers share the traffic. Returns undefined where no candidate is left; the open is then refused.
+ * Inputs: the pending open, the candidates (`candidates.ts`), the connection limit of the service
+ * (`limits/backend-limits.ts`) and how many balancers share the traffic. Returns undefined where no candidate is
+ * left; the open is then refused.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { PlacementPolicyName } from '../control/routing-config.js';
--- a/src/managed/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -1,7 +1,7 @@
 /**
- * @file A balancer's part in the control plane: its link upwards (`dissemination/subscription.ts`), the balancers that are
- * linked to it (`dissemination/publisher.ts`), and gossip with the others (`gossip`). Updates of the configuration come in
- * here, go into the tables (`config-tables.ts`) and on to the balancers below.
+ * @file A balancer's part in the control plane: its link upwards (`dissemination/subscription.ts`), the balancers
+ * that are linked to it (`dissemination/publisher.ts`), and gossip with the others (`gossip`). Updates of the
+ * configuration come in here, go into the tables (`config-tables.ts`) and on to the balancers below.
  *
  * Owns the link plan's version and the size of the fleet.
  */
--- a/src/managed/balancer/forwarding.ts
+++ b/src/managed/balancer/forwarding.ts
@@ -1,10 +1,11 @@
 /**
- * @file Where does a packet of an established flow go? To the back end that its routing token names, where the key is in
- * force, the MAC is valid, and token, destination address and back end belong to one service; without a lease only to a back
- * end that confirmed its identity a moment ago (`backend-identity.ts`). Anything else is dropped and counted by error kind.
+ * @file Where does a packet of an established flow go? To the back end that its routing token names, where the key is
+ * in force, the MAC is valid, and token, destination address and back end belong to one service; without a lease only
+ * to a back end that confirmed its identity a moment ago (`backend-identity.ts`). Anything else is dropped and
+ * counted by error kind.
  *
- * Inputs: the packet, its destination address, and the configuration in force; nothing is kept per flow. This is the hot
- * path: it reads the packet in place and allocates nothing but its result.
+ * Inputs: the packet, its destination address, and the configuration in force; nothing is kept per flow. This is the
+ * hot path: it reads the packet in place and allocates nothing but its result.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { addressKey, type Address, type AddressKey } from '../../shared/common/address.js';
@@ -51,8 +52,8 @@
 /**
  * Like `routeEstablished`, with the service's address as a key.
  *
- * The token's incarnation is left to the back end: of two incarnations a balancer can't know which is the later one, and
- * a peer may know a newer one than this balancer's own probes returned.
+ * The token's incarnation is left to the back end: of two incarnations a balancer can't know which is the later one,
+ * and a peer may know a newer one than this balancer's own probes returned.
  * @param packet a packet with a short header
  */
 export function routePacket(
--- a/src/managed/balancer/open-attempts.ts
+++ b/src/managed/balancer/open-attempts.ts
@@ -1,15 +1,16 @@
 /**
- * @file When is an open sent to another back end, and when is it given up? It is tried on another one after a refusal or
- * after `openAttemptTimeoutMs` without an answer, until one accepts it, and given up where
+ * @file When is an open sent to another back end, and when is it given up? It is tried on another one after a refusal
+ * or after `openAttemptTimeoutMs` without an answer, until one accepts it, and given up where
  *
  * 1. it was tried on `maxOpenAttempts` back ends,
  * 2. its deadline has passed,
  * 3. the retry budget of its service is used up (`limits/retry-budget.ts`), or
  * 4. no candidate is left (`choose-backend.ts`).
  *
- * An open that is given up is refused at once: where no candidate is left with `no-backend-ready`, otherwise with the kind
- * of the last failure, which is the back end's own kind, `no-backend-ready` or `deadline-exceeded`. Retrying is safe, since an open runs nothing. The two settings are not measured: too low a timeout
- * shows as `amberlift_open_answers_late_total`, too high a one as opens that end in `deadline-exceeded`.
+ * An open that is given up is refused at once: where no candidate is left with `no-backend-ready`, otherwise with the
+ * kind of the last failure, which is the back end's own kind, `no-backend-ready` or `deadline-exceeded`. Retrying is
+ * safe, since an open runs nothing. The two settings are not measured: too low a timeout shows as
+ * `amberlift_open_answers_late_total`, too high a one as opens that end in `deadline-exceeded`.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { answerFor, type ErrorKind } from '../../shared/common/error-kinds.js';
--- a/src/managed/balancer/open-handling.ts
+++ b/src/managed/balancer/open-handling.ts
@@ -1,10 +1,10 @@
 /**
- * @file An open from a caller, and the answer of a back end to it. An open is refused at once while the balancer stops or
- * where a limit says so (`limits/open-limits.ts`); otherwise it is pending and goes to a back end (`open-attempts.ts`) until
- * one accepts it or it is given up. A copy of a pending open is only counted.
+ * @file An open from a caller, and the answer of a back end to it. An open is refused at once while the balancer
+ * stops or where a limit says so (`limits/open-limits.ts`); otherwise it is pending and goes to a back end
+ * (`open-attempts.ts`) until one accepts it or it is given up. A copy of a pending open is only counted.
  *
- * Owns the table `pendingOpens` together with `open-attempts.ts`. Nothing is logged here: each refusal and each datagram
- * that is dropped counts in the metric `amberlift_errors_total` under its error kind.
+ * Owns the table `pendingOpens` together with `open-attempts.ts`. Nothing is logged here: each refusal and each
+ * datagram that is dropped counts in the metric `amberlift_errors_total` under its error kind.
  */
 import { match } from 'ts-pattern';
 import { addressKey, type Address } from '../../shared/common/address.js';
--- a/src/managed/balancer/open-packets.ts
+++ b/src/managed/balancer/open-packets.ts
@@ -1,6 +1,6 @@
 /**
- * @file Decodes opens of callers and answers of back ends to opens. Each function returns `malformed-datagram` (or what the
- * decoders of `flow` return) for anything else.
+ * @file Decodes opens of callers and answers of back ends to opens. Each function returns `malformed-datagram` (or
+ * what the decoders of `flow` return) for anything else.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
--- a/src/managed/balancer/pending-open.ts
+++ b/src/managed/balancer/pending-open.ts
@@ -1,6 +1,7 @@
 /**
- * @file An open that a balancer has admitted and that no back end has accepted yet: the only state that a balancer keeps
- * for a single flow. The table of pending opens is bounded by `maxPendingOpens`, and each entry ends by its deadline.
+ * @file An open that a balancer has admitted and that no back end has accepted yet: the only state that a balancer
+ * keeps for a single flow. The table of pending opens is bounded by `maxPendingOpens`, and each entry ends by its
+ * deadline.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { Service } from '../control/routing-config.js';
--- a/src/managed/balancer/shared-health.ts
+++ b/src/managed/balancer/shared-health.ts
@@ -1,10 +1,11 @@
 /**
- * @file A balancer's part in the shared probing of back ends: begins its own probes (`health/probe-schedule.ts`), applies
- * results of the other balancers of its zone, and sends its own on (`health/health-sharing.ts`).
+ * @file A balancer's part in the shared probing of back ends: begins its own probes (`health/probe-schedule.ts`),
+ * applies results of the other balancers of its zone, and sends its own on (`health/health-sharing.ts`).
  *
- * When does a result count? A result of this balancer always; one of another balancer where it is from the same zone, later
- * than what is known, and this process was not paused a moment ago: datagrams that waited meanwhile would show the past as
- * the present. Ages travel in milliseconds, so no clocks are compared. Owns the time of the last tick and of the last pause.
+ * When does a result count? A result of this balancer always; one of another balancer where it is from the same zone,
+ * later than what is known, and this process was not paused a moment ago: datagrams that waited meanwhile would show
+ * the past as the present. Ages travel in milliseconds, so no clocks are compared. Owns the time of the last tick and
+ * of the last pause.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { isLeaseHeld } from '../dissemination/lease.js';
--- a/src/managed/control/address-fence.ts
+++ b/src/managed/control/address-fence.ts
@@ -1,11 +1,12 @@
 /**
- * @file When may an address that left a service join another one? Not before every balancer has the removal in force or is
- * past its lease: until then a balancer might send it packets of the former service. The service that it left may have it
- * back at once (`decision.ts`).
+ * @file When may an address that left a service join another one? Not before every balancer has the removal in force
+ * or is past its lease: until then a balancer might send it packets of the former service. The service that it left
+ * may have it back at once (`decision.ts`).
  *
- * Input: the fenced log index (`dissemination/lease-authority.ts`). An address is free 12 to 13 s after its removal, which
- * follows from the lease of 10 s, its margin and the delay of the floor (docs/design/dissemination.md). Owns no constant.
- * The leader proposes `release-addresses` (`leader-duties.ts`); until then commands get `conflict` with "left a service".
+ * Input: the fenced log index (`dissemination/lease-authority.ts`). An address is free 12 to 13 s after its removal,
+ * which follows from the lease of 10 s, its margin and the delay of the floor (docs/design/dissemination.md). Owns no
+ * constant. The leader proposes `release-addresses` (`leader-duties.ts`); until then commands get `conflict` with
+ * "left a service".
  */
 import type { ClusterState, QuarantinedAddress } from './cluster-state.js';
 
--- a/src/managed/control/apply-command.ts
+++ b/src/managed/control/apply-command.ts
@@ -1,7 +1,7 @@
 /**
- * @file The replicated step: applies one log entry to the cluster state. Deterministic; every control machine that applies
- * the same entries holds the same state. Authority is checked here, not only at the operator interface. Owns the replicated
- * state (`cluster-state.ts`); the modules of the commands decide, and `commit` here changes the state.
+ * @file The replicated step: applies one log entry to the cluster state. Deterministic; every control machine that
+ * applies the same entries holds the same state. Authority is checked here, not only at the operator interface. Owns
+ * the replicated state (`cluster-state.ts`); the modules of the commands decide, and `commit` here changes the state.
  */
 import { err, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
--- a/src/managed/control/cluster-join.ts
+++ b/src/managed/control/cluster-join.ts
@@ -1,7 +1,7 @@
 /**
- * @file How does a control machine with an empty disk come to a cluster? It announces itself to the peers of its settings. A
- * machine that belongs to a cluster shows it to the administrators, who may add it. Where all peers answer that they have no
- * cluster either, the first of them by node ID begins one with all of them.
+ * @file How does a control machine with an empty disk come to a cluster? It announces itself to the peers of its
+ * settings. A machine that belongs to a cluster shows it to the administrators, who may add it. Where all peers
+ * answer that they have no cluster either, the first of them by node ID begins one with all of them.
  *
  * Owns `JoinState`. Times are in milliseconds on this machine's clock. `AnnouncedMachine` is also shown as JSON by
  * `GET /v1/members`, so its field names are part of that interface.
--- a/src/managed/control/command-id.ts
+++ b/src/managed/control/command-id.ts
@@ -1,7 +1,7 @@
 /**
- * @file Command IDs. An ID that begins with the time at which it was made, such as `20261202T065703Z-4f1c9a`, shows by itself
- * that it is too old, so its record can be dropped after a while. The record of any other ID is kept for good, so an operator
- * has a limited number of these (`command-records.ts`).
+ * @file Command IDs. An ID that begins with the time at which it was made, such as `20261202T065703Z-4f1c9a`, shows
+ * by itself that it is too old, so its record can be dropped after a while. The record of any other ID is kept for
+ * good, so an operator has a limited number of these (`command-records.ts`).
  */
 
 const TIMED_ID = /^(\d{4})(\d{2})(\d{2})T(\d{2})(\d{2})(\d{2})Z-/;
--- a/src/managed/control/command-records.ts
+++ b/src/managed/control/command-records.ts
@@ -1,13 +1,15 @@
 /**
- * @file Has this command been applied before, and may it be applied now? The outcome of each command is kept under its ID, so
- * that the same command sent again gets the same outcome. The records are bounded, without letting an old command apply twice:
+ * @file Has this command been applied before, and may it be applied now? The outcome of each command is kept under
+ * its ID, so that the same command sent again gets the same outcome. The records are bounded, without letting an old
+ * command apply twice:
  *
- * - An ID that carries its time is refused as `command-expired` from the moment its record may have been dropped. Both follow
- *   from one rule: the ID's own time against a limit that only rises. The limit is the replicated time less the window, or
- *   higher where an operator has sent so many commands that the oldest records had to go.
+ * - An ID that carries its time is refused as `command-expired` from the moment its record may have been dropped.
+ *   Both follow from one rule: the ID's own time against a limit that only rises. The limit is the replicated time
+ *   less the window, or higher where an operator has sent so many commands that the oldest records had to go.
  * - The record of an ID without a time is kept for good, and past a bound no further such ID is accepted.
  *
- * Times are Unix milliseconds of the replicated clock. Owns `commandRecords`, `untimedRecordCount` and `expiredUpToMs`.
+ * Times are Unix milliseconds of the replicated clock. Owns `commandRecords`, `untimedRecordCount` and
+ * `expiredUpToMs`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
--- a/src/managed/control/commands.ts
+++ b/src/managed/control/commands.ts
@@ -1,6 +1,6 @@
 /**
- * @file Commands of operators and of the system, as they stand in the replicated log, and their outcomes. Field names are
- * stored and sent as they are here.
+ * @file Commands of operators and of the system, as they stand in the replicated log, and their outcomes. Field names
+ * are stored and sent as they are here.
  */
 import { z } from 'zod';
 import { addressSchema } from '../../shared/common/address-schema.js';
--- a/src/managed/control/config-delta.ts
+++ b/src/managed/control/config-delta.ts
@@ -1,6 +1,6 @@
 /**
- * @file Changes of the configuration as balancers get them: snapshots and deltas, each with the (term, index) that it leads
- * to. A receiver applies only newer ones. Field names are sent as they are here.
+ * @file Changes of the configuration as balancers get them: snapshots and deltas, each with the (term, index) that it
+ * leads to. A receiver applies only newer ones. Field names are sent as they are here.
  */
 import { match } from 'ts-pattern';
 import type { Backend, RoutingConfig, Service, TokenKey } from './routing-config.js';
--- a/src/managed/control/consensus-driver.ts
+++ b/src/managed/control/consensus-driver.ts
@@ -1,9 +1,10 @@
 /**
- * @file Runs the consensus step of a control machine and performs its effects: committed entries are applied and published,
- * requests get their outcome, snapshots are made. Owns `pendingProposals`, the requests that wait for an entry.
+ * @file Runs the consensus step of a control machine and performs its effects: committed entries are applied and
+ * published, requests get their outcome, snapshots are made. Owns `pendingProposals`, the requests that wait for an
+ * entry.
  *
- * When is a request given up? Its proposal is refused at once where this machine doesn't lead, and with the kind of the
- * loss as soon as leadership is lost; it never waits on a machine that can't commit it.
+ * When is a request given up? Its proposal is refused at once where this machine doesn't lead, and with the kind of
+ * the loss as soon as leadership is lost; it never waits on a machine that can't commit it.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
--- a/src/managed/control/control-state.ts
+++ b/src/managed/control/control-state.ts
@@ -1,8 +1,8 @@
 /**
- * @file The state of a control machine: its part in the consensus, the replicated state, and the requests that wait. Each part
- * is changed by one module: `cluster` by `apply-command.ts`, `publisher` by `dissemination/publisher.ts`, `leaseAuthority` by
- * `dissemination/lease-authority.ts`, `consensus` by the consensus step, `join` by `cluster-join.ts`, `pendingProposals` by
- * `consensus-driver.ts`.
+ * @file The state of a control machine: its part in the consensus, the replicated state, and the requests that wait.
+ * Each part is changed by one module: `cluster` by `apply-command.ts`, `publisher` by `dissemination/publisher.ts`,
+ * `leaseAuthority` by `dissemination/lease-authority.ts`, `consensus` by the consensus step, `join` by
+ * `cluster-join.ts`, `pendingProposals` by `consensus-driver.ts`.
  */
 import type { Address } from '../../shared/common/address.js';
 import {
--- a/src/managed/control/control-step.ts
+++ b/src/managed/control/control-step.ts
@@ -1,6 +1,7 @@
 /**
- * @file The decision step of a control machine. Commands of operators go through the consensus log, are applied once they are
- * committed, and are published to balancers; queries are answered only after a quorum has confirmed that this machine leads.
+ * @file The decision step of a control machine. Commands of operators go through the consensus log, are applied once
+ * they are committed, and are published to balancers; queries are answered only after a quorum has confirmed that
+ * this machine leads.
  *
  * This module dispatches: proposals and consensus stand in `consensus-driver.ts`, other control machines in
  * `peer-envelopes.ts` and `member-changes.ts`, the leader's own work in `leadership.ts`, balancers in
--- a/src/managed/control/decision.ts
+++ b/src/managed/control/decision.ts
@@ -1,13 +1,14 @@
 /**
- * @file May this operator change this entity, and use this address? The checks that commands have in common, each with the
- * error that the operator gets:
+ * @file May this operator change this entity, and use this address? The checks that commands have in common, each
+ * with the error that the operator gets:
  *
  * - a service or back end that is another operator's is `not-found`, like one that does not exist;
  * - a change based on an outdated version of the service is a `conflict`;
  * - an address must be granted to the operator (`unauthorized`), free, and not in quarantine (`conflict`).
  *
- * Commands of partners that race each other are thus decided by the order of the log, and version numbers count per service,
- * so equal numbers of two partners never meet. Functions here change nothing; `apply-command.ts` commits the decision.
+ * Commands of partners that race each other are thus decided by the order of the log, and version numbers count per
+ * service, so equal numbers of two partners never meet. Functions here change nothing; `apply-command.ts` commits the
+ * decision.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { formatAddress, type Address } from '../../shared/common/address.js';
--- a/src/managed/control/id-blocks.ts
+++ b/src/managed/control/id-blocks.ts
@@ -1,6 +1,6 @@
 /**
- * @file IDs of services and back ends. Each operator has a block of the 32-bit IDs and counts through it once: no ID is used
- * again, and an ID reveals nothing of another operator's activity.
+ * @file IDs of services and back ends. Each operator has a block of the 32-bit IDs and counts through it once: no ID
+ * is used again, and an ID reveals nothing of another operator's activity.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
--- a/src/managed/control/key-rotation.ts
+++ b/src/managed/control/key-rotation.ts
@@ -1,12 +1,12 @@
 /**
- * @file Which step of the rotation of token keys is due? A key is `next` until it is in force on every balancer, so that no
- * balancer gets a token that it can't check; then `current` for `rotateAfterMs`; then `previous` for `keepPreviousMs`, while
- * flows live whose tokens were minted with it; then it is removed. One step at a time, a promotion before a removal, a
- * removal before a new key.
+ * @file Which step of the rotation of token keys is due? A key is `next` until it is in force on every balancer, so
+ * that no balancer gets a token that it can't check; then `current` for `rotateAfterMs`; then `previous` for
+ * `keepPreviousMs`, while flows live whose tokens were minted with it; then it is removed. One step at a time, a
+ * promotion before a removal, a removal before a new key.
  *
  * Inputs: the keys with the entry and time of their last change, the log index in force everywhere, Unix time in
- * milliseconds. The two periods are needs of the users, not measurements: no flow may stay open for longer than a key is
- * kept as `previous`; a shorter period shows as `amberlift_errors_total{kind="unknown-key"}`.
+ * milliseconds. The two periods are not measured. No flow may stay open for longer than a key is kept as `previous`;
+ * a shorter period shows as `amberlift_errors_total{kind="unknown-key"}`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
--- a/src/managed/control/leader-duties.ts
+++ b/src/managed/control/leader-duties.ts
@@ -1,10 +1,10 @@
 /**
- * @file What does the leader propose on its own? Planned changes that are due, the next step of the key rotation, and the
- * release of addresses whose removal is fenced. Each entry may be proposed again without harm, so a leader that is not sure
- * whether one was committed proposes it again.
+ * @file What does the leader propose on its own? Planned changes that are due, the next step of the key rotation, and
+ * the release of addresses whose removal is fenced. Each entry may be proposed again without harm, so a leader that
+ * is not sure whether one was committed proposes it again.
  *
- * Inputs: the replicated state, Unix time in milliseconds on the leader's clock, and how far the configuration has come
- * (`dissemination/publisher.ts`).
+ * Inputs: the replicated state, Unix time in milliseconds on the leader's clock, and how far the configuration has
+ * come (`dissemination/publisher.ts`).
  */
 import { match } from 'ts-pattern';
 import { releasableAddresses } from './address-fence.js';
--- a/src/managed/control/leadership.ts
+++ b/src/managed/control/leadership.ts
@@ -1,8 +1,8 @@
 /**
  * @file What a control machine does while it leads, at each tick: it lets a quorum confirm its leadership
- * (`dissemination/lease-authority.ts`), and proposes the first commands of a new cluster (`first-commands.ts`) and its duties
- * (`leader-duties.ts`). It proposes nothing before an entry of its own term is committed, since it doesn't know until then
- * all that was committed earlier, and nothing while an earlier round is still pending.
+ * (`dissemination/lease-authority.ts`), and proposes the first commands of a new cluster (`first-commands.ts`) and
+ * its duties (`leader-duties.ts`). It proposes nothing before an entry of its own term is committed, since it doesn't
+ * know until then all that was committed earlier, and nothing while an earlier round is still pending.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { leaseAuthorityTick } from '../dissemination/lease-authority.js';
--- a/src/managed/control/member-changes.ts
+++ b/src/managed/control/member-changes.ts
@@ -1,6 +1,7 @@
 /**
- * @file Changes of the control machines themselves, by order of an administrator: adding a machine that announced itself (as
- * a learner), promoting a learner to a voter, removing a member. Whether the consensus allows a change is its own decision.
+ * @file Changes of the control machines themselves, by order of an administrator: adding a machine that announced
+ * itself (as a learner), promoting a learner to a voter, removing a member. Whether the consensus allows a change is
+ * its own decision.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { amberliftError } from '../../shared/common/error-kinds.js';
@@ -13,8 +14,8 @@
 
 /**
  * Proposes a change of the control machines.
- * @returns the effects of the proposal, or the refusal: `not-leader`, or `not-found` for a machine that has not announced
- *   itself within the last seconds
+ * @returns the effects of the proposal, or the refusal: `not-leader`, or `not-found` for a machine that has not
+ *   announced itself within the last seconds
  */
 export function changeMembers(
   state: ControlState,
--- a/src/managed/control/peer-envelopes.ts
+++ b/src/managed/control/peer-envelopes.ts
@@ -1,6 +1,6 @@
 /**
- * @file Messages of other control machines. Announcements are recorded (`cluster-join.ts`); messages of the consensus pass
- * the gate (`peer-gate.ts`) first. A refusal of a peer is kept for the log.
+ * @file Messages of other control machines. Announcements are recorded (`cluster-join.ts`); messages of the consensus
+ * pass the gate (`peer-gate.ts`) first. A refusal of a peer is kept for the log.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { applyAnnouncement } from './cluster-join.js';
--- a/src/managed/control/peer-gate.ts
+++ b/src/managed/control/peer-gate.ts
@@ -1,8 +1,8 @@
 /**
- * @file Is a consensus message of another control machine accepted? Only with the same cluster key, of the same cluster, and
- * for this machine with its present disk; a machine without a cluster joins the sender's where the message names its disk.
- * Another key, cluster or disk is refused with the reason `wrong-cluster`, which the refused machine logs as
- * `A peer refuses this machine`. Also builds the envelopes that this machine sends.
+ * @file Is a consensus message of another control machine accepted? Only with the same cluster key, of the same
+ * cluster, and for this machine with its present disk; a machine without a cluster joins the sender's where the
+ * message names its disk. Another key, cluster or disk is refused with the reason `wrong-cluster`, which the refused
+ * machine logs as `A peer refuses this machine`. Also builds the envelopes that this machine sends.
  */
 import type { Address } from '../../shared/common/address.js';
 import { findMember, type NodeId } from '../../shared/consensus/membership.js';
--- a/src/managed/control/views/answer-query.ts
+++ b/src/managed/control/views/answer-query.ts
@@ -1,6 +1,6 @@
 /**
- * @file Answers the queries of an operator from the replicated state. Whatever is not theirs is not
- * found, in the same words as what does not exist.
+ * @file Answers the queries of an operator from the replicated state. What belongs to another
+ * operator is not found, in the same words as what does not exist.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
--- a/src/managed/control/views/backend-load.ts
+++ b/src/managed/control/views/backend-load.ts
@@ -1,6 +1,6 @@
 /**
- * @file The load of back ends as shown to operators. Balancers don't report load to control machines, so the daemon shows it as
- * unknown (`unknownLoad`).
+ * @file The load of back ends as shown to operators. Balancers don't report load to control machines, so the daemon
+ * shows it as unknown (`unknownLoad`).
  */
 
 /** The load of one back end. */
--- a/src/managed/control/views/in-force.ts
+++ b/src/managed/control/views/in-force.ts
@@ -1,6 +1,6 @@
 /**
- * @file What is in force on the balancers, as one operator may see it: counted in the operator's own revisions, so that it
- * reveals nothing of another operator's changes.
+ * @file What is in force on the balancers, as one operator may see it: counted in the operator's own revisions, so
+ * that it reveals nothing of another operator's changes.
  */
 import { revisionAt, serviceVersionAt } from '../audit.js';
 import type { OwnerState } from '../cluster-state.js';
--- a/src/managed/dissemination/lease-authority.ts
+++ b/src/managed/dissemination/lease-authority.ts
@@ -1,14 +1,15 @@
 /**
  * @file May this control machine grant a lease, and which log index is fenced? A leader grants leases that end
- * `LEASE_DURATION_MS` after the start of the last round in which a quorum confirmed that it leads. No later leader can have
- * been elected before that start, so a leader that waits out one lease after its election has outlived all that earlier
- * leaders granted.
+ * `LEASE_DURATION_MS` after the start of the last round in which a quorum confirmed that it leads. No later leader
+ * can have been elected before that start, so a leader that waits out one lease after its election has outlived all
+ * that earlier leaders granted.
  *
- * Each grant names a floor: the log index that a balancer must have in force to use it. The floor only rises. An index is
- * fenced once a lease and its margin have passed since the last grant below it: then every balancer has the index in force or
- * is past its lease, and no list of balancers is needed to know it.
+ * Each grant names a floor: the log index that a balancer must have in force to use it. The floor only rises. An
+ * index is fenced once a lease and its margin have passed since the last grant below it: then every balancer has the
+ * index in force or is past its lease, and no list of balancers is needed to know it.
  *
- * Inputs: what the consensus knows of this machine's leadership, and its clock in milliseconds. Owns `LeaseAuthority`.
+ * Inputs: what the consensus knows of this machine's leadership, and its clock in milliseconds. Owns
+ * `LeaseAuthority`.
  */
 import { LEASE_DURATION_MS, LEASE_MARGIN_MS, type LeaseGrant } from './lease.js';
 
--- a/src/managed/dissemination/lease.ts
+++ b/src/managed/dissemination/lease.ts
@@ -1,11 +1,11 @@
 /**
- * @file May a balancer use the addresses of its configuration? While its lease runs, yes: no address that it knows can have
- * joined another service. Once the lease has run out, a back end is used only as long as it has itself confirmed a moment ago
- * which back end it is.
+ * @file May a balancer use the addresses of its configuration? While its lease runs, yes: no address that it knows
+ * can have joined another service. Once the lease has run out, a back end is used only as long as it has itself
+ * confirmed a moment ago which back end it is.
  *
- * A lease is counted on the balancer's own clock from when the balancer asked for it, never from when the answer came: an
- * answer that waited in a buffer while the process was paused extends nothing. A balancer may pass on what is left of its
- * lease. Times are in milliseconds. Reasons and alternatives: docs/design/dissemination.md.
+ * A lease is counted on the balancer's own clock from when the balancer asked for it, never from when the answer
+ * came: an answer that waited in a buffer while the process was paused extends nothing. A balancer may pass on what
+ * is left of its lease. Times are in milliseconds. Reasons and alternatives: docs/design/dissemination.md.
  */
 
 /**
@@ -21,8 +21,9 @@
 export const LEASE_MARGIN_MS = 500;
 
 /**
- * How long a back end's confirmation of its identity holds, in milliseconds. Not measured; too short if `lease-expired` is
- * counted while the back end answers its probes. An address may be taken over within this time without being noticed here.
+ * How long a back end's confirmation of its identity holds, in milliseconds. Not measured; too short if
+ * `lease-expired` is counted while the back end answers its probes. An address may be taken over within this time
+ * without being noticed here.
  */
 export const IDENTITY_LIFETIME_MS = 3_000;
 
@@ -87,7 +88,8 @@
 }
 
 /**
- * @param identityConfirmedAtMs when the probe began that the back end last answered with the ID by which the balancer knows it
+ * @param identityConfirmedAtMs when the probe began that the back end last answered with the ID by which the balancer
+ *   knows it
  * @returns true where packets may be sent to the back end
  */
 export function mayUseBackend(lease: Lease, identityConfirmedAtMs: number, nowMs: number): boolean {
--- a/src/managed/dissemination/link-choice.ts
+++ b/src/managed/dissemination/link-choice.ts
@@ -1,12 +1,15 @@
 /**
  * @file Which link does a balancer use to get the configuration and its lease, and when does it give it up?
  *
- * 1. It tries the candidates of its plan (`link-plan.ts`) in order, after a failure the best one that has not failed yet.
+ * 1. It tries the candidates of its plan (`link-plan.ts`) in order, after a failure the best one that has not failed
+ *    yet.
  * 2. A machine that doesn't lead names the leader; a balancer linked to it moves there.
  * 3. A link is given up where nothing comes over it, or where it extends no lease while there are other candidates.
- * 4. While a worse candidate is used, a better one is tried again at intervals; where it fails, the former is used again.
+ * 4. While a worse candidate is used, a better one is tried again at intervals; where it fails, the former is used
+ *    again.
  *
- * Inputs: the plan, the times of the last message and of the last extension, and the time of the step, in milliseconds.
+ * Inputs: the plan, the times of the last message and of the last extension, and the time of the step, in
+ * milliseconds.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { isSamePlan, placeInPlan, type LinkPlan } from './link-plan.js';
@@ -18,8 +21,8 @@
  */
 const RECONNECT_DELAY_MS = 200;
 /**
- * A link without a message for this time is given up, in milliseconds; more than one request to extend the lease falls into it.
- * Not measured; too short if balancers change links while no process has failed.
+ * A link without a message for this time is given up, in milliseconds: longer than the time between two reports, each
+ * of which is answered. Not measured; too short if balancers change links while no process has failed.
  */
 const SILENCE_LIMIT_MS = 3_000;
 /** The same for a link that has not had a message yet. Not measured. */
--- a/src/managed/dissemination/link-messages.ts
+++ b/src/managed/dissemination/link-messages.ts
@@ -1,6 +1,6 @@
 /**
- * @file Messages between a balancer and the one that it gets the configuration from, over TCP, as MessagePack. That one is a
- * control machine or another balancer, which passes on what it has. Field names are sent as they are here.
+ * @file Messages between a balancer and the one that it gets the configuration from, over TCP, as MessagePack. That
+ * one is a control machine or another balancer, which passes on what it has. Field names are sent as they are here.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConfigPosition, ConfigUpdate } from '../control/config-delta.js';
--- a/src/managed/dissemination/link-plan.ts
+++ b/src/managed/dissemination/link-plan.ts
@@ -1,7 +1,7 @@
 /**
- * @file Where may a balancer link to get the configuration and its lease? Two relays of each zone, chosen by rendezvous hashing
- * among the zone's live balancers, prefer control machines; the others prefer the relays, half to each. Other balancers come
- * last, for when no control machine can be reached.
+ * @file Where may a balancer link to get the configuration and its lease? Two relays of each zone, chosen by
+ * rendezvous hashing among the zone's live balancers, prefer control machines; the others prefer the relays, half to
+ * each. Other balancers come last, for when no control machine can be reached.
  *
  * Inputs: the members known by gossip, and the control addresses of the settings. Returns the candidates, best first;
  * `link-choice.ts` uses the first that works.
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -1,7 +1,7 @@
 /**
- * @file What does a publisher send to a subscriber? The deltas that it lacks, or a snapshot where the deltas that are kept
- * don't reach back; and with each report a heartbeat with the committed position and a lease. Control machines publish what
- * is committed, balancers pass on what they have in force.
+ * @file What does a publisher send to a subscriber? The deltas that it lacks, or a snapshot where the deltas that are
+ * kept don't reach back; and with each report a heartbeat with the committed position and a lease. Control machines
+ * publish what is committed, balancers pass on what they have in force.
  *
  * Owns `PublisherState`: subscribers, the last deltas, and the reports of the balancers below (`subtree-report.ts`).
  */
@@ -173,7 +173,8 @@
 
 /**
  * @param authority the leader's
- * @returns how far the configuration has come; zeros until the leader has outlived earlier leases, see `lease-authority.ts`
+ * @returns how far the configuration has come; zeros until the leader has outlived earlier leases, see
+ *   `lease-authority.ts`
  */
 export function disseminationStatus(
   state: PublisherState,
--- a/src/managed/dissemination/subscription-state.ts
+++ b/src/managed/dissemination/subscription-state.ts
@@ -1,6 +1,6 @@
 /**
- * @file The state of a balancer's subscription. `link-choice.ts` changes the fields of the link, `upward-report.ts` those of
- * the last report, `subscription.ts` the rest.
+ * @file The state of a balancer's subscription. `link-choice.ts` changes the fields of the link, `upward-report.ts`
+ * those of the last report, `subscription.ts` the rest.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConfigPosition } from '../control/config-delta.js';
--- a/src/managed/dissemination/subscription.ts
+++ b/src/managed/dissemination/subscription.ts
@@ -1,6 +1,7 @@
 /**
- * @file A balancer's subscription to the configuration: one link at a time, to a control machine or to another balancer. Asks
- * for the configuration and for the lease, reports what is in force, and handles what comes over the link.
+ * @file A balancer's subscription to the configuration: one link at a time, to a control machine or to another
+ * balancer. Asks for the configuration and for the lease, reports what is in force, and handles what comes over the
+ * link.
  *
  * Which link is used stands in `link-choice.ts`, what is reported in `upward-report.ts`. These three modules own
  * `SubscriptionState`. Times are in milliseconds on the balancer's clock.
--- a/src/managed/dissemination/subtree-report.ts
+++ b/src/managed/dissemination/subtree-report.ts
@@ -1,7 +1,7 @@
 /**
- * @file Which balancers are below, and what does each have in force? Gathers the reports of all links: each balancer reports
- * to the one that it is linked to, which reports for all below it. A balancer counts at the link over which it was reported
- * last; after its link is closed until it is linked again or past its lease.
+ * @file Which balancers are below, and what does each have in force? Gathers the reports of all links: each balancer
+ * reports to the one that it is linked to, which reports for all below it. A balancer counts at the link over which
+ * it was reported last; after its link is closed until it is linked again or past its lease.
  *
  * Owns `SubtreeReports`. Log indexes are those of the configuration; times are in milliseconds.
  */
--- a/src/managed/dissemination/subtree-summary.ts
+++ b/src/managed/dissemination/subtree-summary.ts
@@ -1,13 +1,13 @@
 /**
- * @file How is what many balancers have in force summed up in one message? By the log index that most have, and by name at
- * most a few that lag. So a report costs about the same for one balancer and for a hundred.
+ * @file How is what many balancers have in force summed up in one message? By the log index that most have, and by
+ * name at most a few that lag. So a report costs about the same for one balancer and for a hundred.
  */
 import type { SubtreeReport } from './link-messages.js';
 import { allReports, type SubtreeReports } from './subtree-report.js';
 
 /**
- * Bound of the balancers that a report names one by one; those that lag most come first, the rest count as far behind as the
- * first one that is not named. Not measured.
+ * Bound of the balancers that a report names one by one; those that lag most come first, the rest count as far behind
+ * as the first one that is not named. Not measured.
  */
 export const MAX_LAGGARDS = 20;
 
--- a/src/managed/dissemination/upward-report.ts
+++ b/src/managed/dissemination/upward-report.ts
@@ -1,7 +1,8 @@
 /**
- * @file What does a balancer report upwards, and when? Its own position and, in short, what is in force on the balancers
- * below it (`subtree-report.ts`). Their names travel only where they have changed or the other end does not know them all.
- * Each report also asks to extend the lease, counted from when it was sent. Owns the versions of the last report.
+ * @file What does a balancer report upwards, and when? Its own position and, in short, what is in force on the
+ * balancers below it (`subtree-report.ts`). Their names travel only where they have changed or the other end does not
+ * know them all. Each report also asks to extend the lease, counted from when it was sent. Owns the versions of the
+ * last report.
  */
 import type { ConfigPosition } from '../control/config-delta.js';
 import type { AcknowledgeMessage } from './link-messages.js';
--- a/src/managed/gossip/failure-detector.ts
+++ b/src/managed/gossip/failure-detector.ts
@@ -1,10 +1,10 @@
 /**
- * @file Which balancer of the zone is suspected? SWIM's failure detection: each round one member is pinged; where it doesn't
- * answer, others ping it too; where none of them gets an answer within the round, it is suspected. What follows stands in
- * `suspicion.ts`.
+ * @file Which balancer of the zone is suspected? SWIM's failure detection: each round one member is pinged; where it
+ * doesn't answer, others ping it too; where none of them gets an answer within the round, it is suspected. What
+ * follows stands in `suspicion.ts`.
  *
- * Inputs: acknowledgements and the time of the step, in milliseconds. Owns the pending ping, the pings on behalf of others and
- * the order of the rounds.
+ * Inputs: acknowledgements and the time of the step, in milliseconds. Owns the pending ping, the pings on behalf of
+ * others and the order of the rounds.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { ackMessage, pingMessage, zoneHeader } from './gossip-headers.js';
--- a/src/managed/gossip/gossip-state.ts
+++ b/src/managed/gossip/gossip-state.ts
@@ -1,6 +1,7 @@
 /**
- * @file The state of a balancer's gossip: the members of its own zone one by one, other zones by a summary. `member-list.ts`
- * changes the list, `failure-detector.ts` and `suspicion.ts` the pings, `zone-summaries.ts` the zones, `gossip-step.ts` the rest.
+ * @file The state of a balancer's gossip: the members of its own zone one by one, other zones by a summary.
+ * `member-list.ts` changes the list, `failure-detector.ts` and `suspicion.ts` the pings, `zone-summaries.ts` the
+ * zones, `gossip-step.ts` the rest.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { GossipMessage, ZoneSummary } from './gossip-messages.js';
--- a/src/managed/gossip/gossip-step.ts
+++ b/src/managed/gossip/gossip-step.ts
@@ -1,6 +1,6 @@
 /**
- * @file The decision step of gossip: datagrams of other balancers and time in, datagrams out. A balancer keeps the members of
- * its own zone one by one and other zones by a summary each. Which members are suspected or dead stands in
+ * @file The decision step of gossip: datagrams of other balancers and time in, datagrams out. A balancer keeps the
+ * members of its own zone one by one and other zones by a summary each. Which members are suspected or dead stands in
  * `failure-detector.ts` and `suspicion.ts`, zones in `zone-summaries.ts`.
  */
 import { match } from 'ts-pattern';
@@ -127,8 +127,8 @@
 }
 
 /**
- * A member that is alive here gets its time to refute even where another balancer believes it dead: after a partition both
- * sides receive such records from each other.
+ * A member that is alive here gets its time to refute even where another balancer believes it dead: after a partition
+ * both sides receive such records from each other.
  */
 function deathAsSuspicion(state: GossipState, record: MemberRecord): MemberRecord {
   const known = state.list.members.get(record.id)?.record;
--- a/src/managed/gossip/zone-summaries.ts
+++ b/src/managed/gossip/zone-summaries.ts
@@ -1,7 +1,7 @@
 /**
- * @file What do zones know of one another? Of each zone the number of live balancers and a few addresses. Two representatives
- * of a zone, chosen by rendezvous hashing, renew its summary and exchange summaries with other zones; within the zone the
- * summaries travel along with pings.
+ * @file What do zones know of one another? Of each zone the number of live balancers and a few addresses. Two
+ * representatives of a zone, chosen by rendezvous hashing, renew its summary and exchange summaries with other zones;
+ * within the zone the summaries travel along with pings.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { MAX_CONTACTS, MAX_ZONES, type ZonesMessage, type ZoneSummary } from './gossip-messages.js';
--- a/src/managed/health/busy-hold.ts
+++ b/src/managed/health/busy-hold.ts
@@ -1,7 +1,7 @@
 /**
- * @file How long does a back end count as busy that refuses opens? After three refusals in a row for half a second, then
- * twice as long with each repetition, up to 8 s, until it accepts an open. A busy back end gets new flows only where no
- * other is ready.
+ * @file How long does a back end count as busy that refuses opens? After three refusals in a row for half a second,
+ * then twice as long with each repetition, up to 8 s, until it accepts an open. A busy back end gets new flows only
+ * where no other is ready.
  *
  * Inputs: refusals of own opens in a row, and the time of the step in milliseconds. Sets `busyUntilMs`;
  * `judgement-rules.ts` turns it into the state `busy` with the reason `opens-refused`.
--- a/src/managed/health/ejection.ts
+++ b/src/managed/health/ejection.ts
@@ -1,11 +1,11 @@
 /**
- * @file Is a back end ejected because opens sent to it time out, and for how long? It is after three timeouts in a row, or
- * when half of its recent opens timed out, whatever its probes say: first for 5 s, then twice as long each time, up to a
- * minute. At most 30 % of a service's back ends are ejected at once, since this balancer's own network may be the cause; of
- * two or more back ends always one may be, and the only one never.
+ * @file Is a back end ejected because opens sent to it time out, and for how long? It is after three timeouts in a
+ * row, or when half of its recent opens timed out, whatever its probes say: first for 5 s, then twice as long each
+ * time, up to a minute. At most 30 % of a service's back ends are ejected at once, since this balancer's own network
+ * may be the cause; of two or more back ends always one may be, and the only one never.
  *
- * Inputs: the outcomes of own opens, the counts of the service's group, and the time of the step in milliseconds. Sets
- * `ejectedUntilMs`; `judgement-rules.ts` turns it into the state `down` with the reason `opens-time-out`.
+ * Inputs: the outcomes of own opens, the counts of the service's group, and the time of the step in milliseconds.
+ * Sets `ejectedUntilMs`; `judgement-rules.ts` turns it into the state `down` with the reason `opens-time-out`.
  */
 import type { Judgement, JudgementGroup } from './judgement-state.js';
 
--- a/src/managed/health/explanation.ts
+++ b/src/managed/health/explanation.ts
@@ -1,6 +1,6 @@
 /**
- * @file Explains one back end: its judged state, why, since when, the evidence, and the last changes. Plain data, so that it
- * can be sent as JSON. The sentences stand in the log line `Back end ID. It is STATE: ...` under `[health]`.
+ * @file Explains one back end: its judged state, why, since when, the evidence, and the last changes. Plain data, so
+ * that it can be sent as JSON. The sentences stand in the log line `Back end ID. It is STATE: ...` under `[health]`.
  */
 import type { LoadReport } from './backend-report.js';
 import type { DistrustCause } from './report-trust.js';
--- a/src/managed/health/health-sharing.ts
+++ b/src/managed/health/health-sharing.ts
@@ -1,7 +1,7 @@
 /**
- * @file Which probe results does a balancer send to the others of its zone next? Changed results first, the oldest first,
- * then others in turn, so that none grows old; all within a fixed number of results for a message. A result holds from when
- * the back end was asked; its age travels along, so no clocks are compared.
+ * @file Which probe results does a balancer send to the others of its zone next? Changed results first, the oldest
+ * first, then others in turn, so that none grows old; all within a fixed number of results for a message. A result
+ * holds from when the back end was asked; its age travels along, so no clocks are compared.
  *
  * Owns `HealthSharing`, the latest result of each back end. `balancer/shared-health.ts` decides when and to whom.
  */
--- a/src/managed/health/judgement-rules.ts
+++ b/src/managed/health/judgement-rules.ts
@@ -8,8 +8,8 @@
  * 5. refuses opens (`busy-hold.ts`), or holds as many connections as it may: `busy`;
  * 6. otherwise `ready`.
  *
- * No single source is believed alone: probes, load reports and own opens may each lag or be wrong. Inputs: the judgement of
- * one back end, the counts of its service's group, the time in milliseconds. Changes nothing.
+ * No single source is believed alone: probes, load reports and own opens may each lag or be wrong. Inputs: the
+ * judgement of one back end, the counts of its service's group, the time in milliseconds. Changes nothing.
  */
 import type { Judgement, JudgedState, JudgementGroup, JudgementReason } from './judgement-state.js';
 
@@ -24,8 +24,8 @@
  */
 const ACCEPTED_PROOF_MS = 2_000;
 /**
- * Part of a service's back ends beyond which failed probes are taken for a fault of the prober's own network. Not measured;
- * too low if the reason `probes-fail-everywhere` shows in the log while the back ends are really down.
+ * Part of a service's back ends beyond which failed probes are taken for a fault of the prober's own network. Not
+ * measured; too low if the reason `probes-fail-everywhere` shows in the log while the back ends are really down.
  */
 const MAX_FAILING_SHARE = 0.5;
 /** Timeouts in a row that confirm failed probes; as many as for an ejection. Not measured. */
--- a/src/managed/health/judgement-state.ts
+++ b/src/managed/health/judgement-state.ts
@@ -1,6 +1,6 @@
 /**
- * @file The judged state of a back end, the evidence that it follows from, and its history. `judgement.ts` changes these
- * records.
+ * @file The judged state of a back end, the evidence that it follows from, and its history. `judgement.ts` changes
+ * these records.
  */
 import type { BackendAdminState } from '../control/routing-config.js';
 import type { HealthReport } from './backend-report.js';
--- a/src/managed/health/judgement.ts
+++ b/src/managed/health/judgement.ts
@@ -1,10 +1,11 @@
 /**
- * @file In which state is a back end, as this balancer judges it? Records the evidence (probes, outcomes of own opens, what
- * the operators want) and follows the rules from one state to the next. The rules stand in `judgement-rules.ts` (state by
- * evidence), `ejection.ts` (timeouts), `busy-hold.ts` (refusals) and `report-trust.ts` (load reports).
+ * @file In which state is a back end, as this balancer judges it? Records the evidence (probes, outcomes of own
+ * opens, what the operators want) and follows the rules from one state to the next. The rules stand in
+ * `judgement-rules.ts` (state by evidence), `ejection.ts` (timeouts), `busy-hold.ts` (refusals) and `report-trust.ts`
+ * (load reports).
  *
- * Owns `Judgement`: no other module changes one. Times are in milliseconds on the clock of the step. Each change of state
- * is returned, and the daemon logs it under `[health]` with its reason.
+ * Owns `Judgement`: no other module changes one. Times are in milliseconds on the clock of the step. Each change of
+ * state is returned, and the daemon logs it under `[health]` with its reason.
  */
 import type { BackendAdminState } from '../control/routing-config.js';
 import type { HealthReport, LoadReport } from './backend-report.js';
@@ -16,11 +17,11 @@
 
 /** Changes of state that are kept for `explanation.ts`. */
 const HISTORY_LENGTH = 16;
-/** Losses of readiness that are kept; more would ask for more than the 16 ready probes that are the most. */
+/** Losses of readiness that are kept; four within the last minute already ask for 16 ready probes, which are the most. */
 const MAX_UNREADY_TIMES = 8;
 /**
- * Reported use of the connection limit from which a back end that is first seen counts as warm. Not measured; too low if a
- * cold back end gets a full share of flows after a restart of this balancer.
+ * Reported use of the connection limit from which a back end that is first seen counts as warm. Not measured; too low
+ * if a cold back end gets a full share of flows after a restart of this balancer.
  */
 const WARM_FROM_USE = 0.05;
 
--- a/src/managed/health/probe-ring.ts
+++ b/src/managed/health/probe-ring.ts
@@ -1,7 +1,7 @@
 /**
- * @file Which back ends are visited now? Each target of a ring is visited once in its interval, as evenly in time as the
- * calls allow, so that no balancer does the work for all at once. The interval grows with the targets where the rate of
- * probes would exceed its bound. Owns the position in the ring and the fraction of a visit that is due.
+ * @file Which back ends are visited now? Each target of a ring is visited once in its interval, as evenly in time as
+ * the calls allow, so that no balancer does the work for all at once. The interval grows with the targets where the
+ * rate of probes would exceed its bound. Owns the position in the ring and the fraction of a visit that is due.
  */
 import type { Backend } from '../control/routing-config.js';
 import { createMapCursor, nextEntry, type MapCursor } from './map-cursor.js';
--- a/src/managed/health/probe-schedule.ts
+++ b/src/managed/health/probe-schedule.ts
@@ -1,10 +1,11 @@
 /**
- * @file Which back ends does this balancer probe now? The balancers of a zone share the probes: each back end has a few
- * probers (`prober-selection.ts`), visited in turn within a bounded rate (`probe-ring.ts`), and the others use their results.
- * A balancer probes by itself what it has had no result for, and a back end that it has not seen before at once.
+ * @file Which back ends does this balancer probe now? The balancers of a zone share the probes: each back end has a
+ * few probers (`prober-selection.ts`), visited in turn within a bounded rate (`probe-ring.ts`), and the others use
+ * their results. A balancer probes by itself what it has had no result for, and a back end that it has not seen
+ * before at once.
  *
- * Inputs: the back ends in force, the live balancers of the zone, when each back end was last asked, the lease, the time in
- * milliseconds. Returns the probes to begin. Owns `ProbeSchedule`.
+ * Inputs: the back ends in force, the live balancers of the zone, when each back end was last asked, the lease, the
+ * time in milliseconds. Returns the probes to begin. Owns `ProbeSchedule`.
  */
 import type { Backend } from '../control/routing-config.js';
 import { hashText } from '../../shared/common/rendezvous.js';
@@ -30,8 +31,9 @@
 const MAX_LOCAL_PROBES_PER_SECOND = 30;
 const MAX_REMOTE_PROBES_PER_SECOND = 20;
 /**
- * Bounds of the probes a second in place of results that did not come, with a lease and without. Without a lease each back
- * end must confirm its identity every 3 s. Not measured; too low if `lease-expired` is counted while back ends answer.
+ * Bounds of the probes a second in place of results that did not come, with a lease and without. Without a lease each
+ * back end must confirm its identity every 3 s. Not measured; too low if `lease-expired` is counted while back ends
+ * answer.
  */
 const MAX_FALLBACK_PROBES_PER_SECOND = 5;
 const MAX_URGENT_FALLBACK_PROBES_PER_SECOND = 20;
--- a/src/managed/health/report-trust.ts
+++ b/src/managed/health/report-trust.ts
@@ -1,11 +1,11 @@
 /**
- * @file Are a back end's load reports believed? Not where they stand still while the back end accepts opens, nor where they
- * say that it is idle while it refuses opens. Reports that are not believed are replaced by the typical use of the service
- * (`balancer/backend-evidence.ts`).
+ * @file Are a back end's load reports believed? Not where they stand still while the back end accepts opens, nor
+ * where they say that it is idle while it refuses opens. Reports that are not believed are replaced by the typical
+ * use of the service (`balancer/backend-evidence.ts`).
  *
- * Inputs: load reports and the answers to own opens, in the order in which they came. Owns `ReportTrust`. Under a surge two
- * misreporting back ends of ten (one idle, one frozen) raised peak over mean connections to 1.196, against 2.554 for a policy
- * that believes every report (docs/design/placement.md); the single counts below are not measured.
+ * Inputs: load reports and the answers to own opens, in the order in which they came. Owns `ReportTrust`. Under a
+ * surge two misreporting back ends of ten (one idle, one frozen) raised peak over mean connections to 1.196, against
+ * 2.554 for a policy that believes every report (docs/design/placement.md); the single counts below are not measured.
  */
 import type { LoadReport } from './backend-report.js';
 
--- a/src/managed/limits/open-limits.ts
+++ b/src/managed/limits/open-limits.ts
@@ -1,13 +1,14 @@
 /**
  * @file Is an open from a caller admitted? Three bounds, in this order:
  *
- * 1. pending opens of the owner: `maxPendingOpens` in equal parts, without borrowing, since an open is pending only for
- *    milliseconds;
+ * 1. pending opens of the owner: `maxPendingOpens` in equal parts, without borrowing, since an open is pending only
+ *    for milliseconds;
  * 2. opens a second of the service, where it has a limit: the cluster's limit over the live balancers;
  * 3. opens a second of the owner (`owner-shares.ts`).
  *
- * What is refused is refused at once, with the time in milliseconds after which to retry. A refused open never ran. Owns the
- * counts of pending opens, the buckets and the retry budgets of all services, and the counters that metrics show.
+ * What is refused is refused at once, with the time in milliseconds after which to retry. A refused open never ran.
+ * Owns the counts of pending opens, the buckets and the retry budgets of all services, and the counters that metrics
+ * show.
  */
 import type { Service } from '../control/routing-config.js';
 import type { ErrorKind } from '../../shared/common/error-kinds.js';
--- a/src/managed/limits/owner-shares.ts
+++ b/src/managed/limits/owner-shares.ts
@@ -1,10 +1,10 @@
 /**
- * @file May this owner have another open this second? Each owner of services has a bucket of its own, filled with an equal
- * part of the balancer's rate. What a full bucket has no room for runs over into a spare bucket, from which every owner may
- * take. So a surge may use what is idle, and never what is in another owner's bucket.
+ * @file May this owner have another open this second? Each owner of services has a bucket of its own, filled with an
+ * equal part of the balancer's rate. What a full bucket has no room for runs over into a spare bucket, from which
+ * every owner may take. So a surge may use what is idle, and never what is in another owner's bucket.
  *
- * Inputs: all owners of services in force, the rate of the balancer (`maxOpensPerSecond`) and the time in milliseconds.
- * Returns the time until the next token in milliseconds where the open is refused. Owns the buckets.
+ * Inputs: all owners of services in force, the rate of the balancer (`maxOpensPerSecond`) and the time in
+ * milliseconds. Returns the time until the next token in milliseconds where the open is refused. Owns the buckets.
  */
 import {
   createTokenBucket,
--- a/src/managed/limits/retry-budget.ts
+++ b/src/managed/limits/retry-budget.ts
@@ -1,14 +1,14 @@
 /**
- * @file May an open be tried on another back end? Only while the service has retries left. Each open received adds a part of
- * a retry, so back ends that fail get at most about 1.2 times the opens that came in. Each service has a budget of its own,
- * so that the failing back ends of one owner use up nothing of another's.
+ * @file May an open be tried on another back end? Only while the service has retries left. Each open received adds a
+ * part of a retry, so back ends that fail get at most about 1.2 times the opens that came in. Each service has a
+ * budget of its own, so that the failing back ends of one owner use up nothing of another's.
  *
  * Unit: retries. `open-limits.ts` keeps one budget per service.
  */
 
 /**
- * Retries that each received open adds. Callers need opens sent to stay within 1.2 times those received; with all back ends
- * refusing 2,000 opens they do (`test/managed/balancer/open-limits.test.ts`).
+ * Retries that each received open adds. Callers need opens sent to stay within 1.2 times those received; with all
+ * back ends refusing 2,000 opens they do (`test/managed/balancer/open-limits.test.ts`).
  */
 const RETRIES_PER_OPEN = 0.18;
 /** Retries that a service has before any open came: few enough to keep within a factor of 1.2 from 500 opens on. */
--- a/src/managed/routing/adaptive-policy.ts
+++ b/src/managed/routing/adaptive-policy.ts
@@ -3,13 +3,14 @@
  *
  * 1. The zone whose turn it is (`zone-rotation.ts`).
  * 2. Several random candidates of that zone that the open was not tried on.
- * 3. The lowest score among them. The score of a back end is how much of its fair share it has: of the connections (by
- *    `load-estimate.ts`) and of this balancer's own recent opens, plus what queued requests and recent failures add.
+ * 3. The lowest score among them. The score of a back end is how much of its fair share it has: of the connections
+ *    (by `load-estimate.ts`) and of this balancer's own recent opens, plus what queued requests and recent failures
+ *    add.
  * 4. Where the open was tried on the whole zone, steps 2 and 3 over all candidates.
  *
- * Recent opens keep the choice even within the delay of load reports, and bound how fast a back end with few connections
- * is filled, since each new flow also brings work. Returns undefined where every candidate was tried. The weights come
- * from the trials in docs/design/placement.md.
+ * Recent opens keep the choice even within the delay of load reports, and bound how fast a back end with few
+ * connections is filled, since each new flow also brings work. Returns undefined where every candidate was tried. The
+ * weights come from the trials in docs/design/placement.md.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { recentFailures, recentOpens } from './load-estimate.js';
@@ -28,8 +29,8 @@
  */
 const CHOICES = 8;
 /**
- * Weight of the recent opens in the score, against 1 for the connections. In a tenfold surge, with reports that draw the
- * estimate over 2 s and come 5 s late at 30 balancers, 0.03 gave a peak over mean of 1.256 and 0.1 gave 1.085.
+ * Weight of the recent opens in the score, against 1 for the connections. In a tenfold surge, with reports that draw
+ * the estimate over 2 s and come 5 s late at 30 balancers, 0.03 gave a peak over mean of 1.256 and 0.1 gave 1.085.
  */
 const RECENT_OPENS_WEIGHT = 0.1;
 /**
@@ -40,8 +41,9 @@
 /** The share of the connections below which having still fewer makes no difference. */
 const LEAST_CONNECTION_SHARE = 1 - RECENT_OPENS_WEIGHT * (MAX_FILL_RATE - 1);
 /**
- * What each queued request for a slot adds to the score. Busy slots add nothing: with a weight of 0.5 for slot use the
- * peak over mean of slots rose from 1.35 to 1.7. The 0.05 is not measured; too low if queues grow on some back ends only.
+ * What each queued request for a slot adds to the score. Busy slots add nothing: with a weight of 0.5 for slot use
+ * the peak over mean of slots rose from 1.35 to 1.7. The 0.05 is not measured; too low if queues grow on some back
+ * ends only.
  */
 const QUEUE_WEIGHT = 0.05;
 /**
--- a/src/managed/routing/least-reported-policy.ts
+++ b/src/managed/routing/least-reported-policy.ts
@@ -1,6 +1,6 @@
 /**
- * @file The policy `least-reported`: the candidate that reports the fewest connections for its limit. A baseline: between two
- * reports every open of every balancer goes to the same back end.
+ * @file The policy `least-reported`: the candidate that reports the fewest connections for its limit. A baseline:
+ * between two reports every open of every balancer goes to the same back end.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import {
--- a/src/managed/routing/load-estimate.ts
+++ b/src/managed/routing/load-estimate.ts
@@ -1,18 +1,18 @@
 /**
- * @file How many connections does a back end carry now, by this balancer's estimate? Load reports come late, so they are
- * corrected at once for this balancer's own opens. A report that is several seconds old misses the opens sent since, and
- * all balancers that read it would send their next opens to the same back end. So an own open counts at once, for as many
- * balancers as do the same, and a report only draws the estimate towards it.
+ * @file How many connections does a back end carry now, by this balancer's estimate? Load reports come late, so they
+ * are corrected at once for this balancer's own opens. A report that is several seconds old misses the opens sent
+ * since, and all balancers that read it would send their next opens to the same back end. So an own open counts at
+ * once, for as many balancers as do the same, and a report only draws the estimate towards it.
  *
- * Owns `LoadEstimate`, one per back end; only the functions here change it. Times are in milliseconds on the clock of the
- * step.
+ * Owns `LoadEstimate`, one per back end; only the functions here change it. Times are in milliseconds on the clock of
+ * the step.
  */
 import type { LoadReport } from '../health/backend-report.js';
 
 /**
- * Time constant in milliseconds with which reports draw the estimate. Peak over mean connections in a tenfold surge, two
- * seeds each: 5 s gave 1.060 and 1.052 with reports 1 s late, 15 s gave 1.067 and 1.081; with reports 5 s late and 30
- * balancers, 5 s gave 1.066 and 1.090, 2 s gave 1.085 and 1.141 (docs/design/placement.md).
+ * Time constant in milliseconds with which reports draw the estimate. Peak over mean connections in a tenfold surge,
+ * two seeds each: 5 s gave 1.060 and 1.052 with reports 1 s late, 15 s gave 1.067 and 1.081; with reports 5 s late
+ * and 30 balancers, 5 s gave 1.066 and 1.090, 2 s gave 1.085 and 1.141 (docs/design/placement.md).
  */
 const REPORT_TIME_CONSTANT_MS = 5_000;
 /**
--- a/src/managed/routing/maglev-policy.ts
+++ b/src/managed/routing/maglev-policy.ts
@@ -1,6 +1,6 @@
 /**
- * @file The policy `maglev`: a table over the hash of the flow ID. A baseline: it ties a new flow to a back end whatever the
- * load.
+ * @file The policy `maglev`: a table over the hash of the flow ID. A baseline: it ties a new flow to a back end
+ * whatever the load.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { buildMaglevTable, lookUpMaglev } from './maglev-table.js';
--- a/src/managed/routing/placement-policy.ts
+++ b/src/managed/routing/placement-policy.ts
@@ -1,6 +1,6 @@
 /**
- * @file The interface of placement policies: which candidate receives a new flow. A policy sees the candidates with their
- * judgement and load estimate, and returns one of them. `policy-registry.ts` makes a policy by its name.
+ * @file The interface of placement policies: which candidate receives a new flow. A policy sees the candidates with
+ * their judgement and load estimate, and returns one of them. `policy-registry.ts` makes a policy by its name.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { Backend } from '../control/routing-config.js';
--- a/src/managed/routing/random-policy.ts
+++ b/src/managed/routing/random-policy.ts
@@ -1,5 +1,6 @@
 /**
- * @file The policy `random`: every candidate with equal probability. A baseline for measurements, and safe without any report.
+ * @file The policy `random`: every candidate with equal probability. A baseline for measurements, and safe without
+ * any report.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import {
--- a/src/managed/routing/zone-rotation.ts
+++ b/src/managed/routing/zone-rotation.ts
@@ -1,6 +1,7 @@
 /**
- * @file Which zone's candidates receive the next flow? Each zone gets its share (`zone-shares.ts`) as evenly in time as can
- * be, by smooth weighted round robin. Owns the credits of the zones for one list of candidates; a new list starts anew.
+ * @file Which zone's candidates receive the next flow? Each zone gets its share (`zone-shares.ts`) as evenly in time
+ * as can be, by smooth weighted round robin. Owns the credits of the zones for one list of candidates; a new list
+ * starts anew.
  */
 import { ASSUMED_CONNECTION_LIMIT } from './load-estimate.js';
 import type { PlacementCandidate, PlacementRequest } from './placement-policy.js';
--- a/src/managed/routing/zone-shares.ts
+++ b/src/managed/routing/zone-shares.ts
@@ -1,15 +1,15 @@
 /**
- * @file What part of this balancer's new flows does each zone get? All go to the local zone as long as it holds as much of
- * the capacity as of the traffic; the rest goes to the zones that hold more capacity than traffic. A zone that reports more
- * use than the mean counts as smaller.
+ * @file What part of this balancer's new flows does each zone get? All go to the local zone as long as it holds as
+ * much of the capacity as of the traffic; the rest goes to the zones that hold more capacity than traffic. A zone
+ * that reports more use than the mean counts as smaller.
  *
- * Inputs: capacity (connections) and use (0 to 1) of each zone, and the part of all traffic that comes to the local zone's
- * balancers (0 to 1). Returns parts that add up to 1. The balancers of other zones are taken as evenly spread.
+ * Inputs: capacity (connections) and use (0 to 1) of each zone, and the part of all traffic that comes to the local
+ * zone's balancers (0 to 1). Returns parts that add up to 1. The balancers of other zones are taken as evenly spread.
  */
 
 /**
- * How strongly a zone's use over the mean makes it count as smaller, and the bounds of that factor. Not measured; wrong if
- * the connections of two zones swing against each other, or stay apart while their reports are believed.
+ * How strongly a zone's use over the mean makes it count as smaller, and the bounds of that factor. Not measured;
+ * wrong if the connections of two zones swing against each other, or stay apart while their reports are believed.
  */
 const OVERUSE_GAIN = 1;
 const MIN_CAPACITY_FACTOR = 0.1;
