--- a/src/managed/balancer/candidates.ts
+++ b/src/managed/balancer/candidates.ts
@@ -65,7 +65,7 @@
 
 /**
  * @returns those candidates that packets may be sent to: all while the lease is held, else those that
- *   have confirmed their identity of late
+ *   confirmed their identity a moment ago
  */
 export function usableCandidatesOf(
   state: BalancerState,
