--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated deployment that forwards by 32-bit tokens: control machines, balancers, back ends,
- * clients behind routers that hash by the number of balancers, and an operator, on virtual time.
+ * @file A simulated deployment of the registered pair: control machines, balancers, back ends, clients behind routers that hash by the number of
+ * balancers, and an operator, on virtual time. Owns the clock, the wires and all processes; one seed gives one run.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
@@ -18,7 +18,7 @@
 import { StandInBackend } from './stand-in-backend.js';
 import { StandInClient } from './stand-in-client.js';
 import { SIMULATED_SERVICES, StandInOperator } from './stand-in-operator.js';
-import { VirtualWires } from './virtual-wires.js';
+import { VirtualWires } from '../virtual/virtual-wires.js';
 import { createZoneOperator, type ZoneOperator } from './zone-operator.js';
 import { oracleBoundsOf, type IngressWorldOptions, type IngressWorldParts } from './world-parts.js';
 
@@ -42,7 +42,7 @@
   readonly clients: StandInClient[] = [];
   readonly operator: StandInOperator;
   readonly zoneOperator: ZoneOperator;
-  /** Lines of decisions, kept for whoever looks for a cause. */
+  /** Lines of decisions, kept for the search for a cause. */
   readonly log: string[] = [];
   private readonly parts: IngressWorldParts;
   private readonly misses = new Map<string, number>();
@@ -162,13 +162,13 @@
     for (const control of this.controls.filter(({ isRunning }) => isRunning)) {
       control.call({ type: 'read-config' }, (reply) => {
         if (reply.type === 'config') {
-          this.oracle.noteFinalRead(reply.document?.version ?? 0, this.clock.nowMs);
+          this.oracle.checkFinalRead(reply.document?.version ?? 0, this.clock.nowMs);
         }
       });
       control.call({ type: 'read-zones' }, (reply) => {
         if (reply.type === 'zones') {
           reply.zones.forEach(({ zone, isEvacuated }) =>
-            this.oracle.noteFinalZone(zone, isEvacuated, this.clock.nowMs),
+            this.oracle.checkFinalZone(zone, isEvacuated, this.clock.nowMs),
           );
         }
       });
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift ingress`: runs a balancer that forwards by 32-bit tokens.
+ * @file `amberlift ingress`: runs a balancer of the registered pair, which forwards by 32-bit tokens.
  */
 import type { CAC } from 'cac';
 import { bytesPerMsOf } from '../../shared/common/bandwidth.js';
@@ -8,7 +8,7 @@
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { ingressMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
 import { timingFor } from '../../registered/group/timing.js';
-import { countedFlowsFor } from '../../registered/ingress/ingress-state.js';
+import { countedFlowsFor } from '../../registered/ingress/counted-flows.js';
 import { tokenPacketCodec } from '../../registered/ingress/token-packet.js';
 import { ingressSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
--- a/src/tools/toolbox/explain-findings.ts
+++ b/src/tools/toolbox/explain-findings.ts
@@ -1,5 +1,6 @@
 /**
- * @file What in the lines of a flow or back end may be the cause of what a client met.
+ * @file The rules by which `explain` names what may be the cause of a failed request: decisions on its back end, refusals and resets of its
+ * flow, processes that restarted, overload, an old configuration, resends, placements that came late. Each rule reads the lines of the story alone.
  */
 import { valuesOf, type Span } from './line-spans.js';
 import type { TimedLine } from './align-clocks.js';
@@ -12,7 +13,7 @@
 ]);
 
 /**
- * @param story all lines that are told
+ * @param story all lines of the story
  * @param ofFlow those of the flow itself
  * @param asked when what is asked for happened
  * @returns sentences, most telling first
@@ -45,19 +46,19 @@
 }
 
 /**
- * @param askedAtMs the time from which distances are told; undefined for none
+ * @param askedAtMs the time from which distances are given; undefined for none
  * @returns what was said of back ends, each thing once
  */
 export function beliefFindings(beliefs: readonly TimedLine[], askedAtMs?: number): string[] {
-  const told = new Set<string>();
+  const reported = new Set<string>();
   return beliefs.flatMap(({ line, atMs }) => {
     const what = line.fields.get('kind') ?? line.fields.get('to') ?? '';
     const backend = line.fields.get('backend') ?? line.fields.get('backendId') ?? '';
     const key = `${line.name} ${backend} ${what}`;
-    if (line.name === 'backend registered' || what === 'heard' || told.has(key)) {
+    if (line.name === 'backend registered' || what === 'heard' || reported.has(key)) {
       return [];
     }
-    told.add(key);
+    reported.add(key);
     const when = askedAtMs === undefined ? '' : `, ${describeDistance(atMs - askedAtMs)}`;
     const how = line.name === 'departure' ? `said that it is ${what}` : `was judged ${what}`;
     return [`Back end ${backend} ${how}${when}.`];
@@ -65,13 +66,13 @@
 }
 
 function processFindings(story: readonly TimedLine[], { fromMs }: Span): string[] {
-  const told = new Set<string>();
+  const reported = new Set<string>();
   return story.flatMap(({ line, atMs }) => {
     const key = `${line.source} ${line.name}`;
-    if (told.has(key)) {
+    if (reported.has(key)) {
       return [];
     }
-    told.add(key);
+    reported.add(key);
     const when = describeDistance(atMs - fromMs);
     switch (line.name) {
       case 'started':
