--- a/src/managed/dissemination/subscription-state.ts
+++ b/src/managed/dissemination/subscription-state.ts
@@ -9,7 +9,7 @@
 import type { LinkPlan } from './link-plan.js';
 
 /** Options of a subscription. */
-export interface SubscriptionOptions {
+interface SubscriptionOptions {
   readonly controlAddresses: readonly Address[];
   readonly clusterKey: string;
   readonly balancerId: string;
