--- a/src/managed/balancer/balancer-step.ts
+++ b/src/managed/balancer/balancer-step.ts
@@ -1,5 +1,6 @@
 /**
- * @file The decision step of a balancer: one event in, effects out. Deterministic; time and randomness come with the step.
+ * @file The decision step of a balancer: one event in, effects out. Deterministic; time and randomness come with the
+ * step.
  */
 import { match } from 'ts-pattern';
 import { packedAddressKey, type Address } from '../../shared/common/address.js';
@@ -32,7 +33,7 @@
   event: BalancerEvent,
   context: StepContext,
 ): BalancerEffect[] {
-  // Comes for every packet, so it is told apart before the pattern match, which costs more.
+  // Comes for every packet, so it is checked before the pattern match, which costs more.
   if (event.type === 'client-datagram') {
     return handleClientDatagram(state, event.datagram, event.replyTo, context);
   }
--- a/src/managed/dissemination/subscription-state.ts
+++ b/src/managed/dissemination/subscription-state.ts
@@ -1,6 +1,6 @@
 /**
- * @file The state of a balancer's subscription. `link-choice.ts` changes the fields of the link, `upward-report.ts` those of
- * the last report, `subscription.ts` the rest.
+ * @file The state of a balancer's subscription. `link-choice.ts` changes the fields of the link, `upward-report.ts`
+ * those of the last report, `subscription.ts` the rest.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConfigPosition } from '../control/config-delta.js';
@@ -9,7 +9,7 @@
 import type { LinkPlan } from './link-plan.js';
 
 /** Options of a subscription. */
-export interface SubscriptionOptions {
+interface SubscriptionOptions {
   readonly controlAddresses: readonly Address[];
   readonly clusterKey: string;
   readonly balancerId: string;
