--- a/src/proof/bench/bench-forward-config.ts
+++ b/src/proof/bench/bench-forward-config.ts
@@ -111,7 +111,7 @@
 /**
  * @returns the flow ID of flow `number`
  */
-export function flowIdOf(number: number): Buffer {
+function flowIdOf(number: number): Buffer {
   const flowId = Buffer.alloc(FLOW_ID_LENGTH_BYTES);
   flowId.writeUInt32BE(number, FLOW_ID_LENGTH_BYTES - 4);
   return flowId;
--- a/src/proof/sim-managed/scenarios/address-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/address-scenarios.ts
@@ -12,7 +12,7 @@
 /** How long callers are out of reach. */
 const MIN_OUT_OF_REACH_MS = 5_000;
 const MAX_OUT_OF_REACH_MS = 15_000;
-/** Time until an operator tries again to take in an address that is not free yet. */
+/** Time until an operator tries again to add a back end at an address that is not free yet. */
 const TRY_AGAIN_MS = 1_000;
 
 /** A back end of one service leaves, and its address joins another service. */
--- a/src/proof/sim-managed/trace.ts
+++ b/src/proof/sim-managed/trace.ts
@@ -43,7 +43,7 @@
       /** The service of the back end that it arrived at; absent elsewhere. */
       readonly arrivedAt?: string;
     }
-  /** A back end took a new flow that a balancer placed there. */
+  /** A back end accepted a new flow that a balancer placed there. */
   | {
       readonly type: 'flow-accepted';
       readonly backend: string;
--- a/src/proof/sim-registered/ingress-oracle.ts
+++ b/src/proof/sim-registered/ingress-oracle.ts
@@ -58,7 +58,7 @@
 /** Judges a run. */
 export class IngressOracle {
   readonly zones = createZoneWitness();
-  /** When each back end took new flows while it was cold, of the last second. */
+  /** When each back end accepted new flows while it was cold, of the last second. */
   private readonly coldFlows = new Map<string, number[]>();
   readonly violations: IngressViolation[] = [];
   /** Services that any configuration ever sent gave a route. */
--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -2,7 +2,7 @@
  * @file A simulated deployment of the registered pair: control machines, balancers, back ends, clients behind routers that hash by the number of
  * balancers, and an operator, on virtual time. Owns the clock, the wires and all processes; one seed gives one run.
  */
-import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
 import type { RandomSource } from '../../shared/common/step.js';
 import { formatFields, type DecisionFields } from '../../registered/daemon/decision-log.js';
@@ -230,8 +230,3 @@
 function controlAddress(number: number): Address {
   return { host: `10.0.1.${number}`, port: CONTROL_PORT };
 }
-
-/** @returns an address as text, for logs of tests */
-export function describeControl({ address }: SimulatedControlMachine): string {
-  return formatAddress(address);
-}
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -30,7 +30,7 @@
 const STOP_MS = 250;
 
 /** Reads the documents of the simulated operator: the configuration as JSON. */
-export function readSimulatedDocument({ text }: ConfigDocument): DeclaredConfig {
+function readSimulatedDocument({ text }: ConfigDocument): DeclaredConfig {
   return JSON.parse(text) as DeclaredConfig;
 }
 
--- a/src/proof/sim-registered/stand-in-backend.ts
+++ b/src/proof/sim-registered/stand-in-backend.ts
@@ -89,7 +89,7 @@
     return Math.max(0, WARM_UP_MS - (this.parts.clock.nowMs - this.coldSinceMs));
   }
 
-  /** Ends without a word. */
+  /** Ends without a departure. */
   crash(): void {
     this.isAlive = false;
     this.parts.wires.hostDied(this.identity.address.host);
--- a/src/proof/soak/process-faults.ts
+++ b/src/proof/soak/process-faults.ts
@@ -7,7 +7,7 @@
 import type { ProxyMode } from './link-proxy.js';
 import type { SoakFault } from './soak-schedule.js';
 import type { SoakControl, SoakWorld } from './soak-world.js';
-import { disturb, strikeStandIns } from './stand-in-faults.js';
+import { disturb, endLater, strikeStandIns } from './stand-in-faults.js';
 
 /** A process that was killed is started again after this time at the least, in milliseconds. */
 const RESTART_MS = 300;
@@ -67,11 +67,6 @@
     .otherwise((kind) => strikeStandIns(world, kind, forMs));
 }
 
-function endLater(world: SoakWorld, forMs: number, end: () => void): void {
-  disturb(world, forMs);
-  world.clock.after(forMs, end);
-}
-
 /** A process that stops may take its time: it is started once it has ended. */
 function startLater(world: SoakWorld, forMs: number, start: () => void): void {
   disturb(world, forMs + START_MS);
--- a/src/proof/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -43,6 +43,16 @@
   world.oracle.recordDisturbance(world.clock.nowMs + forMs);
 }
 
+/** Ends a fault after its time; missed bounds are excused until then. */
+export function endLater(
+  world: Pick<StandInWorld, 'oracle' | 'clock'>,
+  forMs: number,
+  end: () => void,
+): void {
+  disturb(world, forMs);
+  world.clock.after(forMs, end);
+}
+
 /**
  * Causes a fault; it ends by itself.
  * @param forMs how long it lasts, or how late the last heartbeat of a back end comes
@@ -55,8 +65,7 @@
       return;
     case 'datagrams-lost':
       wires.lossShare = LOSS_SHARE;
-      disturb(world, forMs);
-      clock.after(forMs, () => (wires.lossShare = 0));
+      endLater(world, forMs, () => (wires.lossShare = 0));
       return;
     case 'acknowledgements-lost':
       operator.lostShare = ACK_LOSS_SHARE;
--- a/src/proof/soak/virtual-soak.ts
+++ b/src/proof/soak/virtual-soak.ts
@@ -12,7 +12,7 @@
 import type { SimulatedControlMachine } from '../sim-registered/simulated-control-machine.js';
 import type { SimulatedIngressBalancer } from '../sim-registered/simulated-ingress-balancer.js';
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
-import { disturb, strikeStandIns } from './stand-in-faults.js';
+import { disturb, endLater, strikeStandIns } from './stand-in-faults.js';
 
 /** What a soak on virtual time does. */
 export interface VirtualSoak extends WorldRun {
@@ -83,11 +83,6 @@
     .otherwise((ofStandIns) => strikeStandIns(world, ofStandIns, forMs));
 }
 
-function endLater(world: IngressWorld, forMs: number, end: () => void): void {
-  disturb(world, forMs);
-  world.clock.after(forMs, end);
-}
-
 function loseControl(
   world: IngressWorld,
   control: SimulatedControlMachine,
--- a/src/proof/standins/caller-state.ts
+++ b/src/proof/standins/caller-state.ts
@@ -221,7 +221,7 @@
 }
 
 /**
- * Forgets a flow without a word to the back end.
+ * Forgets a flow without a message to the back end.
  */
 export function dropFlow(state: CallerState, flow: OpenFlow, openAfterMs: number): void {
   if (state.flow === flow) {
--- a/src/tools/cli/daemon-command.ts
+++ b/src/tools/cli/daemon-command.ts
@@ -72,7 +72,7 @@
 }
 
 /**
- * Prints the line that says that a process is ready, with the addresses that it took.
+ * Prints the line that says that a process is ready, with the addresses that it listens at.
  */
 export function announceReady(addresses: object): void {
   process.stdout.write(`${JSON.stringify({ ready: true, ...addresses })}\n`);
--- a/src/tools/client/script.ts
+++ b/src/tools/client/script.ts
@@ -15,7 +15,7 @@
 /**
  * @returns the statements of the script
  */
-export function scriptLines(script: string): ScriptLine[] {
+function scriptLines(script: string): ScriptLine[] {
   return script
     .split('\n')
     .map((line, position) => ({ number: position + 1, text: line.trim() }))
--- a/src/tools/settings-reference/settings-reference.ts
+++ b/src/tools/settings-reference/settings-reference.ts
@@ -27,7 +27,7 @@
   success: 'Done. Of `demo`: and all counts of harm are 0.',
   failure: 'Failed in another way. Of `demo`: some count of harm is not 0.',
   usage: 'The command line or a statement is wrong.',
-  settings: 'A settings file, deployment, scenario or flag is wrong; the message names the option.',
+  settings: 'A settings file or flag is wrong; the message names the option.',
   refused: 'The cluster refused the command for good; the same command would be refused again.',
   unavailable: 'No control machine could answer now; the same command may be sent again.',
   storage: 'The data folder is damaged, full, or belongs to another machine.',
--- a/src/tools/toolbox/explain.ts
+++ b/src/tools/toolbox/explain.ts
@@ -196,7 +196,7 @@
   );
 }
 
-/** Lines that were left out, and processes that ended without a word. */
+/** Lines that were left out, and processes that ended without a last line. */
 function gapsOf(lines: readonly TimedLine[], span: Span | undefined): string[] {
   const gaps: string[] = [];
   const running = new Set<string>();
