--- a/src/proof/sim-managed/simulated-control.ts
+++ b/src/proof/sim-managed/simulated-control.ts
@@ -33,7 +33,9 @@
 
 const TICK_INTERVAL_MS = 20;
 const STOP_POLL_INTERVAL_MS = 5;
+/** A planned stop waits for the transfer of leadership no longer than this. */
 const TRANSFER_TIMEOUT_MS = 2_000;
+/** Time after a failed write until the process ends; the platform starts it again. */
 const RESTART_AFTER_FAILURE_MS = 500;
 /** The same secret is offered for a while, since drawing one at each tick takes long. */
 const SECRET_LIFETIME_MS = 1_000;
--- a/src/proof/sim-managed/world.ts
+++ b/src/proof/sim-managed/world.ts
@@ -19,8 +19,10 @@
 
 const CLUSTER_KEY = 'simulated-cluster-key';
 const PORT = 7000;
+/** Time in which the cluster forms and the first configuration comes into force. */
 const SETUP_LIMIT_MS = 20_000;
 const SETUP_STEP_MS = 100;
+/** Time for the first probes, before the fabric gets its list. */
 const FIRST_LIST_DELAY_MS = 500;
 const ANSWER_BYTES = 2_500;
 const MAX_REQUESTS = 2_000;
--- a/src/proof/sim-registered/drawn-faults.ts
+++ b/src/proof/sim-registered/drawn-faults.ts
@@ -8,6 +8,7 @@
 import type { IngressWorld } from './ingress-world.js';
 import { SIMULATED_ZONES } from './simulated-zones.js';
 import type { SimulatedControlMachine } from './simulated-control-machine.js';
+import { LOSS_SHARE, ACK_LOSS_SHARE } from './deployment-constants.js';
 
 /** What can happen. */
 export const drawnFaultKinds = [
@@ -36,14 +37,14 @@
 /** One kind of fault. */
 export type DrawnFaultKind = (typeof drawnFaultKinds)[number];
 
+/** Faults last from this time on, and up to the spread longer. */
 const SHORT_MS = 1_000;
 const SPREAD_MS = 3_000;
 /** Cuts may outlast the time within which a configuration is in force. */
 const LONG_CUT_MS = 6_000;
 /** Evacuations last from less than the time within which they are in force everywhere to more than that. */
 const LONG_EVACUATION_MS = 8_000;
-const LOSS_SHARE = 0.03;
-const ACK_LOSS_SHARE = 0.6;
+/** Share of open links that the fault `links-silent` silences. */
 const SILENT_LINK_SHARE = 0.3;
 
 /** Causes faults. */
--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -21,13 +21,15 @@
 import { VirtualWires } from '../virtual/virtual-wires.js';
 import { createZoneOperator, type ZoneOperator } from './zone-operator.js';
 import { oracleBoundsOf, type IngressWorldOptions, type IngressWorldParts } from './world-parts.js';
+import {
+  SEED_COUNT,
+  LONG_FLOW_REQUESTS,
+  PROBE_INTERVAL_MS,
+  MISSES_UNTIL_OUT,
+} from './deployment-constants.js';
 
 const CONTROL_PORT = 7_700;
 const BACKEND_PORT = 9_000;
-const PROBE_INTERVAL_MS = 500;
-const MISSES_UNTIL_OUT = 2;
-const SEED_COUNT = 3;
-const LONG_FLOW_REQUESTS = 40;
 const CALL_DELAY_MS = 1;
 
 /** The whole deployment. */
--- a/src/proof/sim-registered/run-ingress-world.ts
+++ b/src/proof/sim-registered/run-ingress-world.ts
@@ -5,6 +5,7 @@
 import { DrawnFaults, drawnFaultKinds, type DrawnFaultKind } from './drawn-faults.js';
 import { IngressWorld } from './ingress-world.js';
 import { smallIngressWorld, type IngressWorldOptions } from './world-parts.js';
+import { MEASURED_MS, SETTLE_MS, LEAST_SERVED_SHARE } from './deployment-constants.js';
 
 /** What any run does. */
 export interface WorldRun {
@@ -31,11 +32,11 @@
   readonly log: readonly string[];
 }
 
+/** Time in which the group forms and back ends register, before the first fault. */
 const FORMATION_MS = 6_000;
+/** Mean time between two faults: several overlap. */
 const MEAN_GAP_MS = 1_500;
-const SETTLE_MS = 12_000;
-const MEASURED_MS = 5_000;
-const LEAST_SERVED_SHARE = 0.25;
+/** Time within which a last configuration is acknowledged, before the loss that ends a run. */
 const ACKNOWLEDGE_WITHIN_MS = 8_000;
 
 /**
--- a/src/proof/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -9,6 +9,11 @@
 import { strikeProcess } from './process-faults.js';
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
 import { startSoakWorld, type SoakPlace, type SoakWorld } from './soak-world.js';
+import {
+  MEASURED_MS,
+  SETTLE_MS,
+  LEAST_SERVED_SHARE,
+} from '../sim-registered/deployment-constants.js';
 
 /** What a soak does. */
 export interface SoakOptions {
@@ -35,11 +40,6 @@
 /** The deployment must be at work within this time after its start, in milliseconds. */
 const START_LIMIT_MS = 30_000;
 const POLL_MS = 100;
-/** Service before the first fault, against which the recovery is measured, in milliseconds. */
-const MEASURED_MS = 5_000;
-/** After the last fault: the longest fault, and the time after which all bounds hold again. */
-const SETTLE_MS = 12_000;
-const LEAST_SERVED_SHARE = 0.25;
 
 /**
  * Runs a soak.
--- a/src/proof/soak/soak-world.ts
+++ b/src/proof/soak/soak-world.ts
@@ -26,6 +26,12 @@
 import { readBack } from './read-back.js';
 import { createSoakProcess, type SoakProcess } from './soak-process.js';
 import { createSoakWires, type SoakWires } from './soak-wires.js';
+import {
+  SEED_COUNT,
+  LONG_FLOW_REQUESTS,
+  PROBE_INTERVAL_MS,
+  MISSES_UNTIL_OUT,
+} from '../sim-registered/deployment-constants.js';
 
 /** How large the deployment of a soak is. */
 export interface SoakSizes {
@@ -68,11 +74,7 @@
 const READY_PORT = 7_703;
 const PACKET_PORT = 8_000;
 const BACKEND_PORT = 9_000;
-const SEED_COUNT = 3;
-const LONG_FLOW_REQUESTS = 40;
-const PROBE_INTERVAL_MS = 500;
 const PROBE_TIMEOUT_MS = 400;
-const MISSES_UNTIL_OUT = 2;
 const MAX_KEPT_FLOWS = 10_000;
 const OPERATOR_TOKEN = 'soak-operator-token';
 const HTTP_OK = 200;
--- a/src/proof/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -10,6 +10,7 @@
 import { SIMULATED_ZONES } from '../sim-registered/simulated-zones.js';
 import type { ZoneOperator } from '../sim-registered/zone-operator.js';
 import type { SoakFaultKind } from './soak-schedule.js';
+import { LOSS_SHARE, ACK_LOSS_SHARE } from '../sim-registered/deployment-constants.js';
 
 /** What these faults need of a deployment. */
 export interface StandInWorld {
@@ -35,9 +36,6 @@
   | 'zone-evacuated'
 >;
 
-const LOSS_SHARE = 0.03;
-const ACK_LOSS_SHARE = 0.6;
-
 /** The oracle excuses missed bounds until some time after this fault has ended. */
 export function disturb(world: Pick<StandInWorld, 'oracle' | 'clock'>, forMs: number): void {
   world.oracle.recordDisturbance(world.clock.nowMs + forMs);
--- a/src/proof/virtual/virtual-disk.ts
+++ b/src/proof/virtual/virtual-disk.ts
@@ -6,7 +6,9 @@
 import type { StorageFolder } from '../../shared/daemon/storage-folder.js';
 import type { VirtualClock } from './virtual-clock.js';
 
+/** Of a write without a sync, in milliseconds. */
 const WRITE_MS = 0.05;
+/** Of a sync: from the least to the spread more, as of a small machine's SSD. Not measured. */
 const MIN_SYNC_MS = 0.5;
 const SYNC_SPREAD_MS = 2;
 const EMPTY = Buffer.alloc(0);
--- a/src/proof/virtual/virtual-wires.ts
+++ b/src/proof/virtual/virtual-wires.ts
@@ -9,10 +9,12 @@
 import type { VirtualClock } from './virtual-clock.js';
 import { createStreamQueue, type StreamQueue, type Transfer } from './stream-queue.js';
 
+/** One way between any two hosts: between zones of one region, with up to the jitter more. */
 const DELAY_MS = 0.5;
 const JITTER_MS = 0.5;
 /** A link whose other end is gone or cut off is given up after this time. */
 const LINK_SILENT_MS = 1_200;
+/** Time between two pulses of a link; three fit into the time after which it is given up. */
 const LINK_PULSE_MS = 400;
 
 /** One end of a virtual link. */
--- a/src/tools/toolbox/explain.ts
+++ b/src/tools/toolbox/explain.ts
@@ -33,8 +33,11 @@
   readonly skews: readonly ClockSkew[];
 }
 
+/** Decisions on a process count from this time before a flow, and a start explains a line up to this time after it. */
 const BEFORE_FLOW_MS = 3_000;
+/** Decisions on a process count up to this time after a flow. */
 const AFTER_FLOW_MS = 5_000;
+/** Decisions on a back end count from this time before a flow to the same time after it: some take many seconds to matter. */
 const LONG_BEFORE_MS = 15_000;
 
 /** Decisions on a process itself that may explain what happened to its flows. */
