--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -2,7 +2,7 @@
  * @file A simulated deployment of the registered pair: control machines, balancers, back ends, clients behind routers that hash by the number of
  * balancers, and an operator, on virtual time. Owns the clock, the wires and all processes; one seed gives one run.
  */
-import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
 import type { RandomSource } from '../../shared/common/step.js';
 import { formatFields, type DecisionFields } from '../../registered/daemon/decision-log.js';
@@ -21,13 +21,15 @@
 import { VirtualWires } from '../virtual/virtual-wires.js';
 import { createZoneOperator, type ZoneOperator } from './zone-operator.js';
 import { oracleBoundsOf, type IngressWorldOptions, type IngressWorldParts } from './world-parts.js';
+import {
+  SEED_COUNT,
+  LONG_FLOW_REQUESTS,
+  PROBE_INTERVAL_MS,
+  MISSES_UNTIL_OUT,
+} from './deployment-constants.js';
 
 const CONTROL_PORT = 7_700;
 const BACKEND_PORT = 9_000;
-const PROBE_INTERVAL_MS = 500;
-const MISSES_UNTIL_OUT = 2;
-const SEED_COUNT = 3;
-const LONG_FLOW_REQUESTS = 40;
 const CALL_DELAY_MS = 1;
 
 /** The whole deployment. */
@@ -230,8 +232,3 @@
 function controlAddress(number: number): Address {
   return { host: `10.0.1.${number}`, port: CONTROL_PORT };
 }
-
-/** @returns an address as text, for logs of tests */
-export function describeControl({ address }: SimulatedControlMachine): string {
-  return formatAddress(address);
-}
--- a/src/proof/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -10,6 +10,7 @@
 import { SIMULATED_ZONES } from '../sim-registered/simulated-zones.js';
 import type { ZoneOperator } from '../sim-registered/zone-operator.js';
 import type { SoakFaultKind } from './soak-schedule.js';
+import { LOSS_SHARE, ACK_LOSS_SHARE } from '../sim-registered/deployment-constants.js';
 
 /** What these faults need of a deployment. */
 export interface StandInWorld {
@@ -35,14 +36,21 @@
   | 'zone-evacuated'
 >;
 
-const LOSS_SHARE = 0.03;
-const ACK_LOSS_SHARE = 0.6;
-
 /** The oracle excuses missed bounds until some time after this fault has ended. */
 export function disturb(world: Pick<StandInWorld, 'oracle' | 'clock'>, forMs: number): void {
   world.oracle.recordDisturbance(world.clock.nowMs + forMs);
 }
 
+/** Ends a fault after its time; missed bounds are excused until then. */
+export function endLater(
+  world: Pick<StandInWorld, 'oracle' | 'clock'>,
+  forMs: number,
+  end: () => void,
+): void {
+  disturb(world, forMs);
+  world.clock.after(forMs, end);
+}
+
 /**
  * Causes a fault; it ends by itself.
  * @param forMs how long it lasts, or how late the last heartbeat of a back end comes
@@ -55,8 +63,7 @@
       return;
     case 'datagrams-lost':
       wires.lossShare = LOSS_SHARE;
-      disturb(world, forMs);
-      clock.after(forMs, () => (wires.lossShare = 0));
+      endLater(world, forMs, () => (wires.lossShare = 0));
       return;
     case 'acknowledgements-lost':
       operator.lostShare = ACK_LOSS_SHARE;
