--- a/src/shared/consensus/consensus-state.ts
+++ b/src/shared/consensus/consensus-state.ts
@@ -12,12 +12,13 @@
   /** Time between two heartbeats of a leader. */
   readonly heartbeatIntervalMs: number;
   /**
-   * A follower campaigns after one to two times this without a word from a leader; a leader that has
-   * not heard from a quorum for this time steps down.
+   * A follower campaigns after one to two times this without a message from a leader; a leader that no
+   * quorum has answered for this time steps down.
    */
   readonly electionTimeoutMs: number;
   /**
-   * The same until the first word of a leader after a start: whoever hears from one refuses the pre-vote.
+   * The same until the first message of a leader after a start. It may be short, since members that are in contact with a
+   * leader refuse the pre-vote.
    * Default `electionTimeoutMs`.
    */
   readonly firstElectionTimeoutMs?: number;
@@ -39,7 +40,10 @@
   readonly minimumCopies?: number;
 }
 
-/** The options of a control machine. */
+/**
+ * The options of a control machine of `control`; `group` has its own times. The times are not measured one by one: after the
+ * kill of a leader of three the next command was accepted after 0.78 to 1.05 s (docs/design/consensus.md).
+ */
 export const defaultConsensusOptions: ConsensusOptions = {
   heartbeatIntervalMs: 100,
   electionTimeoutMs: 500,
@@ -127,7 +131,7 @@
   deferred: DeferredAction[];
   /** True where the next write replaces the log by snapshot and rest. */
   snapshotIsDue: boolean;
-  /** Commit index last written. */
+  /** Commit index that was last queued for the disk. */
   queuedCommitIndex: number;
 }
 
--- a/src/shared/consensus/consensus-step.ts
+++ b/src/shared/consensus/consensus-step.ts
@@ -36,7 +36,7 @@
 const BOOTSTRAP_TERM = 1;
 
 /**
- * Takes one event.
+ * Handles one event.
  * @returns the effects, in order
  */
 export function consensusStep(
@@ -117,7 +117,7 @@
   }
 }
 
-/** A leader of an earlier term steps down when it hears of a later one. */
+/** A leader of an earlier term steps down when it learns of a later one. */
 function sendNewerTerm(scope: StepScope, from: Sender): void {
   sendPersisted(scope, from.nodeId, {
     type: 'append-response',
--- a/src/shared/consensus/election.ts
+++ b/src/shared/consensus/election.ts
@@ -1,6 +1,17 @@
 /**
- * @file Elections: a pre-vote, which changes nothing, then a vote in a new term. Votes are answered
- * only once they are on disk.
+ * @file When does a member campaign, and whom does it vote for?
+ *
+ * Inputs: the time since the leader's last message (ms), the term and last position of both logs, whom the member voted for
+ * in this term, and `electionTimeoutMs`.
+ *
+ * A voter without contact to a leader asks for pre-votes, which change nothing at the others, so that a machine that
+ * comes back disturbs nobody; with a quorum of these it campaigns in a new term. A vote is given at most once a term, to a
+ * candidate whose log is not behind, and not while a leader is in contact, unless that leader asked for the election
+ * itself. Votes are answered only once they are on disk. A candidate that doesn't win campaigns again after one to two
+ * timeouts, drawn at random so that two of them don't collide for ever.
+ *
+ * The timeouts and their reason stand in `registered/group/timing.ts` and in `defaultConsensusOptions`; how long elections
+ * take is measured in docs/design/consensus.md.
  */
 import type { StepScope } from './consensus-events.js';
 import { currentMembership, isVoter, type ConsensusState } from './consensus-state.js';
@@ -23,7 +34,7 @@
 } from './roles.js';
 
 /**
- * Campaigns where it is time. The only voter of a cluster does not wait.
+ * Starts a campaign where it is time. The only voter of a cluster does not wait.
  */
 export function electionTick(scope: StepScope): void {
   const { state, context } = scope;
@@ -134,8 +145,8 @@
 }
 
 /**
- * Votes, at most once in a term, for a candidate whose log is not behind. While a leader is heard
- * from, nobody is voted for unless the leader asked for it.
+ * Votes, at most once in a term, for a candidate whose log is not behind. While a leader is in contact,
+ * nobody is voted for unless the leader asked for it.
  */
 export function handleVoteRequest(scope: StepScope, from: Sender, request: VoteRequest): void {
   const { state } = scope;
--- a/src/shared/consensus/follower.ts
+++ b/src/shared/consensus/follower.ts
@@ -1,6 +1,7 @@
 /**
- * @file The receiving side of replication: takes entries that follow on a matching position, and
- * acknowledges them once they are on disk.
+ * @file The receiving side of replication: stores entries that follow on a matching position, and
+ * acknowledges them once they are on disk. Entries that conflict with those of the leader are dropped; a committed
+ * one never conflicts, and a leader that sends such a one is a fault that must not go on.
  */
 import type { StepScope } from './consensus-events.js';
 import { restingRole, type ConsensusState } from './consensus-state.js';
@@ -29,7 +30,7 @@
 }
 
 /**
- * Takes entries or a heartbeat of the leader of the current term.
+ * Stores entries, or answers a heartbeat, of the leader of the current term.
  */
 export function handleAppendRequest(scope: StepScope, from: Sender, request: AppendRequest): void {
   const { state } = scope;
--- a/src/shared/consensus/leadership-transfer.ts
+++ b/src/shared/consensus/leadership-transfer.ts
@@ -1,16 +1,28 @@
 /**
- * @file Hands leadership to another voter, before a planned stop.
+ * @file Who takes over from a leader that is about to stop, and when does it give the transfer up?
+ *
+ * Inputs: how far the log of each voter is (index), when its last message came (ms), and the options
+ * `heartbeatIntervalMs` and `electionTimeoutMs`.
+ *
+ * The voter that is furthest along among those that answer is asked to campaign at once, when it has the whole log: no
+ * election timeout passes without a leader. No proposals are accepted meanwhile, since they would move the end of the
+ * log. After an election timeout the transfer is given up, and the leader leads on.
+ *
+ * Owns `LeaderRole.leadershipTransfer`.
  */
 import type { StepScope } from './consensus-events.js';
 import { currentMembership, type LeaderRole } from './consensus-state.js';
 import { votersOf, type NodeId } from './membership.js';
 import { sendNow } from './roles.js';
 
-/** A voter that is silent for longer is not asked to take over. */
+/**
+ * A voter that is silent for longer than so many heartbeat intervals is not asked to take over: it may be down. Not
+ * measured; an election timeout without a leader after a planned stop would show it too large.
+ */
 const MAX_SILENT_HEARTBEATS = 3;
 
 /**
- * Begins to hand over to the voter that is furthest along; no proposals are taken meanwhile.
+ * Begins to hand over to the voter that is furthest along; no proposals are accepted meanwhile.
  */
 export function startLeadershipTransfer(scope: StepScope): void {
   const { state, context } = scope;
@@ -47,10 +59,10 @@
 }
 
 function bestSuccessor({ state, context }: StepScope, role: LeaderRole): NodeId | undefined {
-  const since = context.nowMs - MAX_SILENT_HEARTBEATS * state.options.heartbeatIntervalMs;
+  const sinceMs = context.nowMs - MAX_SILENT_HEARTBEATS * state.options.heartbeatIntervalMs;
   const matchOf = (nodeId: NodeId) => role.progress.get(nodeId)?.matchIndex ?? 0;
   const others = votersOf(currentMembership(state))
     .map(({ nodeId }) => nodeId)
-    .filter((nodeId) => (role.progress.get(nodeId)?.receivedAtMs ?? -Infinity) >= since);
+    .filter((nodeId) => (role.progress.get(nodeId)?.receivedAtMs ?? -Infinity) >= sinceMs);
   return others.sort((a, b) => matchOf(b) - matchOf(a))[0];
 }
--- a/src/shared/consensus/persistence.ts
+++ b/src/shared/consensus/persistence.ts
@@ -1,6 +1,8 @@
 /**
- * @file The writes of a member. One write is under way at a time; whatever gathers meanwhile shares
+ * @file The writes of a member. One write is under way at a time; what gathers meanwhile shares
  * the next (group commit). What depends on a write is done only after it.
+ *
+ * Owns `ConsensusState.persistence` and `persistedIndex`.
  */
 import type { StepScope } from './consensus-events.js';
 import type { ConsensusState, DeferredAction } from './consensus-state.js';
@@ -89,7 +91,7 @@
 }
 
 /**
- * Takes the end of the write under way.
+ * Records that the write under way has ended.
  * @returns what may be done now
  */
 export function finishWrite(state: ConsensusState, writeId: number): readonly DeferredAction[] {
--- a/src/shared/consensus/proposals.ts
+++ b/src/shared/consensus/proposals.ts
@@ -1,5 +1,13 @@
 /**
- * @file Proposals of commands and of membership changes, at the leader.
+ * @file Which proposals does a leader accept?
+ *
+ * Inputs: its role, the members, how far each member's log is (entries), and which voters it is in contact with.
+ *
+ * Commands are accepted by any leader that is not handing over. A membership change is accepted only where none is under
+ * way, an entry of the own term is committed, a member that gets a vote has caught up, and a quorum of the voters that
+ * the change leaves answers now: a removal must not leave a group that can decide nothing.
+ *
+ * Refused is `not-leader`, `storage-failed`, or `conflict` with the reason; nothing of a refused proposal is in the log.
  */
 import { hasQuorumContact } from './check-quorum.js';
 import type { RefusalKind, StepScope } from './consensus-events.js';
@@ -15,7 +23,10 @@
 import { replicateToAll } from './replication.js';
 import { appendOwnEntry, refreshProgress } from './roles.js';
 
-/** How far a learner may lag behind to be promoted, in entries. */
+/**
+ * How far a learner may lag behind to get a vote, in entries: few enough to be sent in one batch, so that commits that need its
+ * vote soon don't wait for it to catch up. Not measured; commits that rest after a promotion would show it too large.
+ */
 const MAX_PROMOTION_LAG = 100;
 
 /**
--- a/src/shared/consensus/roles.ts
+++ b/src/shared/consensus/roles.ts
@@ -27,7 +27,7 @@
 
 /**
  * Follows `term`, with or without a known leader. A leader that steps down gives up what waits.
- * @param lostBecause told to those who wait, where this member led
+ * @param lostBecause why what waits is refused, where this member led
  */
 export function becomeFollower(
   scope: StepScope,
--- a/src/shared/daemon/consensus-storage.ts
+++ b/src/shared/daemon/consensus-storage.ts
@@ -2,6 +2,9 @@
  * @file The disk of a control machine: `identity` names the disk, `log` holds records in the order in
  * which they were written, `snapshot` the state machine. Identity, snapshot and a rewritten log are
  * written to another name, synced and renamed, so that each is there as a whole or not at all.
+ *
+ * Owns these files. What may be damaged and what a crash may leave is told apart by `record-file.ts`; a damaged disk is
+ * `storage-failed`, and its machine doesn't start, since it may have acknowledged what is gone.
  */
 import { randomUUID } from 'node:crypto';
 import { Packr } from 'msgpackr';
@@ -29,13 +32,16 @@
   readonly storageId: string;
 }
 
+/** What is found on a disk, or `storage-failed`. */
+type Recovery<Found> = Result<Found, AmberliftError>;
+
 /** Waits between two tries of a write that failed. */
 export type RetryPause = () => Promise<void>;
 
 /** The opened disk of a control machine. */
 export class ConsensusStorage {
   private failure: string | undefined;
-  /** Length of the log file up to the last write that surely lasts. */
+  /** Length of the log file up to the last write that is known to last. */
   private logBytes: number;
   /** Ends with the write under way. */
   private lastWrite: Promise<void> = Promise.resolve();
@@ -52,8 +58,8 @@
 
   /**
    * Recovers what is on disk; an empty folder gets a new storage ID.
-   * @param pause with it, a write that fails is tried again until it lasts, so that a full disk is
-   *   borne without a restart; without it, the first failure is final
+   * @param pause with it, a write that fails is tried again until it lasts, so that a full disk needs no
+   *   restart; without it, the first failure is final
    * @returns the storage, or `storage-failed` where the disk is damaged or another machine's
    */
   static async open(
@@ -64,20 +70,24 @@
   ): Promise<Result<ConsensusStorage, AmberliftError>> {
     try {
       const recovered = await recover(folder, nodeId, makeStorageId);
+      if (recovered.isErr()) {
+        return err(recovered.error);
+      }
       const logBytes = (await folder.read(LOG_FILE))?.length ?? 0;
-      return ok(new ConsensusStorage(folder, recovered, logBytes, pause));
+      return ok(new ConsensusStorage(folder, recovered.value, logBytes, pause));
     } catch (cause) {
-      const message = cause instanceof Error ? cause.message : String(cause);
-      return err(amberliftError('storage-failed', message));
+      // What the operating system says of the disk, or a record that does not decode.
+      return err(storageFailed(messageOf(cause)));
     }
   }
 
   /**
-   * Performs a write; it lasts once this resolves. After a failure nothing is written any more, since
-   * what the disk holds is not known until it is read again.
+   * Performs a write; it lasts once this resolves. Rejects where it fails, without `pause` alone; nothing is
+   * written any more then, since what the disk holds is not known until it is read again.
    */
   persist(effect: PersistEffect): Promise<void> {
     const write = this.pause === undefined ? this.perform(effect) : this.insist(effect, this.pause);
+    // Only for `close` to wait; the failure itself goes to the caller.
     this.lastWrite = write.catch(() => undefined);
     return write;
   }
@@ -93,11 +103,9 @@
       throw new Error(this.failure);
     }
     try {
-      await (effect.type === 'persist'
-        ? this.append(effect.records)
-        : this.replaceAll(effect.snapshot, effect.records));
+      await this.write(effect);
     } catch (cause) {
-      this.failure = cause instanceof Error ? cause.message : String(cause);
+      this.failure = messageOf(cause);
       throw cause;
     }
   }
@@ -109,16 +117,21 @@
         if (!isFirst && effect.type === 'persist') {
           await this.folder.truncate(LOG_FILE, this.logBytes);
         }
-        await (effect.type === 'persist'
-          ? this.append(effect.records)
-          : this.replaceAll(effect.snapshot, effect.records));
+        await this.write(effect);
         return;
       } catch {
+        // A full or failing disk, of which no try tells more than the one before: the owner logs how long the write took.
         await pause();
       }
     }
   }
 
+  private async write(effect: PersistEffect): Promise<void> {
+    await (effect.type === 'persist'
+      ? this.append(effect.records)
+      : this.replaceAll(effect.snapshot, effect.records));
+  }
+
   private async append(records: readonly LogRecord[]): Promise<void> {
     const record = encodeRecord(packr.pack(records));
     await this.folder.append(LOG_FILE, record);
@@ -150,17 +163,24 @@
   folder: StorageFolder,
   nodeId: string,
   makeStorageId: () => string,
-): Promise<RecoveredState> {
+): Promise<Recovery<RecoveredState>> {
   const identity = await readWhole<Identity>(folder, IDENTITY_FILE);
-  if (identity === undefined) {
+  if (identity.isErr()) {
+    return err(identity.error);
+  }
+  if (identity.value === undefined) {
     return createStorage(folder, nodeId, makeStorageId());
   }
-  if (identity.nodeId !== nodeId) {
-    throw new Error(`The data folder belongs to ${identity.nodeId}, not to ${nodeId}.`);
+  const { nodeId: ownerId, storageId } = identity.value;
+  if (ownerId !== nodeId) {
+    return err(storageFailed(`The data folder belongs to ${ownerId}, not to ${nodeId}.`));
   }
   const snapshot = await readWhole<Snapshot>(folder, SNAPSHOT_FILE);
-  const records = await recoverLog(folder, snapshot);
-  return { storageId: identity.storageId, snapshot, records };
+  if (snapshot.isErr()) {
+    return err(snapshot.error);
+  }
+  const records = await recoverLog(folder, snapshot.value);
+  return records.map((kept) => ({ storageId, snapshot: snapshot.value, records: kept }));
 }
 
 /** The identity comes last, so that a disk without it has never been used. */
@@ -168,57 +188,67 @@
   folder: StorageFolder,
   nodeId: string,
   storageId: string,
-): Promise<RecoveredState> {
+): Promise<Recovery<RecoveredState>> {
   if ((await folder.read(SNAPSHOT_FILE)) !== undefined) {
-    throw new Error(`The file ${IDENTITY_FILE} is missing beside a ${SNAPSHOT_FILE}.`);
+    return err(storageFailed(`The file ${IDENTITY_FILE} is missing beside a ${SNAPSHOT_FILE}.`));
   }
   const log = await folder.read(LOG_FILE);
   if (log !== undefined && !log.equals(encodeRecord(packr.pack(EMPTY_LOG)))) {
-    throw new Error(`The file ${IDENTITY_FILE} is missing beside a ${LOG_FILE}.`);
+    return err(storageFailed(`The file ${IDENTITY_FILE} is missing beside a ${LOG_FILE}.`));
   }
   await replaceFile(folder, LOG_FILE, EMPTY_LOG);
   const identity: Identity = { nodeId, storageId };
   await replaceFile(folder, IDENTITY_FILE, identity);
-  return { storageId, snapshot: undefined, records: EMPTY_LOG };
+  return ok({ storageId, snapshot: undefined, records: EMPTY_LOG });
 }
 
 async function recoverLog(
   folder: StorageFolder,
   snapshot: Snapshot | undefined,
-): Promise<LogRecord[]> {
+): Promise<Recovery<LogRecord[]>> {
   const content = await folder.read(LOG_FILE);
   if (content === undefined) {
-    throw new Error(`The file ${LOG_FILE} is missing.`);
+    return err(storageFailed(`The file ${LOG_FILE} is missing.`));
   }
   const { records, validBytes, laterRecordAt } = scanRecords(content);
   if (laterRecordAt !== undefined) {
     const message = `The file ${LOG_FILE} is damaged at byte ${validBytes}`;
-    throw new Error(`${message}: a whole record follows at byte ${laterRecordAt}.`);
+    return err(storageFailed(`${message}: a whole record follows at byte ${laterRecordAt}.`));
   }
   const first = records[0] && (packr.unpack(records[0]) as LogRecord[])[0];
   if (first?.type !== 'base') {
-    throw new Error(`The file ${LOG_FILE} is damaged at its start.`);
+    return err(storageFailed(`The file ${LOG_FILE} is damaged at its start.`));
   }
   if (first.base.index > (snapshot?.index ?? 0)) {
-    throw new Error(`The file ${SNAPSHOT_FILE} that the ${LOG_FILE} follows on is missing.`);
+    return err(
+      storageFailed(`The file ${SNAPSHOT_FILE} that the ${LOG_FILE} follows on is missing.`),
+    );
   }
   if (validBytes < content.length) {
     await folder.truncate(LOG_FILE, validBytes);
     await folder.sync(LOG_FILE);
   }
-  return records.flatMap((record) => packr.unpack(record) as LogRecord[]);
+  return ok(records.flatMap((record) => packr.unpack(record) as LogRecord[]));
 }
 
 /** Reads a file that is there as a whole or not at all. */
-async function readWhole<T>(folder: StorageFolder, name: string): Promise<T | undefined> {
+async function readWhole<T>(folder: StorageFolder, name: string): Promise<Recovery<T | undefined>> {
   const content = await folder.read(name);
   if (content === undefined) {
-    return undefined;
+    return ok(undefined);
   }
   const { records, validBytes } = scanRecords(content);
   const record = records[0];
   if (record === undefined || records.length > 1 || validBytes !== content.length) {
-    throw new Error(`The file ${name} is damaged.`);
+    return err(storageFailed(`The file ${name} is damaged.`));
   }
-  return packr.unpack(record) as T;
+  return ok(packr.unpack(record) as T);
+}
+
+function storageFailed(message: string): AmberliftError {
+  return amberliftError('storage-failed', message);
+}
+
+function messageOf(cause: unknown): string {
+  return cause instanceof Error ? cause.message : String(cause);
 }
--- a/src/shared/daemon/storage-folder.ts
+++ b/src/shared/daemon/storage-folder.ts
@@ -5,7 +5,10 @@
 import { mkdir, open, readFile, rename, rm, type FileHandle } from 'node:fs/promises';
 import { dirname, join, resolve } from 'node:path';
 
-/** Files of one folder. What is not synced may be lost in a crash. */
+/**
+ * Files of one folder. What is not synced may be lost in a crash. All operations reject with what the operating system says;
+ * `consensus-storage.ts` is the one place that decides what follows from it.
+ */
 export interface StorageFolder {
   /** @returns the content, or undefined where there is no such file */
   read(name: string): Promise<Buffer | undefined>;
