--- a/src/registered/daemon/ingress-log.ts
+++ b/src/registered/daemon/ingress-log.ts
@@ -1,5 +1,5 @@
 /**
- * @file The log lines of a balancer, each with the inputs of the decision that it tells of. `docs/OPERATIONS.md` leads
+ * @file The log lines of a balancer, each with the inputs of the decision that it is about. `docs/OPERATIONS.md` leads
  * from these lines to the rules.
  *
  * Lines on packets go through a budget (`request-log.ts`), since they may be as many as packets; lines on what this
--- a/src/shared/common/address-range.ts
+++ b/src/shared/common/address-range.ts
@@ -1,5 +1,5 @@
 /**
- * @file Ranges of addresses, by which the platform grants each operator a part of the address space.
+ * @file Ranges of addresses, by which each operator is granted a part of the address space.
  * Text form: `10.1.0.0/16`, or `10.1.0.0/16:7000-7999` for a part of the ports.
  */
 import { isIP } from 'node:net';
--- a/src/shared/common/keyed-hash.ts
+++ b/src/shared/common/keyed-hash.ts
@@ -13,7 +13,7 @@
 
 /**
  * @param key 16 bytes
- * @param hash takes the hash, 8 bytes; a new array where it is not given
+ * @param hash where to write the hash, 8 bytes; a new array where it is not given
  * @returns `hash`
  */
 export function keyedHash(
--- a/src/shared/common/period-map.ts
+++ b/src/shared/common/period-map.ts
@@ -5,7 +5,7 @@
 
 /** A map whose entries are forgotten. */
 export interface PeriodMap<Key, Value> {
-  /** Keeps an entry; passes over it where the period is full. */
+  /** Keeps an entry; ignores it where the period is full. */
   set(key: Key, value: Value, nowMs: number): void;
   get(key: Key, nowMs: number): Value | undefined;
 }
@@ -13,7 +13,7 @@
 /** Options of the map. */
 export interface PeriodMapOptions {
   readonly periodMs: number;
-  /** Entries beyond this number in one period are not kept: others may ask for any number. */
+  /** Entries beyond this number in one period are not kept: other processes may ask for any number. */
   readonly maxEntries: number;
 }
 
--- a/src/shared/consensus/consensus-events.ts
+++ b/src/shared/consensus/consensus-events.ts
@@ -8,7 +8,7 @@
 import type { MemberChange, Membership, NodeId } from './membership.js';
 import type { PersistEffect, PersistEvent, Snapshot } from './persisted-state.js';
 
-/** Why a proposal, a read or a membership change was not taken or given up. */
+/** Why a proposal, a read or a membership change was refused or given up. */
 export type RefusalKind = 'not-leader' | 'no-quorum' | 'storage-failed' | 'conflict' | 'not-found';
 
 /** What can happen to a member. */
--- a/src/shared/consensus/consensus-state.ts
+++ b/src/shared/consensus/consensus-state.ts
@@ -96,7 +96,7 @@
   round: number;
   pendingReads: PendingRead[];
   nextHeartbeatAtMs: number;
-  /** Leadership is being handed to this voter; no proposals are taken meanwhile. */
+  /** Leadership is being handed to this voter; no proposals are accepted meanwhile. */
   leadershipTransfer:
     { readonly target: NodeId; readonly deadlineMs: number; asked: boolean } | undefined;
 }
@@ -154,7 +154,7 @@
   readonly options: ConsensusOptions;
   readonly nodeId: NodeId;
   readonly storageId: string;
-  /** Undefined until this machine is taken into a cluster. */
+  /** Undefined until this machine belongs to a cluster. */
   clusterId: string | undefined;
   term: number;
   /** Storage ID of the candidate that got this member's vote in `term`. */
--- a/src/shared/consensus/snapshot-install.ts
+++ b/src/shared/consensus/snapshot-install.ts
@@ -15,7 +15,7 @@
 import { advanceCommit, sendNow, sendPersisted } from './roles.js';
 
 /**
- * Takes a snapshot of the state machine and drops the log before it, but for a tail.
+ * Keeps a snapshot of the state machine and drops the log before it, but for a tail.
  */
 export function handleSnapshotTaken(state: ConsensusState, index: number, data: Uint8Array): void {
   const term = state.log.termAt(index);
--- a/src/shared/daemon/consensus-storage.ts
+++ b/src/shared/daemon/consensus-storage.ts
@@ -3,7 +3,7 @@
  * which they were written, `snapshot` the state machine. Identity, snapshot and a rewritten log are
  * written to another name, synced and renamed, so that each is there as a whole or not at all.
  *
- * Owns these files. What may be damaged and what a crash may leave is told apart by `record-file.ts`; a damaged disk is
+ * Owns these files. `record-file.ts` tells damage from what a crash may leave; a damaged disk is
  * `storage-failed`, and its machine doesn't start, since it may have acknowledged what is gone.
  */
 import { randomUUID } from 'node:crypto';
