--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -5,42 +5,31 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Result } from 'neverthrow';
-import { formatAddress, type Address } from '../../shared/common/address.js';
+import type { Address } from '../../shared/common/address.js';
 import { createDialedLinks } from '../../shared/common/dialed-links.js';
 import { encodeFrame } from '../../shared/common/frame-codec.js';
 import { createLinkTable } from '../../shared/common/link-table.js';
-import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import type { GroupReply } from '../group/group-events.js';
 import type { GroupOptions } from '../group/group-options.js';
 import { createGroupState } from '../group/group-state.js';
-import { firstStorageId, isFirstMember } from '../group/member-identity.js';
 import { packFeed } from '../group/feed-codec.js';
 import { isBalancerLinkMessage, type FeedMessage } from '../group/group-messages.js';
 import { parseControlInbound } from '../group/message-schemas.js';
-import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
+import type { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
 import { logDecision } from './decision-log.js';
+import { openGroupDisk, persistToDisk } from './group-disk.js';
 import { frameLinkOptions, FrameLinks, type FrameLink } from './frame-links.js';
 import { GroupProcess, type GroupCall, type GroupSurroundings } from './group-process.js';
-import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 import { systemContextSource } from '../../shared/daemon/system-context.js';
 
 /** Of the order of a heartbeat interval of the group (`group/timing.ts`: 38 to 150 ms). Not measured. */
 const TICK_INTERVAL_MS = 50;
-/**
- * A write that failed, or a disk that can't be opened, is tried again after this time: a full disk is freed by somebody
- * else. Not measured; a group that takes long to go on once its disks are freed would show it too long.
- */
-const RETRY_WRITE_AFTER_MS = 200;
 /**
  * A link to another control machine that could not be opened is tried again after this time, without backing off: there are
  * few, and an election waits for them. Not measured.
  */
 const RETRY_LINK_AFTER_MS = 50;
-/** A disk that can't be opened for a minute (300 times `RETRY_WRITE_AFTER_MS`) ends the start. Not measured. */
-const MAX_OPEN_ATTEMPTS = 300;
-/** A write that takes longer is logged: it is most of an election timeout (`group/timing.ts`). Not measured. */
-const SLOW_WRITE_MS = 500;
 /**
  * Time for the messages that hand leadership over to leave, in milliseconds: some round trips and a synced write. Not
  * measured; an election after each planned stop of a leader would show it too short.
@@ -70,7 +59,7 @@
       context: () => contexts.now(),
       sendToPeer: (to, message) => this.peers.send(to, message),
       sendFeed: (linkId, message) => this.feedLinks.find(linkId)?.sendFrame(frameOf(message)),
-      persist: (effect) => persist(storage, effect),
+      persist: (effect) => persistToDisk(storage, effect),
       logDecision: (name, fields) => logDecision('control', name, fields),
     };
     this.group = new GroupProcess(createGroupState(options, storage.recovered), surroundings);
@@ -86,7 +75,7 @@
     dataFolder: string,
     listenAddress: Address = options.linkAddress,
   ): Promise<Result<GroupDaemon, AmberliftError>> {
-    const opened = await openDisk(options, dataFolder);
+    const opened = await openGroupDisk(options, dataFolder);
     const created = opened.map((storage) => new GroupDaemon(options, storage));
     if (created.isOk()) {
       await created.value.run(listenAddress);
@@ -153,43 +142,3 @@
     return frame;
   };
 }
-
-/** Never fails: the storage tries until the write lasts. */
-async function persist(storage: ConsensusStorage, effect: PersistEffect): Promise<void> {
-  const startedAtMs = performance.now();
-  await storage.persist(effect);
-  const tookMs = Math.round(performance.now() - startedAtMs);
-  if (tookMs > SLOW_WRITE_MS) {
-    logDecision('control', 'slow write', { tookMs });
-  }
-}
-
-/** A full disk can't be opened the first time; it is tried until it can. */
-async function openDisk(
-  options: GroupOptions,
-  dataFolder: string,
-): Promise<Result<ConsensusStorage, AmberliftError>> {
-  const { linkAddress, seeds, isFirstStart } = options;
-  const pause = () => sleep(RETRY_WRITE_AFTER_MS);
-  const makeStorageId = isFirstMember(linkAddress, seeds, isFirstStart)
-    ? () => firstStorageId(linkAddress)
-    : undefined;
-  for (let attempt = 1; ; attempt += 1) {
-    try {
-      const folder = await openStorageFolder(dataFolder);
-      const opened = await ConsensusStorage.open(
-        folder,
-        formatAddress(linkAddress),
-        makeStorageId,
-        pause,
-      );
-      if (opened.isOk() || attempt >= MAX_OPEN_ATTEMPTS) {
-        return opened;
-      }
-      logDecision('control', 'disk not opened', { attempt, reason: opened.error.message });
-    } catch (cause) {
-      logDecision('control', 'disk not opened', { attempt, reason: String(cause) });
-    }
-    await pause();
-  }
-}
--- a/src/registered/daemon/metrics/ingress-metrics.ts
+++ b/src/registered/daemon/metrics/ingress-metrics.ts
@@ -109,15 +109,15 @@
 
 /** What placement goes by, as this balancer and all others together see it. */
 function registerAnswers(registry: Registry, { state }: IngressProcess, nowMs: () => number): void {
-  const ofBackends = (name: string, help: string, read: (signals: AnswerStats) => number) =>
+  const ofBackends = (name: string, help: string, read: (stats: AnswerStats) => number) =>
     registerLabelledValues(registry, `amberlift_ingress_backend_${name}`, help, 'backend', () =>
       [...state.backends.all()].map((backend) => ({
         label: backend.id,
         value: read(fleetAnswerStats(backend, nowMs())),
       })),
     );
-  ofBackends('answer_ms', 'Mean time of the answers of the last seconds.', (signals) =>
-    signals.answered > 0 ? signals.answerMs / signals.answered : 0,
+  ofBackends('answer_ms', 'Mean time of the answers of the last seconds.', (stats) =>
+    stats.answered > 0 ? stats.answerMs / stats.answered : 0,
   );
   ofBackends(
     'short_answers',
