--- a/src/proof/sim-managed/packet-notes.ts
+++ b/src/proof/sim-managed/packet-notes.ts
@@ -1,5 +1,5 @@
 /**
- * @file Reads packets for the trace, without the product's decoders where they check more than is shown.
+ * @file Reads packets for the trace, without the product's decoders where these check more than the trace needs.
  */
 import { Packr } from 'msgpackr';
 import { formatAddress } from '../../shared/common/address.js';
@@ -81,6 +81,7 @@
   try {
     return (packr.unpack(body) ?? {}) as { type?: string; requestId?: number };
   } catch {
+    // Packets that tests have damaged are in the trace too, without what could not be decoded.
     return {};
   }
 }
--- a/src/proof/sim-managed/scenarios/backend-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/backend-scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * @file Scenarios with bad back ends: cold, overloaded, lying and deaf to their drain.
+ * @file Scenarios with bad back ends: cold, overloaded, with false load reports, or ignoring their drain.
  */
 import type { BackendFaults } from '../../standins/backend-options.js';
 import { smallWorld } from '../world-plan.js';
@@ -27,7 +27,7 @@
     const { world, faults } = scope;
     publishRegularly(scope, DURATION_MS, 400);
     const deaf = world.backends.filter(({ process }) => process.options.faults?.ignoresDrain);
-    faults.noteDeaf(deaf);
+    faults.recordIgnoredDrains(deaf);
     deaf.forEach((placed, position) => {
       world.after(1_000 + position * 500, () => faults.leave(placed));
     });
--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -13,7 +13,7 @@
 import type { GroupReply } from '../group/group-events.js';
 import type { GroupOptions } from '../group/group-options.js';
 import { createGroupState } from '../group/group-state.js';
-import { packFeed } from '../group/feed-codec.js';
+import { packFeed } from '../group/wire/feed-codec.js';
 import { isBalancerLinkMessage, type FeedMessage } from '../group/group-messages.js';
 import { parseControlInbound } from '../group/message-schemas.js';
 import type { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
--- a/src/registered/daemon/group-disk.ts
+++ b/src/registered/daemon/group-disk.ts
@@ -14,7 +14,7 @@
 import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 import { logDecision } from './decision-log.js';
 import type { GroupOptions } from '../group/group-options.js';
-import { firstStorageId, isFirstMember } from '../group/member-identity.js';
+import { firstStorageId, isFirstMember } from '../group/members/member-identity.js';
 
 /**
  * A write that failed, or a disk that can't be opened, is tried again after this time. Not measured; a group that takes
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -14,7 +14,6 @@
  */
 import type { Address } from '../../shared/common/address.js';
 import type { BalancerMessage } from '../group/message-schemas.js';
-import { ingressSweep } from '../ingress/feed-step.js';
 import {
   createIngressState,
   isReady,
@@ -22,6 +21,7 @@
   type IngressState,
 } from '../ingress/ingress-state.js';
 import type { PacketCodec } from '../ingress/packet-codec.js';
+import { ingressSweep } from '../ingress/sweep.js';
 import type { DecisionFields } from './decision-log.js';
 import { countEvent, type EventCounts } from './event-counts.js';
 import { createFeedFollower, type ControlLink, type ControlLinkHandlers } from './feed-follower.js';
--- a/src/registered/daemon/packet-handler.ts
+++ b/src/registered/daemon/packet-handler.ts
@@ -9,14 +9,9 @@
 import type { BalancerMessage, OpenMessage } from '../group/message-schemas.js';
 import type { KnownBackend } from '../ingress/known-backend.js';
 import type { IngressState } from '../ingress/ingress-state.js';
-import {
-  decidePacket,
-  followPeer,
-  placeOpen,
-  type DropReason,
-  type FoundBy,
-  type PacketDecision,
-} from '../ingress/packet-step.js';
+import { followPeer, placeOpen } from '../ingress/open-step.js';
+import type { DropReason, FoundBy, PacketDecision } from '../ingress/packet-decision.js';
+import { decidePacket } from '../ingress/packet-step.js';
 import type { PacketCodec } from '../ingress/packet-codec.js';
 import { flowKeyOf, type PacketView } from '../ingress/packet-view.js';
 import { countEvent, type EventCounts } from './event-counts.js';
--- a/src/registered/group/member-changes.ts
+++ b/src/registered/group/members/member-changes.ts
@@ -2,35 +2,36 @@
  * @file Who becomes a voter of the group, who is removed, and when?
  *
  * Inputs: the membership and the progress of each member as the leader knows them, the announcements of machines that
- * ask to be taken in, the time in milliseconds, and the options `tolerableLosses` (disks) and `removeVoterAfterMs`.
+ * ask to be admitted, the time in milliseconds, and the options `tolerableLosses` (disks) and `removeVoterAfterMs`.
  * Returns one change of the membership, or none; the next one is made only once that is committed. In this order:
  *
  * 1. A learner that has all committed entries becomes a voter. It takes the place of the voter at the same address, in
  *    one step: that is the same machine before it lost its disk, and can never vote again. Otherwise it needs a free
  *    place below MAX_VOTERS.
  * 2. A machine that announces itself becomes a learner; an earlier learner at its address is removed first.
- * 3. A voter that is silent for longer than `removeVoterAfterMs` is removed, but only where more voters remain than
- *    2 × `tolerableLosses` + 1: with fewer a removal makes no quorum smaller and costs a vote when the machine returns.
+ * 3. A voter that is silent for longer than `removeVoterAfterMs` is removed, but only where the group has more voters
+ *    than 2 × `tolerableLosses` + 1: with fewer a removal makes no quorum smaller and costs a vote when the machine
+ *    returns.
  * 4. A learner that is silent for LEARNER_SILENT_MS is removed.
  *
  * Why the replacement in one step is safe, and what it has to do with the copies of an entry, is explained in
  * docs/design/platform.md, "Formation and repair". Log line: `membership`.
  */
-import { formatAddress, type Address } from '../../shared/common/address.js';
+import { formatAddress, type Address } from '../../../shared/common/address.js';
 import {
   currentMembership,
   type ConsensusState,
   type LeaderRole,
-} from '../../shared/consensus/consensus-state.js';
+} from '../../../shared/consensus/consensus-state.js';
 import {
   findMember,
   votersOf,
   type Member,
   type MemberChange,
   type NodeId,
-} from '../../shared/consensus/membership.js';
-import type { GroupState } from './group-state.js';
-import type { WithConsensus } from './leadership.js';
+} from '../../../shared/consensus/membership.js';
+import type { GroupState } from '../group-state.js';
+import type { WithConsensus } from '../leadership.js';
 
 /** What changes of the membership depend on. */
 export type MemberChangeState = Pick<GroupState, 'options' | 'consensus' | 'announcements'>;
