--- a/src/registered/ingress/known-backend.ts
+++ b/src/registered/ingress/known-backend.ts
@@ -13,7 +13,7 @@
 import { createRegistration, type Registration } from './registration.js';
 
 /** What all other balancers report of one back end, summed by control machines. */
-export interface FleetLoad {
+interface FleetLoad {
   /** Requests that seem to be in progress. */
   busy: number;
   /** Flows whose clients repeat what nobody acknowledges. */
