--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,7 +1,7 @@
 // The lint rules of the project: typed TypeScript rules, documented public items, decision code
 // without clock, timer or randomness, and one direction of imports between folders.
 import eslint from '@eslint/js';
-import importX from 'eslint-plugin-import-x';
+import importX, { createNodeResolver } from 'eslint-plugin-import-x';
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
@@ -93,6 +93,10 @@
   {
     files: ['src/**/*.ts', 'platform/**/*.ts'],
     plugins: { jsdoc, 'import-x': importX },
+    // Imports name the compiled file; the rule on directions needs the source, or it finds nothing to refuse.
+    settings: {
+      'import-x/resolver-next': [createNodeResolver({ extensionAlias: { '.js': ['.ts', '.js'] } })],
+    },
     rules: {
       'max-lines': ['error', { max: 400, skipBlankLines: true, skipComments: true }],
       'max-lines-per-function': ['error', { max: 80, skipBlankLines: true, skipComments: true }],
