--- a/src/registered/group/backends/heartbeats.ts
+++ b/src/registered/group/backends/heartbeats.ts
@@ -3,7 +3,7 @@
  *
  * Every heartbeat that came in here, and that is later than what was known, goes to all other control machines with the
  * next tick: each of them detects silence for the balancers that it feeds. A balancer is sent a heartbeat only where it
- * changes something, so that its link does not carry each one (docs/design/decisions.md, "What binds"), and for a while
+ * changes something, so that its link does not carry each one (docs/design/registered-placement.md), and for a while
  * after the zone of the back end was readmitted. Which heartbeats are late is decided in
  * registry/heartbeat-registry.ts.
  */
@@ -15,7 +15,7 @@
 
 /**
  * Balancers disregard heartbeats of the first two intervals after a zone was readmitted, since a heartbeat that is sent
- * again may be older than the readmission (docs/design/shifted-work.md, "Cold back ends"); of the next two one comes,
+ * again may be older than the readmission (docs/design/zones-and-slow-start.md); of the next two one comes,
  * also where one is lost. The half is for their jitter. Not measured; too short would show as back ends that balancers
  * count as cold for long.
  */
--- a/src/registered/group/calls/order-guard.ts
+++ b/src/registered/group/calls/order-guard.ts
@@ -9,7 +9,7 @@
 /**
  * A pause of this process from which on orders may be late. An order that waited for less is as new as any that was on
  * its way: its sender waits for a second. Shorter pauses were not tried; that an order may be read more than 0.3 s
- * after a pause is an accepted limit (docs/design/shifted-work.md).
+ * after a pause is an accepted limit (docs/design/zones-and-slow-start.md).
  */
 const ORDER_STALL_MS = 300;
 
--- a/src/registered/group/calls/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -8,7 +8,7 @@
  * ordered at another machine meanwhile, so orders that are read within a moment after a pause are refused; the sender
  * goes on to another machine within a second. Behind this machine the order can't be late: it names the number of
  * orders for the zone that are known here, and zone-orders.ts refuses one that does not follow the last (the ways
- * weighed: docs/design/shifted-work.md, "Evacuations"). Log lines: `zone evacuated`, `zone readmitted`,
+ * weighed: docs/design/zones-and-slow-start.md). Log lines: `zone evacuated`, `zone readmitted`,
  * `order outdated`.
  */
 import type { GroupEffect, GroupEvent, GroupReply } from '../group-events.js';
--- a/src/registered/group/members/member-changes.ts
+++ b/src/registered/group/members/member-changes.ts
@@ -15,7 +15,7 @@
  * 4. A learner that is silent for LEARNER_SILENT_MS is removed.
  *
  * Why the replacement in one step is safe, and what it has to do with the copies of an entry, is explained in
- * docs/design/platform.md, "Formation and repair". Log line: `membership`.
+ * docs/design/registered.md, "Formation and repair". Log line: `membership`.
  */
 import { formatAddress, type Address } from '../../../shared/common/address.js';
 import {
--- a/src/registered/group/timing.ts
+++ b/src/registered/group/timing.ts
@@ -7,7 +7,7 @@
  *
  * Reason: wider bounds gain nothing by waiting for longer, and narrow ones need quicker decisions at the price of more
  * false alarms. With times out from the bounds in place of fixed ones the scores of two deployments stayed within the
- * noise (0.742 to 0.736, 0.732 to 0.720; docs/design/platform.md, "Measured").
+ * noise (0.742 to 0.736, 0.732 to 0.720; docs/design/measured.md).
  */
 
 /** Bounds that a deployment must keep, in milliseconds. */
@@ -68,7 +68,7 @@
 /**
  * The same for a machine that has just started and knows of no leader. With this first campaign and the replicated list
  * of back ends the scores of two deployments rose from 0.550 to 0.709 and from 0.579 to 0.693
- * (docs/design/platform.md); test/registered/group/restart holds the time until a group decides again.
+ * (docs/design/measured.md); test/registered/group/restart holds the time until a group decides again.
  */
 const FIRST_ELECTION_TIMEOUT_MS = 80;
 /** Between two signs of life on a link: three fit into the time after which it is given up. Not measured. */
@@ -78,7 +78,7 @@
 /**
  * A connection that does not come about within this time is given up; a round trip does not get shorter with the
  * bounds, so it isn't scaled. With it, and log lines that never wait, the scores of two deployments rose from 0.709 to
- * 0.739 and from 0.693 to 0.728 (docs/design/platform.md).
+ * 0.739 and from 0.693 to 0.728 (docs/design/measured.md).
  */
 const CONNECT_TIMEOUT_MS = 200;
 /**
--- a/src/registered/group/zone-orders.ts
+++ b/src/registered/group/zone-orders.ts
@@ -7,7 +7,7 @@
  *
  * Reason: an order may be held by a machine that stood still, or on a link that was cut, while its sender gave it to
  * another machine, had it acknowledged, and has taken it back since. An age that is carried along was weighed and left
- * out, since nobody sees how long an order lay in a socket (docs/design/shifted-work.md, "Evacuations"; a mutant that
+ * out, since nobody sees how long an order lay in a socket (docs/design/zones-and-slow-start.md; a mutant that
  * applies late orders is caught by test/registered/ingress/evacuation). Log lines: `zone evacuated`, `zone readmitted`,
  * `order outdated`.
  *
--- a/src/registered/load-exchange/exchange-period.ts
+++ b/src/registered/load-exchange/exchange-period.ts
@@ -3,7 +3,7 @@
  *
  * Inputs: the rows that were sent and what one takes, in bytes. Returns milliseconds. The period grows with the length
  * of the table, so that a link carries a bounded number of bytes a second whatever the size of the fleet. At 105 back
- * ends this makes loads at most 1.2 s old at another balancer (docs/design/decisions.md, "The load exchange").
+ * ends this makes loads at most 1.2 s old at another balancer (docs/design/registered-placement.md).
  */
 import { LOAD_ROWS, type PackedRows, type RowShape } from './packed-rows.js';
 
@@ -16,7 +16,7 @@
 
 /**
  * Time between two short tables on one link, in milliseconds. Loads decide on zones only, whose sums change slowly; ten
- * tables a second in place of two changed no score beyond the noise (docs/design/decisions.md, round 6).
+ * tables a second in place of two changed no score beyond the noise (docs/design/registered-placement.md).
  */
 export const SHORTEST_EXCHANGE_PERIOD_MS = 500;
 
--- a/src/registered/load-exchange/load-totals.ts
+++ b/src/registered/load-exchange/load-totals.ts
@@ -5,7 +5,7 @@
  * of theirs. A balancer is sent the sum over all but itself, so that what it sends and gets does not grow with the
  * number of balancers. A report counts until the next one of the same link or the end of the link; the sums of a
  * control machine count for `sumsLifetimeMs` (load-tables.ts), since a machine that is cut off says nothing. All of it
- * is soft state. Why through control machines: docs/design/decisions.md, "The load exchange, and the ways weighed".
+ * is soft state. Why through control machines: docs/design/registered-placement.md.
  */
 import type { LinkId } from '../../shared/common/link-table.js';
 import { eachRow, LOAD_ROWS, type PackedRows, type RowShape } from './packed-rows.js';
--- a/src/registered/registry/backend-liveness.ts
+++ b/src/registered/registry/backend-liveness.ts
@@ -8,7 +8,7 @@
  *
  * Reason: a back end that ends without a word is noticed by nothing else for some seconds. On a day with back ends that
  * fell dark, worth was 0.9467 with silence and 0.9279 without, elsewhere it made no difference
- * (docs/design/decisions.md, "Ablation"). Log line at the balancer: `backend judged`.
+ * (docs/design/registered-placement.md). Log line at the balancer: `backend judged`.
  */
 
 /** Heartbeats come; some were missed; or so many that the back end counts as dead. */
