--- a/src/registered/settings/token-settings.ts
+++ b/src/registered/settings/token-settings.ts
@@ -51,13 +51,16 @@
 
 const policySection = z.strictObject({
   zones: policyOption('zones', 'Whether back ends of the own zone come first.'),
-  warmUp: policyOption('warmUp', 'Whether cold back ends come later, and get what they bear.'),
-  toldLoads: policyOption('toldLoads', 'What the load that passes other balancers decides.'),
-  silence: policyOption('silence', 'Whether back ends that are silent are passed over.'),
-  choice: policyOption('choice', 'Which of the back ends that may take a flow does.'),
-  failing: policyOption('failing', 'Whether back ends that fail while they look well wait.'),
-  outliers: policyOption('outliers', 'Whether back ends that carry far more than others wait.'),
-  deadFlows: policyOption('deadFlows', 'Whether flows whose back end is dead are reset.'),
+  warmUp: policyOption('warmUp', 'Slow start: cold back ends come later and get a bounded rate.'),
+  toldLoads: policyOption('toldLoads', 'What the load that all other balancers report decides.'),
+  silence: policyOption('silence', 'Whether suspect back ends get no new flows.'),
+  choice: policyOption('choice', 'How one of the candidates that are left is drawn.'),
+  failing: policyOption('failing', 'Ejection by answers: stalled flows, short answers.'),
+  outliers: policyOption('outliers', 'Ejection by load: far more in progress than at the others.'),
+  deadFlows: policyOption(
+    'deadFlows',
+    'Whether flows of a back end that is proven dead are reset.',
+  ),
   opens: policyOption('opens', 'Whether balancers tell each other of opens; `own` breaks flows.'),
   learning: policyOption('learning', 'What becomes of opens while not all back ends are known.'),
 });
@@ -98,7 +101,9 @@
   coldBounds: coldBoundsSection
     .optional()
     .describe('What a cold back end may be given; without it, cold ones only come later.'),
-  policy: policySection.prefault({}).describe('How new flows are placed; for measurements.'),
+  policy: policySection
+    .prefault({})
+    .describe('Rules of placement that can be switched off; the defaults are the product.'),
   stopWithinMs: positive
     .default(4_000)
     .describe('The longest time that a planned stop goes on forwarding, in milliseconds.'),
@@ -139,7 +144,7 @@
     .string()
     .min(MIN_TOKEN_LENGTH)
     .optional()
-    .describe('Bearer token of whoever declares and reads configurations.'),
+    .describe('Bearer token of operators, who declare and read configurations.'),
 });
 
 /** The checked settings of a balancer that forwards by 32-bit tokens. */
