--- a/src/managed/control/commands.ts
+++ b/src/managed/control/commands.ts
@@ -15,6 +15,7 @@
 export const NAME_PATTERN = /^[a-z][a-z0-9-]*$/;
 /** Length of the longest command ID. */
 export const MAX_COMMAND_ID_LENGTH = 128;
+/** A routing token names its key in one byte. */
 const MAX_KEY_ID = 255;
 /** A delay after which a planned change is due is at most a year, in milliseconds. */
 export const MAX_PLAN_DELAY_MS = 366 * 24 * 60 * 60 * 1000;
--- a/src/managed/control/peer-messages.ts
+++ b/src/managed/control/peer-messages.ts
@@ -43,6 +43,7 @@
   readonly message: PeerMessage;
 }
 
+/** Hexadecimal digits of the proof: 64 bits of the hash. */
 const PROOF_LENGTH = 16;
 
 /**
--- a/src/managed/flow/messages.ts
+++ b/src/managed/flow/messages.ts
@@ -21,6 +21,7 @@
 export const REQUEST_ID_WINDOW = 32;
 
 const MAX_UINT32 = 0xffff_ffff;
+/** Datagrams of one answer. Not measured; too low if a back end has to refuse an answer for its length. */
 const MAX_PARTS = 4_096;
 const uint32 = z.number().int().min(0).max(MAX_UINT32);
 const duration = z.number().min(0).max(86_400_000);
--- a/src/managed/flow/token.ts
+++ b/src/managed/flow/token.ts
@@ -13,6 +13,7 @@
 const INCARNATION_OFFSET = 9;
 const FLOW_ID_OFFSET = 13;
 const MAC_OFFSET = FLOW_ID_OFFSET + FLOW_ID_LENGTH_BYTES;
+/** The whole value of SipHash-2-4. */
 const MAC_LENGTH_BYTES = 8;
 
 /** Length in bytes of every routing token. */
--- a/src/managed/settings/settings-schema.ts
+++ b/src/managed/settings/settings-schema.ts
@@ -8,6 +8,7 @@
 import { addressRangeText, nameSchema } from '../control/commands.js';
 import { defaultBalancerOptions } from '../balancer/balancer-options.js';
 
+/** Characters of the shortest key or token; it refuses empty and obvious ones and measures no strength. */
 const MIN_KEY_LENGTH = 8;
 
 /** An address written as `host:port`. */
--- a/src/registered/daemon/declared-api.ts
+++ b/src/registered/daemon/declared-api.ts
@@ -24,6 +24,7 @@
 const CONFIG_PATH = '/v1/config';
 const ZONES_PATH = '/v1/zones';
 const EVACUATION_PATTERN = /^\/v1\/zones\/([^/]+)\/evacuation$/;
+/** Characters of an ID in a path; below what messages between control machines take for a text (200). */
 const MAX_ID_LENGTH = 100;
 const INSTANCE_PATTERN = /^[0-9a-f]{16}$/;
 
--- a/src/registered/daemon/request-log.ts
+++ b/src/registered/daemon/request-log.ts
@@ -34,6 +34,7 @@
  */
 export const defaultLineBudget: LineBudget = { linesPerSecond: 150, bytesPerSecond: 32 * 1024 };
 
+/** The budget is one a second, so a window is one. */
 const WINDOW_MS = 1_000;
 
 interface Window {
--- a/src/registered/ingress/counted-flows.ts
+++ b/src/registered/ingress/counted-flows.ts
@@ -7,6 +7,7 @@
 const COUNTED_FLOWS_SHARE = 0.25;
 /** What one counted flow takes; measured 199 bytes by the heap with 100,000 flows. */
 const BYTES_PER_COUNTED_FLOW = 300;
+/** Flows counted at most, however much memory there is: the number with which their size was measured. */
 const MAX_COUNTED_FLOWS = 100_000;
 const BYTES_PER_MB = 1_000_000;
 
--- a/src/registered/settings/token-settings.ts
+++ b/src/registered/settings/token-settings.ts
@@ -7,6 +7,7 @@
 import { logLevels } from '../../shared/common/logger.js';
 import { defaultSwitches, switchValues } from '../decisions/mechanism-switches.js';
 
+/** Characters of the shortest token; it refuses empty and obvious ones and measures no strength. */
 const MIN_TOKEN_LENGTH = 8;
 
 /** An address written as `host:port`, with a port of its own: others must know it before it starts. */
--- a/src/shared/consensus/message-shapes.ts
+++ b/src/shared/consensus/message-shapes.ts
@@ -4,7 +4,9 @@
  */
 import * as z from 'zod/mini';
 
+/** Characters of a short text; refuses noise on internal ports. Not measured. */
 const MAX_TEXT = 200;
+/** Entries of a list; above the 12,000 back ends that a deployment may have. Not measured. */
 const MAX_LIST = 20_000;
 const MAX_PORT = 65_535;
 
