--- a/src/managed/daemon/link-schemas.ts
+++ b/src/managed/daemon/link-schemas.ts
@@ -4,27 +4,27 @@
  */
 import * as z from 'zod/mini';
 import {
-  addressShape,
-  consensusMessageShape,
-  countShape,
-  indexShape,
+  messageAddressSchema,
+  consensusMessageSchema,
+  nonNegativeSchema,
+  indexSchema,
   listOf,
-  senderShape,
-  textShape,
-} from '../../shared/consensus/message-shapes.js';
+  senderSchema,
+  textSchema,
+} from '../../shared/consensus/message-schemas.js';
 import type { PeerEnvelope } from '../control/peer-messages.js';
 import type {
   BalancerToControlMessage,
   ControlToBalancerMessage,
 } from '../dissemination/link-messages.js';
 
-const position = z.object({ term: indexShape, index: indexShape });
+const position = z.object({ term: indexSchema, index: indexSchema });
 
 const peerMessage = z.union([
-  consensusMessageShape,
+  consensusMessageSchema,
   z.object({
     type: z.literal('announcement'),
-    operatorAddress: addressShape,
+    operatorAddress: messageAddressSchema,
     wantsAnswer: z.boolean(),
   }),
   z.object({
@@ -35,26 +35,26 @@
 ]);
 const peerEnvelope = z.object({
   type: z.literal('peer'),
-  proof: textShape,
-  clusterId: z.optional(textShape),
-  from: senderShape,
-  replyTo: addressShape,
-  to: z.object({ nodeId: textShape, storageId: z.optional(textShape) }),
+  proof: textSchema,
+  clusterId: z.optional(textSchema),
+  from: senderSchema,
+  replyTo: messageAddressSchema,
+  to: z.object({ nodeId: textSchema, storageId: z.optional(textSchema) }),
   message: peerMessage,
 });
 
 const subtree = z.object({
   members: z.optional(
-    listOf(z.object({ balancerId: textShape, zone: textShape, isLinked: z.boolean() })),
+    listOf(z.object({ balancerId: textSchema, zone: textSchema, isLinked: z.boolean() })),
   ),
-  commonIndex: indexShape,
-  laggards: listOf(z.object({ balancerId: textShape, index: indexShape })),
+  commonIndex: indexSchema,
+  laggards: listOf(z.object({ balancerId: textSchema, index: indexSchema })),
 });
 const subscribe = z.object({
   type: z.literal('subscribe'),
-  clusterKey: textShape,
-  balancerId: textShape,
-  zone: textShape,
+  clusterKey: textSchema,
+  balancerId: textSchema,
+  zone: textSchema,
   position,
   sentAtMs: z.number(),
   subtree: z.optional(subtree),
@@ -70,16 +70,16 @@
 const lease = z.object({
   askedAtMs: z.number(),
   remainingMs: z.number(),
-  floorIndex: indexShape,
+  floorIndex: indexSchema,
 });
-const withId = z.looseObject({ id: indexShape });
+const withId = z.looseObject({ id: indexSchema });
 const change = z.discriminatedUnion('type', [
   z.object({ type: z.literal('service-set'), service: withId }),
-  z.object({ type: z.literal('service-removed'), serviceId: indexShape }),
+  z.object({ type: z.literal('service-removed'), serviceId: indexSchema }),
   z.object({ type: z.literal('backend-set'), backend: withId }),
-  z.object({ type: z.literal('backend-removed'), backendId: indexShape }),
+  z.object({ type: z.literal('backend-removed'), backendId: indexSchema }),
   z.object({ type: z.literal('key-set'), key: withId }),
-  z.object({ type: z.literal('key-removed'), keyId: indexShape }),
+  z.object({ type: z.literal('key-removed'), keyId: indexSchema }),
 ]);
 const update = z.discriminatedUnion('type', [
   z.object({ type: z.literal('delta'), from: position, to: position, changes: z.array(change) }),
@@ -91,14 +91,14 @@
     keys: z.array(withId),
   }),
 ]);
-const sharedResult = z.looseObject({ backendId: indexShape, ageMs: countShape });
+const sharedResult = z.looseObject({ backendId: indexSchema, ageMs: nonNegativeSchema });
 const controlToBalancer = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('heartbeat'),
     committed: position,
     lease: z.optional(lease),
-    leader: z.optional(addressShape),
-    subtreeSize: z.optional(countShape),
+    leader: z.optional(messageAddressSchema),
+    subtreeSize: z.optional(nonNegativeSchema),
   }),
   z.object({ type: z.literal('update'), update }),
   z.object({ type: z.literal('link-refused'), kind: z.literal('wrong-cluster') }),
--- a/src/registered/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -4,14 +4,14 @@
  */
 import * as z from 'zod/mini';
 import {
-  addressShape as address,
-  consensusMessageShape as consensusMessage,
-  countShape as count,
-  indexShape as index,
+  messageAddressSchema as address,
+  consensusMessageSchema as consensusMessage,
+  nonNegativeSchema as count,
+  indexSchema as index,
   listOf as list,
-  senderShape as sender,
-  textShape as text,
-} from '../../shared/consensus/message-shapes.js';
+  senderSchema as sender,
+  textSchema as text,
+} from '../../shared/consensus/message-schemas.js';
 import { ANSWER_STATS_ROWS } from '../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../load-exchange/packed-rows.js';
 import { packedRowsSchema } from './wire/packed-rows-schema.js';
--- a/src/registered/group/wire/packed-feed.ts
+++ b/src/registered/group/wire/packed-feed.ts
@@ -4,9 +4,9 @@
  */
 import * as z from 'zod/mini';
 import {
-  indexShape as index,
-  textShape as text,
-} from '../../../shared/consensus/message-shapes.js';
+  indexSchema as index,
+  textSchema as text,
+} from '../../../shared/consensus/message-schemas.js';
 import { ANSWER_STATS_ROWS } from '../../load-exchange/answer-stats.js';
 import { LOAD_ROWS } from '../../load-exchange/packed-rows.js';
 import { packedRowsSchema } from './packed-rows-schema.js';
--- a/src/shared/consensus/acknowledgements.ts
+++ b/src/shared/consensus/acknowledgements.ts
@@ -1,12 +1,8 @@
 /**
- * @file What a leader learns from a member's answer to entries or a heartbeat: how far the member's disk is, and that
- * the member still follows. All that waits for this goes on from here: the commit index, reads, the next batch, a
- * leadership transfer.
- *
- * Owns the receiving part of a member's `Progress` (`matchIndex`, `ackedRound`, `receivedAtMs`). An answer counts only
- * from the disk that the membership names: a machine that lost its disk has acknowledged nothing.
+ * @file Handles append responses at the leader: updates a member's progress, then the commit index, pending reads,
+ * replication and a leadership transfer. Responses count only from the storage ID in the membership.
  */
-import { commitByCounting } from './commit-rule.js';
+import { commitReplicatedEntries } from './commit-index.js';
 import type { StepScope } from './consensus-events.js';
 import { currentMembership, type Progress } from './consensus-state.js';
 import { continueLeadershipTransfer } from './leadership-transfer.js';
@@ -16,7 +12,7 @@
 import { replicateTo } from './replication.js';
 
 /**
- * Records a member's answer to entries or a heartbeat, and does what it makes possible.
+ * Records a member's response to entries or a heartbeat and continues the work that depends on it.
  */
 export function handleAppendResponse(
   scope: StepScope,
@@ -40,7 +36,7 @@
   } else {
     recordMismatch(progress, response.rejectedIndex, response.hintIndex);
   }
-  commitByCounting(scope);
+  commitReplicatedEntries(scope);
   confirmReads(scope);
   if (scope.state.role === role) {
     replicateTo(scope, role, from.nodeId, { evenIfEmpty: false });
@@ -48,25 +44,26 @@
   }
 }
 
-/** The member's log equals this leader's up to `matchIndex`, and lies on its disk. */
+/** The member's log matches the leader's up to `matchIndex` and is persisted up to there. */
 function recordMatch(progress: Progress, matchIndex: number): void {
   progress.matchIndex = Math.max(progress.matchIndex, matchIndex);
   progress.inFlight = progress.inFlight.filter((lastIndex) => lastIndex > progress.matchIndex);
   const hasSnapshot =
-    progress.sending !== undefined && progress.matchIndex >= progress.sending.snapshot.index;
+    progress.outgoingSnapshot !== undefined &&
+    progress.matchIndex >= progress.outgoingSnapshot.snapshot.index;
   if (progress.mode === 'snapshot' && !hasSnapshot) {
     return;
   }
   if (progress.mode !== 'replicate') {
     progress.mode = 'replicate';
-    progress.sending = undefined;
+    progress.outgoingSnapshot = undefined;
     progress.inFlight = [];
     progress.nextIndex = progress.matchIndex + 1;
   }
   progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
 }
 
-/** The logs differ at `rejectedIndex`: probing goes on at the hint, never before what is known to match. */
+/** The logs differ at `rejectedIndex`: continues probing at the hint, but never below the match index. */
 function recordMismatch(progress: Progress, rejectedIndex: number, hintIndex: number): void {
   const isStale = rejectedIndex <= progress.matchIndex || rejectedIndex >= progress.nextIndex;
   if (isStale || progress.mode === 'snapshot') {
--- a/src/shared/consensus/check-quorum.ts
+++ b/src/shared/consensus/check-quorum.ts
@@ -1,12 +1,6 @@
 /**
- * @file May this leader go on leading?
- *
- * Inputs: when a message of each voter last came (ms on the step's clock), the membership, and
- * `ConsensusOptions.electionTimeoutMs`.
- *
- * A leader that no quorum of voters has answered within an election timeout steps down: the others may have elected a
- * new leader by then, and a leader that is cut off must stop to answer for the group (check-quorum). A shorter time
- * would give up leaders on a passing delay; a longer one would let callers wait at a leader that can commit nothing.
+ * @file Check-quorum: a leader steps down when no quorum of voters has responded within an election timeout, since the
+ * others may have elected a new leader by then.
  */
 import type { StepScope } from './consensus-events.js';
 import { currentMembership, type LeaderRole } from './consensus-state.js';
@@ -16,7 +10,7 @@
 import { becomeFollower } from './roles.js';
 
 /**
- * What a leader does as time goes on: steps down without a quorum, sends heartbeats, goes on with a transfer.
+ * Runs a leader's periodic work: check-quorum, heartbeats and a pending leadership transfer.
  */
 export function leaderTick(scope: StepScope): void {
   const { state, context } = scope;
@@ -36,8 +30,8 @@
 }
 
 /**
- * @param membership the one in effect, or the one that a change would lead to
- * @returns true where a quorum of its voters has answered within an election timeout
+ * @param membership the current membership, or a proposed one
+ * @returns true if a quorum of its voters has responded within an election timeout
  */
 export function hasQuorumContact(
   { state, context }: StepScope,
--- a/src/shared/consensus/consensus-events.ts
+++ b/src/shared/consensus/consensus-events.ts
@@ -1,5 +1,5 @@
 /**
- * @file Events and effects of the consensus step.
+ * @file Types of the events that the consensus step handles and of the effects that it returns.
  */
 import type { StepContext } from '../common/step.js';
 import type { ConsensusState } from './consensus-state.js';
@@ -8,42 +8,42 @@
 import type { MemberChange, Membership, NodeId } from './membership.js';
 import type { PersistEffect, PersistEvent, Snapshot } from './persisted-state.js';
 
-/** Why a proposal, a read or a membership change was refused or given up. */
+/** Why a proposal, a read or a membership change was refused or abandoned. */
 export type RefusalKind = 'not-leader' | 'no-quorum' | 'storage-failed' | 'conflict' | 'not-found';
 
-/** What can happen to a member. */
+/** Input of the consensus step. */
 export type ConsensusEvent =
   | {
       readonly type: 'consensus-message';
       readonly from: Sender;
       readonly message: ConsensusMessage;
     }
-  /** Append a command; answered by `proposal-appended` or `proposal-refused`. */
+  /** Appends a command; answered by `proposal-appended` or `proposal-refused`. */
   | { readonly type: 'propose'; readonly proposalId: number; readonly data: Uint8Array }
-  /** Confirm that this member leads; answered by `read-ready` or `read-refused`. */
+  /** Confirms that this member is the leader; answered by `read-ready` or `read-refused`. */
   | { readonly type: 'read'; readonly readId: number }
-  /** Answered like a proposal. */
+  /** Answered by `proposal-appended` or `proposal-refused`. */
   | {
       readonly type: 'change-membership';
       readonly proposalId: number;
       readonly change: MemberChange;
     }
-  /** Begin a new cluster with these members; only for a machine that belongs to none. */
+  /** Starts a new cluster with these members; ignored if this machine already belongs to a cluster. */
   | {
       readonly type: 'bootstrap';
       readonly clusterId: string;
       readonly membership: Membership;
     }
-  /** A member of this cluster has called on this machine, which belonged to none. */
+  /** Joins the cluster of a member that contacted this machine; ignored if it already belongs to one. */
   | { readonly type: 'join-cluster'; readonly clusterId: string }
-  /** Hand leadership to the voter that is furthest along; before a planned stop. */
+  /** Hands leadership to the most up-to-date voter, before a planned stop. */
   | { readonly type: 'transfer-leadership' }
-  /** The state machine at an applied index, to compact the log. */
+  /** Encoded state machine at an applied index; allows the log to be compacted. */
   | { readonly type: 'snapshot-taken'; readonly index: number; readonly data: Uint8Array }
   | PersistEvent
   | { readonly type: 'tick' };
 
-/** What the step asks of its surroundings. */
+/** Output of the consensus step, to be carried out by the caller. */
 export type ConsensusEffect =
   | PersistEffect
   | {
@@ -51,9 +51,9 @@
       readonly to: NodeId;
       readonly message: ConsensusMessage;
     }
-  /** Apply these entries, in order; they never revert. */
+  /** Apply these entries in order; they are never reverted. */
   | { readonly type: 'committed'; readonly entries: readonly LogEntry[] }
-  /** Replace the state machine by this snapshot. */
+  /** Replace the state machine with this snapshot. */
   | { readonly type: 'restore-snapshot'; readonly snapshot: Snapshot }
   | {
       readonly type: 'proposal-appended';
@@ -69,15 +69,15 @@
     }
   | { readonly type: 'read-ready'; readonly readId: number }
   | { readonly type: 'read-refused'; readonly readId: number; readonly kind: RefusalKind }
-  /** This member ceased to lead; entries not yet committed may or may not commit. */
+  /** This member is no longer the leader; its uncommitted entries may or may not commit. */
   | { readonly type: 'leadership-lost'; readonly kind: RefusalKind }
-  /** Role, term or known leader changed; for logs. */
+  /** The role or the known leader changed. */
   | { readonly type: 'role-changed' };
 
-/** What the parts of one step share. */
+/** State, context and effects that the handlers of one step share. */
 export interface StepScope {
   readonly state: ConsensusState;
   readonly context: StepContext;
-  /** Effects so far, in order. */
+  /** Effects collected so far, in order. */
   readonly effects: ConsensusEffect[];
 }
--- a/src/shared/consensus/consensus-state.ts
+++ b/src/shared/consensus/consensus-state.ts
@@ -1,48 +1,45 @@
 /**
- * @file The state of one member of a consensus group, and how it is rebuilt from disk at a start.
+ * @file State of one member of a consensus group, and its recovery from disk.
  */
 import type { LogPosition } from './log.js';
 import { ReplicatedLog } from './log.js';
 import type { ConsensusMessage } from './messages.js';
-import { findMember, noMembers, type Membership, type NodeId } from './membership.js';
+import { findMember, emptyMembership, type Membership, type NodeId } from './membership.js';
 import type { LogRecord, RecoveredState, Snapshot } from './persisted-state.js';
 
 /** Options of a member; all times in milliseconds. */
 export interface ConsensusOptions {
-  /** Time between two heartbeats of a leader. */
+  /** Interval between a leader's heartbeats. */
   readonly heartbeatIntervalMs: number;
   /**
-   * A follower campaigns after one to two times this without a message from a leader; a leader that no
-   * quorum has answered for this time steps down.
+   * A follower campaigns after one to two times this without a message from the leader; a leader steps down after this
+   * time without responses from a quorum.
    */
   readonly electionTimeoutMs: number;
   /**
-   * The same until the first message of a leader after a start. It may be short, since members that are in contact with a
-   * leader refuse the pre-vote.
-   * Default `electionTimeoutMs`.
+   * Election timeout until the first message of a leader after a start. May be short, since members in contact with a
+   * leader refuse the pre-vote. Default `electionTimeoutMs`.
    */
   readonly firstElectionTimeoutMs?: number;
-  /** Bound of entries in one message. */
+  /** Maximum entries in one message. */
   readonly maxBatchEntries: number;
-  /** Bound of bytes in one message; a single longer entry is sent alone. */
+  /** Maximum bytes of entries in one message; a single larger entry is sent alone. */
   readonly maxBatchBytes: number;
-  /** Bound of messages with entries that are under way to one member. */
+  /** Maximum unacknowledged messages with entries per member. */
   readonly maxInFlightBatches: number;
-  /** Bytes of one part of a snapshot. */
+  /** Maximum bytes of one snapshot chunk. */
   readonly snapshotChunkBytes: number;
-  /** Entries kept before a snapshot, for members that lag a little. */
+  /** Entries kept before a snapshot, so that a slightly lagging member needs no snapshot. */
   readonly trailingEntries: number;
   /**
-   * An entry is committed only once so many voters have it on disk, or all where there are fewer. More
-   * than a quorum lets that many disks less one be lost right after an acknowledgement. Default 1: a
-   * quorum decides alone.
+   * Voters that must have an entry on disk before it is committed, in addition to the quorum rule; all voters if there
+   * are fewer. Default 1, which adds nothing to the quorum.
    */
   readonly minimumCopies?: number;
 }
 
 /**
- * The options of a control machine of `control`; `group` has its own times. The times are not measured one by one: after the
- * kill of a leader of three the next command was accepted after 0.78 to 1.05 s (docs/design/consensus.md).
+ * Options of the `control` machines; `group` machines use their own timing.
  */
 export const defaultConsensusOptions: ConsensusOptions = {
   heartbeatIntervalMs: 100,
@@ -54,35 +51,36 @@
   trailingEntries: 1_000,
 };
 
-/** What a leader knows about one other member. */
+/** Replication progress of one other member, as known to the leader. */
 export interface Progress {
-  /** `probe` finds where the logs match, `replicate` sends ahead, `snapshot` sends a snapshot. */
+  /** `probe` finds where the logs match, `replicate` pipelines batches, `snapshot` sends a snapshot. */
   mode: 'probe' | 'replicate' | 'snapshot';
   /** Highest index known to be on the member's disk. */
   matchIndex: number;
   /** Next index to send. */
   nextIndex: number;
-  /** Last index of each batch under way, oldest first. */
+  /** Last index of each unacknowledged batch, oldest first. */
   inFlight: number[];
   /** Highest confirmation round that the member has echoed. */
   ackedRound: number;
+  /** When the member's last response arrived. */
   receivedAtMs: number;
-  sending: OutgoingSnapshot | undefined;
+  outgoingSnapshot: OutgoingSnapshot | undefined;
 }
 
 /** A snapshot that is being sent. */
 export interface OutgoingSnapshot {
   readonly snapshot: Snapshot;
-  /** Where the part stands that the member wants next, in bytes. */
+  /** Byte offset of the chunk that the member needs next. */
   offset: number;
-  /** When that part was last sent. */
+  /** When that chunk was last sent. */
   sentAtMs: number;
 }
 
-/** A read that waits until a quorum has confirmed that this member still leads. */
+/** A read that waits until a quorum has confirmed that this member is still the leader. */
 export interface PendingRead {
   readonly readId: number;
-  /** The round whose confirmation it waits for; undefined until the term's first commit. */
+  /** The confirmation round that it waits for; undefined until the term's first commit. */
   round: number | undefined;
 }
 
@@ -92,51 +90,51 @@
   readonly progress: Map<NodeId, Progress>;
   /** Index of the no-op that began the term. */
   readonly termStartIndex: number;
-  /** Number of the last confirmation round that was sent. */
+  /** Number of the last confirmation round. */
   round: number;
   pendingReads: PendingRead[];
   nextHeartbeatAtMs: number;
-  /** Leadership is being handed to this voter; no proposals are accepted meanwhile. */
+  /** Transfer in progress; no proposals are accepted while it is set. */
   leadershipTransfer:
-    { readonly target: NodeId; readonly deadlineMs: number; asked: boolean } | undefined;
+    { readonly target: NodeId; readonly deadlineMs: number; isTimeoutNowSent: boolean } | undefined;
 }
 
 /** The role of a member. */
 export type ConsensusRole =
   | { readonly name: 'follower' }
-  /** Receives the log but does not vote for itself: a learner, or a machine outside the group. */
+  /** Receives the log but never campaigns: a learner, or a machine outside the group. */
   | { readonly name: 'learner' }
   | { readonly name: 'pre-candidate'; readonly granted: Set<NodeId> }
   | { readonly name: 'candidate'; readonly granted: Set<NodeId> }
   | LeaderRole;
 
-/** What is done once the writes before it are on disk. */
+/** An action that waits for the writes queued before it to be on disk. */
 export type DeferredAction =
   | { readonly type: 'send'; readonly to: NodeId; readonly message: ConsensusMessage }
   | { readonly type: 'count-own-vote'; readonly term: number };
 
-/** A write under way. */
+/** A disk write in progress. */
 export interface WriteInFlight {
   readonly writeId: number;
-  /** Highest index on disk once it is done. */
+  /** Highest index on disk once the write is done. */
   lastIndex: number;
   readonly deferred: DeferredAction[];
 }
 
-/** The writes of a member: one under way, what gathers meanwhile shares the next. */
+/** Disk writes of a member: at most one in flight, later records are batched into the next one. */
 export interface Persistence {
   nextWriteId: number;
   inFlight: WriteInFlight | undefined;
   records: LogRecord[];
   deferred: DeferredAction[];
-  /** True where the next write replaces the log by snapshot and rest. */
-  snapshotIsDue: boolean;
-  /** Commit index that was last queued for the disk. */
+  /** True if the next write is a snapshot, which replaces the log file. */
+  isSnapshotPending: boolean;
+  /** Last commit index queued for the disk. */
   queuedCommitIndex: number;
 }
 
-/** A membership and the index of the entry that set it. */
-export interface MembershipAt {
+/** A membership and the log index of the entry that set it. */
+export interface IndexedMembership {
   readonly index: number;
   readonly membership: Membership;
 }
@@ -149,39 +147,39 @@
   receivedBytes: number;
 }
 
-/** The state of one member. */
+/** State of one member. */
 export interface ConsensusState {
   readonly options: ConsensusOptions;
   readonly nodeId: NodeId;
   readonly storageId: string;
-  /** Undefined until this machine belongs to a cluster. */
+  /** Undefined until this machine joins a cluster. */
   clusterId: string | undefined;
   term: number;
-  /** Storage ID of the candidate that got this member's vote in `term`. */
+  /** Storage ID of the candidate that this member voted for in `term`. */
   votedFor: string | undefined;
   role: ConsensusRole;
-  /** The leader of `term`, where known. */
+  /** Leader of `term`, if known. */
   leaderId: NodeId | undefined;
   readonly log: ReplicatedLog;
   snapshot: Snapshot | undefined;
-  /** Oldest first; the last one is in effect. Never empty. */
-  memberships: MembershipAt[];
+  /** Oldest first, never empty; the last one is in effect. */
+  memberships: IndexedMembership[];
   commitIndex: number;
-  /** Highest index on this member's own disk. */
+  /** Highest log index on this member's disk. */
   persistedIndex: number;
   readonly persistence: Persistence;
-  /** True after a failed write: this member takes part in nothing until it is restarted. */
+  /** True after a failed write; this member then stays inactive until it is restarted. */
   storageFailed: boolean;
-  /** When a message from the leader of `term` last came. */
+  /** When the last message from a leader arrived; -Infinity if none has. */
   leaderContactAtMs: number;
-  /** When to campaign; undefined until the first tick. */
+  /** Time of the next campaign; undefined until the deadline is first set. */
   electionDeadlineMs: number | undefined;
   incomingSnapshot: IncomingSnapshot | undefined;
 }
 
 /**
- * @param recovered what was found on disk
- * @returns the state of a member that starts; entries up to `commitIndex` may be applied at once
+ * @param recovered state read from disk
+ * @returns initial state of a member; entries up to `commitIndex` may be applied immediately
  */
 export function createConsensusState(
   nodeId: NodeId,
@@ -200,7 +198,9 @@
     leaderId: undefined,
     log: new ReplicatedLog(),
     snapshot,
-    memberships: [{ index: snapshot?.index ?? 0, membership: snapshot?.membership ?? noMembers }],
+    memberships: [
+      { index: snapshot?.index ?? 0, membership: snapshot?.membership ?? emptyMembership },
+    ],
     commitIndex: 0,
     persistedIndex: 0,
     persistence: {
@@ -208,7 +208,7 @@
       inFlight: undefined,
       records: [],
       deferred: [],
-      snapshotIsDue: false,
+      isSnapshotPending: false,
       queuedCommitIndex: 0,
     },
     storageFailed: false,
@@ -250,16 +250,16 @@
 function finishRecovery(state: ConsensusState): void {
   const { snapshot, log } = state;
   if (snapshot !== undefined && log.termAt(snapshot.index) !== snapshot.term) {
-    // The crash came between writing the snapshot and replacing the log, which it supersedes.
+    // A crash after the snapshot was written left the old log file, which the snapshot supersedes.
     log.reset({ index: snapshot.index, term: snapshot.term });
   }
   if (log.last.term > state.term) {
-    // The same crash lost the term in which the snapshot came; no vote was given in it.
+    // Such a crash also lost the term record; this member has not voted in that term.
     state.term = log.last.term;
     state.votedFor = undefined;
   }
-  const known = Math.max(state.commitIndex, snapshot?.index ?? 0);
-  state.commitIndex = Math.min(known, log.last.index);
+  const knownCommitIndex = Math.max(state.commitIndex, snapshot?.index ?? 0);
+  state.commitIndex = Math.min(knownCommitIndex, log.last.index);
   state.persistedIndex = log.last.index;
   state.persistence.queuedCommitIndex = state.commitIndex;
   for (const entry of log.slice((snapshot?.index ?? 0) + 1, log.last.index)) {
@@ -267,18 +267,18 @@
       state.memberships.push({ index: entry.index, membership: entry.content.membership });
     }
   }
-  state.role = restingRole(state);
+  state.role = followerOrLearnerRole(state);
 }
 
 /**
- * @returns the membership in effect: the last one in the log, committed or not
+ * @returns the last membership in the log, which is in effect whether or not it is committed
  */
 export function currentMembership(state: ConsensusState): Membership {
-  return state.memberships.at(-1)?.membership ?? noMembers;
+  return state.memberships.at(-1)?.membership ?? emptyMembership;
 }
 
 /**
- * @returns true where this machine, with this disk, is a voter
+ * @returns true if this machine is a voter with its current storage ID
  */
 export function isVoter(state: ConsensusState): boolean {
   const member = findMember(currentMembership(state), state.nodeId);
@@ -286,8 +286,8 @@
 }
 
 /**
- * @returns the role of a member that neither leads nor campaigns
+ * @returns the role of a member that is neither leader nor campaigning
  */
-export function restingRole(state: ConsensusState): ConsensusRole {
+export function followerOrLearnerRole(state: ConsensusState): ConsensusRole {
   return { name: isVoter(state) ? 'follower' : 'learner' };
 }
--- a/src/shared/consensus/consensus-step.ts
+++ b/src/shared/consensus/consensus-step.ts
@@ -1,14 +1,14 @@
 /**
- * @file The decision step of one member of a consensus group: Raft with pre-vote, check-quorum, read
- * index, learners, one membership change at a time, transfer of leadership, and snapshots.
+ * @file The consensus step of one member: Raft with pre-vote, check-quorum, read index, learners, single-member
+ * membership changes, leadership transfer and snapshots.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../common/step.js';
 import { handleAppendResponse } from './acknowledgements.js';
 import { leaderTick } from './check-quorum.js';
-import { commitByCounting } from './commit-rule.js';
+import { commitReplicatedEntries } from './commit-index.js';
 import type { ConsensusEffect, ConsensusEvent, StepScope } from './consensus-events.js';
-import { restingRole, type ConsensusState } from './consensus-state.js';
+import { followerOrLearnerRole, type ConsensusState } from './consensus-state.js';
 import {
   countOwnVote,
   electionTick,
@@ -32,12 +32,12 @@
 } from './snapshot-install.js';
 import { startLeadershipTransfer } from './leadership-transfer.js';
 
-/** Term of the membership with which a cluster begins; leaders have later ones. */
+/** Term of the first membership entry of a cluster; every elected leader has a later term. */
 const BOOTSTRAP_TERM = 1;
 
 /**
- * Handles one event.
- * @returns the effects, in order
+ * Handles one event and updates `state` in place.
+ * @returns the effects to carry out, in order
  */
 export function consensusStep(
   state: ConsensusState,
@@ -55,7 +55,7 @@
     .with({ type: 'bootstrap' }, ({ clusterId, membership }) =>
       handleBootstrap(scope, clusterId, membership),
     )
-    .with({ type: 'join-cluster' }, ({ clusterId }) => joinCluster(state, clusterId))
+    .with({ type: 'join-cluster' }, ({ clusterId }) => handleJoinCluster(state, clusterId))
     .with({ type: 'transfer-leadership' }, () => startLeadershipTransfer(scope))
     .with({ type: 'snapshot-taken' }, ({ index, data }) => handleSnapshotTaken(state, index, data))
     .with({ type: 'persisted' }, ({ writeId }) => handlePersisted(scope, writeId))
@@ -81,7 +81,7 @@
     .with({ type: 'pre-vote-request' }, (request) => handlePreVoteRequest(scope, from, request))
     .with({ type: 'vote-request' }, (request) => handleVoteRequest(scope, from, request))
     .with({ type: 'append-request' }, { type: 'snapshot-chunk' }, (request) =>
-      handleFromLeader(scope, from, request),
+      handleLeaderMessage(scope, from, request),
     )
     .with({ type: 'timeout-now' }, ({ term }) => {
       if (term === scope.state.term && scope.state.role.name === 'follower') {
@@ -99,14 +99,14 @@
     });
 }
 
-function handleFromLeader(
+function handleLeaderMessage(
   scope: StepScope,
   from: Sender,
   request: AppendRequest | SnapshotChunk,
 ): void {
   const { state } = scope;
   if (request.term < state.term) {
-    sendNewerTerm(scope, from);
+    rejectStaleLeader(scope, from);
     return;
   }
   followLeader(scope, from, request.term);
@@ -117,8 +117,8 @@
   }
 }
 
-/** A leader of an earlier term steps down when it learns of a later one. */
-function sendNewerTerm(scope: StepScope, from: Sender): void {
+/** Reports the current term to a leader of an earlier term, which then steps down. */
+function rejectStaleLeader(scope: StepScope, from: Sender): void {
   sendPersisted(scope, from.nodeId, {
     type: 'append-response',
     term: scope.state.term,
@@ -151,10 +151,10 @@
   appendEntries(state, [
     { index: 1, term: BOOTSTRAP_TERM, content: { type: 'membership', membership } },
   ]);
-  state.role = restingRole(state);
+  state.role = followerOrLearnerRole(state);
 }
 
-function joinCluster(state: ConsensusState, clusterId: string): void {
+function handleJoinCluster(state: ConsensusState, clusterId: string): void {
   if (state.clusterId === undefined) {
     state.clusterId = clusterId;
     queueRecord(state, { type: 'cluster', clusterId });
@@ -168,10 +168,10 @@
       .with({ type: 'count-own-vote' }, ({ term }) => countOwnVote(scope, term))
       .exhaustive();
   }
-  commitByCounting(scope);
+  commitReplicatedEntries(scope);
 }
 
-/** What is on this disk is not known any more: nothing is promised until a restart reads it again. */
+/** The content of the disk is unknown after a failed write, so the member stays inactive until it is restarted. */
 function handlePersistFailed(scope: StepScope): void {
   const { state } = scope;
   state.storageFailed = true;
--- a/src/shared/consensus/election.ts
+++ b/src/shared/consensus/election.ts
@@ -1,17 +1,6 @@
 /**
- * @file When does a member campaign, and whom does it vote for?
- *
- * Inputs: the time since the leader's last message (ms), the term and last position of both logs, whom the member voted for
- * in this term, and `electionTimeoutMs`.
- *
- * A voter without contact to a leader asks for pre-votes, which change nothing at the others, so that a machine that
- * comes back disturbs nobody; with a quorum of these it campaigns in a new term. A vote is given at most once a term, to a
- * candidate whose log is not behind, and not while a leader is in contact, unless that leader asked for the election
- * itself. Votes are answered only once they are on disk. A candidate that doesn't win campaigns again after one to two
- * timeouts, drawn at random so that two of them don't collide for ever.
- *
- * The timeouts and their reason stand in `registered/group/timing.ts` and in `defaultConsensusOptions`; how long elections
- * take is measured in docs/design/consensus.md.
+ * @file Leader election: pre-vote, campaign and voting. Pre-votes change no state at the other members, so a returning
+ * machine does not depose a leader; a vote is sent only once it is on disk.
  */
 import type { StepScope } from './consensus-events.js';
 import { currentMembership, isVoter, type ConsensusState } from './consensus-state.js';
@@ -28,25 +17,25 @@
 import {
   appendOwnEntry,
   becomeFollower,
-  freshProgress,
+  initialProgress,
   resetElectionDeadline,
   sendPersisted,
 } from './roles.js';
 
 /**
- * Starts a campaign where it is time. The only voter of a cluster does not wait.
+ * Starts a pre-vote when the election deadline has passed; immediately if this is the only voter.
  */
 export function electionTick(scope: StepScope): void {
   const { state, context } = scope;
   if (state.role.name === 'leader' || !isVoter(state)) {
     return;
   }
-  const isAlone = votersOf(currentMembership(state)).length === 1;
+  const isOnlyVoter = votersOf(currentMembership(state)).length === 1;
   if (state.electionDeadlineMs === undefined) {
     resetElectionDeadline(scope);
   }
-  const waits = isAlone && state.role.name === 'candidate';
-  if (!waits && (isAlone || context.nowMs >= (state.electionDeadlineMs ?? 0))) {
+  const awaitsOwnVote = isOnlyVoter && state.role.name === 'candidate';
+  if (!awaitsOwnVote && (isOnlyVoter || context.nowMs >= (state.electionDeadlineMs ?? 0))) {
     startPreVote(scope);
   }
 }
@@ -63,7 +52,7 @@
   }
   const { index: lastIndex, term: lastTerm } = state.log.last;
   for (const nodeId of otherVoters(state)) {
-    // The first message of a new cluster makes its receiver a member for good, so it waits for the disk.
+    // Waits for the disk: the first message of a new cluster makes its receiver join that cluster permanently.
     sendPersisted(scope, nodeId, {
       type: 'pre-vote-request',
       term: state.term + 1,
@@ -74,8 +63,8 @@
 }
 
 /**
- * Campaigns in a new term. The own vote counts, and the others are asked, once it is on disk.
- * @param isTransfer true where the leader asked for it
+ * Starts a campaign in a new term. Counts this member's vote and sends vote requests once the vote is on disk.
+ * @param isTransfer true if the leader requested the election
  */
 export function startElection(scope: StepScope, isTransfer: boolean): void {
   const { state } = scope;
@@ -100,7 +89,7 @@
 }
 
 /**
- * The candidate's own vote is on disk.
+ * Counts the candidate's vote for itself once it is on disk; ignored if the term has changed.
  */
 export function countOwnVote(scope: StepScope, term: number): void {
   if (term === scope.state.term) {
@@ -109,7 +98,7 @@
 }
 
 /**
- * Answers whether a vote would be granted.
+ * Answers whether a vote would be granted in the requested term, without changing state.
  */
 export function handlePreVoteRequest(
   scope: StepScope,
@@ -126,7 +115,7 @@
 }
 
 /**
- * Counts a pre-vote.
+ * Counts a granted pre-vote and starts the election when a quorum has granted one.
  */
 export function handlePreVoteResponse(
   scope: StepScope,
@@ -135,7 +124,7 @@
 ): void {
   const { state } = scope;
   const isCurrent = response.granted && response.term === state.term + 1;
-  if (state.role.name !== 'pre-candidate' || !isCurrent || !isVoterSender(state, from)) {
+  if (state.role.name !== 'pre-candidate' || !isCurrent || !isFromVoter(state, from)) {
     return;
   }
   state.role.granted.add(from.nodeId);
@@ -145,8 +134,8 @@
 }
 
 /**
- * Votes, at most once in a term, for a candidate whose log is not behind. While a leader is in contact,
- * nobody is voted for unless the leader asked for it.
+ * Votes at most once per term, for a candidate whose log is up to date. Refuses while a leader is in contact, unless the
+ * leader requested the election.
  */
 export function handleVoteRequest(scope: StepScope, from: Sender, request: VoteRequest): void {
   const { state } = scope;
@@ -167,11 +156,11 @@
 }
 
 /**
- * Counts a vote.
+ * Counts a granted vote and becomes leader with a quorum.
  */
 export function handleVoteResponse(scope: StepScope, from: Sender, response: VoteResponse): void {
   const { state } = scope;
-  if (response.granted && response.term === state.term && isVoterSender(state, from)) {
+  if (response.granted && response.term === state.term && isFromVoter(state, from)) {
     countVote(scope, from.nodeId);
   }
 }
@@ -193,7 +182,7 @@
   const others = members.filter(({ nodeId }) => nodeId !== state.nodeId);
   state.role = {
     name: 'leader',
-    progress: new Map(others.map(({ nodeId }) => [nodeId, freshProgress(state, context.nowMs)])),
+    progress: new Map(others.map(({ nodeId }) => [nodeId, initialProgress(state, context.nowMs)])),
     termStartIndex: state.log.last.index + 1,
     round: 0,
     pendingReads: [],
@@ -210,8 +199,8 @@
   if (state.role.name === 'leader') {
     return true;
   }
-  const silentMs = context.nowMs - state.leaderContactAtMs;
-  return state.leaderId !== undefined && silentMs < state.options.electionTimeoutMs;
+  const sinceContactMs = context.nowMs - state.leaderContactAtMs;
+  return state.leaderId !== undefined && sinceContactMs < state.options.electionTimeoutMs;
 }
 
 function isUpToDate(state: ConsensusState, lastIndex: number, lastTerm: number): boolean {
@@ -231,7 +220,7 @@
     .filter((nodeId) => nodeId !== state.nodeId);
 }
 
-function isVoterSender(state: ConsensusState, from: Sender): boolean {
+function isFromVoter(state: ConsensusState, from: Sender): boolean {
   const member = findMember(currentMembership(state), from.nodeId);
   return member?.role === 'voter' && member.storageId === from.storageId;
 }
--- a/src/shared/consensus/follower.ts
+++ b/src/shared/consensus/follower.ts
@@ -1,15 +1,14 @@
 /**
- * @file The receiving side of replication: stores entries that follow on a matching position, and
- * acknowledges them once they are on disk. Entries that conflict with those of the leader are dropped; a committed
- * one never conflicts, and a leader that sends such a one is a fault that must not go on.
+ * @file Receiving side of log replication: stores entries after a matching position, drops conflicting uncommitted
+ * entries, and acknowledges once everything is on disk.
  */
 import type { StepScope } from './consensus-events.js';
-import { restingRole, type ConsensusState } from './consensus-state.js';
+import { followerOrLearnerRole, type ConsensusState } from './consensus-state.js';
 import type { LogEntry } from './log.js';
 import type { AppendRequest, Sender } from './messages.js';
 import { truncateLog } from './persistence.js';
 import {
-  advanceCommit,
+  advanceCommitIndex,
   appendEntries,
   becomeFollower,
   resetElectionDeadline,
@@ -17,7 +16,7 @@
 } from './roles.js';
 
 /**
- * Follows the sender of a message that only the leader of `term` sends.
+ * Follows the sender of an append request or snapshot chunk as the leader of `term`.
  */
 export function followLeader(scope: StepScope, from: Sender, term: number): void {
   const { state, context } = scope;
@@ -30,12 +29,12 @@
 }
 
 /**
- * Stores entries, or answers a heartbeat, of the leader of the current term.
+ * Handles entries or a heartbeat from the leader of the current term.
  */
 export function handleAppendRequest(scope: StepScope, from: Sender, request: AppendRequest): void {
   const { state } = scope;
   const { previousIndex, previousTerm, round } = request;
-  if (!matches(state, previousIndex, previousTerm)) {
+  if (!matchesLog(state, previousIndex, previousTerm)) {
     sendPersisted(scope, from.nodeId, {
       type: 'append-response',
       term: state.term,
@@ -48,7 +47,7 @@
   }
   storeEntries(state, request.entries);
   const matchIndex = previousIndex + request.entries.length;
-  advanceCommit(scope, Math.min(request.commitIndex, matchIndex));
+  advanceCommitIndex(scope, Math.min(request.commitIndex, matchIndex));
   sendPersisted(scope, from.nodeId, {
     type: 'append-response',
     term: state.term,
@@ -58,12 +57,12 @@
   });
 }
 
-/** Everything up to the base of the log is committed and so matches any leader's log. */
-function matches(state: ConsensusState, index: number, term: number): boolean {
+/** Entries up to the log's base are committed, so they match any leader's log. */
+function matchesLog(state: ConsensusState, index: number, term: number): boolean {
   return index <= state.log.base.index || state.log.termAt(index) === term;
 }
 
-/** Where the terms differ, the whole run of the conflicting term is skipped. */
+/** Highest index that may match; skips all entries of the conflicting term at once. */
 function matchHint(state: ConsensusState, rejectedIndex: number): number {
   const { log, commitIndex } = state;
   if (rejectedIndex > log.last.index) {
@@ -74,11 +73,11 @@
 
 function storeEntries(state: ConsensusState, entries: readonly LogEntry[]): void {
   const { log } = state;
-  const firstNew = entries.findIndex(
+  const firstNewPosition = entries.findIndex(
     ({ index, term }) => index > log.base.index && log.termAt(index) !== term,
   );
-  const fresh = firstNew < 0 ? [] : entries.slice(firstNew);
-  const first = fresh[0];
+  const newEntries = firstNewPosition < 0 ? [] : entries.slice(firstNewPosition);
+  const first = newEntries[0];
   if (first === undefined) {
     return;
   }
@@ -86,6 +85,6 @@
     throw new Error(`Entry ${first.index} conflicts with a committed one.`);
   }
   truncateLog(state, first.index);
-  appendEntries(state, fresh);
-  state.role = restingRole(state);
+  appendEntries(state, newEntries);
+  state.role = followerOrLearnerRole(state);
 }
--- a/src/shared/consensus/log.ts
+++ b/src/shared/consensus/log.ts
@@ -1,14 +1,14 @@
 /**
- * @file The replicated log in memory: the entries after a base position. Entries up to the base were
- * compacted into a snapshot.
+ * @file The in-memory replicated log: entries after a base position. Entries up to the base have been compacted into a
+ * snapshot.
  */
 import type { Membership } from './membership.js';
 
-/** What an entry carries. */
+/** Content of a log entry. */
 export type EntryContent =
-  /** First entry of a leader's term, by which it learns what is committed. */
+  /** First entry of a leader's term; committing it also commits the entries of earlier terms. */
   | { readonly type: 'no-op' }
-  /** A command of the state machine, in its encoded form. */
+  /** An encoded state machine command. */
   | { readonly type: 'command'; readonly data: Uint8Array }
   | { readonly type: 'membership'; readonly membership: Membership };
 
@@ -23,36 +23,36 @@
   readonly content: EntryContent;
 }
 
-/** Bytes that an entry takes besides its command, roughly. */
+/** Approximate size of an entry without its command. */
 const ENTRY_OVERHEAD_BYTES = 64;
 
 /**
- * @returns about how many bytes an entry takes in a message
+ * @returns the approximate size of an entry in a message
  */
 function entrySizeBytes(entry: LogEntry): number {
   const { content } = entry;
   return ENTRY_OVERHEAD_BYTES + (content.type === 'command' ? content.data.length : 0);
 }
 
-/** The entries after a base position; indexes have no gaps. */
+/** Entries after a base position, with consecutive indexes. */
 export class ReplicatedLog {
   constructor(
     private basePosition: LogPosition = { index: 0, term: 0 },
     private entries: LogEntry[] = [],
   ) {}
 
-  /** The position just before the first entry that is held. */
+  /** Position just before the first entry. */
   get base(): LogPosition {
     return this.basePosition;
   }
 
-  /** The position of the last entry, or the base where there is none. */
+  /** Position of the last entry, or the base if there are no entries. */
   get last(): LogPosition {
     const entry = this.entries.at(-1);
     return entry === undefined ? this.basePosition : { index: entry.index, term: entry.term };
   }
 
-  /** @returns the term of the entry at `index`, or undefined where it is not held */
+  /** @returns the term at `index` (the base included), or undefined if the log does not contain it */
   termAt(index: number): number | undefined {
     return index === this.basePosition.index ? this.basePosition.term : this.entryAt(index)?.term;
   }
@@ -68,12 +68,12 @@
     this.entries.push(entry);
   }
 
-  /** Drops the entries from `index` on. */
+  /** Removes the entries from `index` on. */
   truncateFrom(index: number): void {
     this.entries.length = Math.max(0, index - this.basePosition.index - 1);
   }
 
-  /** Drops the entries up to `index`, which becomes the base. */
+  /** Removes the entries up to `index`, which becomes the base. */
   compactTo(index: number): void {
     const term = this.termAt(index);
     if (term === undefined || index <= this.basePosition.index) {
@@ -83,19 +83,19 @@
     this.basePosition = { index, term };
   }
 
-  /** Drops everything and starts again after `base`. */
+  /** Removes all entries and sets a new base. */
   reset(base: LogPosition): void {
     this.entries = [];
     this.basePosition = base;
   }
 
-  /** @returns the entries from `first` to `last`, both included */
+  /** @returns the entries from `first` to `last`, inclusive */
   slice(first: number, last: number): LogEntry[] {
     const offset = this.basePosition.index + 1;
     return this.entries.slice(Math.max(0, first - offset), Math.max(0, last - offset + 1));
   }
 
-  /** @returns the entries from `first` on that fit into one message; at least one where there is one */
+  /** @returns the entries from `first` on that fit into one message; at least one if there are any */
   batchFrom(first: number, maxEntries: number, maxBytes: number): LogEntry[] {
     const batch: LogEntry[] = [];
     let bytes = 0;
@@ -113,7 +113,7 @@
     return batch;
   }
 
-  /** @returns the first index of the run of entries that have the term of the one at `index` */
+  /** @returns the first index of the consecutive entries that share the term at `index` */
   firstIndexOfTermAt(index: number): number {
     const term = this.termAt(index);
     let first = index;
--- a/src/shared/consensus/membership.ts
+++ b/src/shared/consensus/membership.ts
@@ -1,42 +1,41 @@
 /**
- * @file The members of a consensus group. A member is named by its node ID and its storage ID: a
- * machine that lost its disk comes back with another storage ID and is another member.
+ * @file Membership of a consensus group. A member is identified by node ID and storage ID: a machine that lost its disk
+ * returns with a new storage ID and is a different member.
  */
 import type { Address } from '../common/address.js';
 
-/** Name of a machine, from its settings. */
+/** Machine name from the settings. */
 export type NodeId = string;
 
-/** Voters elect and commit; learners only receive the log. */
+/** Voters count for elections and commits; learners only receive the log. */
 export type MemberRole = 'voter' | 'learner';
 
-/** One member. */
+/** A member of the group. */
 export interface Member {
   readonly nodeId: NodeId;
-  /** Made at the first start with an empty disk. */
+  /** Generated at the first start with an empty disk. */
   readonly storageId: string;
   readonly role: MemberRole;
-  /** TCP address of its links. */
+  /** TCP address for links to this member. */
   readonly linkAddress: Address;
-  /** HTTP address of its operator interface. */
+  /** HTTP address of its operator API. */
   readonly operatorAddress: Address;
 }
 
-/** All members, ordered by node ID; at most one per node ID. */
+/** All members, sorted by node ID, which is unique. */
 export interface Membership {
   readonly members: readonly Member[];
 }
 
-/** One change of the membership; only one member at a time ever changes. */
+/** A membership change; changes are applied one at a time. */
 export type MemberChange =
   /** Adds a learner. */
   | { readonly type: 'add-member'; readonly member: Omit<Member, 'role'> }
-  /** Makes a learner that has caught up a voter. */
+  /** Promotes a caught-up learner to voter. */
   | { readonly type: 'promote-member'; readonly nodeId: NodeId }
   /**
-   * Makes a learner that has caught up a voter in the place of a voter whose disk is gone for good. Safe
-   * in one step only because the replaced voter can never vote or acknowledge again: any quorum of the
-   * old voters then leaves out the lost one, and so meets any quorum of the new voters.
+   * Promotes a caught-up learner in place of a voter whose disk is permanently lost. Safe in one step only because the
+   * lost voter can never vote or acknowledge again, so every old quorum excludes it and overlaps every new quorum.
    */
   | {
       readonly type: 'replace-member';
@@ -45,67 +44,66 @@
     }
   | { readonly type: 'remove-member'; readonly nodeId: NodeId };
 
-/** No members: the membership of a machine that belongs to no cluster yet. */
-export const noMembers: Membership = { members: [] };
+/** Membership of a machine that belongs to no cluster yet. */
+export const emptyMembership: Membership = { members: [] };
 
 /**
- * @returns the member with this node ID
+ * @returns the member with this node ID, or undefined
  */
 export function findMember(membership: Membership, nodeId: NodeId): Member | undefined {
   return membership.members.find((member) => member.nodeId === nodeId);
 }
 
 /**
- * @returns the voters, ordered by node ID
+ * @returns the voters, sorted by node ID
  */
 export function votersOf(membership: Membership): Member[] {
   return membership.members.filter((member) => member.role === 'voter');
 }
 
 /**
- * @returns how many voters a decision needs
+ * @returns the number of voters in a majority
  */
 export function quorumSize(membership: Membership): number {
   return Math.floor(votersOf(membership).length / 2) + 1;
 }
 
 /**
- * @param minimumCopies how many disks must hold an entry before it counts as committed
- * @returns how many voters must have an entry on disk: a quorum, and as many copies as are asked for
- *   where there are so many voters
+ * @param minimumCopies voters that must have an entry on disk, in addition to the quorum rule
+ * @returns voters that must have an entry on disk before it is committed; at least a quorum, at most all voters
  */
-export function commitSize(membership: Membership, minimumCopies: number): number {
+export function commitQuorumSize(membership: Membership, minimumCopies: number): number {
   const voters = votersOf(membership).length;
   return Math.max(quorumSize(membership), Math.min(minimumCopies, voters));
 }
 
 /**
- * @param count how many voters must have reached a value
- * @param valueOf what a voter has reached: an index, a round
- * @returns the highest value that so many voters have reached; 0 where there are fewer voters
+ * @param voterCount number of voters that must have reached the value
+ * @param valueOf the value that a voter has reached, such as a log index or a round
+ * @returns the highest value that at least `voterCount` voters have reached; 0 if there are fewer voters
  */
-export function reachedByVoters(
+export function highestReachedByVoters(
   membership: Membership,
-  count: number,
+  voterCount: number,
   valueOf: (nodeId: NodeId) => number,
 ): number {
   const values = votersOf(membership)
     .map(({ nodeId }) => valueOf(nodeId))
     .sort((a, b) => b - a);
-  return values[count - 1] ?? 0;
+  return values[voterCount - 1] ?? 0;
 }
 
 /**
- * @returns members ordered by node ID
+ * @returns a membership with the members sorted by node ID
  */
 export function sortedMembership(members: readonly Member[]): Membership {
   return { members: [...members].sort((a, b) => (a.nodeId < b.nodeId ? -1 : 1)) };
 }
 
 /**
- * @returns the membership after a change, or undefined where the change does not apply
+ * @returns the membership after a change, or undefined if the change does not apply
  */
-export function changedMembership(
+export function applyMemberChange(
   membership: Membership,
   change: MemberChange,
 ): Membership | undefined {
@@ -126,13 +124,13 @@
       : undefined;
   }
   if (change.type === 'replace-member') {
-    return replacedMembership(membership, member, change.lostNodeId);
+    return applyReplacement(membership, member, change.lostNodeId);
   }
   const isLastVoter = member.role === 'voter' && votersOf(membership).length === 1;
   return isLastVoter ? undefined : sortedMembership(others);
 }
 
-function replacedMembership(
+function applyReplacement(
   membership: Membership,
   learner: Member,
   lostNodeId: NodeId,
--- a/src/shared/consensus/messages.ts
+++ b/src/shared/consensus/messages.ts
@@ -1,57 +1,57 @@
 /**
- * @file Messages between the members of a consensus group.
+ * @file Types of the messages between the members of a consensus group.
  */
 import type { LogEntry } from './log.js';
 import type { Membership, NodeId } from './membership.js';
 
-/** Asks whether a vote would be granted; changes nothing at the receiver. */
+/** Asks whether a vote would be granted, without changing the receiver's state. */
 export interface PreVoteRequest {
   readonly type: 'pre-vote-request';
-  /** The term that the sender would campaign in. */
+  /** Term in which the sender would campaign. */
   readonly term: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-/** Answer to a pre-vote request. */
+/** Response to a pre-vote request. */
 export interface PreVoteResponse {
   readonly type: 'pre-vote-response';
-  /** The term asked about where granted, else the receiver's own term. */
+  /** The requested term if granted, otherwise the responder's current term. */
   readonly term: number;
   readonly granted: boolean;
 }
 
-/** Asks for a vote. */
+/** Asks for a vote in the sender's term. */
 export interface VoteRequest {
   readonly type: 'vote-request';
   readonly term: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** True where the leader itself asked the sender to take over. */
+  /** True if the leader requested this election to transfer leadership. */
   readonly isTransfer: boolean;
 }
 
-/** Answer to a vote request. */
+/** Response to a vote request. */
 export interface VoteResponse {
   readonly type: 'vote-response';
   readonly term: number;
   readonly granted: boolean;
 }
 
-/** Leader to member: entries after a position; without entries a heartbeat. */
+/** Leader to member: entries after a log position, or a heartbeat if there are none. */
 export interface AppendRequest {
   readonly type: 'append-request';
   readonly term: number;
   readonly previousIndex: number;
   readonly previousTerm: number;
   readonly entries: readonly LogEntry[];
-  /** What the receiver may commit. */
+  /** Index up to which the receiver may commit. */
   readonly commitIndex: number;
-  /** Number of the confirmation round, echoed in the response. */
+  /** Read confirmation round, echoed in the response. */
   readonly round: number;
 }
 
-/** Answer to an append request or to the last chunk of a snapshot. */
+/** Response to an append request or to the last chunk of a snapshot. */
 export type AppendResponse = {
   readonly type: 'append-response';
   readonly term: number;
@@ -60,27 +60,27 @@
   | { readonly success: true; readonly matchIndex: number }
   | {
       readonly success: false;
-      /** The previous index of the request that did not match. */
+      /** `previousIndex` of the request, at which the logs do not match. */
       readonly rejectedIndex: number;
-      /** The highest index that may match. */
+      /** Highest index at which the logs may match. */
       readonly hintIndex: number;
     }
 );
 
-/** Leader to member: a part of a snapshot. */
+/** Leader to member: one chunk of a snapshot. */
 export interface SnapshotChunk {
   readonly type: 'snapshot-chunk';
   readonly term: number;
   readonly snapshotIndex: number;
   readonly snapshotTerm: number;
   readonly membership: Membership;
-  /** Where the part stands in the snapshot, in bytes. */
+  /** Byte offset of the chunk in the snapshot. */
   readonly offset: number;
   readonly totalBytes: number;
   readonly data: Uint8Array;
 }
 
-/** Member to leader: which part of a snapshot it wants next. */
+/** Member to leader: byte offset of the snapshot chunk that it needs next. */
 export interface SnapshotChunkResponse {
   readonly type: 'snapshot-chunk-response';
   readonly term: number;
@@ -88,7 +88,7 @@
   readonly nextOffset: number;
 }
 
-/** Leader to voter: campaign at once, without waiting for a timeout. */
+/** Leader to voter: start an election immediately, as part of a leadership transfer. */
 export interface TimeoutNow {
   readonly type: 'timeout-now';
   readonly term: number;
@@ -106,7 +106,7 @@
   | SnapshotChunkResponse
   | TimeoutNow;
 
-/** Who sent a message; votes and acknowledgements count only from the member meant by both IDs. */
+/** Sender of a message; its votes and acknowledgements count only if both IDs match a member. */
 export interface Sender {
   readonly nodeId: NodeId;
   readonly storageId: string;
--- a/src/shared/consensus/persisted-state.ts
+++ b/src/shared/consensus/persisted-state.ts
@@ -1,43 +1,43 @@
 /**
- * @file What a member keeps on disk: the records that are appended, the snapshot, and the state that is
- * recovered from them. Plain data, so that real and virtual disks hold the same.
+ * @file Types of the data that a member keeps on disk: log records, the snapshot, and the state recovered from them.
+ * Plain data, so that real and simulated disks share them.
  */
 import type { LogEntry, LogPosition } from './log.js';
 import type { Membership, NodeId } from './membership.js';
 
-/** A record of the log file; the order of records matters. */
+/** A record of the log file; records are replayed in the order in which they were written. */
 export type LogRecord =
-  /** First record of a log file: the position after which its entries begin. */
+  /** First record of a log file: the position just before its first entry. */
   | { readonly type: 'base'; readonly base: LogPosition }
-  /** The cluster that this machine belongs to from now on. */
+  /** The cluster that this machine has joined. */
   | { readonly type: 'cluster'; readonly clusterId: string }
   | { readonly type: 'vote'; readonly term: number; readonly votedFor: NodeId | undefined }
   | { readonly type: 'entries'; readonly entries: readonly LogEntry[] }
-  /** All entries from this index on are void. */
+  /** Removes all entries from this index on. */
   | { readonly type: 'truncate'; readonly fromIndex: number }
-  /** Entries up to this index are known to be committed; written along with others, never alone. */
+  /** Commit index; only written together with other records. */
   | { readonly type: 'commit'; readonly index: number };
 
-/** The state machine at a position, in its encoded form. */
+/** The encoded state machine at a log position. */
 export interface Snapshot extends LogPosition {
   readonly membership: Membership;
   readonly data: Uint8Array;
 }
 
-/** What was found on disk at a start. */
+/** State read from disk at startup. */
 export interface RecoveredState {
-  /** Made at the first start with an empty disk. */
+  /** Generated at the first start with an empty disk. */
   readonly storageId: string;
   readonly snapshot: Snapshot | undefined;
-  /** Records in the order in which they were written. */
+  /** Records in write order. */
   readonly records: readonly LogRecord[];
 }
 
-/** Writes to disk, in order, one at a time. */
+/** A disk write; writes are issued one at a time. */
 export type PersistEffect =
-  /** Append these records and sync them. */
+  /** Append these records to the log file and sync it. */
   | { readonly type: 'persist'; readonly writeId: number; readonly records: readonly LogRecord[] }
-  /** Write the snapshot, sync it, then replace the whole log by these records. */
+  /** Write and sync the snapshot, then replace the log file with these records. */
   | {
       readonly type: 'persist-snapshot';
       readonly writeId: number;
@@ -45,7 +45,7 @@
       readonly records: readonly LogRecord[];
     };
 
-/** How a write ended; each persist effect is answered by one of them. */
+/** Result of a write; each persist effect is answered by exactly one. */
 export type PersistEvent =
   | { readonly type: 'persisted'; readonly writeId: number }
   | { readonly type: 'persist-failed'; readonly writeId: number; readonly reason: string };
--- a/src/shared/consensus/persistence.ts
+++ b/src/shared/consensus/persistence.ts
@@ -1,15 +1,13 @@
 /**
- * @file The writes of a member. One write is under way at a time; what gathers meanwhile shares
- * the next (group commit). What depends on a write is done only after it.
- *
- * Owns `ConsensusState.persistence` and `persistedIndex`.
+ * @file Queues a member's disk writes. One write is in flight at a time, later records are batched into the next one
+ * (group commit), and dependent actions are deferred until their write is on disk.
  */
 import type { StepScope } from './consensus-events.js';
 import type { ConsensusState, DeferredAction } from './consensus-state.js';
 import type { LogRecord } from './persisted-state.js';
 
 /**
- * Adds a record to the next write.
+ * Adds a record to the next write; consecutive entries records are merged.
  */
 export function queueRecord(state: ConsensusState, record: LogRecord): void {
   const { records } = state.persistence;
@@ -32,15 +30,15 @@
 }
 
 /**
- * Does an action once everything queued so far is on disk; at once where nothing is.
- * @returns the action where it may be done at once
+ * Defers an action until everything queued so far is on disk.
+ * @returns the action if nothing is queued or in flight, so that the caller can run it immediately; else undefined
  */
 export function deferUntilPersisted(
   state: ConsensusState,
   action: DeferredAction,
 ): DeferredAction | undefined {
   const { persistence } = state;
-  if (persistence.records.length > 0 || persistence.snapshotIsDue) {
+  if (persistence.records.length > 0 || persistence.isSnapshotPending) {
     persistence.deferred.push(action);
     return undefined;
   }
@@ -52,7 +50,7 @@
 }
 
 /**
- * Drops entries from `index` on, in memory and on disk.
+ * Removes the entries from `index` on, in memory and on disk.
  */
 export function truncateLog(state: ConsensusState, index: number): void {
   const { log, persistence } = state;
@@ -61,7 +59,7 @@
   }
   log.truncateFrom(index);
   state.memberships = state.memberships.filter(
-    (set, position) => position === 0 || set.index < index,
+    (entry, position) => position === 0 || entry.index < index,
   );
   state.persistedIndex = Math.min(state.persistedIndex, index - 1);
   if (persistence.inFlight !== undefined) {
@@ -71,15 +69,15 @@
 }
 
 /**
- * Starts the next write where none is under way and something waits.
+ * Starts the next write if something is queued and no write is in flight.
  */
 export function flushWrites(scope: StepScope): void {
   const { persistence, storageFailed, snapshot } = scope.state;
   if (persistence.inFlight !== undefined || storageFailed) {
     return;
   }
-  if (persistence.snapshotIsDue && snapshot !== undefined) {
-    const records = wholeLogRecords(scope.state);
+  if (persistence.isSnapshotPending && snapshot !== undefined) {
+    const records = fullLogRecords(scope.state);
     const writeId = startWrite(scope.state);
     scope.effects.push({ type: 'persist-snapshot', writeId, snapshot, records });
   } else if (persistence.records.length > 0) {
@@ -91,8 +89,8 @@
 }
 
 /**
- * Records that the write under way has ended.
- * @returns what may be done now
+ * Marks the write in flight as done; ignores an unknown `writeId`.
+ * @returns the actions that were deferred until this write
  */
 export function finishWrite(state: ConsensusState, writeId: number): readonly DeferredAction[] {
   const { inFlight } = state.persistence;
@@ -115,11 +113,11 @@
   };
   persistence.records = [];
   persistence.deferred = [];
-  persistence.snapshotIsDue = false;
+  persistence.isSnapshotPending = false;
   return writeId;
 }
 
-/** The commit index costs no write of its own; it spares a restarted member the wait for a leader. */
+/** A persisted commit index lets a restarted member apply entries before it hears from a leader. */
 function queueCommitIndex(state: ConsensusState): void {
   if (state.commitIndex > state.persistence.queuedCommitIndex) {
     state.persistence.queuedCommitIndex = state.commitIndex;
@@ -127,8 +125,8 @@
   }
 }
 
-/** The records of a log file that holds all that is kept. */
-function wholeLogRecords(state: ConsensusState): LogRecord[] {
+/** The complete content of a new log file. */
+function fullLogRecords(state: ConsensusState): LogRecord[] {
   const { log, clusterId, term, votedFor, commitIndex } = state;
   const { base, last } = log;
   state.persistence.queuedCommitIndex = commitIndex;
--- a/src/shared/consensus/proposals.ts
+++ b/src/shared/consensus/proposals.ts
@@ -1,46 +1,36 @@
 /**
- * @file Which proposals does a leader accept?
- *
- * Inputs: its role, the members, how far each member's log is (entries), and which voters it is in contact with.
- *
- * Commands are accepted by any leader that is not handing over. A membership change is accepted only where none is under
- * way, an entry of the own term is committed, a member that gets a vote has caught up, and a quorum of the voters that
- * the change leaves answers now: a removal must not leave a group that can decide nothing.
- *
- * Refused is `not-leader`, `storage-failed`, or `conflict` with the reason; nothing of a refused proposal is in the log.
+ * @file Proposals of commands and membership changes at the leader. Refused proposals leave no entry in the log. A
+ * membership change is refused if the resulting voters have no responsive quorum, since the group could then not commit.
  */
 import { hasQuorumContact } from './check-quorum.js';
 import type { RefusalKind, StepScope } from './consensus-events.js';
 import { currentMembership, type ConsensusState, type LeaderRole } from './consensus-state.js';
 import type { EntryContent } from './log.js';
 import {
-  changedMembership,
+  applyMemberChange,
   findMember,
   type MemberChange,
   type Membership,
   type NodeId,
 } from './membership.js';
 import { replicateToAll } from './replication.js';
-import { appendOwnEntry, refreshProgress } from './roles.js';
+import { appendOwnEntry, updateProgressMembers } from './roles.js';
 
-/**
- * How far a learner may lag behind to get a vote, in entries: few enough to be sent in one batch, so that commits that need its
- * vote soon don't wait for it to catch up. Not measured; commits that rest after a promotion would show it too large.
- */
-const MAX_PROMOTION_LAG = 100;
+/** Few enough for one batch, so that commits do not wait long for a newly promoted voter. */
+const MAX_PROMOTION_LAG_ENTRIES = 100;
 
 /**
- * Appends a command and sends it on at once; the own write goes on meanwhile.
+ * Appends a command and replicates it in parallel with the leader's own disk write.
  */
 export function handlePropose(scope: StepScope, proposalId: number, data: Uint8Array): void {
-  if (leaderWhichTakesProposals(scope, proposalId) !== undefined) {
+  if (leaderAcceptingProposals(scope, proposalId) !== undefined) {
     appendProposal(scope, proposalId, { type: 'command', data });
   }
 }
 
 /**
- * Appends a membership change. One at a time, and only once an entry of the own term is committed,
- * since otherwise two leaders could each change the membership without a common quorum.
+ * Appends a membership change. Only one may be in progress, and an entry of the current term must be committed first:
+ * otherwise two leaders could change the membership without overlapping quorums.
  */
 export function handleChangeMembership(
   scope: StepScope,
@@ -48,25 +38,25 @@
   change: MemberChange,
 ): void {
   const { state } = scope;
-  const role = leaderWhichTakesProposals(scope, proposalId);
+  const role = leaderAcceptingProposals(scope, proposalId);
   if (role === undefined) {
     return;
   }
-  const membership = changedMembership(currentMembership(state), change);
+  const membership = applyMemberChange(currentMembership(state), change);
   if (membership === undefined) {
     const reason = 'The members are not such that this change applies.';
     refuse(scope, proposalId, 'conflict', reason);
     return;
   }
-  const obstacle = obstacleOf(scope, role, change, membership);
-  if (obstacle !== undefined) {
-    refuse(scope, proposalId, 'conflict', obstacle);
+  const conflict = findConflict(scope, role, change, membership);
+  if (conflict !== undefined) {
+    refuse(scope, proposalId, 'conflict', conflict);
     return;
   }
   appendProposal(scope, proposalId, { type: 'membership', membership });
 }
 
-function obstacleOf(
+function findConflict(
   scope: StepScope,
   role: LeaderRole,
   change: MemberChange,
@@ -92,18 +82,18 @@
   return (
     findMember(currentMembership(state), nodeId) !== undefined &&
     progress?.mode === 'replicate' &&
-    state.log.last.index - progress.matchIndex <= MAX_PROMOTION_LAG
+    state.log.last.index - progress.matchIndex <= MAX_PROMOTION_LAG_ENTRIES
   );
 }
 
 function appendProposal(scope: StepScope, proposalId: number, content: EntryContent): void {
   const { index, term } = appendOwnEntry(scope.state, content);
   scope.effects.push({ type: 'proposal-appended', proposalId, index, term });
-  refreshProgress(scope);
+  updateProgressMembers(scope);
   replicateToAll(scope, { evenIfEmpty: false });
 }
 
-function leaderWhichTakesProposals(scope: StepScope, proposalId: number): LeaderRole | undefined {
+function leaderAcceptingProposals(scope: StepScope, proposalId: number): LeaderRole | undefined {
   const { role, storageFailed } = scope.state;
   if (role.name === 'leader' && role.leadershipTransfer === undefined) {
     return role;
--- a/src/shared/consensus/read-index.ts
+++ b/src/shared/consensus/read-index.ts
@@ -1,20 +1,14 @@
 /**
- * @file When may a read be answered?
- *
- * Inputs: the confirmation round that each voter has echoed last, the commit index, and the index at which the term
- * began. A leader answers a read only once a quorum has echoed a round that began after the read came: then no later
- * leader existed at that time, and the answer is not out of date (read index of Raft). It holds reads until an entry of
- * its own term is committed, since it does not know what is committed before.
- *
- * Owns `LeaderRole.round` and `LeaderRole.pendingReads`.
+ * @file Linearizable reads (Raft read index): a leader answers a read once a quorum has echoed a confirmation round that
+ * started after the read arrived, so that it was still the leader at that time.
  */
 import type { StepScope } from './consensus-events.js';
 import { currentMembership, type ConsensusState, type LeaderRole } from './consensus-state.js';
-import { quorumSize, reachedByVoters, type NodeId } from './membership.js';
+import { quorumSize, highestReachedByVoters, type NodeId } from './membership.js';
 import { replicateToAll } from './replication.js';
 
 /**
- * Begins a read; answered by `read-ready` or `read-refused`.
+ * Starts a read, which is answered by `read-ready` or `read-refused`.
  */
 export function handleRead(scope: StepScope, readId: number): void {
   const { state, effects } = scope;
@@ -25,21 +19,21 @@
     return;
   }
   role.pendingReads.push({ readId, round: undefined });
-  startRound(scope, role);
+  startConfirmationRound(scope, role);
 }
 
 /**
- * The term's first entry may be committed now: reads that waited for it begin their round.
+ * Starts a confirmation round for the reads that waited for the term's first commit.
  */
-export function releaseWaitingReads(scope: StepScope): void {
+export function startWaitingReads(scope: StepScope): void {
   const { role } = scope.state;
   if (role.name === 'leader' && role.pendingReads.some(({ round }) => round === undefined)) {
-    startRound(scope, role);
+    startConfirmationRound(scope, role);
   }
 }
 
 /**
- * Answers the reads whose round a quorum has echoed.
+ * Answers the reads whose confirmation round a quorum has echoed.
  */
 export function confirmReads(scope: StepScope): void {
   const { state, effects } = scope;
@@ -57,8 +51,8 @@
   role.pendingReads = role.pendingReads.filter(({ round }) => !isReady(round));
 }
 
-/** Until an entry of its own term is committed, a leader does not know what is committed. */
-function startRound(scope: StepScope, role: LeaderRole): void {
+/** Waits for an entry of the current term to be committed; until then the commit index may be out of date. */
+function startConfirmationRound(scope: StepScope, role: LeaderRole): void {
   if (scope.state.commitIndex < role.termStartIndex) {
     return;
   }
@@ -70,10 +64,10 @@
   confirmReads(scope);
 }
 
-/** The leader itself has confirmed each round that it began. */
+/** Highest round echoed by a quorum; the leader counts as having echoed every round. */
 function confirmedRound(state: ConsensusState, role: LeaderRole): number {
   const membership = currentMembership(state);
   const roundOf = (nodeId: NodeId) =>
     nodeId === state.nodeId ? role.round : (role.progress.get(nodeId)?.ackedRound ?? 0);
-  return reachedByVoters(membership, quorumSize(membership), roundOf);
+  return highestReachedByVoters(membership, quorumSize(membership), roundOf);
 }
--- a/src/shared/consensus/replication.ts
+++ b/src/shared/consensus/replication.ts
@@ -1,9 +1,6 @@
 /**
- * @file What a leader sends to each member: the entries that it lacks, in batches of which a bounded number is under
- * way, a heartbeat where it lacks none, or a snapshot where the log no longer holds what it lacks.
- *
- * Owns the sending part of a member's `Progress` (`nextIndex`, `inFlight`, `mode` towards `snapshot`); what comes back
- * is recorded by `acknowledgements.ts`.
+ * @file Log replication at the leader: sends each member its missing entries in a bounded number of batches, a
+ * heartbeat if none are missing, or a snapshot if the log no longer contains them.
  */
 import type { StepScope } from './consensus-events.js';
 import type { LeaderRole, Progress } from './consensus-state.js';
@@ -12,14 +9,14 @@
 import { sendNow } from './roles.js';
 import { resendSnapshotChunk, sendSnapshotChunk } from './snapshot-install.js';
 
-/** What is sent to a member that lacks nothing. */
+/** Options for sending to members. */
 export interface SendOptions {
-  /** Send also where there is no new entry: as a heartbeat, or since the commit index has changed. */
+  /** Sends an append request even without new entries: a heartbeat, or a new commit index. */
   readonly evenIfEmpty: boolean;
 }
 
 /**
- * Sends each other member what it lacks.
+ * Sends every other member its missing entries or snapshot chunk.
  */
 export function replicateToAll(scope: StepScope, options: SendOptions): void {
   const { role } = scope.state;
@@ -31,7 +28,7 @@
 }
 
 /**
- * Sends one member what it lacks.
+ * Sends one member its missing entries or snapshot chunk.
  */
 export function replicateTo(
   scope: StepScope,
@@ -60,7 +57,7 @@
 ): void {
   const { log, options: limits } = scope.state;
   if (log.termAt(progress.nextIndex - 1) === undefined) {
-    // Also where the window is full: what is under way may be lost, and can't be sent again.
+    // Applies even if the window is full: batches in flight may be lost and can no longer be resent.
     startSnapshot(scope, nodeId, progress);
     return;
   }
@@ -86,7 +83,7 @@
   progress.mode = 'snapshot';
   progress.inFlight = [];
   progress.nextIndex = progress.matchIndex + 1;
-  progress.sending = { snapshot, offset: 0, sentAtMs: scope.context.nowMs };
+  progress.outgoingSnapshot = { snapshot, offset: 0, sentAtMs: scope.context.nowMs };
   sendSnapshotChunk(scope, nodeId, progress);
 }
 
@@ -98,10 +95,10 @@
   entries: readonly LogEntry[],
 ): void {
   const { log, term, commitIndex } = scope.state;
-  const wanted = progress.nextIndex - 1;
-  const previousTerm = log.termAt(wanted);
-  // A member that is still being sent a snapshot is kept from campaigning by an append that fits all.
-  const previousIndex = previousTerm === undefined ? 0 : wanted;
+  const expectedIndex = progress.nextIndex - 1;
+  const previousTerm = log.termAt(expectedIndex);
+  // Index 0 matches any log, so this also serves as a heartbeat while a snapshot is being sent.
+  const previousIndex = previousTerm === undefined ? 0 : expectedIndex;
   sendNow(scope, nodeId, {
     type: 'append-request',
     term,
--- a/src/shared/consensus/roles.ts
+++ b/src/shared/consensus/roles.ts
@@ -1,11 +1,12 @@
 /**
- * @file Changes of role: how a member becomes follower, candidate or leader.
+ * @file Helpers shared by all roles: stepping down, the election deadline, appending entries, advancing the commit index
+ * and sending messages.
  */
 import type { StepScope } from './consensus-events.js';
 import type { RefusalKind } from './consensus-events.js';
 import {
   currentMembership,
-  restingRole,
+  followerOrLearnerRole,
   type ConsensusState,
   type DeferredAction,
   type Progress,
@@ -16,7 +17,7 @@
 import { deferUntilPersisted, queueRecord, queueVote } from './persistence.js';
 
 /**
- * Chooses the time of the next campaign: one to two election timeouts from now.
+ * Sets the election deadline to a random time, one to two election timeouts from now.
  */
 export function resetElectionDeadline({ state, context }: StepScope): void {
   const { electionTimeoutMs, firstElectionTimeoutMs = electionTimeoutMs } = state.options;
@@ -26,22 +27,23 @@
 }
 
 /**
- * Follows `term`, with or without a known leader. A leader that steps down gives up what waits.
- * @param lostBecause why what waits is refused, where this member led
+ * Becomes a follower or learner in `term`, with or without a known leader. A leader refuses its pending reads.
+ * @param refusalKind reason reported to waiting callers if this member was the leader
  */
 export function becomeFollower(
   scope: StepScope,
   term: number,
   leaderId: NodeId | undefined,
-  lostBecause: RefusalKind = 'not-leader',
+  refusalKind: RefusalKind = 'not-leader',
 ): void {
   const { state, effects } = scope;
-  const changes = state.role.name !== restingRole(state).name || state.leaderId !== leaderId;
+  const isRoleChange =
+    state.role.name !== followerOrLearnerRole(state).name || state.leaderId !== leaderId;
   if (state.role.name === 'leader') {
     for (const { readId } of state.role.pendingReads) {
-      effects.push({ type: 'read-refused', readId, kind: lostBecause });
+      effects.push({ type: 'read-refused', readId, kind: refusalKind });
     }
-    effects.push({ type: 'leadership-lost', kind: lostBecause });
+    effects.push({ type: 'leadership-lost', kind: refusalKind });
   }
   if (term > state.term) {
     state.term = term;
@@ -49,16 +51,16 @@
     state.incomingSnapshot = undefined;
     queueVote(state);
   }
-  state.role = restingRole(state);
+  state.role = followerOrLearnerRole(state);
   state.leaderId = leaderId;
   resetElectionDeadline(scope);
-  if (changes) {
+  if (isRoleChange) {
     effects.push({ type: 'role-changed' });
   }
 }
 
 /**
- * Appends an entry of this leader's term; it is written, and its membership takes effect at once.
+ * Appends an entry of the leader's current term and queues it for the disk; a membership takes effect immediately.
  */
 export function appendOwnEntry(state: ConsensusState, content: EntryContent): LogEntry {
   const entry: LogEntry = { index: state.log.last.index + 1, term: state.term, content };
@@ -67,7 +69,7 @@
 }
 
 /**
- * Appends entries that follow on the log.
+ * Appends consecutive entries to the log and queues them for the disk.
  */
 export function appendEntries(state: ConsensusState, entries: readonly LogEntry[]): void {
   for (const entry of entries) {
@@ -80,9 +82,9 @@
 }
 
 /**
- * Hands entries up to `index` to the state machine.
+ * Raises the commit index to `index` and emits the newly committed entries.
  */
-export function advanceCommit(scope: StepScope, index: number): void {
+export function advanceCommitIndex(scope: StepScope, index: number): void {
   const { state, effects } = scope;
   if (index <= state.commitIndex) {
     return;
@@ -93,9 +95,9 @@
 }
 
 /**
- * @returns what a new leader knows of a member: nothing
+ * @returns the progress of a member whose log position is unknown
  */
-export function freshProgress(state: ConsensusState, nowMs: number): Progress {
+export function initialProgress(state: ConsensusState, nowMs: number): Progress {
   return {
     mode: 'probe',
     matchIndex: 0,
@@ -103,14 +105,14 @@
     inFlight: [],
     ackedRound: 0,
     receivedAtMs: nowMs,
-    sending: undefined,
+    outgoingSnapshot: undefined,
   };
 }
 
 /**
- * Keeps one progress for each other member, after a change of the membership.
+ * Adds and removes progress entries to match the current membership.
  */
-export function refreshProgress({ state, context }: StepScope): void {
+export function updateProgressMembers({ state, context }: StepScope): void {
   if (state.role.name !== 'leader') {
     return;
   }
@@ -123,13 +125,13 @@
   }
   for (const { nodeId } of membership.members) {
     if (nodeId !== state.nodeId && !progress.has(nodeId)) {
-      progress.set(nodeId, freshProgress(state, context.nowMs));
+      progress.set(nodeId, initialProgress(state, context.nowMs));
     }
   }
 }
 
 /**
- * Sends a message at once; for those that promise nothing about this member's disk.
+ * Sends a message immediately; only for messages that do not depend on this member's disk.
  */
 export function sendNow({ effects }: StepScope, to: NodeId, message: ConsensusMessage): void {
   effects.push({ type: 'consensus-send', to, message });
--- a/src/shared/consensus/snapshot-install.ts
+++ b/src/shared/consensus/snapshot-install.ts
@@ -1,21 +1,20 @@
 /**
- * @file Snapshots: compacting the log, and sending a snapshot in parts to a member that lags behind the
- * log. Parts are sent one at a time; the next is sent when the member asks for it.
+ * @file Log compaction and snapshot transfer. Chunks are sent one at a time, the next when the member requests it.
  */
 import type { StepScope } from './consensus-events.js';
 import {
   currentMembership,
-  restingRole,
+  followerOrLearnerRole,
   type ConsensusState,
   type Progress,
 } from './consensus-state.js';
-import { findMember, noMembers, type NodeId } from './membership.js';
+import { findMember, emptyMembership, type NodeId } from './membership.js';
 import type { Sender, SnapshotChunk, SnapshotChunkResponse } from './messages.js';
 import type { Snapshot } from './persisted-state.js';
-import { advanceCommit, sendNow, sendPersisted } from './roles.js';
+import { advanceCommitIndex, sendNow, sendPersisted } from './roles.js';
 
 /**
- * Keeps a snapshot of the state machine and drops the log before it, but for a tail.
+ * Stores a snapshot of the state machine and compacts the log before it, except for `trailingEntries`.
  */
 export function handleSnapshotTaken(state: ConsensusState, index: number, data: Uint8Array): void {
   const term = state.log.termAt(index);
@@ -25,28 +24,28 @@
   }
   state.snapshot = { index, term, membership: membershipAt(state, index), data };
   state.memberships = state.memberships.filter(
-    (set, position) =>
-      set.index > index || (state.memberships[position + 1]?.index ?? Infinity) > index,
+    (entry, position) =>
+      entry.index > index || (state.memberships[position + 1]?.index ?? Infinity) > index,
   );
   state.log.compactTo(index - state.options.trailingEntries);
-  state.persistence.snapshotIsDue = true;
+  state.persistence.isSnapshotPending = true;
 }
 
 function membershipAt(state: ConsensusState, index: number) {
-  const set = state.memberships.findLast((candidate) => candidate.index <= index);
-  return set?.membership ?? noMembers;
+  const latest = state.memberships.findLast((candidate) => candidate.index <= index);
+  return latest?.membership ?? emptyMembership;
 }
 
 /**
- * Sends the part of the snapshot that the member wants next.
+ * Sends the snapshot chunk that the member needs next.
  */
 export function sendSnapshotChunk(scope: StepScope, to: NodeId, progress: Progress): void {
   const { state } = scope;
-  if (progress.sending === undefined) {
+  if (progress.outgoingSnapshot === undefined) {
     return;
   }
-  const { snapshot, offset } = progress.sending;
-  progress.sending.sentAtMs = scope.context.nowMs;
+  const { snapshot, offset } = progress.outgoingSnapshot;
+  progress.outgoingSnapshot.sentAtMs = scope.context.nowMs;
   sendNow(scope, to, {
     type: 'snapshot-chunk',
     term: state.term,
@@ -60,18 +59,18 @@
 }
 
 /**
- * Sends the part once more where no answer has come for a heartbeat interval.
+ * Resends the current chunk if it has had no response for a heartbeat interval.
  */
 export function resendSnapshotChunk(scope: StepScope, to: NodeId, progress: Progress): void {
   const { options } = scope.state;
-  const sentAtMs = progress.sending?.sentAtMs ?? scope.context.nowMs;
+  const sentAtMs = progress.outgoingSnapshot?.sentAtMs ?? scope.context.nowMs;
   if (scope.context.nowMs - sentAtMs >= options.heartbeatIntervalMs) {
     sendSnapshotChunk(scope, to, progress);
   }
 }
 
 /**
- * The leader's side: a member asks for the next part.
+ * Handles a member's request for the next chunk, at the leader.
  */
 export function handleSnapshotChunkResponse(
   scope: StepScope,
@@ -84,35 +83,35 @@
     return;
   }
   const progress = state.role.progress.get(from.nodeId);
-  if (progress?.sending === undefined || member?.storageId !== from.storageId) {
+  if (progress?.outgoingSnapshot === undefined || member?.storageId !== from.storageId) {
     return;
   }
   progress.receivedAtMs = context.nowMs;
-  const { sending } = progress;
+  const { outgoingSnapshot: outgoing } = progress;
   const isNext =
-    response.snapshotIndex === sending.snapshot.index && response.nextOffset !== sending.offset;
+    response.snapshotIndex === outgoing.snapshot.index && response.nextOffset !== outgoing.offset;
   if (isNext) {
-    sending.offset = response.nextOffset;
+    outgoing.offset = response.nextOffset;
     sendSnapshotChunk(scope, from.nodeId, progress);
   }
 }
 
 /**
- * The member's side: gathers the parts; the whole snapshot replaces state machine and log, and is
- * acknowledged once it is on disk.
+ * Handles a snapshot chunk at the receiver. A complete snapshot replaces state machine and log, and is acknowledged once
+ * it is on disk.
  */
 export function handleSnapshotChunk(scope: StepScope, from: Sender, chunk: SnapshotChunk): void {
   const { state } = scope;
   if (state.log.termAt(chunk.snapshotIndex) === chunk.snapshotTerm) {
-    // The log has all that the snapshot holds, and may have acknowledged entries after it.
-    advanceCommit(scope, chunk.snapshotIndex);
+    // The log already contains the snapshot's entries, and later ones may have been acknowledged: keep it.
+    advanceCommitIndex(scope, chunk.snapshotIndex);
   }
   if (chunk.snapshotIndex <= state.commitIndex) {
     state.incomingSnapshot = undefined;
     acknowledgeSnapshot(scope, from, state.commitIndex);
     return;
   }
-  const incoming = gatherChunk(state, chunk);
+  const incoming = collectChunk(state, chunk);
   if (incoming.receivedBytes < incoming.totalBytes) {
     sendNow(scope, from.nodeId, {
       type: 'snapshot-chunk-response',
@@ -128,12 +127,12 @@
   acknowledgeSnapshot(scope, from, index);
 }
 
-function gatherChunk(state: ConsensusState, chunk: SnapshotChunk) {
-  const known = state.incomingSnapshot;
-  const isSame = known?.index === chunk.snapshotIndex && known.term === chunk.snapshotTerm;
+function collectChunk(state: ConsensusState, chunk: SnapshotChunk) {
+  const current = state.incomingSnapshot;
+  const isSame = current?.index === chunk.snapshotIndex && current.term === chunk.snapshotTerm;
   const incoming =
-    isSame && known.totalBytes === chunk.totalBytes
-      ? known
+    isSame && current.totalBytes === chunk.totalBytes
+      ? current
       : {
           index: chunk.snapshotIndex,
           term: chunk.snapshotTerm,
@@ -157,13 +156,13 @@
   state.commitIndex = index;
   state.memberships = [{ index, membership }];
   state.persistence.records = [];
-  state.persistence.snapshotIsDue = true;
+  state.persistence.isSnapshotPending = true;
   state.persistedIndex = Math.min(state.persistedIndex, index);
   if (state.persistence.inFlight !== undefined) {
     state.persistence.inFlight.lastIndex = state.persistedIndex;
   }
   if (state.role.name === 'follower' || state.role.name === 'learner') {
-    state.role = restingRole(state);
+    state.role = followerOrLearnerRole(state);
   }
   effects.push({ type: 'restore-snapshot', snapshot });
 }
--- a/test/shared/consensus/chaos.test.ts
+++ b/test/shared/consensus/chaos.test.ts
@@ -1,22 +1,23 @@
-/** @file Safety under faults: nothing accepted is lost and no read is old, over many seeds. */
+/** @file Random faults: guards against lost accepted commands, stale reads and diverging logs. */
 import t from 'tap';
 import { encodeClusterState } from '../../../src/managed/control/cluster-snapshot.js';
 import { controlStatus } from '../../../src/managed/control/control-status.js';
-import { ControlNetwork, serviceName, type Pending } from './control-network.js';
+import { ControlNetwork, serviceName, type PendingRequest } from './control-network.js';
 
 const SEEDS = 12;
 const FAULTS_PER_SEED = 40;
 const FAULT_INTERVAL_MS = 250;
 const NODE_IDS = ['c1', 'c2', 'c3', 'c4', 'c5'];
 
-/** One run of faults, with commands and reads all along. */
+/** A run with random faults and a continuous load of commands and reads. */
 class ChaosRun {
   readonly network: ControlNetwork;
   readonly accepted = new Set<number>();
   readsAnswered = 0;
-  private readonly changes = new Map<number, Pending>();
-  private readonly reads: { readonly pending: Pending; readonly floor: number }[] = [];
-  private highestAccepted = 0;
+  private readonly changes = new Map<number, PendingRequest>();
+  private readonly reads: { readonly pending: PendingRequest; readonly minimumIndex: number }[] =
+    [];
+  private highestAcceptedIndex = 0;
 
   constructor(seed: number) {
     const nodeIds = NODE_IDS.slice(0, seed % 2 === 0 ? 3 : 5);
@@ -35,18 +36,18 @@
     const { network } = this;
     network.awaitLeader();
     for (let fault = 0; fault < FAULTS_PER_SEED; fault += 1) {
-      this.bringAboutFault();
+      this.injectFault();
       for (let part = 0; part < 5; part += 1) {
-        this.sendSomething();
+        this.sendRequests();
         network.run(FAULT_INTERVAL_MS / 5);
-        this.takeAnswers();
+        this.collectAnswers();
       }
       network.invariants.checkLogMatching(network.consensusStates());
     }
     this.recover();
   }
 
-  /** The states of all machines, once all of them are back and have caught up. */
+  /** The encoded cluster state of each machine; call after `run`. */
   finalStates(): Uint8Array[] {
     return [...this.network.machines.values()].map(({ nodeId }) =>
       encodeClusterState(this.network.stateOf(nodeId).cluster),
@@ -62,13 +63,13 @@
         network.start(nodeId);
       }
     }
-    this.takeBackMachines();
-    network.defineSurely();
+    this.restoreMembership();
+    network.defineServiceUntilAccepted();
     network.run(3_000);
-    this.takeAnswers();
+    this.collectAnswers();
   }
 
-  private bringAboutFault(): void {
+  private injectFault(): void {
     const { network } = this;
     const { random } = network;
     const ids = [...network.machines.keys()];
@@ -76,7 +77,7 @@
     const isUp = network.machine(victim).state !== undefined;
     switch (random.nextInt(8)) {
       case 0:
-        network.partition(...split(ids, random.nextInt(2 ** ids.length)));
+        network.partition(...splitByMask(ids, random.nextInt(2 ** ids.length)));
         return;
       case 1:
       case 2:
@@ -94,15 +95,15 @@
         network.step(network.machine(network.leader() ?? victim), { type: 'stop' });
         return;
       case 6:
-        this.loseOneDisk(victim);
+        this.loseDiskIfSafe(victim);
         return;
       default:
-        this.changeSomeMember();
+        this.changeNextMember();
     }
   }
 
-  /** One lost disk at a time is what a majority outlives. */
-  private loseOneDisk(victim: string): void {
+  /** Loses a disk only if all voters have theirs, so that a quorum of intact disks remains. */
+  private loseDiskIfSafe(victim: string): void {
     const { network } = this;
     const leader = network.leader();
     const voters = leader === undefined ? [] : this.status(leader).members;
@@ -116,8 +117,8 @@
     }
   }
 
-  /** What an operator does by the handbook: takes out the lost, adds the new, promotes it. */
-  private changeSomeMember(): void {
+  /** Does the next step of an operator: removes a lost member, adds a waiting node, or promotes a learner. */
+  private changeNextMember(): void {
     const { network } = this;
     const leader = network.leader();
     if (leader === undefined) {
@@ -125,21 +126,21 @@
     }
     const { members, waiting } = this.status(leader);
     const learner = members.find(({ role }) => role === 'learner');
-    const [newcomer] = waiting;
+    const [waitingNode] = waiting;
     if (learner !== undefined) {
       const { nodeId } = learner;
-      const isLost = newcomer?.nodeId === nodeId;
+      const isLost = waitingNode?.nodeId === nodeId;
       network.changeMembers(leader, { type: isLost ? 'remove-member' : 'promote-member', nodeId });
-    } else if (newcomer !== undefined) {
-      const { nodeId } = newcomer;
-      const isNamed = members.some((member) => member.nodeId === nodeId);
-      network.changeMembers(leader, { type: isNamed ? 'remove-member' : 'add-member', nodeId });
+    } else if (waitingNode !== undefined) {
+      const { nodeId } = waitingNode;
+      const isMember = members.some((member) => member.nodeId === nodeId);
+      network.changeMembers(leader, { type: isMember ? 'remove-member' : 'add-member', nodeId });
     }
   }
 
-  private takeBackMachines(): void {
+  private restoreMembership(): void {
     const { network } = this;
-    const isWhole = () => {
+    const isRestored = () => {
       const leader = network.leader();
       const members = leader === undefined ? [] : this.status(leader).members;
       return (
@@ -150,8 +151,8 @@
         )
       );
     };
-    for (let attempt = 0; attempt < 100 && !isWhole(); attempt += 1) {
-      this.changeSomeMember();
+    for (let attempt = 0; attempt < 100 && !isRestored(); attempt += 1) {
+      this.changeNextMember();
       network.run(300);
     }
   }
@@ -160,7 +161,7 @@
     return controlStatus(this.network.stateOf(nodeId), this.network.nowMs);
   }
 
-  private sendSomething(): void {
+  private sendRequests(): void {
     const { network } = this;
     const up = [...network.machines.values()].filter(({ state }) => state !== undefined);
     const { nodeId } = up[network.random.nextInt(up.length || 1)] ?? {};
@@ -168,32 +169,32 @@
     if (target === undefined) {
       return;
     }
-    const number = network.takeId();
-    this.changes.set(number, network.define(target, number));
-    this.reads.push({ pending: network.query(target), floor: this.highestAccepted });
+    const number = network.allocateId();
+    this.changes.set(number, network.defineService(target, number));
+    this.reads.push({ pending: network.query(target), minimumIndex: this.highestAcceptedIndex });
   }
 
-  private takeAnswers(): void {
+  private collectAnswers(): void {
     for (const [number, { outcome }] of this.changes) {
       if (outcome?.accepted === true) {
         this.accepted.add(number);
-        this.highestAccepted = Math.max(this.highestAccepted, outcome.index);
+        this.highestAcceptedIndex = Math.max(this.highestAcceptedIndex, outcome.index);
         this.changes.delete(number);
       }
     }
-    for (const { pending, floor } of this.reads.splice(0)) {
+    for (const { pending, minimumIndex } of this.reads.splice(0)) {
       const { answer } = pending;
       if (answer !== undefined && answer.error === undefined) {
         this.readsAnswered += 1;
-        if (answer.index < floor) {
-          throw new Error(`A read was answered at ${answer.index}, before ${floor}.`);
+        if (answer.index < minimumIndex) {
+          throw new Error(`A read was answered at ${answer.index}, before ${minimumIndex}.`);
         }
       }
     }
   }
 }
 
-function split(ids: readonly string[], mask: number): string[][] {
+function splitByMask(ids: readonly string[], mask: number): string[][] {
   const isLeft = (position: number) => ((mask >> position) & 1) === 0;
   return [
     ids.filter((_, position) => isLeft(position)),
@@ -201,7 +202,7 @@
   ];
 }
 
-t.test('accepted commands are never lost, whatever fails', async (t) => {
+t.test('accepted commands are never lost under random faults', async (t) => {
   let accepted = 0;
   let reads = 0;
   for (let seed = 1; seed <= SEEDS; seed += 1) {
--- a/test/shared/consensus/control-network.ts
+++ b/test/shared/consensus/control-network.ts
@@ -1,4 +1,4 @@
-/** @file Control machines with virtual disks, network and clock; all is decided by one seed. */
+/** @file Control machines on a simulated network with in-memory disks and a virtual clock, deterministic per seed. */
 import { seededRandom } from '../../../src/shared/common/random.js';
 import { formatAddress, type Address } from '../../../src/shared/common/address.js';
 import type { RandomSource } from '../../../src/shared/common/step.js';
@@ -22,19 +22,19 @@
 
 const START_TIME_MS = 1_000;
 const WALL_CLOCK_OFFSET_MS = Date.UTC(2026, 11, 2);
-const MAX_DELAY_MS = 10;
-const MAX_SYNC_MS = 15;
-/** The operator who sends the commands of tests. */
+const MAX_MESSAGE_DELAY_MS = 10;
+const MAX_SYNC_DELAY_MS = 15;
+/** Operator name of the commands in tests. */
 export const OPERATOR = 'tarjeta';
 
-/** How a network behaves. */
+/** Options of a simulated network. */
 export interface NetworkOptions {
   readonly seed: number;
-  /** Machines that begin the cluster. */
+  /** Machines that bootstrap the cluster. */
   readonly nodeIds: readonly NodeId[];
-  /** Part of the messages that are lost. */
+  /** Fraction of messages that are lost, 0 to 1. */
   readonly lossRate?: number;
-  /** Part of the messages that come twice. */
+  /** Fraction of messages that are delivered twice, 0 to 1. */
   readonly duplicateRate?: number;
   readonly tickMs?: number;
   readonly snapshotIntervalEntries?: number;
@@ -43,11 +43,11 @@
   readonly clusterKey?: string;
 }
 
-/** A command or a question and, once it came, its answer. */
-export interface Pending {
+/** A command or query and, once it has arrived, its result. */
+export interface PendingRequest {
   readonly commandId: string;
   outcome?: CommandOutcome;
-  /** Of a question: answered, with an error or without. */
+  /** Answer to a query, with the index of the answering state. */
   answer?: { readonly error?: AmberliftError; readonly index: number };
 }
 
@@ -56,11 +56,11 @@
   readonly nodeId: NodeId;
   disk: LogDisk;
   state: ControlState | undefined;
-  /** Counts the starts; what an earlier run set off is dropped. */
-  run: number;
-  /** It gets no ticks and no messages until it is released. */
+  /** Incremented at each start and crash; scheduled events of an earlier incarnation are dropped. */
+  incarnation: number;
+  /** While true, the machine gets no ticks and no messages. */
   isFrozen: boolean;
-  readonly pending: Map<number, Pending>;
+  readonly pending: Map<number, PendingRequest>;
   readonly clusterKey: string;
   readonly peers: readonly NodeId[];
 }
@@ -71,11 +71,11 @@
   readonly random: RandomSource;
   readonly invariants = new Invariants();
   nowMs = START_TIME_MS;
-  /** Part of the messages that are lost from now on. */
+  /** Current fraction of messages that are lost, 0 to 1. */
   lossRate: number;
   private readonly queue = new TimedQueue();
   private readonly tickMs: number;
-  private groups: readonly (readonly NodeId[])[] | undefined;
+  private partitionGroups: readonly (readonly NodeId[])[] | undefined;
   private nextId = 1;
 
   constructor(readonly options: NetworkOptions) {
@@ -93,7 +93,7 @@
       nodeId,
       disk: this.newDisk(nodeId),
       state: undefined,
-      run: 0,
+      incarnation: 0,
       isFrozen: false,
       pending: new Map(),
       clusterKey: clusterKey ?? this.options.clusterKey ?? 'cluster-key',
@@ -122,7 +122,7 @@
 
   start(nodeId: NodeId): void {
     const machine = this.machine(nodeId);
-    machine.run += 1;
+    machine.incarnation += 1;
     const { snapshotIntervalEntries } = this.options;
     machine.state = createControlState({
       nodeId,
@@ -135,7 +135,7 @@
       consensus: this.consensusOptions(),
       ...(snapshotIntervalEntries !== undefined && { snapshotIntervalEntries }),
     });
-    this.scheduleTick(machine, machine.run);
+    this.scheduleTick(machine, machine.incarnation);
   }
 
   private consensusOptions(): Partial<ConsensusOptions> {
@@ -148,7 +148,7 @@
 
   crash(nodeId: NodeId): void {
     const machine = this.machine(nodeId);
-    machine.run += 1;
+    machine.incarnation += 1;
     machine.state = undefined;
     machine.isFrozen = false;
     machine.pending.clear();
@@ -160,28 +160,28 @@
     this.start(nodeId);
   }
 
-  /** The machine loses its disk; it is started again with an empty one. */
+  /** Crashes the machine and restarts it with an empty disk. */
   loseDisk(nodeId: NodeId): void {
     this.crash(nodeId);
     this.machine(nodeId).disk = this.newDisk(nodeId);
     this.start(nodeId);
   }
 
-  /** Only machines of one group reach each other; a machine in no group reaches none. */
+  /** Limits messages to machines of the same group; a machine in no group is isolated. */
   partition(...groups: readonly (readonly NodeId[])[]): void {
-    this.groups = groups;
+    this.partitionGroups = groups;
   }
 
   heal(): void {
-    this.groups = undefined;
+    this.partitionGroups = undefined;
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual clock and runs the events that are due. */
   run(durationMs: number): void {
     this.runUntil(() => false, durationMs);
   }
 
-  /** @returns true where the condition held before the time was over */
+  /** @returns true if the condition held within the time limit */
   runUntil(condition: () => boolean, limitMs = 20_000): boolean {
     const endMs = this.nowMs + limitMs;
     while (!condition()) {
@@ -196,7 +196,7 @@
     return true;
   }
 
-  /** The machine that leads in the highest term. */
+  /** The leader with the highest term, if any. */
   leader(): NodeId | undefined {
     const leaders = [...this.machines.values()].filter(
       ({ state }) => state !== undefined && isLeader(state),
@@ -205,7 +205,7 @@
     return leaders[0]?.nodeId;
   }
 
-  /** Waits for a leader that has applied the cluster's first commands, and that others follow. */
+  /** Waits for a leader that has applied the operators and the first token key. */
   awaitLeader(): NodeId {
     const isReady = () => {
       const leader = this.leader();
@@ -218,19 +218,19 @@
     return this.leader() ?? '';
   }
 
-  /** Sends a command to one machine. */
-  propose(nodeId: NodeId, command: Command, id = this.takeId()): Pending {
-    const pending: Pending = { commandId: `command-${id}` };
+  /** Proposes a command at one machine. */
+  propose(nodeId: NodeId, command: Command, id = this.allocateId()): PendingRequest {
+    const pending: PendingRequest = { commandId: `command-${id}` };
     const machine = this.machine(nodeId);
-    const requestId = this.takeId();
+    const requestId = this.allocateId();
     machine.pending.set(requestId, pending);
     const entry = { commandId: pending.commandId, operator: OPERATOR, command };
     this.step(machine, { type: 'propose', requestId, entry });
     return pending;
   }
 
-  /** Proposes a service with a name and an address of its own. */
-  define(nodeId: NodeId, number = this.takeId()): Pending {
+  /** Proposes a service with a unique name and address. */
+  defineService(nodeId: NodeId, number = this.allocateId()): PendingRequest {
     const address = {
       host: `127.${1 + (number >> 16)}.${(number >> 8) & 255}.${number & 255}`,
       port: 7000,
@@ -244,10 +244,10 @@
     );
   }
 
-  /** Sends a change to whoever leads until it is accepted. */
-  defineSurely(number = this.takeId()): void {
+  /** Proposes a service at the current leader until it is accepted. */
+  defineServiceUntilAccepted(number = this.allocateId()): void {
     for (;;) {
-      const pending = this.define(this.awaitLeader(), number);
+      const pending = this.defineService(this.awaitLeader(), number);
       this.runUntil(() => pending.outcome !== undefined, 5_000);
       if (pending.outcome?.accepted === true) {
         return;
@@ -255,26 +255,26 @@
     }
   }
 
-  query(nodeId: NodeId): Pending {
-    const pending: Pending = { commandId: '' };
-    const requestId = this.takeId();
+  query(nodeId: NodeId): PendingRequest {
+    const pending: PendingRequest = { commandId: '' };
+    const requestId = this.allocateId();
     const machine = this.machine(nodeId);
     machine.pending.set(requestId, pending);
     this.step(machine, { type: 'query', requestId });
     return pending;
   }
 
-  changeMembers(nodeId: NodeId, command: MemberCommand): Pending {
-    const pending: Pending = { commandId: '' };
-    const requestId = this.takeId();
+  changeMembers(nodeId: NodeId, command: MemberCommand): PendingRequest {
+    const pending: PendingRequest = { commandId: '' };
+    const requestId = this.allocateId();
     const machine = this.machine(nodeId);
     machine.pending.set(requestId, pending);
     this.step(machine, { type: 'change-members', requestId, command });
     return pending;
   }
 
-  /** Sends a change of the members to whoever leads until it is accepted. */
-  changeMembersSurely(command: MemberCommand): void {
+  /** Proposes a membership change at the current leader until it is accepted. */
+  changeMembersUntilAccepted(command: MemberCommand): void {
     for (;;) {
       const pending = this.changeMembers(this.awaitLeader(), command);
       this.runUntil(() => pending.outcome !== undefined, 5_000);
@@ -301,7 +301,7 @@
     return [...this.machines.values()].flatMap(({ state }) => (state ? [state.consensus] : []));
   }
 
-  takeId(): number {
+  allocateId(): number {
     const id = this.nextId;
     this.nextId += 1;
     return id;
@@ -340,14 +340,14 @@
   }
 
   private persist(machine: Machine, write: PersistEffect): void {
-    const { disk, run } = machine;
+    const { disk, incarnation } = machine;
     const { writeId } = write;
     disk.begin(write);
-    this.queue.add(this.nowMs + 1 + this.random.nextInt(MAX_SYNC_MS), () => {
-      if (machine.run !== run) {
+    this.queue.add(this.nowMs + 1 + this.random.nextInt(MAX_SYNC_DELAY_MS), () => {
+      if (machine.incarnation !== incarnation) {
         return;
       }
-      if (disk.isFull) {
+      if (disk.failsSyncs) {
         this.step(machine, { type: 'persist-failed', writeId, reason: 'no space left' });
         return;
       }
@@ -361,7 +361,7 @@
     const copies = this.random.nextFloat() < duplicateRate ? 2 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
       const isLost = this.random.nextFloat() < this.lossRate;
-      const atMs = this.nowMs + 1 + this.random.nextInt(MAX_DELAY_MS);
+      const atMs = this.nowMs + 1 + this.random.nextInt(MAX_MESSAGE_DELAY_MS);
       const text = formatAddress(address);
       if (!isLost) {
         this.queue.add(atMs, () => this.deliver(from.nodeId, text, envelope));
@@ -373,17 +373,19 @@
     const machine = [...this.machines.values()].find(
       ({ nodeId }) => formatAddress(linkAddressOf(nodeId)) === address,
     );
-    const reaches =
-      this.groups === undefined ||
-      this.groups.some((group) => group.includes(from) && group.includes(machine?.nodeId ?? ''));
-    if (machine !== undefined && reaches && !machine.isFrozen) {
+    const isReachable =
+      this.partitionGroups === undefined ||
+      this.partitionGroups.some(
+        (group) => group.includes(from) && group.includes(machine?.nodeId ?? ''),
+      );
+    if (machine !== undefined && isReachable && !machine.isFrozen) {
       this.step(machine, { type: 'peer-message', envelope });
     }
   }
 
-  private scheduleTick(machine: Machine, run: number): void {
+  private scheduleTick(machine: Machine, incarnation: number): void {
     this.queue.add(this.nowMs + this.tickMs, () => {
-      if (machine.run !== run) {
+      if (machine.incarnation !== incarnation) {
         return;
       }
       if (!machine.isFrozen) {
@@ -391,16 +393,16 @@
         const freshSecret = Uint8Array.from({ length: 16 }, () => this.random.nextInt(256));
         this.step(machine, { type: 'tick', wallTimeMs, freshSecret });
       }
-      this.scheduleTick(machine, run);
+      this.scheduleTick(machine, incarnation);
     });
   }
 
   private newDisk(nodeId: NodeId): LogDisk {
-    return new LogDisk(`${nodeId}/disk-${this.takeId()}`);
+    return new LogDisk(`${nodeId}/disk-${this.allocateId()}`);
   }
 }
 
-/** The name of the service that `define` proposes under a number. */
+/** Name of the service that `defineService` proposes for a number. */
 export function serviceName(number: number): string {
   return `service-${number}`;
 }
--- a/test/shared/consensus/invariants.ts
+++ b/test/shared/consensus/invariants.ts
@@ -1,21 +1,21 @@
-/** @file What must hold among control machines at any moment; a breach throws. */
+/** @file Raft safety invariants, checked across all control machines; a violation throws. */
 import { isDeepStrictEqual } from 'node:util';
 import type { ConsensusState } from '../../../src/shared/consensus/consensus-state.js';
 import type { LogEntry } from '../../../src/shared/consensus/log.js';
 
-/** Watches the consensus states of all machines. */
+/** Checks the consensus states of all machines. */
 export class Invariants {
   private readonly leaderOfTerm = new Map<string, string>();
   private readonly committed = new Map<string, LogEntry>();
   private readonly checkedUpTo = new WeakMap<ConsensusState, number>();
 
-  /** Election safety, and every committed entry the same everywhere; after each step. */
+  /** Election safety and state machine safety; called after each step. */
   check(state: ConsensusState): void {
     this.checkLeader(state);
     this.checkCommitted(state);
   }
 
-  /** Log matching: where two logs agree on the term at an index, they agree on all before it. */
+  /** Log matching: if two logs have the same term at an index, they have the same terms at all earlier indexes. */
   checkLogMatching(states: readonly ConsensusState[]): void {
     for (const [position, one] of states.entries()) {
       for (const other of states.slice(position + 1)) {
--- a/test/shared/consensus/leadership.test.ts
+++ b/test/shared/consensus/leadership.test.ts
@@ -1,4 +1,4 @@
-/** @file Who leads, who may answer, and what a machine that is cut off or fails may not do. */
+/** @file Leadership: guards against answers from a deposed, isolated or failed leader, and against failed transfers. */
 import t from 'tap';
 import { ControlNetwork, OPERATOR } from './control-network.js';
 
@@ -12,42 +12,46 @@
   return [...network.machines.keys()].filter((other) => other !== nodeId);
 }
 
-t.test('a leader cut off for an hour refuses reads and changes, and follows later', async (t) => {
+t.test('a leader isolated for an hour refuses reads and commands, then follows', async (t) => {
   const network = new ControlNetwork({ seed: 1, nodeIds: ['c1', 'c2', 'c3'], tickMs: 200 });
   const old = network.awaitLeader();
   const others = othersThan(network, old);
   network.partition([old], others);
-  const pendingChange = network.define(old, 1000);
+  const pendingChange = network.defineService(old, 1000);
   const pendingRead = network.query(old);
   network.runUntil(() => pendingChange.outcome !== undefined, 2_000);
   t.match(pendingChange.outcome, { accepted: false, error: { kind: 'no-quorum' } });
   t.match(pendingRead.answer, { error: { kind: 'no-quorum' } });
-  network.defineSurely(2000);
+  network.defineServiceUntilAccepted(2000);
   for (let minute = 0; minute < 60; minute += 1) {
     network.run(HOUR_MS / 60);
     const read = network.query(old);
-    const change = network.define(old);
+    const change = network.defineService(old);
     t.match(read.answer, { error: { kind: 'not-leader' } });
     t.match(change.outcome, { accepted: false, error: { kind: 'not-leader' } });
   }
   const termBefore = network.stateOf(network.awaitLeader()).consensus.term;
   network.heal();
   network.run(2_000);
-  t.equal(network.stateOf(network.awaitLeader()).consensus.term, termBefore, 'it disturbs nobody');
+  t.equal(
+    network.stateOf(network.awaitLeader()).consensus.term,
+    termBefore,
+    'it starts no new term',
+  );
   const names = [...network.stateOf(old).cluster.routing.services.values()].map(({ name }) => name);
   t.strictSame(names, ['service-2000']);
 });
 
-t.test('a leader frozen for an hour believes in itself, yet answers nothing', async (t) => {
+t.test('a frozen leader keeps its role but serves no reads and accepts no commands', async (t) => {
   const network = threeMachines(2);
   const old = network.awaitLeader();
   network.machine(old).isFrozen = true;
   network.run(1_000);
-  network.defineSurely(1000);
+  network.defineServiceUntilAccepted(1000);
   network.run(HOUR_MS / 60);
   t.equal(network.stateOf(old).consensus.role.name, 'leader');
   const read = network.query(old);
-  const change = network.define(old, 2000);
+  const change = network.defineService(old, 2000);
   t.equal(read.answer, undefined);
   network.machine(old).isFrozen = false;
   network.run(1_000);
@@ -60,19 +64,16 @@
   );
 });
 
-t.test(
-  'a read waits for the first commit of the term, and for answers sent after it',
-  async (t) => {
-    const network = threeMachines(3);
-    const leader = network.awaitLeader();
-    const read = network.query(leader);
-    t.equal(read.answer, undefined, 'no earlier answer counts');
-    network.runUntil(() => read.answer !== undefined, 1_000);
-    t.equal(read.answer?.error, undefined);
-  },
-);
+t.test('a read waits for responses that are sent after it arrived', async (t) => {
+  const network = threeMachines(3);
+  const leader = network.awaitLeader();
+  const read = network.query(leader);
+  t.equal(read.answer, undefined, 'earlier responses do not count');
+  network.runUntil(() => read.answer !== undefined, 1_000);
+  t.equal(read.answer?.error, undefined);
+});
 
-t.test('a planned stop hands leadership over without an election timeout', async (t) => {
+t.test('a planned stop transfers leadership without an election timeout', async (t) => {
   const network = threeMachines(4);
   const old = network.awaitLeader();
   network.run(1_000);
@@ -82,7 +83,7 @@
   t.not(network.stateOf(old).consensus.role.name, 'leader');
 });
 
-t.test('a planned stop passes over a voter that is down', async (t) => {
+t.test('a planned stop does not transfer leadership to a voter that is down', async (t) => {
   const network = threeMachines(5);
   const old = network.awaitLeader();
   const [first = '', second = ''] = othersThan(network, old);
@@ -93,63 +94,66 @@
   t.ok(network.runUntil(() => network.leader() === second, 100));
 });
 
-t.test('a full disk stops a leader from acknowledging; another one leads', async (t) => {
+t.test('a leader with a full disk acknowledges nothing and is replaced', async (t) => {
   const network = threeMachines(6);
   const old = network.awaitLeader();
-  network.machine(old).disk.isFull = true;
-  const change = network.define(old);
+  network.machine(old).disk.failsSyncs = true;
+  const change = network.defineService(old);
   network.runUntil(() => change.outcome !== undefined, 1_000);
   t.match(change.outcome, { accepted: false, error: { kind: 'storage-failed' } });
   t.match(network.query(old).answer, { error: { kind: 'storage-failed' } });
-  network.defineSurely(3000);
+  network.defineServiceUntilAccepted(3000);
   t.not(network.leader(), old);
 });
 
-t.test('a voter whose sync fails counts for no commit', async (t) => {
+t.test('a voter whose sync fails does not count towards a commit', async (t) => {
   const network = threeMachines(7);
   const leader = network.awaitLeader();
   const [full = '', other = ''] = othersThan(network, leader);
   network.run(500);
-  network.machine(full).disk.isFull = true;
-  network.defineSurely();
+  network.machine(full).disk.failsSyncs = true;
+  network.defineServiceUntilAccepted();
   network.crash(other);
-  const change = network.define(leader);
+  const change = network.defineService(leader);
   network.run(2_000);
   t.match(change.outcome, { accepted: false, error: { kind: 'no-quorum' } });
 });
 
-t.test('all machines restart at once after hundreds of changes', async (t) => {
-  const network = new ControlNetwork({
-    seed: 8,
-    nodeIds: ['c1', 'c2', 'c3'],
-    snapshotIntervalEntries: 100,
-    trailingEntries: 20,
-  });
-  network.awaitLeader();
-  for (let number = 1000; number < 1350; number += 1) {
-    network.defineSurely(number);
-  }
-  for (const nodeId of network.machines.keys()) {
-    network.restart(nodeId);
-    const { services } = network.stateOf(nodeId).cluster.routing;
-    t.ok(services.size >= 340, `${nodeId} has ${services.size} services before any message`);
-  }
-  network.awaitLeader();
-  network.run(1_000);
-  for (const nodeId of network.machines.keys()) {
-    t.equal(network.stateOf(nodeId).cluster.routing.services.size, 350);
-  }
-});
+t.test(
+  'all machines recover their state when they restart after hundreds of commands',
+  async (t) => {
+    const network = new ControlNetwork({
+      seed: 8,
+      nodeIds: ['c1', 'c2', 'c3'],
+      snapshotIntervalEntries: 100,
+      trailingEntries: 20,
+    });
+    network.awaitLeader();
+    for (let number = 1000; number < 1350; number += 1) {
+      network.defineServiceUntilAccepted(number);
+    }
+    for (const nodeId of network.machines.keys()) {
+      network.restart(nodeId);
+      const { services } = network.stateOf(nodeId).cluster.routing;
+      t.ok(services.size >= 340, `${nodeId} has ${services.size} services before any message`);
+    }
+    network.awaitLeader();
+    network.run(1_000);
+    for (const nodeId of network.machines.keys()) {
+      t.equal(network.stateOf(nodeId).cluster.routing.services.size, 350);
+    }
+  },
+);
 
-t.test('entries of operators carry a time that never goes back', async (t) => {
+t.test('timestamps of operator commands never decrease', async (t) => {
   const network = threeMachines(9);
   const leader = network.awaitLeader();
-  network.defineSurely();
+  network.defineServiceUntilAccepted();
   const { cluster } = network.stateOf(leader);
   const first = cluster.timeMs;
   t.ok(first > Date.UTC(2026, 11, 2));
   network.stateOf(leader).wallTimeMs = 0;
-  const change = network.define(leader);
+  const change = network.defineService(leader);
   network.runUntil(() => change.outcome !== undefined, 19);
   const times = cluster.owners.get(OPERATOR)?.auditLog.map(({ atMs }) => atMs) ?? [];
   t.equal(times.length, 2);
--- a/test/shared/consensus/log-disk.ts
+++ b/test/shared/consensus/log-disk.ts
@@ -1,6 +1,6 @@
 /**
- * @file A disk in memory that holds log records and snapshots; one write is under way at a time and ends when the test says so. A
- * crash may lose it. The files, renames and syncs below are modelled by src/proof/virtual/virtual-disk.
+ * @file An in-memory disk for log records and snapshots, with one write in progress at a time. A crash may lose that
+ * write. Files, renames and syncs are simulated by src/proof/virtual/virtual-disk instead.
  */
 import type { RandomSource } from '../../../src/shared/common/step.js';
 import type {
@@ -10,27 +10,27 @@
   Snapshot,
 } from '../../../src/shared/consensus/persisted-state.js';
 
-/** The disk of one machine. */
+/** Disk of one machine. */
 export class LogDisk {
-  /** Every sync fails from now on. */
-  isFull = false;
+  /** While true, every write ends with an error. */
+  failsSyncs = false;
   private snapshot: Snapshot | undefined;
   private records: LogRecord[] = [{ type: 'base', base: { index: 0, term: 0 } }];
-  private underWay: PersistEffect | undefined;
+  private pendingWrite: PersistEffect | undefined;
 
   constructor(readonly storageId: string) {}
 
   begin(write: PersistEffect): void {
-    if (this.underWay !== undefined) {
+    if (this.pendingWrite !== undefined) {
       throw new Error('Two writes are under way at once.');
     }
-    this.underWay = write;
+    this.pendingWrite = write;
   }
 
-  /** The write under way is on disk now. */
+  /** Completes the write in progress. */
   finish(): void {
-    const write = this.underWay;
-    this.underWay = undefined;
+    const write = this.pendingWrite;
+    this.pendingWrite = undefined;
     if (write?.type === 'persist') {
       this.records = [...this.records, ...write.records];
     } else if (write !== undefined) {
@@ -39,16 +39,16 @@
     }
   }
 
-  /** A write that was under way is there, or not, or its snapshot alone is. */
+  /** Keeps the write in progress, loses it, or keeps only its snapshot, at random. */
   crash(random: RandomSource): void {
-    const write = this.underWay;
+    const write = this.pendingWrite;
     const survives = random.nextInt(2) === 0;
     if (survives) {
       this.finish();
     } else if (write?.type === 'persist-snapshot' && random.nextInt(2) === 0) {
       this.snapshot = write.snapshot;
     }
-    this.underWay = undefined;
+    this.pendingWrite = undefined;
   }
 
   recover(): RecoveredState {
--- a/test/shared/consensus/member.ts
+++ b/test/shared/consensus/member.ts
@@ -1,4 +1,4 @@
-/** @file One member of three, driven event by event. */
+/** @file Drives one member of a three-voter group event by event. */
 import { seededRandom } from '../../../src/shared/common/random.js';
 import type {
   ConsensusEffect,
@@ -17,7 +17,7 @@
 
 const address = { host: '127.0.0.1', port: 1 };
 
-/** Three voters. */
+/** The voters `a`, `b` and `c`. */
 export const membership: Membership = {
   members: ['a', 'b', 'c'].map((nodeId): Member => {
     const addresses = { linkAddress: address, operatorAddress: address };
@@ -25,20 +25,20 @@
   }),
 };
 
-/** An entry with a command. */
+/** Returns an entry with a command that is unique per index and term. */
 export function entry(index: number, term: number): LogEntry {
   const content: EntryContent = { type: 'command', data: Buffer.from(`${index}/${term}`) };
   return { index, term, content };
 }
 
-/** The member `a` of the cluster; what it asks for is kept, and its disk works when told. */
+/** Member `a` of the group; its writes stay pending until `finishWrites`. */
 export class SingleMember {
   readonly state: ConsensusState;
   nowMs = 0;
   private readonly random = seededRandom(1);
   private readonly writes: number[] = [];
 
-  /** @param records what is on its disk */
+  /** @param records log records on its disk, after an empty base */
   constructor(records: readonly LogRecord[] = []) {
     const base: LogRecord = { type: 'base', base: { index: 0, term: 0 } };
     const disk = { storageId: 'a-disk', snapshot: undefined, records: [base, ...records] };
@@ -48,7 +48,7 @@
     });
   }
 
-  /** A voter; its log has the membership at index 1, then these entries. */
+  /** Creates a voter in `term` whose log holds the membership at index 1, then `entries`. */
   static voter(term: number, ...entries: LogEntry[]): SingleMember {
     const first: LogEntry = { index: 1, term: 1, content: { type: 'membership', membership } };
     return new SingleMember([
@@ -58,7 +58,7 @@
     ]);
   }
 
-  /** The number of the last confirmation round that it sent as leader. */
+  /** Number of its last confirmation round as leader, or -1 if it is not the leader. */
   get round(): number {
     return this.state.role.name === 'leader' ? this.state.role.round : -1;
   }
@@ -73,14 +73,14 @@
     return effects;
   }
 
-  /** A message of another member. */
-  hear(from: string, message: ConsensusMessage, storageId = `${from}-disk`): ConsensusEffect[] {
+  /** Delivers a message from another member. */
+  receive(from: string, message: ConsensusMessage, storageId = `${from}-disk`): ConsensusEffect[] {
     const sender = { nodeId: from, storageId };
     return this.step({ type: 'consensus-message', from: sender, message });
   }
 
-  /** Ends the writes under way, one after another. */
-  sync(): ConsensusEffect[] {
+  /** Completes the pending writes, in order. */
+  finishWrites(): ConsensusEffect[] {
     const effects: ConsensusEffect[] = [];
     for (let writeId = this.writes.shift(); writeId !== undefined; writeId = this.writes.shift()) {
       effects.push(...this.step({ type: 'persisted', writeId }));
@@ -88,36 +88,36 @@
     return effects;
   }
 
-  /** Makes it leader with the vote of one other. */
-  lead(): void {
-    this.campaign();
-    this.hear('b', { type: 'vote-response', term: this.state.term, granted: true });
+  /** Makes it leader with the vote of `b`. */
+  becomeLeader(): void {
+    this.becomeCandidate();
+    this.receive('b', { type: 'vote-response', term: this.state.term, granted: true });
   }
 
-  /** Makes it a candidate whose own vote is on disk. */
-  campaign(): void {
-    this.awaitElection();
-    this.hear('b', { type: 'pre-vote-response', term: this.state.term + 1, granted: true });
-    this.sync();
+  /** Makes it a candidate whose vote for itself is on disk. */
+  becomeCandidate(): void {
+    this.expireElectionTimeout();
+    this.receive('b', { type: 'pre-vote-response', term: this.state.term + 1, granted: true });
+    this.finishWrites();
   }
 
-  /** Hears nothing for so long that it campaigns. */
-  awaitElection(): ConsensusEffect[] {
+  /** Lets the election timeout expire, so that it starts a pre-vote. */
+  expireElectionTimeout(): ConsensusEffect[] {
     this.step({ type: 'tick' });
     this.nowMs += 2 * this.state.options.electionTimeoutMs;
     return this.step({ type: 'tick' });
   }
 
-  /** A member acknowledges all up to an index. */
+  /** Delivers an acknowledgement of all entries up to `matchIndex`. */
   acknowledge(from: string, matchIndex: number, round = 0, storageId?: string): ConsensusEffect[] {
     const { term } = this.state;
     const success = true;
     const message = { type: 'append-response' as const, term, round, success, matchIndex } as const;
-    return this.hear(from, message, storageId);
+    return this.receive(from, message, storageId);
   }
 }
 
-/** The messages among effects. */
-export function sent(effects: readonly ConsensusEffect[]): ConsensusMessage[] {
+/** Returns the messages that the effects send. */
+export function sentMessages(effects: readonly ConsensusEffect[]): ConsensusMessage[] {
   return effects.flatMap((effect) => (effect.type === 'consensus-send' ? effect.message : []));
 }
--- a/test/shared/consensus/membership.test.ts
+++ b/test/shared/consensus/membership.test.ts
@@ -1,10 +1,10 @@
-/** @file How a cluster begins, grows, replaces a machine, and refuses strangers. */
+/** @file Membership: guards against lost data or a split cluster while members are added, replaced and removed. */
 import t from 'tap';
 import { controlStatus } from '../../../src/managed/control/control-status.js';
 import { ControlNetwork } from './control-network.js';
 
-/** Members, no-op, operators, token key: so a cluster's log begins where nothing fails. */
-const OPERATORS_INDEX = 3;
+/** Without failures, a cluster's log begins with the members, the no-op, the operators and the token key. */
+const OPERATORS_ENTRY_INDEX = 3;
 
 function status(network: ControlNetwork, nodeId: string) {
   return controlStatus(network.stateOf(nodeId), network.nowMs);
@@ -16,15 +16,15 @@
     .map(({ nodeId }) => nodeId);
 }
 
-function takeIn(network: ControlNetwork, nodeId: string): void {
-  network.changeMembersSurely({ type: 'add-member', nodeId });
-  network.changeMembersSurely({ type: 'promote-member', nodeId });
+function addVoter(network: ControlNetwork, nodeId: string): void {
+  network.changeMembersUntilAccepted({ type: 'add-member', nodeId });
+  network.changeMembersUntilAccepted({ type: 'promote-member', nodeId });
 }
 
-/** What an operator does for a machine that came back with an empty disk. */
-function replace(network: ControlNetwork, nodeId: string): void {
-  network.changeMembersSurely({ type: 'remove-member', nodeId });
-  takeIn(network, nodeId);
+/** Removes and re-adds a machine that returned with an empty disk, as an operator would. */
+function replaceMachine(network: ControlNetwork, nodeId: string): void {
+  network.changeMembersUntilAccepted({ type: 'remove-member', nodeId });
+  addVoter(network, nodeId);
 }
 
 function serviceCount(network: ControlNetwork, nodeId: string): number {
@@ -34,32 +34,32 @@
 t.test('a cluster grows from one machine to three to five', async (t) => {
   const network = new ControlNetwork({ seed: 1, nodeIds: ['c1'] });
   network.awaitLeader();
-  network.defineSurely();
+  network.defineServiceUntilAccepted();
   for (const nodeId of ['c2', 'c3', 'c4', 'c5']) {
     network.addMachine(nodeId, ['c1']);
-    takeIn(network, nodeId);
-    network.defineSurely();
+    addVoter(network, nodeId);
+    network.defineServiceUntilAccepted();
   }
   t.strictSame(voters(network), ['c1', 'c2', 'c3', 'c4', 'c5']);
   network.crash('c1');
   network.crash('c2');
-  network.defineSurely();
+  network.defineServiceUntilAccepted();
   t.equal(serviceCount(network, network.awaitLeader()), 6);
 });
 
-t.test('a second machine is lost just after the first came back empty', async (t) => {
+t.test('no data is lost when two machines lose their disks one after the other', async (t) => {
   const network = new ControlNetwork({ seed: 2, nodeIds: ['c1', 'c2', 'c3'] });
   network.awaitLeader();
   for (let change = 0; change < 50; change += 1) {
-    network.defineSurely();
+    network.defineServiceUntilAccepted();
   }
   network.loseDisk('c1');
   network.run(500);
-  replace(network, 'c1');
+  replaceMachine(network, 'c1');
   network.loseDisk('c2');
   network.run(500);
-  replace(network, 'c2');
-  network.defineSurely();
+  replaceMachine(network, 'c2');
+  network.defineServiceUntilAccepted();
   network.run(500);
   t.strictSame(
     ['c1', 'c2', 'c3'].map((nodeId) => serviceCount(network, nodeId)),
@@ -67,39 +67,42 @@
   );
 });
 
-t.test('two machines lost at once: the third alone neither commits nor answers', async (t) => {
-  const network = new ControlNetwork({ seed: 3, nodeIds: ['c1', 'c2', 'c3'] });
-  const leader = network.awaitLeader();
-  network.defineSurely();
-  const lost = ['c1', 'c2', 'c3'].filter((nodeId) => nodeId !== leader);
-  lost.forEach((nodeId) => network.loseDisk(nodeId));
-  network.run(5_000);
-  t.equal(network.leader(), undefined);
-  t.match(network.query(leader).answer, { error: { kind: 'not-leader' } });
-  for (const nodeId of lost) {
-    t.equal(network.stateOf(nodeId).consensus.role.name, 'learner');
-    t.equal(serviceCount(network, nodeId), 0);
-  }
-});
+t.test(
+  'the last machine of three has no leader and answers nothing after two lose their disks',
+  async (t) => {
+    const network = new ControlNetwork({ seed: 3, nodeIds: ['c1', 'c2', 'c3'] });
+    const leader = network.awaitLeader();
+    network.defineServiceUntilAccepted();
+    const lost = ['c1', 'c2', 'c3'].filter((nodeId) => nodeId !== leader);
+    lost.forEach((nodeId) => network.loseDisk(nodeId));
+    network.run(5_000);
+    t.equal(network.leader(), undefined);
+    t.match(network.query(leader).answer, { error: { kind: 'not-leader' } });
+    for (const nodeId of lost) {
+      t.equal(network.stateOf(nodeId).consensus.role.name, 'learner');
+      t.equal(serviceCount(network, nodeId), 0);
+    }
+  },
+);
 
-t.test('a machine with an empty disk has neither a vote nor a say until it is added', async (t) => {
+t.test('a machine with an empty disk does not vote or acknowledge until it is added', async (t) => {
   const network = new ControlNetwork({ seed: 4, nodeIds: ['c1', 'c2', 'c3'] });
   const leader = network.awaitLeader();
   const [lost = '', other = ''] = ['c1', 'c2', 'c3'].filter((nodeId) => nodeId !== leader);
   network.loseDisk(lost);
   network.crash(other);
-  const change = network.define(leader);
+  const change = network.defineService(leader);
   network.run(3_000);
   t.match(change.outcome, { accepted: false, error: { kind: 'no-quorum' } });
   t.equal(network.leader(), undefined);
   t.match(status(network, leader).waiting, [{ nodeId: lost }]);
   network.start(other);
   network.awaitLeader();
-  replace(network, lost);
+  replaceMachine(network, lost);
   t.strictSame(voters(network), ['c1', 'c2', 'c3']);
 });
 
-t.test('one membership change at a time, and only after a commit of the own term', async (t) => {
+t.test('a second membership change is refused while one is in progress', async (t) => {
   const network = new ControlNetwork({ seed: 5, nodeIds: ['c1', 'c2', 'c3'] });
   const leader = network.awaitLeader();
   network.run(500);
@@ -111,7 +114,7 @@
   t.match(first.outcome, { accepted: true });
 });
 
-t.test('a removal that would leave no quorum of answering voters is refused', async (t) => {
+t.test('a removal that would leave no quorum of responsive voters is refused', async (t) => {
   const network = new ControlNetwork({ seed: 6, nodeIds: ['c1', 'c2', 'c3'] });
   const leader = network.awaitLeader();
   network.run(500);
@@ -120,22 +123,22 @@
   network.run(1_000);
   const wrong = network.changeMembers(leader, { type: 'remove-member', nodeId: alive });
   t.match(wrong.outcome, { accepted: false, error: { kind: 'conflict' } });
-  network.changeMembersSurely({ type: 'remove-member', nodeId: dead });
+  network.changeMembersUntilAccepted({ type: 'remove-member', nodeId: dead });
   t.equal(voters(network).length, 2);
 });
 
-t.test('a leader that is removed commits its removal and leads no more', async (t) => {
+t.test('a removed leader commits its removal and steps down', async (t) => {
   const network = new ControlNetwork({ seed: 7, nodeIds: ['c1', 'c2', 'c3'] });
   const leader = network.awaitLeader();
   network.run(500);
-  network.changeMembersSurely({ type: 'remove-member', nodeId: leader });
+  network.changeMembersUntilAccepted({ type: 'remove-member', nodeId: leader });
   network.run(100);
   t.equal(network.stateOf(leader).consensus.role.name, 'learner');
-  network.defineSurely();
+  network.defineServiceUntilAccepted();
   t.notOk(voters(network).includes(leader));
 });
 
-t.test('a crash at any write while a cluster begins leaves one cluster with one key', async (t) => {
+t.test('crashes during bootstrap leave one cluster with one token key', async (t) => {
   for (let seed = 1; seed <= 60; seed += 1) {
     const network = new ControlNetwork({ seed, nodeIds: ['c1', 'c2', 'c3'], lossRate: 0.1 });
     for (let crash = 0; crash < 4; crash += 1) {
@@ -154,24 +157,24 @@
   }
 });
 
-t.test('a crash between the first two entries still leads to one token key', async (t) => {
+t.test('a crash between the operators and token key entries leaves one token key', async (t) => {
   let crashesBetween = 0;
   for (let seed = 1; seed <= 60; seed += 1) {
     const network = new ControlNetwork({ seed, nodeIds: ['c1', 'c2', 'c3'], lossRate: 0.2 });
     const longestLog = () =>
       Math.max(...network.consensusStates().map(({ log }) => log.last.index));
-    network.runUntil(() => longestLog() >= OPERATORS_INDEX);
+    network.runUntil(() => longestLog() >= OPERATORS_ENTRY_INDEX);
     network.run(network.random.nextInt(10));
     [...network.machines.keys()].forEach((nodeId) => network.restart(nodeId));
-    crashesBetween += longestLog() === OPERATORS_INDEX ? 1 : 0;
+    crashesBetween += longestLog() === OPERATORS_ENTRY_INDEX ? 1 : 0;
     const { cluster } = network.stateOf(network.awaitLeader());
     t.equal(cluster.routing.keys.size, 1);
     t.equal(cluster.operators.size, 1);
   }
-  t.ok(crashesBetween > 0, `${crashesBetween} crashes came between the two`);
+  t.ok(crashesBetween > 0, `${crashesBetween} crashes came between the two entries`);
 });
 
-t.test('a node with another key is refused by name', async (t) => {
+t.test('a node with a different cluster key is refused with the reason', async (t) => {
   const network = new ControlNetwork({ seed: 10, nodeIds: ['c1', 'c2', 'c3'] });
   network.awaitLeader();
   network.addMachine('c4', ['c1', 'c2', 'c3'], 'another-key');
@@ -180,10 +183,10 @@
   t.strictSame(status(network, network.awaitLeader()).waiting, []);
 });
 
-t.test('a node of another cluster is refused by name', async (t) => {
+t.test('a node of another cluster is refused with its name', async (t) => {
   const network = new ControlNetwork({ seed: 11, nodeIds: ['c1', 'c2', 'c3'] });
   network.awaitLeader();
-  const stranger = network.addMachine('c4', []);
+  const foreignNode = network.addMachine('c4', []);
   network.run(1_000);
   const { consensus } = network.stateOf('c4');
   t.equal(consensus.role.name, 'leader');
@@ -191,7 +194,7 @@
   t.not(clusterId, consensus.clusterId);
   const linkAddress = network.stateOf('c1').join.linkAddress;
   const message = { type: 'timeout-now' as const, term };
-  network.step(stranger, {
+  network.step(foreignNode, {
     type: 'peer-message',
     envelope: {
       type: 'peer',
