--- a/src/shared/consensus/follower.ts
+++ b/src/shared/consensus/follower.ts
@@ -82,7 +82,7 @@
     return;
   }
   if (first.index <= state.commitIndex) {
-    throw new Error(`Entry ${first.index} conflicts with a committed one.`);
+    throw new Error(`Entry ${first.index} from the leader conflicts with a committed entry.`);
   }
   truncateLog(state, first.index);
   appendEntries(state, newEntries);
--- a/src/shared/consensus/log.ts
+++ b/src/shared/consensus/log.ts
@@ -63,7 +63,9 @@
 
   append(entry: LogEntry): void {
     if (entry.index !== this.last.index + 1) {
-      throw new RangeError(`Entry ${entry.index} does not follow on ${this.last.index}.`);
+      throw new RangeError(
+        `Entry ${entry.index} does not follow the last entry ${this.last.index}.`,
+      );
     }
     this.entries.push(entry);
   }
--- a/src/shared/consensus/proposals.ts
+++ b/src/shared/consensus/proposals.ts
@@ -44,7 +44,7 @@
   }
   const membership = applyMemberChange(currentMembership(state), change);
   if (membership === undefined) {
-    const reason = 'The members are not such that this change applies.';
+    const reason = 'This change does not apply to the current members.';
     refuse(scope, proposalId, 'conflict', reason);
     return;
   }
@@ -65,14 +65,14 @@
   const { state } = scope;
   const pending = state.memberships.at(-1)?.index ?? 0;
   if (pending > state.commitIndex || state.commitIndex < role.termStartIndex) {
-    return 'Another membership change is under way.';
+    return 'Another membership change is in progress, or the leader has not committed an entry of its term yet.';
   }
   const isPromotion = change.type === 'promote-member' || change.type === 'replace-member';
   if (isPromotion && !hasCaughtUp(state, role, change.nodeId)) {
     return `Member ${change.nodeId} has not caught up.`;
   }
   if (!hasQuorumContact(scope, role, membership)) {
-    return 'Too few of the voters that this leaves answer now.';
+    return 'Too few of the voters after this change are responding to form a quorum.';
   }
   return undefined;
 }
@@ -99,9 +99,9 @@
     return role;
   }
   if (storageFailed) {
-    refuse(scope, proposalId, 'storage-failed', 'This machine can not write its log.');
+    refuse(scope, proposalId, 'storage-failed', 'This machine cannot write its log.');
   } else {
-    refuse(scope, proposalId, 'not-leader', 'This machine does not lead.');
+    refuse(scope, proposalId, 'not-leader', 'This machine is not the leader.');
   }
   return undefined;
 }
--- a/test/shared/consensus/chaos.test.ts
+++ b/test/shared/consensus/chaos.test.ts
@@ -187,7 +187,9 @@
       if (answer !== undefined && answer.error === undefined) {
         this.readsAnswered += 1;
         if (answer.index < minimumIndex) {
-          throw new Error(`A read was answered at ${answer.index}, before ${minimumIndex}.`);
+          throw new Error(
+            `A stale read was answered at index ${answer.index}, below ${minimumIndex}.`,
+          );
         }
       }
     }
--- a/test/shared/consensus/control-network.ts
+++ b/test/shared/consensus/control-network.ts
@@ -213,7 +213,7 @@
       return cluster !== undefined && cluster.operators.size > 0 && cluster.routing.keys.size > 0;
     };
     if (!this.runUntil(isReady)) {
-      throw new Error('No machine came to lead.');
+      throw new Error('No leader was elected within the time limit.');
     }
     return this.leader() ?? '';
   }
--- a/test/shared/consensus/invariants.ts
+++ b/test/shared/consensus/invariants.ts
@@ -31,7 +31,7 @@
     const key = `${clusterId}, term ${term}`;
     const known = this.leaderOfTerm.get(key) ?? storageId;
     if (known !== storageId) {
-      throw new Error(`Both ${known} and ${storageId} lead in ${key}.`);
+      throw new Error(`Both ${known} and ${storageId} are leaders in ${key}.`);
     }
     this.leaderOfTerm.set(key, storageId);
   }
@@ -42,7 +42,7 @@
       const key = `${state.clusterId}, index ${entry.index}`;
       const known = this.committed.get(key) ?? entry;
       if (known.term !== entry.term || !isDeepStrictEqual(known.content, entry.content)) {
-        throw new Error(`${state.nodeId} committed another entry ${entry.index}.`);
+        throw new Error(`${state.nodeId} committed a different entry ${entry.index}.`);
       }
       this.committed.set(key, entry);
     }
@@ -56,7 +56,9 @@
   for (let index = Math.min(one.log.last.index, other.log.last.index); index >= first; index -= 1) {
     const isSame = one.log.termAt(index) === other.log.termAt(index);
     if (agrees && !isSame) {
-      throw new Error(`${one.nodeId} and ${other.nodeId} differ at ${index}, but not after it.`);
+      throw new Error(
+        `${one.nodeId} and ${other.nodeId} differ at ${index}, but match at a later index.`,
+      );
     }
     agrees ||= isSame;
   }
--- a/test/shared/consensus/log-disk.ts
+++ b/test/shared/consensus/log-disk.ts
@@ -22,7 +22,7 @@
 
   begin(write: PersistEffect): void {
     if (this.pendingWrite !== undefined) {
-      throw new Error('Two writes are under way at once.');
+      throw new Error('A write is already in progress.');
     }
     this.pendingWrite = write;
   }
