--- a/src/registered/daemon/heartbeat-fields.ts
+++ b/src/registered/daemon/heartbeat-fields.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod/mini';
 import { parseAddress, type Address } from '../../shared/common/address.js';
 import { describeFaults } from '../../shared/common/schema-faults.js';
-import { isBackendName } from '../registry/backend-start.js';
+import { isValidBackendName } from '../registry/backend-start.js';
 import { decodePathPart, refusedCall, type TranslatedCall } from './call-listener.js';
 
 /** Characters of a name; with the time of a start below what messages between control machines take for a text (200). */
@@ -38,7 +38,7 @@
 /** @returns the name of a back end in a path, or undefined where it is none */
 export function backendNameOf(pathPart: string): string | undefined {
   const name = decodePathPart(pathPart, MAX_NAME_LENGTH);
-  return name !== undefined && isBackendName(name) ? name : undefined;
+  return name !== undefined && isValidBackendName(name) ? name : undefined;
 }
 
 /** @returns the refusal of a heartbeat or departure whose path names no back end */
--- a/src/registered/declared/check-config.ts
+++ b/src/registered/declared/check-config.ts
@@ -1,14 +1,9 @@
-/**
- * @file Checks of a declared configuration that its schema (parse-config.ts) can't express: whether its parts fit.
- */
+/** @file Consistency checks of a declared configuration that its schema (parse-config.ts) can't express. */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { DeclaredConfig, DeclaredRoute } from './declared-config.js';
 
-/**
- * Checks whether the parts of a configuration fit each other.
- * @returns the configuration, or `invalid-command` with the first fault
- */
+/** @returns the configuration, or an `invalid-command` error that describes the first fault */
 export function checkDeclaredConfig(
   config: DeclaredConfig,
 ): Result<DeclaredConfig, AmberliftError> {
@@ -35,13 +30,13 @@
 
 function routesFault({ routes, services }: DeclaredConfig): string | undefined {
   const serviceNames = new Set(services.map(({ name }) => name));
-  const places = new Set<string>();
+  const addresses = new Set<string>();
   for (const route of routes) {
-    const place = `${route.host}:${route.port}`;
-    if (places.has(place)) {
-      return `Two routes stand at ${place}.`;
+    const address = `${route.host}:${route.port}`;
+    if (addresses.has(address)) {
+      return `Two routes stand at ${address}.`;
     }
-    places.add(place);
+    addresses.add(address);
     const fault = routeFault(route, serviceNames);
     if (fault !== undefined) {
       return fault;
--- a/src/registered/declared/config-update.ts
+++ b/src/registered/declared/config-update.ts
@@ -1,8 +1,7 @@
 /**
- * @file A config update: the changes that lead from one version of a declared configuration to another, or from
- * nothing, with only what balancers need of a route. Between two versions all machines have the same changes in the same
- * order, also those that took over a snapshot and so skipped versions in between: an update whose link breaks goes on
- * where it ended, also from another control machine.
+ * @file Config updates: deltas between two versions of a declared configuration, or full updates, with only the route
+ * data that balancers need. All control machines derive the same changes in the same order, so that an update can be
+ * resumed from another machine after its link breaks.
  */
 import type {
   DeclaredConfig,
@@ -11,72 +10,68 @@
   WeightedTarget,
 } from './declared-config.js';
 
-/** One route that is new, has other targets, or is dropped. */
+/** A route that is new, changed or removed. */
 export interface RouteChange {
-  /** IPv4 number as text. */
+  /** IPv4 address. */
   readonly host: string;
   readonly port: number;
-  /** Where its flows go; undefined where the route is dropped. */
+  /** Targets of its flows; undefined if the route is removed. */
   readonly targets: readonly WeightedTarget[] | undefined;
 }
 
-/** The version that stands for no configuration at all. */
+/** The version that stands for no configuration. */
 export const NO_VERSION = 0;
 
 /** The changes from one version to another. */
 export interface ConfigUpdate {
   readonly version: number;
-  /** The version that the changes are made to; `NO_VERSION` for all routes. */
+  /** The version that the changes apply to; `NO_VERSION` for a full update. */
   readonly baseVersion: number;
-  /** A flow that is idle for this long may be forgotten, in milliseconds. */
+  /** The state of a flow that is idle for this long may be dropped, in milliseconds. */
   readonly idleTimeoutMs: number;
-  /** All services whose back ends are cold after their start. */
+  /** All services with a slow start. */
   readonly warmUps: readonly ServiceWarmUp[];
-  /** By host and port. */
+  /** Sorted by host and port. */
   readonly changes: readonly RouteChange[];
 }
 
-/** The changes from one version to the next one that a machine has seen, and what they replaced. */
+/** A delta to the next version that a machine has seen, with the targets that it replaced. */
 export interface ConfigStep extends ConfigUpdate {
-  /** The targets of each changed route before, by `host:port`; undefined where there was no such route. */
+  /** The previous targets of each changed route by `host:port`; undefined for a new route. */
   readonly replaced: ReadonlyMap<string, readonly WeightedTarget[] | undefined>;
 }
 
-/** Some of the changes of an update, as many as fit into a message. */
+/** A slice of the changes of an update that fits into one message. */
 export interface ConfigPart extends ConfigUpdate {
-  /** How many changes of the update come before these. */
+  /** Index of the first of these changes in the whole update. */
   readonly firstChange: number;
-  /** How many changes the whole update has. */
+  /** Number of changes in the whole update. */
   readonly changeCount: number;
 }
 
-/**
- * @returns the update that leads from nothing to a configuration
- */
-export function wholeUpdate(config: DeclaredConfig): ConfigUpdate {
+/** @returns the full update to a configuration, based on `NO_VERSION` */
+export function fullUpdate(config: DeclaredConfig): ConfigUpdate {
   const { version, idleTimeoutMs, routes } = config;
   return {
     version,
     baseVersion: NO_VERSION,
     idleTimeoutMs,
     warmUps: warmUpsOf(config),
-    changes: routes.map(asChange).sort(byHostAndPort),
+    changes: routes.map(toRouteChange).sort(byHostAndPort),
   };
 }
 
-/**
- * @returns the step that leads from one configuration to a newer one
- */
+/** @returns the delta from one configuration to a newer one */
 export function updateBetween(base: DeclaredConfig, next: DeclaredConfig): ConfigStep {
-  const before = new Map(base.routes.map((route) => [keyOfRoute(route), route]));
+  const before = new Map(base.routes.map((route) => [routeKey(route), route]));
   const replaced = new Map<string, readonly WeightedTarget[] | undefined>();
   const changes: RouteChange[] = [];
   for (const route of next.routes) {
-    const key = keyOfRoute(route);
+    const key = routeKey(route);
     const known = before.get(key);
     before.delete(key);
     if (!hasSameTargets(known?.targets, route.targets)) {
-      changes.push(asChange(route));
+      changes.push(toRouteChange(route));
       replaced.set(key, known?.targets);
     }
   }
@@ -91,10 +86,10 @@
 }
 
 /**
- * @param steps each made to the version that the one before leads to
- * @returns one update with the effect of all, without routes that are in the end what they were; undefined for no step
+ * @param steps consecutive, each based on the version of the previous one
+ * @returns one update with the effect of all, without routes that end up unchanged; undefined if there are no steps
  */
-export function joinUpdates(steps: readonly ConfigStep[]): ConfigUpdate | undefined {
+export function mergeSteps(steps: readonly ConfigStep[]): ConfigUpdate | undefined {
   const [first] = steps;
   const last = steps.at(-1);
   if (first === undefined || last === undefined) {
@@ -103,18 +98,19 @@
   const replaced = new Map(steps.toReversed().flatMap((step) => [...step.replaced]));
   const latest = new Map<string, RouteChange>();
   for (const change of steps.flatMap(({ changes }) => changes)) {
-    latest.set(keyOfRoute(change), change);
+    latest.set(routeKey(change), change);
   }
   const changes = [...latest.values()]
-    .filter((change) => !hasSameTargets(replaced.get(keyOfRoute(change)), change.targets))
+    .filter((change) => !hasSameTargets(replaced.get(routeKey(change)), change.targets))
     .sort(byHostAndPort);
   const { version, idleTimeoutMs, warmUps } = last;
   return { version, baseVersion: first.baseVersion, idleTimeoutMs, warmUps, changes };
 }
 
 /**
- * @param count at most so many changes
- * @returns the part of an update from a change on
+ * @param firstChange index of the first change
+ * @param count maximum number of changes
+ * @returns that part of the update
  */
 export function partOf(update: ConfigUpdate, firstChange: number, count: number): ConfigPart {
   return {
@@ -131,15 +127,15 @@
   );
 }
 
-function asChange({ host, port, targets }: DeclaredRoute): RouteChange {
+function toRouteChange({ host, port, targets }: DeclaredRoute): RouteChange {
   return { host, port, targets };
 }
 
-function keyOfRoute({ host, port }: { readonly host: string; readonly port: number }): string {
+function routeKey({ host, port }: { readonly host: string; readonly port: number }): string {
   return `${host}:${port}`;
 }
 
-/** Any order will do that is the same on all machines. */
+/** The order itself does not matter, but must be the same on all machines. */
 function byHostAndPort(one: RouteChange, other: RouteChange): number {
   if (one.host !== other.host) {
     return one.host < other.host ? -1 : 1;
@@ -147,7 +143,7 @@
   return one.port - other.port;
 }
 
-/** Undefined stands for no route. */
+/** `undefined` means that there is no route. */
 function hasSameTargets(
   one: readonly WeightedTarget[] | undefined,
   other: readonly WeightedTarget[] | undefined,
--- a/src/registered/declared/declared-config.ts
+++ b/src/registered/declared/declared-config.ts
@@ -1,52 +1,52 @@
 /**
- * @file A declared configuration: one whole document with a version that says which routes exist, where the flows of
- * each go, and the services behind them. The highest version that was accepted is in force.
+ * @file The declared configuration: a versioned document of all routes, their targets and the services behind them. The
+ * highest accepted version is in force.
  */
 
-/** How the requests on a route may be repeated. */
+/** Whether requests on a route may be retried. */
 type RequestKind = 'repeatable' | 'at-most-once';
 
 /** A service that takes a share of the new flows of a route. */
 export interface WeightedTarget {
   readonly service: string;
-  /** Share relative to the other targets of the route; 0 gets no flows. */
+  /** Relative to the other targets of the route; 0 gets no flows. */
   readonly weight: number;
 }
 
 /** An address and port at which flows are accepted. */
 export interface DeclaredRoute {
   readonly name: string;
-  /** IPv4 number as text. */
+  /** IPv4 address. */
   readonly host: string;
   readonly port: number;
   readonly targets: readonly WeightedTarget[];
   readonly kind: RequestKind;
-  /** How long one request may take, in milliseconds. */
+  /** Time limit for one request, in milliseconds. */
   readonly timeoutMs: number;
 }
 
 /** A service: back ends register under its name. */
 export interface DeclaredService {
   readonly name: string;
-  /** A back end is cold for so long after its start, in milliseconds; absent for not at all. */
+  /** Duration of the slow start of a back end, in milliseconds; absent for no slow start. */
   readonly warmUpMs?: number | undefined;
-  /** How many requests a second a cold back end handles; absent for none. */
+  /** Requests per second that a back end handles during slow start; absent for none. */
   readonly coldRequestsPerS?: number | undefined;
 }
 
-/** How the back ends of a service warm up, as balancers are sent it. */
+/** Slow-start parameters of a service, as sent to balancers. */
 export interface ServiceWarmUp {
   readonly service: string;
   readonly warmUpMs: number;
   readonly coldRequestsPerS: number;
 }
 
-/** One whole configuration. */
+/** A declared configuration. */
 export interface DeclaredConfig {
-  /** Positive whole number. */
+  /** Positive integer. */
   readonly version: number;
   readonly routes: readonly DeclaredRoute[];
   readonly services: readonly DeclaredService[];
-  /** A flow that is idle for this long may be forgotten, in milliseconds. */
+  /** The state of a flow that is idle for this long may be dropped, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
--- a/src/registered/declared/parse-config.ts
+++ b/src/registered/declared/parse-config.ts
@@ -1,6 +1,6 @@
 /**
- * @file The schema of a declared configuration in its own JSON form, which operators' tools send. The adapter to a
- * platform with a form of its own translates that, and relies on check-config.ts alone.
+ * @file Schema and parser of the native JSON form of a declared configuration. Adapters for other forms translate them
+ * and use check-config.ts only.
  */
 import { err, type Result } from 'neverthrow';
 import * as z from 'zod/mini';
@@ -9,10 +9,7 @@
 import { checkDeclaredConfig } from './check-config.js';
 import type { DeclaredConfig } from './declared-config.js';
 
-/**
- * Idle time-out of a configuration that names none, in milliseconds. Not measured; too short would show as flows that
- * are forgotten between two requests.
- */
+/** Keeps a flow between two of its requests. */
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 const MAX_PORT = 65_535;
 
@@ -44,8 +41,8 @@
 });
 
 /**
- * @param content of a file or a call, as parsed JSON
- * @returns the configuration, or `invalid-command` with every fault of its form, or the first beyond it
+ * @param content parsed JSON of a file or request
+ * @returns the configuration, or an `invalid-command` error with all schema faults or the first inconsistency
  */
 export function parseDeclaredConfig(content: unknown): Result<DeclaredConfig, AmberliftError> {
   const parsed = configSchema.safeParse(content);
--- a/src/registered/group/calls/backend-calls.ts
+++ b/src/registered/group/calls/backend-calls.ts
@@ -6,7 +6,7 @@
  * restart. Departures that are committed already need no leader.
  *
  * Both belong to one start of a back end. A heartbeat of a start that is not the current one is not acknowledged, since it
- * has no effect (registry/start-holders.ts). To which start a departure belongs is decided in departing-start.ts.
+ * has no effect (registry/current-starts.ts). To which start a departure belongs is decided in departing-start.ts.
  */
 import { formatAddress } from '../../../shared/common/address.js';
 import {
@@ -49,7 +49,7 @@
   if (applyHeartbeat(state, aged, nowMs)) {
     state.heartbeats.addToShare(aged);
   }
-  if (state.registry.isOtherStartCurrent(record.id)) {
+  if (state.registry.isSupersededByOtherStart(record.id)) {
     return [...decisions, unavailable(requestId, 'Another start of this back end is current.')];
   }
   if (isDraining) {
--- a/src/registered/group/feed/balancer-feed.ts
+++ b/src/registered/group/feed/balancer-feed.ts
@@ -40,8 +40,8 @@
   }: Pick<GroupState, 'subscribers' | 'balancers' | 'loads' | 'answerStats'>,
   linkId: LinkId,
 ): void {
-  loads.totals.dropReporter(linkId);
-  answerStats.totals.dropReporter(linkId);
+  loads.totals.removeReporter(linkId);
+  answerStats.totals.removeReporter(linkId);
   if (subscribers.delete(linkId)) {
     balancers.recordOwnChange();
   }
--- a/src/registered/group/feed/config-history.ts
+++ b/src/registered/group/feed/config-history.ts
@@ -10,10 +10,10 @@
  * in its parsed form; it is soft state but for the newest version, which is in the replicated state.
  */
 import {
-  joinUpdates,
+  mergeSteps,
   NO_VERSION,
   updateBetween,
-  wholeUpdate,
+  fullUpdate,
   type ConfigStep,
   type ConfigUpdate,
 } from '../../declared/config-update.js';
@@ -79,9 +79,9 @@
 
   function createUpdate(held: DeclaredConfig, version: number): ConfigUpdate {
     const from = steps.findIndex(({ baseVersion }) => baseVersion === version);
-    const joined = from < 0 ? undefined : joinUpdates(steps.slice(from));
+    const joined = from < 0 ? undefined : mergeSteps(steps.slice(from));
     const whole = joined === undefined || joined.changes.length > held.routes.length;
-    return whole ? wholeUpdate(held) : joined;
+    return whole ? fullUpdate(held) : joined;
   }
 }
 
--- a/src/registered/group/feed/load-duties.ts
+++ b/src/registered/group/feed/load-duties.ts
@@ -1,11 +1,11 @@
 /**
  * @file How the tables of the load exchange travel through a control machine: the sums over its own balancers to the
  * other control machines, and to each balancer the sums over all other balancers. When a table is sent is decided in
- * load-exchange/load-outlet.ts. Messages call the answer stats `signals`.
+ * load-exchange/table-throttle.ts. Messages call the answer stats `signals`.
  */
 import { formatAddress } from '../../../shared/common/address.js';
 import type { LinkId } from '../../../shared/common/link-table.js';
-import { rowsToSend } from '../../load-exchange/load-outlet.js';
+import { rowsToSend } from '../../load-exchange/table-throttle.js';
 import type { PackedRows } from '../../load-exchange/packed-rows.js';
 import { isBehind, isBusy } from './feed-plan.js';
 import type { GroupEffect } from '../group-events.js';
@@ -64,8 +64,8 @@
   state: Tables & Pick<GroupState, 'consensus' | 'options'>,
   nowMs: number,
 ): GroupEffect[] {
-  state.loads.totals.forgetSilentSenders(nowMs);
-  state.answerStats.totals.forgetSilentSenders(nowMs);
+  state.loads.totals.removeExpiredSums(nowMs);
+  state.answerStats.totals.removeExpiredSums(nowMs);
   const fields = tableFields(
     sumsToShare(state.loads, nowMs),
     sumsToShare(state.answerStats, nowMs),
@@ -123,11 +123,11 @@
   { totals }: ExchangedTable,
   nowMs: number,
 ): PackedRows | undefined {
-  if (published.version === totals.version || published.outlet.isWaiting(nowMs)) {
+  if (published.version === totals.version || published.outlet.isThrottled(nowMs)) {
     return undefined;
   }
   published.version = totals.version;
-  return rowsToSend(published.outlet, () => totals.fleetSumsFor(linkId), nowMs);
+  return rowsToSend(published.outlet, () => totals.fleetSumsExcept(linkId), nowMs);
 }
 
 function tableFields(
--- a/src/registered/group/feed/load-tables.ts
+++ b/src/registered/group/feed/load-tables.ts
@@ -2,7 +2,7 @@
  * @file A table of the load exchange on a control machine: totals over all balancers, and when the sums over the own
  * balancers are sent to the other control machines. There are two: loads, and answer stats.
  */
-import { createLoadOutlet, type LoadOutlet } from '../../load-exchange/load-outlet.js';
+import { createTableThrottle, type TableThrottle } from '../../load-exchange/table-throttle.js';
 import { createLoadTotals, type LoadTotals } from '../../load-exchange/load-totals.js';
 import type { RowShape } from '../../load-exchange/packed-rows.js';
 
@@ -10,7 +10,7 @@
 export interface ExchangedTable {
   readonly totals: LoadTotals;
   /** When the other control machines are sent the sums of the balancers that are fed here. */
-  readonly sumsOutlet: LoadOutlet;
+  readonly sumsOutlet: TableThrottle;
 }
 
 /**
@@ -28,6 +28,6 @@
 export function createExchangedTable(shape: RowShape): ExchangedTable {
   return {
     totals: createLoadTotals(LOAD_SUMS_LIFETIME_MS, shape),
-    sumsOutlet: createLoadOutlet(LOAD_SUMS_REFRESH_MS, shape),
+    sumsOutlet: createTableThrottle(LOAD_SUMS_REFRESH_MS, shape),
   };
 }
--- a/src/registered/group/feed/subscribers.ts
+++ b/src/registered/group/feed/subscribers.ts
@@ -4,7 +4,7 @@
  * acknowledged and merged, balancer-feed.ts; the published tables, load-duties.ts. Both that send set the next pulse.
  */
 import { ANSWER_STATS_ROWS } from '../../load-exchange/answer-stats.js';
-import { createLoadOutlet, type LoadOutlet } from '../../load-exchange/load-outlet.js';
+import { createTableThrottle, type TableThrottle } from '../../load-exchange/table-throttle.js';
 import { LOAD_ROWS, type RowShape } from '../../load-exchange/packed-rows.js';
 import type { BalancerInfo, SubscribeMessage, UnfinishedConfig } from '../group-messages.js';
 import { createPendingUpdates, type PendingUpdates } from './pending-updates.js';
@@ -27,7 +27,7 @@
   /** The version of the totals that it was sent last. */
   version: number;
   /** When it is sent again. */
-  readonly outlet: LoadOutlet;
+  readonly outlet: TableThrottle;
 }
 
 /** A balancer that gets its feed from here. */
@@ -75,5 +75,5 @@
 
 /** A link keeps the order, so a table that has not changed needs no refresh. */
 function createPublishedTable(shape: RowShape): PublishedTable {
-  return { version: -1, outlet: createLoadOutlet(Number.POSITIVE_INFINITY, shape) };
+  return { version: -1, outlet: createTableThrottle(Number.POSITIVE_INFINITY, shape) };
 }
--- a/src/registered/group/group-tick.ts
+++ b/src/registered/group/group-tick.ts
@@ -39,7 +39,7 @@
   effects.push(...shareLoadSums(state, nowMs));
   effects.push(...feedSubscribers(state, nowMs));
   effects.push(...publishLoads(state, nowMs));
-  state.registry.forgetSilent(nowMs, state.options.forgetBackendAfterMs);
+  state.registry.removeSilent(nowMs, state.options.forgetBackendAfterMs);
   return effects;
 }
 
--- a/src/registered/group/zone-reports.ts
+++ b/src/registered/group/zone-reports.ts
@@ -23,7 +23,7 @@
   const names = [...options.zones, ...replicated.zones.all().map(({ zone }) => zone)];
   names.forEach((zone) => reports.set(zone, emptyReport(replicated, zone)));
   const busyByToken = new Map<number, number>();
-  eachLoad(loads.totals.all(), (token, busy) => busyByToken.set(token, busy));
+  eachLoad(loads.totals.fleetSums(), (token, busy) => busyByToken.set(token, busy));
   for (const { record, liveness } of registry.all()) {
     const { zone, capacity } = record;
     const before = reports.get(zone) ?? emptyReport(replicated, zone);
--- a/src/registered/ingress/load-reporter.ts
+++ b/src/registered/ingress/load-reporter.ts
@@ -13,7 +13,7 @@
   type BackendLoadEntry,
   type PackedLoads,
 } from '../load-exchange/backend-load.js';
-import { createLoadOutlet, rowsToSend } from '../load-exchange/load-outlet.js';
+import { createTableThrottle, rowsToSend } from '../load-exchange/table-throttle.js';
 import type { IngressState } from './ingress-state.js';
 
 /** Reports on one link. */
@@ -24,8 +24,8 @@
 
 /** @returns a reporter that has sent nothing yet */
 export function createLoadReporter(state: IngressState): LoadReporter {
-  const loadsOutlet = createLoadOutlet();
-  const statsOutlet = createLoadOutlet(Number.POSITIVE_INFINITY, ANSWER_STATS_ROWS);
+  const loadsOutlet = createTableThrottle();
+  const statsOutlet = createTableThrottle(Number.POSITIVE_INFINITY, ANSWER_STATS_ROWS);
 
   return { due };
 
--- a/src/registered/load-exchange/answer-stats.ts
+++ b/src/registered/load-exchange/answer-stats.ts
@@ -1,54 +1,53 @@
 /**
- * @file The table of answer stats: how back ends answer as their flows show it, exchanged beside the loads. Sums over
- * balancers say more than one of them can see: of 80 balancers each sees one answer of a back end in ten seconds, all
- * together some ten a second. Messages call this table `signals`.
+ * @file The table of answer stats: passive health data of back ends, exchanged along with the loads and aggregated over
+ * all balancers, since a single one sees too few answers. Messages call this table `signals`.
  */
 import { eachRow, type PackedRows, type RowShape } from './packed-rows.js';
 
-/** How a back end answers, as one process or several have seen it. */
+/** How a back end answers, as observed by one or more processes. */
 export interface AnswerStats {
-  /** Flows whose client has repeated what it sent, with nothing from the back end since. */
+  /** Flows whose client retransmitted and got nothing from the back end since. */
   readonly stalled: number;
-  /** Answers of usual size that came lately; older ones count for less. */
+  /** Recent answers of usual size; decays over time. */
   readonly answered: number;
-  /** What they took together, from the last data of the request to the first of the answer, in milliseconds. */
+  /** Sum of their latencies in milliseconds, each from the last data of the request to the first of the answer. */
   readonly answerMs: number;
-  /** Answers that came lately and were far shorter than is usual on their route; older ones count for less. */
+  /** Recent answers that were far shorter than usual on their route; decays over time. */
   readonly short: number;
 }
 
-/** Rows of ANSWER_STATS_ROWS. */
+/** Rows with the shape `ANSWER_STATS_ROWS`. */
 export type PackedAnswerStats = PackedRows;
 
-/** Rows of token, stalled flows, answers in tenths, their milliseconds, short answers in tenths. */
+/** Each row: token, stalled flows, answers in tenths, sum of their latencies in ms, short answers in tenths. */
 export const ANSWER_STATS_ROWS: RowShape = { numbers: 5, bytes: 11 };
 
-/** Counts of answers decay, so they are no whole numbers; they travel in tenths. */
+/** Counts of answers decay to fractions; they are sent in tenths. */
 const PARTS_PER_ANSWER = 10;
 
-/** @returns the entries as a flat list; what would be all 0 is left out */
+/** @returns the entries as a flat list, without those whose counts round to 0 */
 export function packAnswerStats(
   entries: Iterable<readonly [token: number, stats: AnswerStats]>,
 ): PackedAnswerStats {
   const packed: number[] = [];
   for (const [token, { stalled, answered, answerMs, short }] of entries) {
-    const parts = Math.round(answered * PARTS_PER_ANSWER);
+    const answeredParts = Math.round(answered * PARTS_PER_ANSWER);
     const shortParts = Math.round(short * PARTS_PER_ANSWER);
-    if (stalled > 0 || parts > 0 || shortParts > 0) {
-      packed.push(token, stalled, parts, Math.round(answerMs), shortParts);
+    if (stalled > 0 || answeredParts > 0 || shortParts > 0) {
+      packed.push(token, stalled, answeredParts, Math.round(answerMs), shortParts);
     }
   }
   return packed;
 }
 
-/** Calls back with each entry of a flat list; one that is cut short is left out. */
+/** Calls `visit` for each entry of a flat list; skips an incomplete last entry. */
 export function eachAnswerStats(
   packed: PackedAnswerStats,
   visit: (token: number, stats: AnswerStats) => void,
 ): void {
   eachRow(packed, ANSWER_STATS_ROWS, (token, row) => {
-    const [stalled = 0, parts = 0, answerMs = 0, shortParts = 0] = row;
-    const answered = parts / PARTS_PER_ANSWER;
+    const [stalled = 0, answeredParts = 0, answerMs = 0, shortParts = 0] = row;
+    const answered = answeredParts / PARTS_PER_ANSWER;
     visit(token, { stalled, answered, answerMs, short: shortParts / PARTS_PER_ANSWER });
   });
 }
--- a/src/registered/load-exchange/backend-load.ts
+++ b/src/registered/load-exchange/backend-load.ts
@@ -1,18 +1,15 @@
-/**
- * @file The table of loads: how many requests seem to be in progress at each back end, as balancers and control
- * machines exchange it.
- */
+/** @file The load table that balancers and control machines exchange: estimated requests in progress by back end. */
 import { eachRow, LOAD_ROWS, type PackedRows } from './packed-rows.js';
 
-/** Load of one back end, as far as one process or several have seen it. */
+/** Load of one back end, as observed by one or more processes. */
 export interface BackendLoadEntry {
   /** The 32-bit token of the back end. */
   readonly token: number;
-  /** Requests that seem to be in progress, with opens that have not brought their request yet. */
+  /** Estimated requests in progress, including opened flows that have not sent their request yet. */
   readonly busy: number;
 }
 
-/** Entries one after the other, two numbers each: token, requests. */
+/** Rows with the shape `LOAD_ROWS`. */
 export type PackedLoads = PackedRows;
 
 /** @returns the entries as a flat list */
@@ -24,7 +21,7 @@
   return packed;
 }
 
-/** Calls back with each entry of a flat list; one that is cut short is left out. */
+/** Calls `visit` for each entry of a flat list; skips an incomplete last entry. */
 export function eachLoad(packed: PackedLoads, visit: (token: number, busy: number) => void): void {
   eachRow(packed, LOAD_ROWS, (token, [busy = 0]) => visit(token, busy));
 }
--- a/src/registered/load-exchange/load-totals.ts
+++ b/src/registered/load-exchange/load-totals.ts
@@ -1,36 +1,31 @@
 /**
- * @file Which reports of the load exchange count on a control machine, and how are they summed?
- *
- * It owns one table: the reports of the balancers that are fed here, and the sums that the other control machines made
- * of theirs. A balancer is sent the sum over all but itself, so that what it sends and gets does not grow with the
- * number of balancers. A report counts until the next one of the same link or the end of the link; the sums of a
- * control machine count for `sumsLifetimeMs` (load-tables.ts), since a machine that is cut off says nothing. All of it
- * is soft state. Why through control machines: docs/design/registered-placement.md.
+ * @file Aggregates one table of the load exchange on a control machine: reports of its own balancers, and the sums of
+ * the other control machines. A balancer gets the sum over all others, so its traffic does not grow with their number.
  */
 import type { LinkId } from '../../shared/common/link-table.js';
 import { eachRow, LOAD_ROWS, type PackedRows, type RowShape } from './packed-rows.js';
 
-/** One table over all balancers. */
+/** One table, aggregated over all balancers; soft state. */
 export interface LoadTotals {
-  /** Applies the report of a balancer that is fed here, in place of its last one. */
+  /** Stores the report of a balancer that is connected here, in place of its last one. */
   applyReport(reporter: LinkId, rows: PackedRows): void;
-  /** Forgets a balancer whose link is closed. */
-  dropReporter(reporter: LinkId): void;
-  /** Applies the sums of another control machine, in place of its last ones. */
+  /** Removes the report of a balancer whose link is closed. */
+  removeReporter(reporter: LinkId): void;
+  /** Stores the sums of another control machine, in place of its last ones. */
   applySums(sender: string, rows: PackedRows, nowMs: number): void;
-  /** Forgets the sums of control machines that have sent none for long. */
-  forgetSilentSenders(nowMs: number): void;
-  /** @returns the sum over the balancers that are fed here, for the other control machines */
+  /** Removes the sums of control machines that have sent none for the lifetime of sums. */
+  removeExpiredSums(nowMs: number): void;
+  /** @returns the sum over the balancers that are connected here, for the other control machines */
   ownSums(): PackedRows;
   /** @returns the sum over all balancers */
-  all(): PackedRows;
-  /** @returns the sum over all balancers but one */
-  fleetSumsFor(reporter: LinkId): PackedRows;
-  /** Rises with each change of any sum. */
+  fleetSums(): PackedRows;
+  /** @returns the sum over all balancers except one */
+  fleetSumsExcept(reporter: LinkId): PackedRows;
+  /** Increases with each change of the reports or sums. */
   readonly version: number;
 }
 
-/** The numbers of back ends by their tokens. */
+/** Summed row values by back-end token. */
 type RowSums = Map<number, readonly number[]>;
 
 interface SenderSums {
@@ -42,13 +37,12 @@
 interface CachedSums {
   readonly version: number;
   readonly own: PackedRows;
-  readonly all: ReadonlyMap<number, readonly number[]>;
+  readonly fleet: ReadonlyMap<number, readonly number[]>;
 }
 
 /**
- * @param sumsLifetimeMs how long the sums of another control machine count
- * @param shape of the rows of the table
- * @returns totals without any report
+ * @param sumsLifetimeMs sums of another control machine expire after this time, in milliseconds
+ * @returns totals without reports
  */
 export function createLoadTotals(sumsLifetimeMs: number, shape: RowShape = LOAD_ROWS): LoadTotals {
   const reports = new Map<LinkId, PackedRows>();
@@ -58,12 +52,12 @@
 
   return {
     applyReport,
-    dropReporter,
+    removeReporter,
     applySums,
-    forgetSilentSenders,
+    removeExpiredSums,
     ownSums: () => currentSums().own,
-    all: () => packSums(currentSums().all),
-    fleetSumsFor,
+    fleetSums: () => packSums(currentSums().fleet),
+    fleetSumsExcept,
     get version() {
       return version;
     },
@@ -74,7 +68,7 @@
     version += 1;
   }
 
-  function dropReporter(reporter: LinkId): void {
+  function removeReporter(reporter: LinkId): void {
     if (reports.delete(reporter)) {
       version += 1;
     }
@@ -85,7 +79,7 @@
     version += 1;
   }
 
-  function forgetSilentSenders(nowMs: number): void {
+  function removeExpiredSums(nowMs: number): void {
     for (const [sender, { receivedAtMs }] of senders) {
       if (nowMs - receivedAtMs > sumsLifetimeMs) {
         senders.delete(sender);
@@ -94,20 +88,20 @@
     }
   }
 
-  function fleetSumsFor(reporter: LinkId): PackedRows {
-    const sums = new Map(currentSums().all);
+  function fleetSumsExcept(reporter: LinkId): PackedRows {
+    const sums = new Map(currentSums().fleet);
     addTo(sums, reports.get(reporter) ?? [], -1);
     return packSums(sums);
   }
 
-  /** Made once for all balancers that are sent the same version. */
+  /** Computed once per version, for all balancers. */
   function currentSums(): CachedSums {
     if (cached?.version !== version) {
       const sums: RowSums = new Map();
       reports.forEach((rows) => addTo(sums, rows, 1));
       const own = packSums(sums);
       senders.forEach(({ rows }) => addTo(sums, rows, 1));
-      cached = { version, own, all: sums };
+      cached = { version, own, fleet: sums };
     }
     return cached;
   }
@@ -117,13 +111,13 @@
       const before = sums.get(token);
       sums.set(
         token,
-        values.map((value, at) => (before?.[at] ?? 0) + sign * value),
+        values.map((value, index) => (before?.[index] ?? 0) + sign * value),
       );
     });
   }
 }
 
-/** Back ends of which all numbers are 0 are left out. */
+/** Omits back ends whose numbers are all 0. */
 function packSums(sums: ReadonlyMap<number, readonly number[]>): PackedRows {
   const packed: number[] = [];
   for (const [token, values] of sums) {
--- a/src/registered/load-exchange/packed-rows.ts
+++ b/src/registered/load-exchange/packed-rows.ts
@@ -1,23 +1,23 @@
 /**
- * @file Tables of numbers by back end, as processes exchange them up to twice a second: a flat list in which each row
- * begins with the 32-bit token of the back end. The form is the one on the wire.
+ * @file The wire format of load tables: a flat list of numbers, in which each row begins with the 32-bit token of its
+ * back end.
  */
 
-/** Rows one after the other; each has as many numbers as the shape of the table says. */
+/** Concatenated rows; `RowShape.numbers` is the length of each. */
 export type PackedRows = readonly number[];
 
-/** What a row of a table is made of. */
+/** Length of a row, in numbers and in bytes. */
 export interface RowShape {
-  /** How many numbers stand for one back end, its token included. */
+  /** Numbers per row, including the token. */
   readonly numbers: number;
-  /** What they take on a link, about: MessagePack takes five bytes for a token, one to three for a small number. */
+  /** Approximate size on the wire: MessagePack uses five bytes for a token, one to three for a small number. */
   readonly bytes: number;
 }
 
-/** Rows of loads: token, requests in progress. */
+/** Rows of the load table; each: token, requests in progress. */
 export const LOAD_ROWS: RowShape = { numbers: 2, bytes: 6 };
 
-/** Calls back with the token and the other numbers of each row; one that is cut short is left out. */
+/** Calls `visit` with the token and the other numbers of each row; skips an incomplete last row. */
 export function eachRow(
   packed: PackedRows,
   { numbers }: RowShape,
@@ -28,7 +28,7 @@
   }
 }
 
-/** @returns true where two tables are equal, row by row */
+/** @returns true if two tables have the same rows in the same order */
 export function hasSameRows(one: PackedRows, other: PackedRows): boolean {
   return one.length === other.length && one.every((value, index) => value === other[index]);
 }
--- a/src/registered/registry/backend-record.ts
+++ b/src/registered/registry/backend-record.ts
@@ -1,30 +1,30 @@
 /**
- * @file What a back end says of itself with each heartbeat, and that it leaves. Both are part of the wire format and of
- * stored snapshots, so the fields keep their names.
+ * @file The registration record that each heartbeat carries, and the departure of a back end. Both are part of the wire
+ * format and of stored snapshots: renaming a field breaks compatibility.
  */
 import type { Address } from '../../shared/common/address.js';
 
 /** The last heartbeat of one start of a back end. */
 export interface BackendRecord {
-  /** Names one start of a back end (backend-start.ts); not used again after a restart. */
+  /** ID of one start of the back end (backend-start.ts); a restart gets a new one. */
   readonly id: string;
   /**
-   * The number that names the back end in datagrams to it, and from which with the start the token is made (backend-token.ts);
-   * 16 hexadecimal digits, which several starts may have in common.
+   * Identifies the back end in datagrams to it; its token is derived from this number and the start (backend-token.ts).
+   * 16 hexadecimal digits; several starts may share it.
    */
   readonly instanceNumber: string;
   readonly service: string;
   readonly address: Address;
   readonly zone: string;
-  /** How many requests it works on at once; its slots. */
+  /** How many requests it processes concurrently (slots). */
   readonly capacity: number;
-  /** How much longer it is cold, in milliseconds. */
+  /** Remaining warm-up time in milliseconds. */
   readonly warmUpLeftMs: number;
-  /** Rises with each heartbeat of this start. */
+  /** Increases with each heartbeat of this start. */
   readonly sequence: number;
 }
 
-/** `draining` gets no new flows and keeps its own; `gone` has deregistered. Both are final. */
+/** `draining` gets no new flows and keeps its established ones; `gone` has deregistered. Neither can be undone. */
 export type DepartureKind = 'draining' | 'gone';
 
 /** A departure of a back end. */
@@ -33,9 +33,7 @@
   readonly kind: DepartureKind;
 }
 
-/**
- * @returns true where a departure goes further than the known one, and so changes something
- */
+/** @returns true if a departure has an effect after the known one, such as `gone` after `draining` */
 export function isLaterDeparture(kind: DepartureKind, known: DepartureKind | undefined): boolean {
   return known === undefined || (known === 'draining' && kind === 'gone');
 }
--- a/src/registered/registry/backend-start.ts
+++ b/src/registered/registry/backend-start.ts
@@ -1,43 +1,40 @@
 /**
- * @file The name of one start of a back end: what a back end is called over all its starts, and when this one began. A
- * back end that starts again under its name holds nothing of before, so all that is kept of back ends (records,
- * departures, loads, answers, tokens) is kept by the name of the start, as one text that peers and stored data take as
- * they take any ID. Which start is current is decided in start-holders.ts.
- *
- * A back end that does not say when it started has one start, named as it is itself.
+ * @file IDs of the starts (incarnations) of a back end: its name and its start time. A restarted back end has no state
+ * of its predecessor, so records, departures, loads and tokens are kept per start. current-starts.ts tracks which start
+ * is current.
  */
 
-/** One start of a back end. */
+/** One start of a back end, that is the life of one process. */
 export interface BackendStart {
-  /** What the back end is called over all its starts. */
+  /** Name of the back end, the same for all its starts. */
   readonly backend: string;
-  /** Unix time of the start in milliseconds, on the clock of the back end; undefined where it says none. */
+  /** Unix time in milliseconds, on the clock of the back end; undefined if it reports none. */
   readonly startedAtMs: number | undefined;
 }
 
-/** Stands between the name and the time of the start; adapters refuse names that hold it. */
-const SEPARATOR = '#';
-const NAMED_START = /^(.+)#(\d+)$/s;
+/** Separates name and start time; not allowed in names. */
+const START_SEPARATOR = '#';
+const START_ID_PATTERN = /^(.+)#(\d+)$/s;
 
-/** @returns the ID by which a start is known to all processes */
+/** @returns the ID of a start, `name#startedAtMs`; the plain name if it has no start time */
 export function startIdOf({ backend, startedAtMs }: BackendStart): string {
-  return startedAtMs === undefined ? backend : `${backend}${SEPARATOR}${startedAtMs}`;
+  return startedAtMs === undefined ? backend : `${backend}${START_SEPARATOR}${startedAtMs}`;
 }
 
-/** @returns the start that an ID names */
+/** @returns the start that an ID stands for; an ID without a start time is the name of the back end */
 export function startOf(id: string): BackendStart {
-  const [, backend, startedAt] = NAMED_START.exec(id) ?? [];
+  const [, backend, startedAt] = START_ID_PATTERN.exec(id) ?? [];
   return backend === undefined
     ? { backend: id, startedAtMs: undefined }
     : { backend, startedAtMs: Number(startedAt) };
 }
 
-/** @returns true where a back end may be called so */
-export function isBackendName(name: string): boolean {
-  return !name.includes(SEPARATOR);
+/** @returns true if the name can be part of a start ID */
+export function isValidBackendName(name: string): boolean {
+  return !name.includes(START_SEPARATOR);
 }
 
-/** @returns true where one of two starts of a back end began later; one that says no time comes before all that do */
+/** @returns true if `one` began later than `other`; a start without a time comes before all others */
 export function isLaterStart(one: BackendStart, other: BackendStart): boolean {
   return (one.startedAtMs ?? -1) > (other.startedAtMs ?? -1);
 }
--- a/src/registered/registry/heartbeat-registry.ts
+++ b/src/registered/registry/heartbeat-registry.ts
@@ -1,59 +1,49 @@
 /**
- * @file Which heartbeats count, and which of them change anything?
- *
- * Inputs: a record with its sequence number, when its heartbeat came, and the last one that is known of the same start
- * of the back end; times in milliseconds on the clock of this process. Returns `late`, `alive` or `changed`. A
- * heartbeat whose sequence number is not above the known one is late and changes nothing: heartbeats reach a control
- * machine directly and through others, so the same one may come twice or overtaken.
- *
- * The registry owns the last heartbeat and the liveness of each back end. It is soft state, rebuilt from the next
- * heartbeats wherever it is lost. It relies on address-holders.ts for reused addresses and on backend-liveness.ts for
- * the meaning of silence, and on start-holders.ts for back ends that start again.
+ * @file The registry of back ends: last heartbeat and liveness of each start. It is soft state, rebuilt from the next
+ * heartbeats. Heartbeats also arrive through other control machines, so duplicates and reordered ones are dropped by
+ * sequence number.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { createAddressHolders, type AddressHolders } from './address-holders.js';
 import { livenessOf, type LivenessChange, type Liveness } from './backend-liveness.js';
 import type { BackendRecord } from './backend-record.js';
-import { createStartHolders, type StartHolders } from './start-holders.js';
+import { createCurrentStarts, type CurrentStarts } from './current-starts.js';
 
-/** What a heartbeat changed. */
+/** The effect of a heartbeat. */
 type HeartbeatOutcome =
-  /** It came after a later one of the same back end, and was dropped. */
+  /** Dropped: a duplicate, or overtaken by a later one of the same start. */
   | 'late'
-  /** The back end is alive; all else is as it was. */
+  /** The record is unchanged. */
   | 'alive'
-  /** The back end was not known, or its record says something else than before. */
+  /** The back end is new, or its record differs from the last one. */
   | 'changed';
 
-/** The last heartbeat of a back end, and its liveness as it was updated last. */
+/** The last heartbeat of a back end, and its liveness as of the last update. */
 interface RegisteredBackend {
   readonly record: BackendRecord;
-  /** On the clock of this process, in milliseconds; for one that is only listed, the time that was assumed. */
+  /** On the clock of this process, in milliseconds; an assumed time if no heartbeat arrived here. */
   readonly firstHeartbeatAtMs: number;
   /** On the clock of this process, in milliseconds. */
   readonly lastHeartbeatAtMs: number;
   readonly liveness: Liveness;
 }
 
-/**
- * A warm-up whose end moves by more than this is a change that balancers are sent. Not measured; it has to exceed the
- * jitter of heartbeats on their way, or each of them would be a change.
- */
+/** Larger than the network jitter of heartbeats, so that only a real change of a warm-up is sent to balancers. */
 const WARM_UP_TOLERANCE_MS = 500;
 
-/** The last heartbeat of each back end. */
+/** The last heartbeat and the liveness of each back end. */
 export class HeartbeatRegistry {
   private readonly records = new Map<string, RegisteredBackend>();
-  private readonly holders: AddressHolders;
-  private readonly starts: StartHolders;
+  private readonly addressHolders: AddressHolders;
+  private readonly currentStarts: CurrentStarts;
 
   /** @param heartbeatIntervalMs time between two heartbeats of a back end */
   constructor(private readonly heartbeatIntervalMs: number) {
-    this.holders = createAddressHolders(heartbeatIntervalMs);
-    this.starts = createStartHolders(heartbeatIntervalMs);
+    this.addressHolders = createAddressHolders(heartbeatIntervalMs);
+    this.currentStarts = createCurrentStarts(heartbeatIntervalMs);
   }
 
-  /** How many back ends are known. */
+  /** Number of known back ends. */
   get size(): number {
     return this.records.size;
   }
@@ -67,47 +57,47 @@
     return this.records.values();
   }
 
-  /** @returns true where another back end holds the address of this one, or another start of it is current */
+  /** @returns true if another back end holds its address, or another start of the same back end is current */
   isSuperseded(id: string): boolean {
-    return this.holders.isSuperseded(id) || this.starts.isSuperseded(id);
+    return this.addressHolders.isSuperseded(id) || this.currentStarts.isSuperseded(id);
   }
 
-  /** @returns true where another start of the same back end is current */
-  isOtherStartCurrent(id: string): boolean {
-    return this.starts.isSuperseded(id);
+  /** @returns true if another start of the same back end is current */
+  isSupersededByOtherStart(id: string): boolean {
+    return this.currentStarts.isSuperseded(id);
   }
 
   /** @returns the ID of the current start of a back end */
   currentStartOf(backend: string): string | undefined {
-    return this.starts.currentOf(backend);
+    return this.currentStarts.currentOf(backend);
   }
 
-  /** @returns the back end that holds an address */
+  /** @returns the ID of the back end that holds an address */
   holderOf(address: Address): string | undefined {
-    return this.holders.holderOf(address);
+    return this.addressHolders.holderOf(address);
   }
 
-  /** Applies a heartbeat that came at a time of this process's clock, in milliseconds. */
+  /** Applies a heartbeat; `receivedAtMs` is on the clock of this process. */
   apply(record: BackendRecord, receivedAtMs: number): HeartbeatOutcome {
     const known = this.records.get(record.id);
     if (known !== undefined && known.record.sequence >= record.sequence) {
       return 'late';
     }
     if (known !== undefined && !isSameAddress(known.record, record)) {
-      this.holders.remove(record.id, known.record.address);
+      this.addressHolders.remove(record.id, known.record.address);
     }
-    this.starts.recordHeartbeat(record.id, receivedAtMs);
-    if (!this.starts.isSuperseded(record.id)) {
-      // A start that is over takes no address from whoever has it now.
-      this.holders.recordHeartbeat(record.id, record.address, receivedAtMs);
+    this.currentStarts.recordHeartbeat(record.id, receivedAtMs);
+    if (!this.currentStarts.isSuperseded(record.id)) {
+      // A superseded start must not take the address of the current one.
+      this.addressHolders.recordHeartbeat(record.id, record.address, receivedAtMs);
     }
     return this.store(record, receivedAtMs, known);
   }
 
-  /** Adds a back end of the replicated list of which no heartbeat came here, as if one had at that time. */
+  /** Adds a back end of the replicated list that has sent no heartbeat here, as if it had at `assumedAtMs`. */
   applyListed(record: BackendRecord, assumedAtMs: number): void {
-    this.starts.recordListed(record.id);
-    this.holders.recordListed(record.id, record.address);
+    this.currentStarts.recordListed(record.id);
+    this.addressHolders.recordListed(record.id, record.address);
     this.store(record, assumedAtMs, undefined);
   }
 
@@ -125,8 +115,8 @@
   }
 
   /**
-   * Updates the liveness of all back ends; one whose address another one holds is dead.
-   * @param listeningSinceMs since when this machine gets all heartbeats; silence before does not count
+   * Updates the liveness of all back ends; a superseded one is dead.
+   * @param listeningSinceMs time since which this machine gets all heartbeats; earlier silence does not count
    * @returns the changes
    */
   updateLiveness(nowMs: number, listeningSinceMs: number): LivenessChange[] {
@@ -144,13 +134,13 @@
     return changes;
   }
 
-  /** Forgets back ends that have been silent for longer than `afterMs`. */
-  forgetSilent(nowMs: number, afterMs: number): void {
+  /** Removes back ends that have been silent for longer than `afterMs`. */
+  removeSilent(nowMs: number, afterMs: number): void {
     for (const [id, { record, lastHeartbeatAtMs }] of this.records) {
       if (nowMs - lastHeartbeatAtMs > afterMs) {
         this.records.delete(id);
-        this.holders.remove(id, record.address);
-        this.starts.remove(id);
+        this.addressHolders.remove(id, record.address);
+        this.currentStarts.remove(id);
       }
     }
   }
--- a/src/registered/settings/token-settings.ts
+++ b/src/registered/settings/token-settings.ts
@@ -1,16 +1,13 @@
-/**
- * @file The settings of the processes that forward by 32-bit tokens: `amberlift ingress` and
- * `amberlift group`.
- */
+/** @file Settings schemas of `amberlift ingress` (balancer) and `amberlift group` (control machine). */
 import { z } from 'zod';
 import { parseAddress } from '../../shared/common/address.js';
 import { logLevels } from '../../shared/common/logger.js';
 import { defaultSwitches, switchValues } from '../decisions/mechanism-switches.js';
 
-/** Characters of the shortest token; it refuses empty and obvious ones and measures no strength. */
+/** In characters; rejects empty and trivial tokens, but does not ensure a strong one. */
 const MIN_TOKEN_LENGTH = 8;
 
-/** An address written as `host:port`, with a port of its own: others must know it before it starts. */
+/** An address as `host:port` with a fixed port, since other processes must know it before this one starts. */
 const addressText = z.string().transform((text, context) => {
   const address = parseAddress(text);
   if (address === undefined || address.port === 0) {
@@ -70,7 +67,7 @@
   learning: policyOption('learning', 'What becomes of opens while not all back ends are known.'),
 });
 
-/** One mechanism of the policy, with its default. */
+/** A policy setting whose values and default come from mechanism-switches.ts. */
 function policyOption<Name extends keyof typeof switchValues>(name: Name, description: string) {
   return z.enum(switchValues[name]).default(defaultSwitches[name]).describe(description);
 }
@@ -152,8 +149,8 @@
     .describe('Bearer token of operators, who declare and read configurations.'),
 });
 
-/** The checked settings of a balancer that forwards by 32-bit tokens. */
+/** Validated settings of a balancer that forwards by 32-bit tokens. */
 export type IngressSettings = z.infer<typeof ingressSettingsSchema>;
 
-/** The checked settings of a control machine of a group. */
+/** Validated settings of a control machine of a group. */
 export type GroupSettings = z.infer<typeof groupSettingsSchema>;
--- a/test/registered/decisions/placement.test.ts
+++ b/test/registered/decisions/placement.test.ts
@@ -1,6 +1,6 @@
 /** @file Which back end a new flow goes to. */
 import t from 'tap';
-import { wholeUpdate } from '../../../src/registered/declared/config-update.js';
+import { fullUpdate } from '../../../src/registered/declared/config-update.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
 import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
 import {
@@ -62,7 +62,7 @@
     services: [{ name: 'alpha' }],
     idleTimeoutMs: 15_000,
   };
-  state.routes.applyUpdate(wholeUpdate(config));
+  state.routes.applyUpdate(fullUpdate(config));
   state.feedStatus.recordCurrent(0);
   for (let number = 1; number <= count; number += 1) {
     addBackend(state.backends, number, 'zone-a');
--- a/test/registered/declared/parse-config.test.ts
+++ b/test/registered/declared/parse-config.test.ts
@@ -1,4 +1,4 @@
-/** @file The product's form of a declared configuration: good ones are taken whole, others name their fault. */
+/** @file Guards against invalid declared configurations that are accepted, or rejected without a clear message. */
 import { readFileSync } from 'node:fs';
 import fc from 'fast-check';
 import t from 'tap';
@@ -21,7 +21,7 @@
 };
 const [ROUTE] = CONFIG.routes;
 
-t.test('a good configuration gets its defaults', async (t) => {
+t.test('a valid configuration gets its defaults', async (t) => {
   const config = parseDeclaredConfig(CONFIG)._unsafeUnwrap();
   t.equal(config.idleTimeoutMs, 15_000);
   t.same(config.routes[0]?.targets, [
@@ -37,28 +37,28 @@
   }
 });
 
-t.test('each fault is named', async (t) => {
-  const withRoute = (change: object) => ({ routes: [{ ...ROUTE, ...change }] });
+t.test('the error message names each fault', async (t) => {
+  const configWithRoute = (change: object) => ({ routes: [{ ...ROUTE, ...change }] });
   const cases: readonly (readonly [string, object])[] = [
     ['version', { version: 0 }],
     ['surplus', { surplus: 1 }],
-    ['routes.0.port', withRoute({ port: 70_000 })],
-    ['routes.0.host', withRoute({ host: 'somewhere' })],
-    ['routes.0.targets', withRoute({ targets: [] })],
-    ['unknown service gamma', withRoute({ targets: [{ service: 'gamma' }] })],
-    ['no time-out', withRoute({ timeoutMs: 0 })],
-    ['no valid weights', withRoute({ targets: [{ service: 'alpha', weight: 0 }] })],
+    ['routes.0.port', configWithRoute({ port: 70_000 })],
+    ['routes.0.host', configWithRoute({ host: 'somewhere' })],
+    ['routes.0.targets', configWithRoute({ targets: [] })],
+    ['unknown service gamma', configWithRoute({ targets: [{ service: 'gamma' }] })],
+    ['no time-out', configWithRoute({ timeoutMs: 0 })],
+    ['no valid weights', configWithRoute({ targets: [{ service: 'alpha', weight: 0 }] })],
     ['Two routes stand at 198.18.0.1:443', { routes: [ROUTE, { ...ROUTE, name: 'second' }] }],
     ['declared twice', { services: [...CONFIG.services, { name: 'alpha' }] }],
   ];
   for (const [fault, change] of cases) {
-    const refused = parseDeclaredConfig({ ...CONFIG, ...change });
-    t.ok(refused.isErr() && refused.error.kind === 'invalid-command', fault);
-    t.match(refused.isErr() ? refused.error.message : '', fault);
+    const result = parseDeclaredConfig({ ...CONFIG, ...change });
+    t.ok(result.isErr() && result.error.kind === 'invalid-command', fault);
+    t.match(result.isErr() ? result.error.message : '', fault);
   }
 });
 
-t.test('no content makes the check throw', async (t) => {
+t.test('the parser never throws, whatever the content', async (t) => {
   fc.assert(
     fc.property(fc.anything(), (content) => parseDeclaredConfig(content).isErr()),
     { numRuns: 2_000, seed: 1 },
--- a/test/registered/group/config-history.test.ts
+++ b/test/registered/group/config-history.test.ts
@@ -4,7 +4,7 @@
 import {
   partOf,
   updateBetween,
-  wholeUpdate,
+  fullUpdate,
 } from '../../../src/registered/declared/config-update.js';
 import type { DeclaredConfig } from '../../../src/registered/declared/declared-config.js';
 import { createConfigHistory } from '../../../src/registered/group/feed/config-history.js';
@@ -57,7 +57,7 @@
       all.forEach((config, at) => {
         history.apply(configOf(10 * (at + 1), config));
         if (at === heldAt) {
-          table.applyUpdate(wholeUpdate(configOf(10 * (at + 1), config)));
+          table.applyUpdate(fullUpdate(configOf(10 * (at + 1), config)));
         }
       });
       const update = history.updateFrom(table.config?.version ?? 0);
@@ -97,7 +97,7 @@
   const update = updateBetween(before, { ...before, version: 2, idleTimeoutMs: 9_000 });
   t.same(update.changes, []);
   const table = new RouteTable();
-  table.applyUpdate(wholeUpdate(before));
+  table.applyUpdate(fullUpdate(before));
   t.equal(table.applyUpdate(update), 'applied');
   t.same(table.config, { version: 2, idleTimeoutMs: 9_000, warmUps: new Map() });
   t.same(partOf(update, 0, 10).changeCount, 0);
--- a/test/registered/ingress/route-table.test.ts
+++ b/test/registered/ingress/route-table.test.ts
@@ -1,6 +1,6 @@
 /** @file The routes in force: shares by weight, and never an older configuration after a newer one. */
 import t from 'tap';
-import { wholeUpdate, type ConfigUpdate } from '../../../src/registered/declared/config-update.js';
+import { fullUpdate, type ConfigUpdate } from '../../../src/registered/declared/config-update.js';
 import { RouteTable } from '../../../src/registered/ingress/route-table.js';
 
 const HOST = 0xc6120001;
@@ -8,7 +8,7 @@
 
 function config(version: number, weights: readonly number[]): ConfigUpdate {
   const services = weights.map((_, index) => ({ name: `service-${index}` }));
-  return wholeUpdate({
+  return fullUpdate({
     version,
     routes: [
       {
--- a/test/registered/load-exchange/load-outlet.test.ts
+++ b/test/registered/load-exchange/load-outlet.test.ts
@@ -1,30 +1,30 @@
-/** @file A list of loads is sent where it has changed, and not too often. */
+/** @file Guards against load tables that are lost, redundant or sent too often. */
 import t from 'tap';
-import { SHORTEST_EXCHANGE_PERIOD_MS } from '../../../src/registered/load-exchange/exchange-period.js';
-import { createLoadOutlet } from '../../../src/registered/load-exchange/load-outlet.js';
+import { MIN_EXCHANGE_PERIOD_MS } from '../../../src/registered/load-exchange/exchange-period.js';
+import { createTableThrottle } from '../../../src/registered/load-exchange/table-throttle.js';
 
 t.test(
-  'the first list is sent, also an empty one, and the same list is not sent again',
+  'the first table is sent, even an empty one, and the same table is not sent again',
   async (t) => {
-    const outlet = createLoadOutlet();
-    t.ok(outlet.offer([], 0), 'the receiver may hold what another machine told');
-    t.notOk(outlet.offer([], 10_000));
-    t.ok(outlet.offer([7, 1], 10_000));
+    const throttle = createTableThrottle();
+    t.ok(throttle.admit([], 0), 'the receiver may have the table of another machine');
+    t.notOk(throttle.admit([], 10_000));
+    t.ok(throttle.admit([7, 1], 10_000));
   },
 );
 
-t.test('a changed list waits until the period is over', async (t) => {
-  const outlet = createLoadOutlet();
-  outlet.offer([7, 1], 0);
-  t.ok(outlet.isWaiting(SHORTEST_EXCHANGE_PERIOD_MS - 1));
-  t.notOk(outlet.offer([7, 2], SHORTEST_EXCHANGE_PERIOD_MS - 1));
-  t.notOk(outlet.isWaiting(SHORTEST_EXCHANGE_PERIOD_MS));
-  t.ok(outlet.offer([7, 2], SHORTEST_EXCHANGE_PERIOD_MS));
+t.test('a changed table is held back until the period is over', async (t) => {
+  const throttle = createTableThrottle();
+  throttle.admit([7, 1], 0);
+  t.ok(throttle.isThrottled(MIN_EXCHANGE_PERIOD_MS - 1));
+  t.notOk(throttle.admit([7, 2], MIN_EXCHANGE_PERIOD_MS - 1));
+  t.notOk(throttle.isThrottled(MIN_EXCHANGE_PERIOD_MS));
+  t.ok(throttle.admit([7, 2], MIN_EXCHANGE_PERIOD_MS));
 });
 
-t.test('an unchanged list is sent again where its receiver forgets it', async (t) => {
-  const outlet = createLoadOutlet(1_000);
-  outlet.offer([7, 1], 0);
-  t.notOk(outlet.offer([7, 1], 999));
-  t.ok(outlet.offer([7, 1], 1_000));
+t.test('an unchanged table is sent again as a refresh', async (t) => {
+  const throttle = createTableThrottle(1_000);
+  throttle.admit([7, 1], 0);
+  t.notOk(throttle.admit([7, 1], 999));
+  t.ok(throttle.admit([7, 1], 1_000));
 });
--- a/test/registered/registry/heartbeat-registry.test.ts
+++ b/test/registered/registry/heartbeat-registry.test.ts
@@ -1,4 +1,4 @@
-/** @file What a control machine keeps of heartbeats, what of it is news, and how silence is judged. */
+/** @file Guards against lost or redundant changes from heartbeats, and against wrong liveness after silence. */
 import t from 'tap';
 import type { BackendRecord } from '../../../src/registered/registry/backend-record.js';
 import { HeartbeatRegistry } from '../../../src/registered/registry/heartbeat-registry.js';
@@ -20,16 +20,16 @@
   };
 }
 
-t.test('a heartbeat that only says that the back end lives is no news', async (t) => {
+t.test('a heartbeat with an unchanged record is no change', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
   t.equal(registry.apply(recordWith({}), 0), 'changed');
   t.equal(registry.apply(recordWith({ sequence: 2 }), 1_000), 'alive');
-  t.equal(registry.apply(recordWith({ sequence: 2 }), 1_000), 'late', 'doubled');
+  t.equal(registry.apply(recordWith({ sequence: 2 }), 1_000), 'late', 'duplicate');
   t.equal(registry.apply(recordWith({ sequence: 1 }), 1_500), 'late', 'overtaken');
   t.equal(registry.get('backend-1')?.lastHeartbeatAtMs, 1_000);
 });
 
-t.test('another capacity, zone, service or address is news', async (t) => {
+t.test('another capacity, zone, service or address is a change', async (t) => {
   const changes: Partial<BackendRecord>[] = [
     { capacity: 3 },
     { zone: 'zone-b' },
@@ -43,7 +43,7 @@
   }
 });
 
-t.test('a warm-up that goes on as it was told is no news, another one is', async (t) => {
+t.test('a warm-up that proceeds as expected is no change, another one is', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
   registry.apply(recordWith({ warmUpLeftMs: 2_000 }), 0);
   t.equal(registry.apply(recordWith({ sequence: 2, warmUpLeftMs: 1_100 }), 1_000), 'alive');
@@ -51,22 +51,22 @@
   t.equal(registry.apply(recordWith({ sequence: 4, warmUpLeftMs: 3_000 }), 3_000), 'changed');
 });
 
-t.test('each change of a judgement is told once', async (t) => {
+t.test('each change of liveness is reported once', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
   registry.apply(recordWith({}), 0);
-  const judge = (nowMs: number) =>
+  const livenessChanges = (nowMs: number) =>
     registry
       .updateLiveness(nowMs, LISTENING_SINCE_MS)
       .map(({ liveness, silentMs }) => [liveness, silentMs]);
-  t.same(judge(2_500), []);
-  t.same(judge(2_600), [['suspect', 2_600]]);
-  t.same(judge(3_000), []);
-  t.same(judge(6_100), [['dead', 6_100]]);
+  t.same(livenessChanges(2_500), []);
+  t.same(livenessChanges(2_600), [['suspect', 2_600]]);
+  t.same(livenessChanges(3_000), []);
+  t.same(livenessChanges(6_100), [['dead', 6_100]]);
   registry.apply(recordWith({ sequence: 2 }), 7_000);
-  t.same(judge(7_100), [['alive', 100]]);
+  t.same(livenessChanges(7_100), [['alive', 100]]);
 });
 
-t.test('silence from before this machine heard of all heartbeats does not count', async (t) => {
+t.test('silence from before this machine got all heartbeats does not count', async (t) => {
   const registry = new HeartbeatRegistry(INTERVAL_MS);
   registry.apply(recordWith({}), 0);
   t.same(registry.updateLiveness(10_000, 9_000), []);
@@ -76,7 +76,7 @@
 });
 
 t.test(
-  'a back end is dead while another one holds its address, and not once it has moved',
+  'a back end is dead while another one holds its address, and alive once it has moved',
   async (t) => {
     const registry = new HeartbeatRegistry(INTERVAL_MS);
     registry.apply(recordWith({}), 0);
