--- a/src/registered/declared/check-config.ts
+++ b/src/registered/declared/check-config.ts
@@ -14,7 +14,7 @@
 function versionFault({ version }: DeclaredConfig): string | undefined {
   return Number.isSafeInteger(version) && version > 0
     ? undefined
-    : 'The version must be a positive whole number.';
+    : 'The version must be a positive integer.';
 }
 
 function serviceFault({ services }: DeclaredConfig): string | undefined {
@@ -34,7 +34,7 @@
   for (const route of routes) {
     const address = `${route.host}:${route.port}`;
     if (addresses.has(address)) {
-      return `Two routes stand at ${address}.`;
+      return `Two routes have the address ${address}.`;
     }
     addresses.add(address);
     const fault = routeFault(route, serviceNames);
@@ -48,7 +48,7 @@
 function routeFault(route: DeclaredRoute, serviceNames: ReadonlySet<string>): string | undefined {
   const { name, targets, timeoutMs } = route;
   if (!(timeoutMs > 0)) {
-    return `Route ${name} has no time-out.`;
+    return `Route ${name} has no valid timeout.`;
   }
   const unknown = targets.find(({ service }) => !serviceNames.has(service));
   if (unknown !== undefined) {
