--- a/src/registered/declared/check-config.ts
+++ b/src/registered/declared/check-config.ts
@@ -1,14 +1,9 @@
-/**
- * @file Checks of a declared configuration that its schema (parse-config.ts) can't express: whether its parts fit.
- */
+/** @file Consistency checks of a declared configuration that its schema (parse-config.ts) can't express. */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { DeclaredConfig, DeclaredRoute } from './declared-config.js';
 
-/**
- * Checks whether the parts of a configuration fit each other.
- * @returns the configuration, or `invalid-command` with the first fault
- */
+/** @returns the configuration, or an `invalid-command` error that describes the first fault */
 export function checkDeclaredConfig(
   config: DeclaredConfig,
 ): Result<DeclaredConfig, AmberliftError> {
@@ -19,7 +14,7 @@
 function versionFault({ version }: DeclaredConfig): string | undefined {
   return Number.isSafeInteger(version) && version > 0
     ? undefined
-    : 'The version must be a positive whole number.';
+    : 'The version must be a positive integer.';
 }
 
 function serviceFault({ services }: DeclaredConfig): string | undefined {
@@ -35,13 +30,13 @@
 
 function routesFault({ routes, services }: DeclaredConfig): string | undefined {
   const serviceNames = new Set(services.map(({ name }) => name));
-  const places = new Set<string>();
+  const addresses = new Set<string>();
   for (const route of routes) {
-    const place = `${route.host}:${route.port}`;
-    if (places.has(place)) {
-      return `Two routes stand at ${place}.`;
+    const address = `${route.host}:${route.port}`;
+    if (addresses.has(address)) {
+      return `Two routes have the address ${address}.`;
     }
-    places.add(place);
+    addresses.add(address);
     const fault = routeFault(route, serviceNames);
     if (fault !== undefined) {
       return fault;
@@ -53,7 +48,7 @@
 function routeFault(route: DeclaredRoute, serviceNames: ReadonlySet<string>): string | undefined {
   const { name, targets, timeoutMs } = route;
   if (!(timeoutMs > 0)) {
-    return `Route ${name} has no time-out.`;
+    return `Route ${name} has no valid timeout.`;
   }
   const unknown = targets.find(({ service }) => !serviceNames.has(service));
   if (unknown !== undefined) {
