--- a/src/managed/balancer/balancer-state.ts
+++ b/src/managed/balancer/balancer-state.ts
@@ -20,7 +20,7 @@
 import { createSubscription, type SubscriptionState } from '../dissemination/subscription-state.js';
 import { createTraffic, type Traffic } from '../dissemination/traffic.js';
 import type { PreparedTokenKey } from '../flow/token.js';
-import { createGossip, type GossipState } from '../gossip/gossip-state.js';
+import { createGossipState, type GossipState } from '../gossip/gossip-state.js';
 import { createHealthSharing, type HealthSharing } from '../health/health-sharing.js';
 import { createProbeSchedule, type ProbeSchedule } from '../health/probe-schedule.js';
 import type { ProberGroup } from '../health/prober-selection.js';
@@ -106,7 +106,7 @@
     errorCounts: new Map(),
     subscription,
     publisher: createPublisher(clusterKey, { type: 'held', lease: subscription.lease }),
-    gossip: gossip && createGossip({ ...gossip, id: balancerId, zone }),
+    gossip: gossip && createGossipState({ ...gossip, id: balancerId, zone }),
     linkPlanVersion: -1,
     traffic: createTraffic(),
     probes: createProbeSchedule(options.probeIntervalMs, zone),
--- a/src/managed/balancer/balancer-step.ts
+++ b/src/managed/balancer/balancer-step.ts
@@ -5,7 +5,7 @@
 import { match } from 'ts-pattern';
 import { packedAddressKey, type Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
-import { handleLinkClosed } from '../dissemination/link-choice.js';
+import { handleLinkClosed } from '../dissemination/link-selection.js';
 import { toEnvelope, unpackEnvelope } from '../flow/envelope.js';
 import { hasLongHeader } from '../flow/header.js';
 import { countError, type BalancerState } from './balancer-state.js';
--- a/src/managed/balancer/control-links.ts
+++ b/src/managed/balancer/control-links.ts
@@ -13,9 +13,9 @@
 } from '../dissemination/link-messages.js';
 import { planLinks } from '../dissemination/link-plan.js';
 import {
-  handleSubscriberGone,
+  handleSubscriberDisconnected,
   handleSubscriberMessage,
-  passOnUpdate,
+  relayUpdate,
   type LinkId,
   type LinkSendEffect,
 } from '../dissemination/publisher.js';
@@ -24,8 +24,8 @@
   handleLinkOpened,
   subscriptionTick,
 } from '../dissemination/subscription.js';
-import { acknowledge, type ReportSource } from '../dissemination/upward-report.js';
-import { setLinkPlan } from '../dissemination/link-choice.js';
+import { acknowledge, type ReportSource } from '../dissemination/upstream-report.js';
+import { setLinkPlan } from '../dissemination/link-selection.js';
 import { expireReports } from '../dissemination/subtree-report.js';
 import type { PeerDatagram } from '../gossip/gossip-messages.js';
 import { allSharedResults } from '../health/health-sharing.js';
@@ -75,7 +75,7 @@
     return { effects, hasChanged: false };
   }
   const hasChanged = applyConfigUpdate(state, update);
-  const passedOn = hasChanged ? passOnUpdate(publisher, update).map(toPeer) : [];
+  const passedOn = hasChanged ? relayUpdate(publisher, update).map(toPeer) : [];
   const acknowledged = acknowledge(subscription, reportSource(state), nowMs);
   return { effects: [...effects, ...acknowledged, ...passedOn], hasChanged };
 }
@@ -102,7 +102,7 @@
  * Removes the link of another balancer, which is closed.
  */
 export function handlePeerClosed(state: BalancerState, linkId: LinkId): void {
-  handleSubscriberGone(state.publisher, linkId);
+  handleSubscriberDisconnected(state.publisher, linkId);
 }
 
 /**
--- a/src/managed/control/control-step.ts
+++ b/src/managed/control/control-step.ts
@@ -9,7 +9,10 @@
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
-import { handleSubscriberGone, handleSubscriberMessage } from '../dissemination/publisher.js';
+import {
+  handleSubscriberDisconnected,
+  handleSubscriberMessage,
+} from '../dissemination/publisher.js';
 import { bootstrapEvent, isAnnouncementDue } from './cluster-join.js';
 import type { ControlEffect, ControlEvent } from './control-events.js';
 import type { ControlState } from './control-state.js';
@@ -58,7 +61,7 @@
       ),
     )
     .with({ type: 'link-closed' }, ({ linkId }) => {
-      handleSubscriberGone(state.publisher, linkId);
+      handleSubscriberDisconnected(state.publisher, linkId);
       return [];
     })
     .with({ type: 'stop' }, () => runConsensus(state, { type: 'transfer-leadership' }, context))
--- a/src/managed/daemon/control-daemon.ts
+++ b/src/managed/daemon/control-daemon.ts
@@ -14,7 +14,7 @@
 import { createControlState, isLeader, type ControlState } from '../control/control-step.js';
 import { unknownLoad } from '../control/views/backend-load.js';
 import type { InForceView } from '../control/views/in-force.js';
-import { hasOutlivedEarlierLeases } from '../dissemination/lease-authority.js';
+import { haveEarlierLeasesExpired } from '../dissemination/lease-authority.js';
 import { balancerReports } from '../dissemination/publisher.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { Settings } from '../settings/settings-schema.js';
@@ -155,7 +155,7 @@
 function inForceView({ publisher, leaseAuthority }: ControlState): InForceView {
   const balancers = balancerReports(publisher);
   // Until then balancers may hold leases of an earlier leader without having reported here.
-  const isComplete = hasOutlivedEarlierLeases(leaseAuthority, performance.now());
+  const isComplete = haveEarlierLeasesExpired(leaseAuthority, performance.now());
   return { balancers, isComplete };
 }
 
--- a/src/managed/dissemination/lease-authority.ts
+++ b/src/managed/dissemination/lease-authority.ts
@@ -1,51 +1,42 @@
 /**
- * @file May this control machine grant a lease, and which log index is fenced? A leader grants leases that end
- * `LEASE_DURATION_MS` after the start of the last round in which a quorum confirmed that it leads. No later leader
- * can have been elected before that start, so a leader that waits out one lease after its election has outlived all
- * that earlier leaders granted.
+ * @file Grants leases on a control machine, until `LEASE_DURATION_MS` after the start of the last round in which a quorum
+ * confirmed that it leads. A new leader that waits for one lease has therefore outlasted all earlier grants.
  *
- * Each grant names a floor: the log index that a balancer must have in force to use it. The floor only rises. An
- * index is fenced once a lease and its margin have passed since the last grant below it: then every balancer has the
- * index in force or is past its lease, and no list of balancers is needed to know it.
- *
- * Inputs: what the consensus knows of this machine's leadership, and its clock in milliseconds. Owns
- * `LeaseAuthority`.
+ * Each grant carries a floor index that only rises. An index is fenced once a lease and its margin have passed since the
+ * last grant with a lower floor: every balancer then has the index in force or no lease.
  */
 import { LEASE_DURATION_MS, LEASE_MARGIN_MS, type LeaseGrant } from './lease.js';
 
-/** Time between two rounds that confirm leadership, in milliseconds: a small part of a lease. Not measured. */
-const CONFIRM_INTERVAL_MS = 500;
-/**
- * How long a balancer may take to get an entry in force before grants require it, in milliseconds. Not measured; too
- * short if leases run out after changes.
- */
+/** Time between two quorum rounds that confirm leadership; a small fraction of a lease. */
+const QUORUM_CHECK_INTERVAL_MS = 500;
+/** How long balancers have to apply a committed entry before grants require it. */
 const FLOOR_DELAY_MS = 2_000;
 
-/** A log index at a time. */
-interface IndexAt {
+/** A log index and when it was reached. */
+interface TimedIndex {
   readonly index: number;
   readonly atMs: number;
 }
 
-/** The leadership of a control machine, for leases; times on its own clock, in milliseconds. */
+/** The lease state of a control machine; times in milliseconds on its clock. */
 export interface LeaseAuthority {
-  /** The term that it leads; undefined where it does not. */
+  /** The term that it leads; undefined for a follower. */
   term: number | undefined;
-  /** Start of the last round that a quorum confirmed. */
+  /** When the last round that a quorum confirmed was started. */
   confirmedAtMs: number;
   /** The round in progress. */
   round: { readonly readId: number; readonly startedAtMs: number } | undefined;
   nextRoundAtMs: number;
   nextReadId: number;
-  /** Commit indexes by when they were reached, oldest first, none older than the next floor. */
-  commits: IndexAt[];
-  /** Each floor and when the first grant with it could be made, oldest first. */
-  floors: IndexAt[];
+  /** Commit indexes and when they were reached, oldest first, starting at the last floor. */
+  commits: TimedIndex[];
+  /** Floor indexes and when grants began to carry them, oldest first. */
+  floors: TimedIndex[];
 }
 
-/** What the consensus knows of this machine. */
+/** The leadership of this machine according to the consensus. */
 interface LeadershipView {
-  /** True for a leader that knows what is committed. */
+  /** True for a leader whose commit index is up to date. */
   readonly isLeading: boolean;
   readonly term: number;
   readonly commitIndex: number;
@@ -53,7 +44,7 @@
 }
 
 /**
- * @returns the authority of a machine that does not lead
+ * @returns the lease state of a follower
  */
 export function createLeaseAuthority(): LeaseAuthority {
   return {
@@ -68,19 +59,19 @@
 }
 
 /**
- * Follows the consensus; raises the floor.
- * @returns the ID of a read that should be confirmed by a quorum now; always negative
+ * Follows changes of leadership, raises the floor and starts a quorum round when one is due.
+ * @returns the ID of the read for a quorum to confirm, always negative; undefined if no round was started
  */
 export function leaseAuthorityTick(
   authority: LeaseAuthority,
   view: LeadershipView,
 ): number | undefined {
   if (!view.isLeading) {
-    resign(authority);
+    stepDown(authority);
     return undefined;
   }
   if (authority.term !== view.term) {
-    resign(authority);
+    stepDown(authority);
     authority.term = view.term;
   }
   raiseFloor(authority, view);
@@ -88,8 +79,8 @@
 }
 
 /**
- * Applies that a quorum has confirmed a read.
- * @returns true where the read was one of this authority's
+ * Handles a quorum's confirmation of a read.
+ * @returns true if the read was started by `leaseAuthorityTick`
  */
 export function applyConfirmation(authority: LeaseAuthority, readId: number): boolean {
   if (authority.round?.readId === readId) {
@@ -100,8 +91,8 @@
 }
 
 /**
- * @param askedAtMs when the balancer asked, on its own clock
- * @returns the grant, or undefined where this machine may not give one
+ * @param askedAtMs when the balancer requested the lease, on its own clock
+ * @returns the grant, or undefined if this machine may not grant one
  */
 export function grantLease(
   authority: LeaseAuthority,
@@ -116,21 +107,21 @@
 }
 
 /**
- * @returns the log index that every balancer has in force or is past its lease
+ * @returns the highest fenced log index, which every balancer that holds a lease has in force; 0 if there is none
  */
 export function fencedIndex(authority: LeaseAuthority, nowMs: number): number {
-  const lastExpiredMs = nowMs - LEASE_DURATION_MS - LEASE_MARGIN_MS;
-  return authority.floors.findLast(({ atMs }) => atMs <= lastExpiredMs)?.index ?? 0;
+  const expiredBeforeMs = nowMs - LEASE_DURATION_MS - LEASE_MARGIN_MS;
+  return authority.floors.findLast(({ atMs }) => atMs <= expiredBeforeMs)?.index ?? 0;
 }
 
 /**
- * @returns true once every balancer that holds a lease has reported to this leader
+ * @returns true once all leases granted by earlier leaders have expired
  */
-export function hasOutlivedEarlierLeases(authority: LeaseAuthority, nowMs: number): boolean {
+export function haveEarlierLeasesExpired(authority: LeaseAuthority, nowMs: number): boolean {
   return fencedIndex(authority, nowMs) > 0;
 }
 
-function resign(authority: LeaseAuthority): void {
+function stepDown(authority: LeaseAuthority): void {
   const { nextReadId } = authority;
   Object.assign(authority, createLeaseAuthority(), { nextReadId });
 }
@@ -141,7 +132,7 @@
   }
   const readId = authority.nextReadId;
   authority.nextReadId -= 1;
-  authority.nextRoundAtMs = nowMs + CONFIRM_INTERVAL_MS;
+  authority.nextRoundAtMs = nowMs + QUORUM_CHECK_INTERVAL_MS;
   authority.round = { readId, startedAtMs: nowMs };
   return readId;
 }
@@ -151,7 +142,7 @@
   if (commits.at(-1)?.index !== commitIndex) {
     commits.push({ index: commitIndex, atMs: nowMs });
   }
-  // A new leader's first floor is all that was committed before, so that none ever falls.
+  // A new leader's first floor is its commit index, so that the floor never falls.
   const isFirst = floors.length === 0;
   const last = isFirst
     ? commits.at(-1)
@@ -164,7 +155,7 @@
   dropOldFloors(authority, nowMs);
 }
 
-/** Keeps the newest floor that is fenced and those after it. */
+/** Keeps the newest fenced floor and the floors after it. */
 function dropOldFloors(authority: LeaseAuthority, nowMs: number): void {
   const fenced = fencedIndex(authority, nowMs);
   authority.floors = authority.floors.filter(({ index }) => index >= fenced);
--- a/src/managed/dissemination/lease.ts
+++ b/src/managed/dissemination/lease.ts
@@ -1,72 +1,67 @@
 /**
- * @file May a balancer use the addresses of its configuration? While its lease runs, yes: no address that it knows
- * can have joined another service. Once the lease has run out, a back end is used only as long as it has itself
- * confirmed a moment ago which back end it is.
+ * @file Leases on the configuration. While a balancer holds one, none of its back end addresses is reassigned to another
+ * service; after it expires, only back ends that have just confirmed their identity are used.
  *
- * A lease is counted on the balancer's own clock from when the balancer asked for it, never from when the answer
- * came: an answer that waited in a buffer while the process was paused extends nothing. A balancer may pass on what
- * is left of its lease. Times are in milliseconds. Reasons and alternatives: docs/design/dissemination.md.
+ * A lease starts when the balancer requests it, on the balancer's clock, not when the grant arrives: a grant that was
+ * buffered while the process was paused extends nothing.
  */
 
 /**
- * How long a lease runs, in milliseconds. Not measured; it delays the release of addresses by as long. Too short if
- * `amberlift_lease_held` falls to 0 during an election, which took about 1 s (docs/design/consensus.md).
+ * How long a lease lasts. Must outlast a leader election; the release of an address is delayed by as long.
  */
 export const LEASE_DURATION_MS = 10_000;
 
 /**
- * How far clocks may differ over one lease, in milliseconds: 5 %. Tests run clocks 1 % fast and slow; not measured on
- * machines.
+ * How far two clocks may drift apart over one lease: 5 % of its duration.
  */
 export const LEASE_MARGIN_MS = 500;
 
 /**
- * How long a back end's confirmation of its identity holds, in milliseconds. Not measured; too short if
- * `lease-expired` is counted while the back end answers its probes. An address may be taken over within this time
- * without being noticed here.
+ * How long a back end's confirmation of its identity is valid without a lease. Must outlast the probe interval; a
+ * reassigned address may go unnoticed for as long.
  */
 export const IDENTITY_LIFETIME_MS = 3_000;
 
-/** Extends a lease. */
+/** A grant that extends a lease. */
 export interface LeaseGrant {
-  /** When the balancer asked, on its own clock, in milliseconds; echoed. */
+  /** When the balancer requested it, in milliseconds on that balancer's clock; echoed. */
   readonly askedAtMs: number;
-  /** How much longer the lease runs, counted from `askedAtMs`. */
+  /** How long the lease lasts, in milliseconds from `askedAtMs`. */
   readonly remainingMs: number;
-  /** The grant holds only for a balancer that has this log index in force. */
+  /** The grant is valid only for a balancer that has this log index in force. */
   readonly floorIndex: number;
 }
 
 /** The lease of a balancer. */
 export interface Lease {
-  /** On the balancer's own clock, in milliseconds. */
+  /** In milliseconds on the balancer's clock. */
   expiresAtMs: number;
-  /** Log index that the holder had to have in force. */
+  /** The `floorIndex` of the last grant. */
   floorIndex: number;
 }
 
 /**
- * @returns a lease that has run out
+ * @returns a lease that was never granted
  */
 export function expiredLease(): Lease {
   return { expiresAtMs: Number.NEGATIVE_INFINITY, floorIndex: 0 };
 }
 
 /**
- * @returns true while the lease runs
+ * @returns true until the lease expires
  */
 export function isLeaseHeld(lease: Lease, nowMs: number): boolean {
   return nowMs < lease.expiresAtMs;
 }
 
 /**
- * Applies a grant where the balancer has in force what the grant requires.
- * @param positionIndex the log index in force
- * @returns true where it extended the lease
+ * Applies a grant if the balancer has reached its floor index and the grant extends the lease.
+ * @param indexInForce the balancer's log index in force
+ * @returns true if the lease was extended
  */
-export function applyGrant(lease: Lease, grant: LeaseGrant, positionIndex: number): boolean {
+export function applyGrant(lease: Lease, grant: LeaseGrant, indexInForce: number): boolean {
   const expiresAtMs = grant.askedAtMs + Math.min(grant.remainingMs, LEASE_DURATION_MS);
-  if (positionIndex < grant.floorIndex || expiresAtMs <= lease.expiresAtMs) {
+  if (indexInForce < grant.floorIndex || expiresAtMs <= lease.expiresAtMs) {
     return false;
   }
   lease.expiresAtMs = expiresAtMs;
@@ -75,10 +70,11 @@
 }
 
 /**
- * @param askedAtMs when the other balancer asked, on its own clock
- * @returns what is left of this lease, for another balancer; undefined where nothing is left
+ * Grants the remaining time of a balancer's own lease to another balancer.
+ * @param askedAtMs when the other balancer requested it, on that balancer's clock
+ * @returns the grant, or undefined if the lease has expired
  */
-export function passOnLease(
+export function delegateLease(
   lease: Lease,
   askedAtMs: number,
   nowMs: number,
@@ -88,9 +84,8 @@
 }
 
 /**
- * @param identityConfirmedAtMs when the probe began that the back end last answered with the ID by which the balancer
- *   knows it
- * @returns true where packets may be sent to the back end
+ * @param identityConfirmedAtMs start of the last probe that the back end answered with its expected ID
+ * @returns true if packets may be sent to the back end
  */
 export function mayUseBackend(lease: Lease, identityConfirmedAtMs: number, nowMs: number): boolean {
   return isLeaseHeld(lease, nowMs) || nowMs - identityConfirmedAtMs < IDENTITY_LIFETIME_MS;
--- a/src/managed/dissemination/link-messages.ts
+++ b/src/managed/dissemination/link-messages.ts
@@ -1,50 +1,50 @@
 /**
- * @file Messages between a balancer and the one that it gets the configuration from, over TCP, as MessagePack. That
- * one is a control machine or another balancer, which passes on what it has. Field names are sent as they are here.
+ * @file Messages between a balancer and its upstream, a control machine or a relaying balancer, over TCP as MessagePack.
+ * Field names are encoded as they are here.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConfigPosition, ConfigUpdate } from '../control/config-delta.js';
 import type { SharedResult } from '../health/health-sharing.js';
 import type { LeaseGrant } from './lease.js';
 
-/** A balancer below the sender of a report. */
+/** A balancer in the subtree of a report's sender. */
 export interface ReportedMember {
   readonly balancerId: string;
   readonly zone: string;
-  /** False where its link is closed and its next one is not known yet. */
+  /** False if its link is closed and no other link is known yet. */
   readonly isLinked: boolean;
 }
 
-/** A balancer that lags behind the others of a report. */
+/** A balancer whose log index is lower than the highest in the subtree. */
 interface Laggard {
   readonly balancerId: string;
   readonly index: number;
 }
 
-/** What is in force below the sender. */
+/** What is in force in the sender's subtree: the balancers linked to it, directly or through others. */
 export interface SubtreeReport {
-  /** Sent where they changed since the last report on this link. */
+  /** Absent if unchanged since the last report on this link. */
   readonly members?: readonly ReportedMember[];
-  /** Every member that is not among the laggards has this log index in force. */
+  /** Every member that is not a laggard has at least this log index in force. */
   readonly commonIndex: number;
   readonly laggards: readonly Laggard[];
 }
 
-/** Balancer to control: asks for the configuration from a position on; the first message. */
+/** Balancer to control: subscribes to the configuration from a position on; the first message on a link. */
 export interface SubscribeMessage {
   readonly type: 'subscribe';
-  /** Proof of the cluster key; another cluster's is refused with `wrong-cluster`. */
+  /** Authenticates the balancer; another cluster's key is refused with `wrong-cluster`. */
   readonly clusterKey: string;
   readonly balancerId: string;
   readonly zone: string;
   readonly position: ConfigPosition;
-  /** When it was sent, on the balancer's clock, in milliseconds; asks for a lease from then on. */
+  /** When it was sent, in milliseconds on the balancer's clock; the requested lease starts then. */
   readonly sentAtMs: number;
-  /** What is in force at balancers that are linked to the sender. */
+  /** Absent if the sender has no subtree to report. */
   readonly subtree?: SubtreeReport;
 }
 
-/** Balancer to control: this position is in force here; answered by a heartbeat. */
+/** Balancer to control: acknowledges the position in force and renews the lease; answered by a heartbeat. */
 export interface AcknowledgeMessage {
   readonly type: 'acknowledge';
   readonly position: ConfigPosition;
@@ -54,15 +54,15 @@
   readonly subtree?: SubtreeReport;
 }
 
-/** Control to balancer: the committed position, so that a balancer that lags knows it. */
+/** Control to balancer: the committed position, so that a lagging balancer subscribes again, and a lease grant. */
 export interface HeartbeatMessage {
   readonly type: 'heartbeat';
   readonly committed: ConfigPosition;
-  /** Absent where the sender may not extend a lease. */
+  /** Absent if the sender may not grant a lease. */
   readonly lease?: LeaseGrant;
-  /** Link address of the leader, where the sender is another machine and knows it. */
+  /** Link address of the leader, if the sender is a follower and knows it. */
   readonly leader?: Address;
-  /** How many balancers the sender knows below the receiver; absent for none. */
+  /** How many members of the receiver's subtree the sender knows; absent for none. */
   readonly subtreeSize?: number;
 }
 
@@ -78,14 +78,14 @@
   readonly kind: 'wrong-cluster';
 }
 
-/** From a balancer to one that joins: what is known of back ends. */
+/** Balancer to a newly linked balancer: known health probe results. */
 interface HealthStateMessage {
   readonly type: 'health-state';
   readonly results: readonly SharedResult[];
 }
 
-/** Any message from a balancer to a control machine. */
+/** Any message from a balancer to its upstream. */
 export type BalancerToControlMessage = SubscribeMessage | AcknowledgeMessage;
-/** Any message from a control machine to a balancer. */
+/** Any message from upstream to a balancer. */
 export type ControlToBalancerMessage =
   HeartbeatMessage | UpdateMessage | LinkRefusedMessage | HealthStateMessage;
--- a/src/managed/dissemination/link-plan.ts
+++ b/src/managed/dissemination/link-plan.ts
@@ -1,35 +1,28 @@
 /**
- * @file Where may a balancer link to get the configuration and its lease? Two relays of each zone, chosen by
- * rendezvous hashing among the zone's live balancers, prefer control machines; the others prefer the relays, half to
- * each. Other balancers come last, for when no control machine can be reached.
- *
- * Inputs: the members known by gossip, and the control addresses of the settings. Returns the candidates, best first;
- * `link-choice.ts` uses the first that works.
+ * @file Plans the distribution tree: the upstream link candidates of a balancer, from gossip membership. The relays of a
+ * zone, chosen by rendezvous hashing, link to control machines; the zone's other balancers link to the relays.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { otherZoneContacts, zoneMembers, type GossipState } from '../gossip/gossip-state.js';
 import { linkAddress, type MemberRecord } from '../gossip/member.js';
 import { chooseByRendezvous, hashText } from '../../shared/common/rendezvous.js';
 
-/**
- * Relays of a zone: with 20 zones the leader has 40 links (docs/design/dissemination.md). With one, its loss would
- * cut its whole zone off for a while.
- */
+/** More than one, so that a zone stays connected if a relay fails; each adds a link to the leader. */
 const RELAYS_PER_ZONE = 2;
-/** Bound of the other balancers of the zone, and of other zones, that are candidates. Not measured. */
+/** Maximum number of non-relay candidates from the own zone, and of candidates from other zones. */
 const MAX_PEER_CANDIDATES = 3;
 
-/** Candidates for a link, best first. */
+/** Upstream link candidates, best first. */
 export interface LinkPlan {
   readonly candidates: readonly Address[];
-  /** How many of them, from the first on, are as good as any. */
+  /** Number of leading candidates that are preferred over the rest. */
   readonly preferredCount: number;
-  /** True for a balancer that links to control machines. */
+  /** True for a balancer that prefers control machines as upstream. */
   readonly isRelay: boolean;
 }
 
 /**
- * @returns the names of the zone's relays, the same at all that know the same members
+ * @returns the IDs of the zone's relays; equal on all balancers with the same member list
  */
 function zoneRelays(zone: string, members: readonly MemberRecord[]): string[] {
   const names = members.filter(({ status }) => status === 'alive').map(({ id }) => id);
@@ -37,9 +30,9 @@
 }
 
 /**
- * Plans the links of a balancer. A relay prefers control machines, any other one its zone's relays;
- * other balancers come last, for when no control machine can be reached.
- * @param controlAddresses in the settings' order
+ * Plans the links of a balancer. A relay prefers control machines, any other balancer its zone's relays. Peers come
+ * last, for when no control machine is reachable.
+ * @param controlAddresses in the order of the settings
  */
 export function planLinks(membership: GossipState, controlAddresses: readonly Address[]): LinkPlan {
   const { id, zone } = membership.options;
@@ -59,12 +52,12 @@
     ...otherZoneContacts(membership).slice(0, MAX_PEER_CANDIDATES).map(linkAddress),
   ];
   return relays.includes(id)
-    ? planOf(true, controls, [...relayLinks, ...peers])
-    : planOf(false, relayLinks, [...controls, ...peers]);
+    ? createPlan(true, controls, [...relayLinks, ...peers])
+    : createPlan(false, relayLinks, [...controls, ...peers]);
 }
 
 /**
- * @returns true where both plans prefer the same addresses and have the same others
+ * @returns true if both plans have the same candidates and the same number of preferred ones
  */
 export function isSamePlan(one: LinkPlan, other: LinkPlan): boolean {
   const text = ({ candidates }: LinkPlan) => candidates.map(formatAddress).join();
@@ -72,14 +65,14 @@
 }
 
 /**
- * @returns the place of an address among the candidates; -1 where it is none
+ * @returns the index of the address among the candidates, or -1
  */
-export function placeInPlan(plan: LinkPlan, address: Address): number {
+export function candidateIndex(plan: LinkPlan, address: Address): number {
   const text = formatAddress(address);
   return plan.candidates.findIndex((candidate) => formatAddress(candidate) === text);
 }
 
-function planOf(
+function createPlan(
   isRelay: boolean,
   preferred: readonly Address[],
   rest: readonly Address[],
@@ -87,8 +80,8 @@
   return { candidates: [...preferred, ...rest], preferredCount: preferred.length, isRelay };
 }
 
-/** Spreads balancers over equally good candidates. */
-function rotated<Item>(items: readonly Item[], by: number): Item[] {
-  const start = items.length === 0 ? 0 : by % items.length;
+/** Rotates equally good candidates by a hash, to spread balancers over them. */
+function rotated<Item>(items: readonly Item[], offset: number): Item[] {
+  const start = items.length === 0 ? 0 : offset % items.length;
   return [...items.slice(start), ...items.slice(0, start)];
 }
--- a/src/managed/dissemination/publisher.ts
+++ b/src/managed/dissemination/publisher.ts
@@ -1,9 +1,7 @@
 /**
- * @file What does a publisher send to a subscriber? The deltas that it lacks, or a snapshot where the deltas that are
- * kept don't reach back; and with each report a heartbeat with the committed position and a lease. Control machines
- * publish what is committed, balancers pass on what they have in force.
- *
- * Owns `PublisherState`: subscribers, the last deltas, and the reports of the balancers below (`subtree-report.ts`).
+ * @file Publishes the configuration to subscribers: missing deltas, or a snapshot if they are no longer retained, and a
+ * heartbeat with a lease for each report. Control machines publish committed entries; balancers relay what they have in
+ * force.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { RoutingConfig } from '../control/routing-config.js';
@@ -14,11 +12,11 @@
   type ConfigPosition,
   type ConfigUpdate,
 } from '../control/config-delta.js';
-import { passOnLease, type Lease, type LeaseGrant } from './lease.js';
+import { delegateLease, type Lease, type LeaseGrant } from './lease.js';
 import {
   fencedIndex,
   grantLease,
-  hasOutlivedEarlierLeases,
+  haveEarlierLeasesExpired,
   type LeaseAuthority,
 } from './lease-authority.js';
 import type {
@@ -29,7 +27,7 @@
 import {
   allReports,
   createSubtreeReports,
-  dropLink,
+  removeLink,
   expireReports,
   lowestIndex,
   applyReport,
@@ -37,13 +35,13 @@
   type SubtreeReports,
 } from './subtree-report.js';
 
-/** Deltas that are kept for subscribers that lag. Not measured; too few if balancers that reconnect get snapshots. */
-const MAX_KEPT_DELTAS = 1_000;
+/** Deltas retained for subscribers that lag or reconnect; others get a snapshot. */
+const MAX_RETAINED_DELTAS = 1_000;
 
-/** Names a link of this process; never used again while the process runs. */
+/** ID of a link; not reused while the process runs. */
 export type LinkId = number;
 
-/** A balancer that is linked here. */
+/** A balancer that has subscribed over a link. */
 interface Subscriber {
   readonly balancerId: string;
   readonly zone: string;
@@ -59,19 +57,19 @@
 /** The source of the leases that a publisher grants. */
 type LeaseSource =
   | { readonly type: 'authority'; readonly authority: LeaseAuthority }
-  /** A balancer's own lease, of which it passes on what is left. */
+  /** A balancer's own lease, whose remaining time it delegates. */
   | { readonly type: 'held'; readonly lease: Lease };
 
 /** The state of a publisher. */
 export interface PublisherState {
   readonly clusterKey: string;
   readonly subscribers: Map<LinkId, Subscriber>;
-  /** Oldest first; each follows on the one before. */
+  /** Oldest first; each starts at the position where the previous one ends. */
   readonly deltas: ConfigDelta[];
   committed: ConfigPosition;
   readonly leaseSource: LeaseSource;
   readonly reports: SubtreeReports;
-  /** Link address of the leader, where it is another machine and known. */
+  /** Link address of the leader, if it is known and another machine. */
   leader: Address | undefined;
 }
 
@@ -92,7 +90,7 @@
 
 /**
  * Publishes the changes of one committed entry.
- * @returns what to send to subscribers
+ * @returns the delta for each subscriber
  */
 export function publishChanges(
   state: PublisherState,
@@ -102,7 +100,7 @@
   const delta: ConfigDelta = { type: 'delta', from: state.committed, to: position, changes };
   state.committed = position;
   state.deltas.push(delta);
-  if (state.deltas.length > MAX_KEPT_DELTAS) {
+  if (state.deltas.length > MAX_RETAINED_DELTAS) {
     state.deltas.shift();
   }
   return [...state.subscribers.keys()].map((linkId) => ({
@@ -113,10 +111,10 @@
 }
 
 /**
- * Passes on an update that this balancer has applied.
- * @returns what to send to subscribers
+ * Relays an update that this balancer has applied. After a snapshot, subscribers get a heartbeat and subscribe again.
+ * @returns the messages to subscribers
  */
-export function passOnUpdate(state: PublisherState, update: ConfigUpdate): LinkSendEffect[] {
+export function relayUpdate(state: PublisherState, update: ConfigUpdate): LinkSendEffect[] {
   if (update.type === 'delta') {
     return publishChanges(state, update.to, update.changes);
   }
@@ -126,7 +124,7 @@
 }
 
 /**
- * Jumps to a position that was reached without its changes; subscribers are sent a snapshot.
+ * Moves to a position whose changes are unknown; subscribers behind it get a snapshot.
  */
 export function skipToPosition(state: PublisherState, position: ConfigPosition): void {
   state.deltas.length = 0;
@@ -134,7 +132,7 @@
 }
 
 /**
- * Handles a message of a balancer.
+ * Handles a message from a subscriber.
  * @param config the committed configuration, for snapshots
  */
 export function handleSubscriberMessage(
@@ -156,25 +154,24 @@
 }
 
 /**
- * Removes a link that is closed. Its balancer is counted until it is past its lease.
+ * Removes the subscriber of a closed link. Its report counts until it subscribes elsewhere or its lease expires.
  */
-export function handleSubscriberGone(state: PublisherState, linkId: LinkId): void {
+export function handleSubscriberDisconnected(state: PublisherState, linkId: LinkId): void {
   state.subscribers.delete(linkId);
-  dropLink(state.reports, linkId);
+  removeLink(state.reports, linkId);
 }
 
-/** How far the configuration has come. */
+/** How far the configuration has been disseminated. */
 interface DisseminationStatus {
-  /** Every balancer that is not past its lease has this log index in force. */
+  /** Log index that every reporting balancer has in force. */
   readonly inForceIndex: number;
-  /** Every balancer has this log index in force, or is past its lease. */
+  /** Log index that every balancer with a lease has in force; needs no reports. */
   readonly fencedIndex: number;
 }
 
 /**
- * @param authority the leader's
- * @returns how far the configuration has come; zeros until the leader has outlived earlier leases, see
- *   `lease-authority.ts`
+ * @param authority the leader's lease state
+ * @returns the status; zeros until the leases of earlier leaders have expired
  */
 export function disseminationStatus(
   state: PublisherState,
@@ -182,7 +179,7 @@
   nowMs: number,
 ): DisseminationStatus {
   expireReports(state.reports, nowMs);
-  const isComplete = hasOutlivedEarlierLeases(authority, nowMs);
+  const isComplete = haveEarlierLeasesExpired(authority, nowMs);
   return {
     inForceIndex: isComplete ? lowestIndex(state.reports, state.committed.index) : 0,
     fencedIndex: fencedIndex(authority, nowMs),
@@ -190,7 +187,7 @@
 }
 
 /**
- * @returns what each balancer reported last, in no order
+ * @returns the last report of each balancer, in no particular order
  */
 export function balancerReports(state: PublisherState): BalancerReport[] {
   return allReports(state.reports);
@@ -217,7 +214,7 @@
 function grantFrom(source: LeaseSource, askedAtMs: number, nowMs: number): LeaseGrant | undefined {
   return source.type === 'authority'
     ? grantLease(source.authority, askedAtMs, nowMs)
-    : passOnLease(source.lease, askedAtMs, nowMs);
+    : delegateLease(source.lease, askedAtMs, nowMs);
 }
 
 function subscribe(
@@ -233,14 +230,14 @@
   }
   const { balancerId, zone, position } = message;
   state.subscribers.set(linkId, { balancerId, zone });
-  return catchUp(state, position, config).map((update) => ({
+  return updatesSince(state, position, config).map((update) => ({
     type: 'link-send',
     linkId,
     message: { type: 'update', update },
   }));
 }
 
-function catchUp(state: PublisherState, position: ConfigPosition, config: RoutingConfig) {
+function updatesSince(state: PublisherState, position: ConfigPosition, config: RoutingConfig) {
   if (position.index >= state.committed.index) {
     return [];
   }
--- a/src/managed/dissemination/subscription-state.ts
+++ b/src/managed/dissemination/subscription-state.ts
@@ -1,5 +1,5 @@
 /**
- * @file The state of a balancer's subscription. `link-choice.ts` changes the fields of the link, `upward-report.ts`
+ * @file The state of a balancer's subscription. `link-selection.ts` updates the fields of the link, `upstream-report.ts`
  * those of the last report, `subscription.ts` the rest.
  */
 import type { Address } from '../../shared/common/address.js';
@@ -20,49 +20,50 @@
 export interface SubscriptionState {
   readonly options: SubscriptionOptions;
   plan: LinkPlan;
-  /** Place in the plan of the link in use or tried next; wraps around. */
+  /** Index in the plan of the candidate in use or tried next. */
   cursor: number;
-  /** Places of the candidates that have failed since the lease was last extended, or all had. */
-  readonly failed: Set<number>;
-  /** Number of the link in use or being opened; messages of an earlier link are ignored. */
+  /** Indexes of the candidates that have failed; cleared when the lease is extended or all have failed. */
+  readonly failedCandidates: Set<number>;
+  /** ID of the link in use or being opened; messages of earlier links are ignored. */
   linkId: number;
   linked: boolean;
-  /** The other end of the link in use or being opened. */
+  /** Remote address of the link in use or being opened. */
   address: Address | undefined;
   reconnectAtMs: number;
   preferredRetryAtMs: number;
-  /** How many times a better candidate was tried again. */
-  preferredTries: number;
-  /** The place of the candidate that worked, while a better one is tried again. */
-  returnTo: number | undefined;
+  /** How many times a preferred candidate was retried. */
+  preferredRetryCount: number;
+  /** Index of the candidate to return to if the preferred one being retried fails. */
+  fallbackCursor: number | undefined;
+  /** When the last report was sent. */
   sentAtMs: number;
-  /** Versions of the reports from below that were sent last, see `SubtreeReports`. */
+  /** Versions of the subtree reports that were last sent upstream, see `SubtreeReports`. */
   sentMembersVersion: number;
-  sentIndexVersion: number;
-  /** How many balancers below were in the last report. */
+  sentIndexesVersion: number;
+  /** Number of members in the last subtree report that listed them. */
   sentMemberCount: number;
-  /** True where the other end does not know all balancers below. */
+  /** True if upstream does not know all members of the subtree. */
   mustSendMembers: boolean;
-  /** Link address of the leader, by the last machine that does not lead. */
+  /** Link address of the leader as named by a follower; undefined if the plan is followed. */
   leader: Address | undefined;
-  /** The leader whose link failed last, and until when it is not tried again. */
+  /** The leader whose link failed last, and when it may be retried. */
   failedLeader: { readonly address: Address; readonly untilMs: number } | undefined;
   /** The committed position of the last heartbeat. */
   committed: ConfigPosition;
-  /** When the last message came, or the link was opened. */
+  /** When the last message was received over the link or, before that, when it was opened. */
   receivedAtMs: number;
-  /** True once a message has come over the link. */
+  /** True once a message has been received over the link. */
   hasAnswered: boolean;
-  /** When the lease was last extended, or the link was opened. */
+  /** When the lease was last extended over the link or, before that, when it was opened. */
   extendedAtMs: number;
   /** True once the lease has been extended over the link. */
   hasExtended: boolean;
   readonly lease: Lease;
-  /** True where the link was refused: this balancer belongs to another cluster. */
+  /** True if the link was refused because this balancer belongs to another cluster. */
   refused: boolean;
 }
 
-/** An effect of a subscription, for the daemon to perform. */
+/** An effect for the daemon to perform. */
 export type SubscriptionEffect =
   | { readonly type: 'link-open'; readonly linkId: number; readonly address: Address }
   | {
@@ -72,7 +73,7 @@
     };
 
 /**
- * @returns a subscription that opens a link at its first tick
+ * @returns a subscription without a link; its first tick opens one
  */
 export function createSubscription(options: SubscriptionOptions): SubscriptionState {
   const { controlAddresses } = options;
@@ -84,7 +85,7 @@
       isRelay: true,
     },
     cursor: 0,
-    failed: new Set(),
+    failedCandidates: new Set(),
     linkId: 0,
     linked: false,
     address: undefined,
@@ -92,11 +93,11 @@
     preferredRetryAtMs: 0,
     sentAtMs: 0,
     sentMembersVersion: 0,
-    sentIndexVersion: 0,
+    sentIndexesVersion: 0,
     sentMemberCount: 0,
     mustSendMembers: false,
-    returnTo: undefined,
-    preferredTries: 0,
+    fallbackCursor: undefined,
+    preferredRetryCount: 0,
     leader: undefined,
     failedLeader: undefined,
     committed: { term: 0, index: 0 },
--- a/src/managed/dissemination/subscription.ts
+++ b/src/managed/dissemination/subscription.ts
@@ -1,10 +1,6 @@
 /**
- * @file A balancer's subscription to the configuration: one link at a time, to a control machine or to another
- * balancer. Asks for the configuration and for the lease, reports what is in force, and handles what comes over the
- * link.
- *
- * Which link is used stands in `link-choice.ts`, what is reported in `upward-report.ts`. These three modules own
- * `SubscriptionState`. Times are in milliseconds on the balancer's clock.
+ * @file A balancer's subscription to the configuration, over one upstream link at a time: to a control machine or to
+ * another balancer. `link-selection.ts` chooses the link, `upstream-report.ts` builds the reports.
  */
 import { match } from 'ts-pattern';
 import type { ConfigUpdate } from '../control/config-delta.js';
@@ -12,35 +8,35 @@
 import { applyGrant } from './lease.js';
 import {
   handleLinkClosed,
-  holdOffReconnect,
-  isLinkUseless,
+  delayReconnect,
+  isLinkStale,
   openLink,
   retryPreferred,
-  shouldMoveTo,
+  shouldSwitchToLeader,
   shouldRetryPreferred,
-} from './link-choice.js';
+} from './link-selection.js';
 import type { ControlToBalancerMessage, HeartbeatMessage } from './link-messages.js';
 import type { SubscriptionEffect, SubscriptionState } from './subscription-state.js';
-import { acknowledge, isReportDue, subscribeEffect, type ReportSource } from './upward-report.js';
+import { acknowledge, isReportDue, subscribeEffect, type ReportSource } from './upstream-report.js';
 
-/** The result of a message from above. */
+/** The result of a message from upstream. */
 interface SubscriptionReaction {
-  /** An update that the balancer should apply before the effects are performed. */
+  /** An update to apply before the effects are performed. */
   readonly update?: ConfigUpdate;
-  /** Results of health probes that another balancer knows. */
+  /** Health probe results from another balancer. */
   readonly results?: readonly SharedResult[];
   readonly effects: SubscriptionEffect[];
 }
 
 /**
- * Opens a link where none is open and it is time; gives up a useless one; reports, and asks to extend the lease.
+ * Closes a stale link, opens one when due, and reports upstream, which also renews the lease.
  */
 export function subscriptionTick(
   state: SubscriptionState,
   source: ReportSource,
   nowMs: number,
 ): SubscriptionEffect[] {
-  if (state.linked && isLinkUseless(state, source.position.index > 0, nowMs)) {
+  if (state.linked && isLinkStale(state, source.position.index > 0, nowMs)) {
     handleLinkClosed(state, state.linkId, nowMs);
   }
   if (!state.linked) {
@@ -53,7 +49,7 @@
 }
 
 /**
- * Subscribes from the position in force, over a link that has just been opened.
+ * Subscribes from the position in force over a newly opened link.
  */
 export function handleLinkOpened(
   state: SubscriptionState,
@@ -65,7 +61,7 @@
 }
 
 /**
- * Handles a message from above; those of an earlier link are ignored.
+ * Handles a message from upstream; messages of an earlier link are ignored.
  */
 export function handleControlMessage(
   state: SubscriptionState,
@@ -91,7 +87,7 @@
     .with({ type: 'link-refused' }, (): SubscriptionReaction => {
       handleLinkClosed(state, linkId, nowMs);
       state.refused = true;
-      holdOffReconnect(state, nowMs);
+      delayReconnect(state, nowMs);
       return { effects: [] };
     })
     .exhaustive();
@@ -110,11 +106,11 @@
   if (lease !== undefined && applyGrant(state.lease, lease, position.index)) {
     state.extendedAtMs = nowMs;
     state.hasExtended = true;
-    state.returnTo = undefined;
-    state.failed.clear();
+    state.fallbackCursor = undefined;
+    state.failedCandidates.clear();
   }
   state.mustSendMembers = subtreeSize !== state.sentMemberCount;
-  if (leader !== undefined && shouldMoveTo(state, leader, nowMs)) {
+  if (leader !== undefined && shouldSwitchToLeader(state, leader, nowMs)) {
     state.leader = leader;
     return openLink(state, nowMs);
   }
--- a/src/managed/dissemination/subtree-report.ts
+++ b/src/managed/dissemination/subtree-report.ts
@@ -1,24 +1,22 @@
 /**
- * @file Which balancers are below, and what does each have in force? Gathers the reports of all links: each balancer
- * reports to the one that it is linked to, which reports for all below it. A balancer counts at the link over which
- * it was reported last; after its link is closed until it is linked again or past its lease.
- *
- * Owns `SubtreeReports`. Log indexes are those of the configuration; times are in milliseconds.
+ * @file Collects the reports of the downstream balancers of a distribution tree node. A balancer counts at the link that
+ * reported it last and, after that link is closed, until it is linked again or its lease has expired.
  */
 import { LEASE_DURATION_MS, LEASE_MARGIN_MS } from './lease.js';
 import type { ReportedMember, SubtreeReport } from './link-messages.js';
 
-/** A balancer without a report for this time is past its lease and no longer counted, in milliseconds. */
+/** A report older than this no longer counts, as the balancer's lease has expired. */
 export const REPORT_LIFETIME_MS = LEASE_DURATION_MS + LEASE_MARGIN_MS;
-/** What one balancer has in force, as far as it is known. */
+
+/** The log index in force at a balancer, as last reported. */
 export interface BalancerReport {
   readonly balancerId: string;
   readonly zone: string;
   readonly index: number;
 }
 
-/** The last report of one link. */
-interface LinkReports {
+/** The last report received over a link. */
+interface LinkReport {
   readonly balancerId: string;
   readonly zone: string;
   index: number;
@@ -28,25 +26,26 @@
   laggards: Map<string, number>;
 }
 
-/** A balancer whose link is closed. */
-interface Unlinked extends BalancerReport {
+/** The last report of a balancer whose link is closed. */
+interface UnlinkedReport extends BalancerReport {
   readonly reportedAtMs: number;
 }
 
-/** The reports of all balancers below. */
+/** The reports of all downstream balancers. */
 export interface SubtreeReports {
-  /** By the number of the link. */
-  readonly links: Map<number, LinkReports>;
-  readonly unlinked: Map<string, Unlinked>;
-  /** Counts the changes of who is below. */
+  /** By link ID. */
+  readonly links: Map<number, LinkReport>;
+  /** By balancer ID. */
+  readonly unlinked: Map<string, UnlinkedReport>;
+  /** Incremented when the set of downstream balancers or their links change. */
   membersVersion: number;
-  /** Counts the changes of what is in force below. */
-  indexVersion: number;
-  /** The lowest index of all, as of a sum of both versions. */
-  lowest: { readonly version: number; readonly index: number } | undefined;
+  /** Incremented when a reported index changes. */
+  indexesVersion: number;
+  /** The lowest reported index, cached for the sum of both versions. */
+  cachedLowest: { readonly version: number; readonly index: number } | undefined;
 }
 
-/** One report of a linked balancer. */
+/** A report received from a linked balancer. */
 interface IncomingReport {
   readonly balancerId: string;
   readonly zone: string;
@@ -62,13 +61,13 @@
     links: new Map(),
     unlinked: new Map(),
     membersVersion: 0,
-    indexVersion: 0,
-    lowest: undefined,
+    indexesVersion: 0,
+    cachedLowest: undefined,
   };
 }
 
 /**
- * Applies a report. A balancer that reports over several links counts at the last one.
+ * Applies a report. A balancer that reports over a new link is removed from all other links.
  */
 export function applyReport(
   reports: SubtreeReports,
@@ -78,14 +77,14 @@
 ): void {
   const { balancerId, zone, index, subtree } = report;
   const known = reports.links.get(linkId);
-  const link = known ?? newLink(balancerId, zone);
+  const link = known ?? createLinkReport(balancerId, zone);
   if (known === undefined) {
     reports.links.set(linkId, link);
-    removeElsewhere(reports, linkId, balancerId);
+    removeFromOtherLinks(reports, linkId, balancerId);
     reports.membersVersion += 1;
   }
-  if (link.index !== index || hasOtherIndexes(link, subtree)) {
-    reports.indexVersion += 1;
+  if (link.index !== index || hasChangedIndexes(link, subtree)) {
+    reports.indexesVersion += 1;
   }
   link.index = index;
   link.reportedAtMs = nowMs;
@@ -100,9 +99,9 @@
 }
 
 /**
- * Removes a link that is closed. The balancers below it count until they are linked again or past their lease.
+ * Removes a closed link. Its balancers count as unlinked until they are linked again or their leases expire.
  */
-export function dropLink(reports: SubtreeReports, linkId: number): void {
+export function removeLink(reports: SubtreeReports, linkId: number): void {
   const link = reports.links.get(linkId);
   if (link === undefined) {
     return;
@@ -115,7 +114,7 @@
 }
 
 /**
- * Removes the balancers that are past their lease.
+ * Removes reports whose balancers' leases have expired.
  */
 export function expireReports(reports: SubtreeReports, nowMs: number): void {
   for (const [linkId, { reportedAtMs }] of reports.links) {
@@ -133,20 +132,20 @@
 }
 
 /**
- * @param highest the result where no balancer reports a lower one
- * @returns the log index that all have in force
+ * @param upperBound the result if no balancer reports a lower index
+ * @returns the log index that all reporting balancers have in force
  */
-export function lowestIndex(reports: SubtreeReports, highest: number): number {
-  const version = reports.membersVersion + reports.indexVersion;
-  if (reports.lowest?.version !== version) {
+export function lowestIndex(reports: SubtreeReports, upperBound: number): number {
+  const version = reports.membersVersion + reports.indexesVersion;
+  if (reports.cachedLowest?.version !== version) {
     const index = allReports(reports).reduce((low, one) => Math.min(low, one.index), Infinity);
-    reports.lowest = { version, index };
+    reports.cachedLowest = { version, index };
   }
-  return Math.min(highest, reports.lowest.index);
+  return Math.min(upperBound, reports.cachedLowest.index);
 }
 
 /**
- * @returns what each balancer has in force, in no order
+ * @returns the last report of each balancer, in no particular order
  */
 export function allReports(reports: SubtreeReports): BalancerReport[] {
   const linked = [...reports.links.values()].flatMap(reportsOf);
@@ -158,7 +157,7 @@
   return [...linked, ...unlinked];
 }
 
-function newLink(balancerId: string, zone: string): LinkReports {
+function createLinkReport(balancerId: string, zone: string): LinkReport {
   return {
     balancerId,
     zone,
@@ -173,22 +172,26 @@
 function setMembers(
   reports: SubtreeReports,
   linkId: number,
-  link: LinkReports,
+  link: LinkReport,
   members: readonly ReportedMember[],
 ): void {
   reports.membersVersion += 1;
   link.members = new Map();
   for (const member of members) {
     const { balancerId, isLinked } = member;
-    // The balancer that lost the link doesn't know where the other one went; the one that it is linked to does.
-    if (isLinked || !isKnownElsewhere(reports, linkId, balancerId)) {
-      removeElsewhere(reports, linkId, balancerId);
+    // The former upstream still reports a moved balancer as unlinked; the link that reports it elsewhere wins.
+    if (isLinked || !isReportedByOtherLink(reports, linkId, balancerId)) {
+      removeFromOtherLinks(reports, linkId, balancerId);
       link.members.set(balancerId, member);
     }
   }
 }
 
-function isKnownElsewhere(reports: SubtreeReports, linkId: number, balancerId: string): boolean {
+function isReportedByOtherLink(
+  reports: SubtreeReports,
+  linkId: number,
+  balancerId: string,
+): boolean {
   for (const [otherId, other] of reports.links) {
     const isThere = other.balancerId === balancerId || other.members.has(balancerId);
     if (otherId !== linkId && isThere) {
@@ -198,16 +201,15 @@
   return false;
 }
 
-/** Removes a balancer from every other link. */
-function removeElsewhere(reports: SubtreeReports, linkId: number, balancerId: string): void {
+function removeFromOtherLinks(reports: SubtreeReports, linkId: number, balancerId: string): void {
   reports.unlinked.delete(balancerId);
   for (const [otherId, other] of reports.links) {
     if (otherId === linkId) {
       continue;
     }
     if (other.balancerId === balancerId) {
-      // The balancer has linked anew; what was below it reports there or elsewhere.
-      dropLink(reports, otherId);
+      // The balancer has reconnected; its subtree stays unlinked until reported again.
+      removeLink(reports, otherId);
       reports.unlinked.delete(balancerId);
     } else {
       reports.membersVersion += other.members.delete(balancerId) ? 1 : 0;
@@ -215,7 +217,7 @@
   }
 }
 
-function hasOtherIndexes(link: LinkReports, subtree: SubtreeReport | undefined): boolean {
+function hasChangedIndexes(link: LinkReport, subtree: SubtreeReport | undefined): boolean {
   return (
     subtree !== undefined &&
     (subtree.commonIndex !== link.commonIndex ||
@@ -224,7 +226,7 @@
   );
 }
 
-function reportsOf(link: LinkReports): BalancerReport[] {
+function reportsOf(link: LinkReport): BalancerReport[] {
   const { balancerId, zone, index, members, commonIndex, laggards } = link;
   const below = [...members.values()].map((member) => ({
     balancerId: member.balancerId,
--- a/src/managed/dissemination/subtree-summary.ts
+++ b/src/managed/dissemination/subtree-summary.ts
@@ -1,22 +1,22 @@
 /**
- * @file How is what many balancers have in force summed up in one message? By the log index that most have, and by
- * name at most a few that lag. So a report costs about the same for one balancer and for a hundred.
+ * @file Aggregates the reports of a subtree into one message of bounded size: a common log index and a limited number of
+ * laggards.
  */
 import type { SubtreeReport } from './link-messages.js';
 import { allReports, type SubtreeReports } from './subtree-report.js';
 
 /**
- * Bound of the balancers that a report names one by one; those that lag most come first, the rest count as far behind
- * as the first one that is not named. Not measured.
+ * Maximum number of laggards in a report, furthest behind first. If there are more, the lowest omitted index is reported
+ * as the common one.
  */
 export const MAX_LAGGARDS = 20;
 
 /**
- * Sums up the reports for the machine above.
- * @param withMembers true where the receiver does not have the present members
- * @returns the report, or undefined where no balancer is below
+ * Aggregates the reports for upstream.
+ * @param withMembers true if upstream does not have the current members
+ * @returns the report, or undefined if the subtree is empty and upstream knows it
  */
-export function subtreeReport(
+export function buildSubtreeReport(
   reports: SubtreeReports,
   withMembers: boolean,
 ): SubtreeReport | undefined {
@@ -26,7 +26,7 @@
     return withMembers ? { members: [], commonIndex: 0, laggards: [] } : undefined;
   }
   const behind = all.filter(({ index }) => index < highest);
-  const firstUnnamed = behind[MAX_LAGGARDS];
+  const firstOmitted = behind[MAX_LAGGARDS];
   const members = all.map(({ balancerId, zone }) => ({
     balancerId,
     zone,
@@ -34,7 +34,7 @@
   }));
   return {
     ...(withMembers && { members }),
-    commonIndex: firstUnnamed?.index ?? highest,
+    commonIndex: firstOmitted?.index ?? highest,
     laggards: behind.slice(0, MAX_LAGGARDS).map(({ balancerId, index }) => ({ balancerId, index })),
   };
 }
--- a/src/managed/dissemination/traffic.ts
+++ b/src/managed/dissemination/traffic.ts
@@ -1,24 +1,24 @@
 /**
- * @file Counts what a process sends and receives for the control plane, by kind of message.
+ * @file Counts the control-plane messages and bytes that a process sends and receives, by kind of message.
  */
 
-/** Messages of one kind and their bytes. */
+/** Number and total bytes of the messages of one kind. */
 interface TrafficCount {
   messages: number;
   bytes: number;
 }
 
-/** Direction of a message. */
+/** Direction of a message, seen from this process. */
 export type TrafficDirection = 'sent' | 'received';
 
-/** Counts by direction and kind. */
+/** Counts by direction and kind of message. */
 export interface Traffic {
   readonly sent: Map<string, TrafficCount>;
   readonly received: Map<string, TrafficCount>;
 }
 
 /**
- * @returns counts of nothing
+ * @returns empty counts
  */
 export function createTraffic(): Traffic {
   return { sent: new Map(), received: new Map() };
@@ -26,7 +26,7 @@
 
 /**
  * Counts one message.
- * @param bytes its length without the headers of TCP, UDP and IP
+ * @param bytes its size without TCP, UDP and IP headers
  */
 export function countTraffic(
   traffic: Traffic,
--- a/src/managed/dissemination/upward-report.ts
+++ b/src/managed/dissemination/upstream-report.ts
@@ -1,33 +1,28 @@
 /**
- * @file What does a balancer report upwards, and when? Its own position and, in short, what is in force on the
- * balancers below it (`subtree-report.ts`). Their names travel only where they have changed or the other end does not
- * know them all. Each report also asks to extend the lease, counted from when it was sent. Owns the versions of the
- * last report.
+ * @file Builds a balancer's reports to upstream: its own position, a summary of its subtree and a lease request. The
+ * subtree's members are listed only if they have changed or upstream does not know them all.
  */
 import type { ConfigPosition } from '../control/config-delta.js';
 import type { AcknowledgeMessage } from './link-messages.js';
 import type { SubtreeReports } from './subtree-report.js';
-import { subtreeReport } from './subtree-summary.js';
+import { buildSubtreeReport } from './subtree-summary.js';
 import type { SubscriptionEffect, SubscriptionState } from './subscription-state.js';
 
-/** Time between two requests to extend the lease, in milliseconds; five fall into one lease. */
-const RENEW_INTERVAL_MS = 2_000;
-/**
- * How long changes below are gathered before they are reported, in milliseconds. Not measured; it delays what is
- * shown as in force.
- */
-const GATHER_MS = 200;
+/** Time between two lease requests; a fifth of the lease duration. */
+const LEASE_RENEW_INTERVAL_MS = 2_000;
+/** How long changes in the subtree are batched before they are reported. */
+const REPORT_BATCH_DELAY_MS = 200;
 
-/** What a balancer reports upwards. */
+/** The data of a report to upstream. */
 export interface ReportSource {
   /** The position in force. */
   readonly position: ConfigPosition;
-  /** What is in force at balancers that are linked to this one. */
+  /** The reports of downstream balancers. */
   readonly reports?: SubtreeReports;
 }
 
 /**
- * @returns the message that reports what is in force and asks for a lease; nothing without a link
+ * @returns the effect that sends an acknowledgement and lease request; empty without a link
  */
 export function acknowledge(
   state: SubscriptionState,
@@ -39,13 +34,13 @@
   }
   const message: AcknowledgeMessage = {
     type: 'acknowledge',
-    ...upwardReport(state, source, nowMs),
+    ...buildUpstreamReport(state, source, nowMs),
   };
   return [{ type: 'link-send', linkId: state.linkId, message }];
 }
 
 /**
- * @returns the message that asks for the configuration from the position in force on, and for a lease
+ * @returns the effect that subscribes from the position in force and requests a lease
  */
 export function subscribeEffect(
   state: SubscriptionState,
@@ -53,7 +48,7 @@
   nowMs: number,
 ): SubscriptionEffect {
   const { clusterKey, balancerId, zone } = state.options;
-  const report = upwardReport(state, source, nowMs);
+  const report = buildUpstreamReport(state, source, nowMs);
   return {
     type: 'link-send',
     linkId: state.linkId,
@@ -61,14 +56,14 @@
   };
 }
 
-function upwardReport(state: SubscriptionState, source: ReportSource, nowMs: number) {
+function buildUpstreamReport(state: SubscriptionState, source: ReportSource, nowMs: number) {
   const { position, reports } = source;
   state.sentAtMs = nowMs;
   const withMembers = state.mustSendMembers || reports?.membersVersion !== state.sentMembersVersion;
-  const subtree = reports && subtreeReport(reports, withMembers);
+  const subtree = reports && buildSubtreeReport(reports, withMembers);
   if (reports !== undefined) {
     state.sentMembersVersion = reports.membersVersion;
-    state.sentIndexVersion = reports.indexVersion;
+    state.sentIndexesVersion = reports.indexesVersion;
     state.sentMemberCount = subtree?.members?.length ?? state.sentMemberCount;
     state.mustSendMembers = false;
   }
@@ -76,7 +71,7 @@
 }
 
 /**
- * @returns true where it is time to report: changes after the time for gathering, and in any case to extend the lease
+ * @returns true if a report is due: after the batch delay if the subtree has changed, else to renew the lease
  */
 export function isReportDue(
   state: SubscriptionState,
@@ -86,6 +81,6 @@
   const hasChanges =
     reports !== undefined &&
     (reports.membersVersion !== state.sentMembersVersion ||
-      reports.indexVersion !== state.sentIndexVersion);
-  return nowMs - state.sentAtMs >= (hasChanges ? GATHER_MS : RENEW_INTERVAL_MS);
+      reports.indexesVersion !== state.sentIndexesVersion);
+  return nowMs - state.sentAtMs >= (hasChanges ? REPORT_BATCH_DELAY_MS : LEASE_RENEW_INTERVAL_MS);
 }
--- a/src/managed/gossip/failure-detector.ts
+++ b/src/managed/gossip/failure-detector.ts
@@ -1,10 +1,6 @@
 /**
- * @file Which balancer of the zone is suspected? SWIM's failure detection: each round one member is pinged; where it
- * doesn't answer, others ping it too; where none of them gets an answer within the round, it is suspected. What
- * follows stands in `suspicion.ts`.
- *
- * Inputs: acknowledgements and the time of the step, in milliseconds. Owns the pending ping, the pings on behalf of
- * others and the order of the rounds.
+ * @file SWIM failure detector. Each round pings one member of the zone, directly and then through other members; a
+ * member that does not acknowledge within the round is suspected (`suspicion.ts`).
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { ackMessage, pingMessage, zoneHeader } from './gossip-headers.js';
@@ -13,32 +9,25 @@
 import { isPresent, type MemberRecord } from './member.js';
 import { presentMembers, setStatus } from './member-list.js';
 import { shuffled } from './shuffle.js';
-import { compensatePause, expireStatuses } from './suspicion.js';
+import { compensateForPause, expireStatuses } from './suspicion.js';
 
-/**
- * Time between two rounds, in milliseconds. A balancer of 75 in a zone sent 715 bytes a second in all
- * (docs/design/dissemination.md).
- */
 const ROUND_INTERVAL_MS = 1_000;
-/**
- * How long the target may take before others ping it, in milliseconds; zones are 0.5 to 1.5 ms apart. Not measured.
- */
+/** How long to wait for the target's acknowledgement before indirect pings are sent. */
 const PING_TIMEOUT_MS = 300;
-/** Others that ping the target. Not measured; too few if losses of packets lead to suspicions. */
-const INDIRECT_PROBES = 3;
-/** How long a ping on behalf of another waits, in milliseconds: one round. */
-const FORWARD_LIFETIME_MS = 1_000;
-/** Bound of pings on behalf of others that wait. Not measured. */
-const MAX_FORWARDED = 64;
+/** Members that are asked to ping the target indirectly. */
+const INDIRECT_PING_COUNT = 3;
+/** How long a forwarded ping waits for its acknowledgement: one round. */
+const FORWARDED_PING_TIMEOUT_MS = 1_000;
+const MAX_FORWARDED_PINGS = 64;
 
 /**
- * Runs the rounds.
+ * Expires suspicions and forwarded pings, sends indirect pings, and begins a new round when it is due.
  */
-export function detectorTick(state: GossipState, context: StepContext): GossipSendEffect[] {
+export function failureDetectorTick(state: GossipState, context: StepContext): GossipSendEffect[] {
   const { nowMs } = context;
-  compensatePause(state, nowMs);
+  compensateForPause(state, nowMs);
   expireStatuses(state, nowMs);
-  expireForwarded(state, nowMs);
+  expireForwardedPings(state, nowMs);
   const effects = sendIndirectPings(state, context);
   if (nowMs >= state.nextRoundAtMs) {
     state.nextRoundAtMs = nowMs + ROUND_INTERVAL_MS;
@@ -49,24 +38,24 @@
 }
 
 /**
- * Handles an acknowledgement: of the own ping, or of one on behalf of another, to which it is passed on.
+ * Handles an acknowledgement of this balancer's ping, or of a forwarded ping, whose origin gets an acknowledgement.
  */
 export function handleAck(state: GossipState, message: AckMessage): GossipSendEffect[] {
   const { pending } = state;
   if (pending?.sequence === message.sequence) {
     pending.acknowledged = true;
   }
-  const forwarded = state.forwarded.get(message.sequence);
+  const forwarded = state.forwardedPings.get(message.sequence);
   if (forwarded === undefined) {
     return [];
   }
-  state.forwarded.delete(message.sequence);
-  const answer = ackMessage(state, forwarded.originSequence);
-  return [{ type: 'gossip-send', to: forwarded.origin, message: answer }];
+  state.forwardedPings.delete(message.sequence);
+  const ack = ackMessage(state, forwarded.originSequence);
+  return [{ type: 'gossip-send', to: forwarded.origin, message: ack }];
 }
 
 /**
- * Pings a member on behalf of another.
+ * Pings the target of a ping request on behalf of its sender.
  */
 export function forwardPing(
   state: GossipState,
@@ -74,22 +63,22 @@
   origin: GossipSendEffect['to'],
   nowMs: number,
 ): GossipSendEffect[] {
-  if (state.forwarded.size >= MAX_FORWARDED) {
+  if (state.forwardedPings.size >= MAX_FORWARDED_PINGS) {
     return [];
   }
   const ping = pingMessage(state);
-  state.forwarded.set(ping.sequence, {
+  state.forwardedPings.set(ping.sequence, {
     origin,
     originSequence: request.sequence,
-    expiresAtMs: nowMs + FORWARD_LIFETIME_MS,
+    expiresAtMs: nowMs + FORWARDED_PING_TIMEOUT_MS,
   });
   return [sendTo(request.target, ping)];
 }
 
-function expireForwarded(state: GossipState, nowMs: number): void {
-  for (const [sequence, { expiresAtMs }] of state.forwarded) {
+function expireForwardedPings(state: GossipState, nowMs: number): void {
+  for (const [sequence, { expiresAtMs }] of state.forwardedPings) {
     if (expiresAtMs <= nowMs) {
-      state.forwarded.delete(sequence);
+      state.forwardedPings.delete(sequence);
     }
   }
 }
@@ -109,7 +98,7 @@
   const others = presentMembers(state.list).filter(({ id }) => id !== target.id);
   const { host, gossipPort, linkPort } = target;
   return shuffled(others, context)
-    .slice(0, INDIRECT_PROBES)
+    .slice(0, INDIRECT_PING_COUNT)
     .map((other) =>
       sendTo(other, {
         type: 'ping-request',
@@ -123,8 +112,8 @@
 function endRound(state: GossipState, nowMs: number): void {
   const { pending } = state;
   state.pending = undefined;
-  const isSilent = pending !== undefined && !pending.acknowledged;
-  if (isSilent && state.list.members.get(pending.targetId)?.record.status === 'alive') {
+  const isUnanswered = pending !== undefined && !pending.acknowledged;
+  if (isUnanswered && state.list.members.get(pending.targetId)?.record.status === 'alive') {
     setStatus(state.list, pending.targetId, 'suspect', nowMs);
   }
 }
@@ -145,12 +134,12 @@
   return [sendTo(target, message)];
 }
 
-/** Each present member once a turn, in an order drawn anew for each turn. */
+/** Visits each present member once, then shuffles again. */
 function nextTarget(state: GossipState, context: StepContext): MemberRecord | undefined {
-  if (state.turn.length === 0) {
-    state.turn = shuffled(presentMembers(state.list), context).map(({ id }) => id);
+  if (state.pingOrder.length === 0) {
+    state.pingOrder = shuffled(presentMembers(state.list), context).map(({ id }) => id);
   }
-  for (let id = state.turn.pop(); id !== undefined; id = state.turn.pop()) {
+  for (let id = state.pingOrder.pop(); id !== undefined; id = state.pingOrder.pop()) {
     const record = state.list.members.get(id)?.record;
     if (record !== undefined && isPresent(record)) {
       return record;
--- a/src/managed/gossip/gossip-codec.ts
+++ b/src/managed/gossip/gossip-codec.ts
@@ -1,6 +1,6 @@
 /**
- * @file The datagrams of gossip as bytes: 8 bytes of SipHash-2-4 under a key made from the cluster
- * key, then MessagePack. Records are arrays, since names of fields would be most of a datagram.
+ * @file Encodes and decodes datagrams between balancers: an 8-byte SipHash-2-4 MAC keyed from the cluster key, then
+ * MessagePack. Records are arrays, since field names would make up most of a datagram.
  */
 import { createHash } from 'node:crypto';
 import { Packr } from 'msgpackr';
@@ -24,58 +24,60 @@
 
 const packr = new Packr({ useRecords: false });
 
-const count = z.number().int().min(0);
-const port = count.max(MAX_PORT);
-const addressFields = z.tuple([z.string(), port, port]);
-const recordFields = z.tuple([
+const unsignedInteger = z.number().int().min(0);
+const portSchema = unsignedInteger.max(MAX_PORT);
+const addressSchema = z.tuple([z.string(), portSchema, portSchema]);
+const recordSchema = z.tuple([
   z.string().min(1),
-  count,
-  count.max(STATUSES.length - 1),
+  unsignedInteger,
+  unsignedInteger.max(STATUSES.length - 1),
   z.string(),
-  port,
-  port,
+  portSchema,
+  portSchema,
 ]);
-const zoneFields = z.tuple([z.string(), count, count, z.array(addressFields)]);
-const messageFields = z.tuple([
-  count.max(TYPES.length - 1),
+const zoneSchema = z.tuple([z.string(), unsignedInteger, unsignedInteger, z.array(addressSchema)]);
+const messageSchema = z.tuple([
+  unsignedInteger.max(TYPES.length - 1),
   z.string(),
-  recordFields,
-  z.array(recordFields),
-  z.array(zoneFields),
-  /** Sequence; 0 where the type has none. */
-  count,
-  /** Digest, target or whether an answer is wanted, by type. */
-  z.union([count, addressFields, z.boolean()]),
+  recordSchema,
+  z.array(recordSchema),
+  z.array(zoneSchema),
+  /** Sequence number; 0 if the type has none. */
+  unsignedInteger,
+  /** Type-specific: digest, target or whether an answer is wanted. */
+  z.union([unsignedInteger, addressSchema, z.boolean()]),
 ]);
 
 const MAX_UINT32 = 0xffff_ffff;
-const resultFields = z.tuple([
-  /** Back end ID, age in milliseconds, state; 0 where the back end did not answer. */
-  count,
-  count,
-  count.max(3),
-  /** Incarnation, and the ID that the back end reported; absent where it reported none. */
-  count.max(MAX_UINT32),
-  count.nullable(),
-  /** As in `LoadReport`; absent where it is not known. */
-  z.tuple([count, count, count, count, count]).nullable(),
+const resultSchema = z.tuple([
+  /** Back end ID, age in milliseconds, state; the state is 0 if the back end did not answer. */
+  unsignedInteger,
+  unsignedInteger,
+  unsignedInteger.max(3),
+  /** Incarnation, and the ID that the back end reported; null if it reported none. */
+  unsignedInteger.max(MAX_UINT32),
+  unsignedInteger.nullable(),
+  /** The fields of `LoadReport`; null if unknown. */
+  z
+    .tuple([unsignedInteger, unsignedInteger, unsignedInteger, unsignedInteger, unsignedInteger])
+    .nullable(),
 ]);
 const HEALTH_FIELD_COUNT = 2;
-const healthFields = z.tuple([z.string(), z.array(resultFields)]);
-const datagramFields = z.union([healthFields, messageFields]);
+const healthSchema = z.tuple([z.string(), z.array(resultSchema)]);
+const datagramSchema = z.union([healthSchema, messageSchema]);
 
-type ResultFields = z.infer<typeof resultFields>;
-type HealthFields = z.infer<typeof healthFields>;
-type AddressFields = z.infer<typeof addressFields>;
-type RecordFields = z.infer<typeof recordFields>;
-type ZoneFields = z.infer<typeof zoneFields>;
-type MessageFields = z.infer<typeof messageFields>;
+type ResultFields = z.infer<typeof resultSchema>;
+type HealthFields = z.infer<typeof healthSchema>;
+type AddressFields = z.infer<typeof addressSchema>;
+type RecordFields = z.infer<typeof recordSchema>;
+type ZoneFields = z.infer<typeof zoneSchema>;
+type MessageFields = z.infer<typeof messageSchema>;
 
-/** The key under which a cluster's datagrams are hashed. */
+/** The MAC key of a cluster's datagrams. */
 export type GossipKey = Uint8Array;
 
 /**
- * @returns the key that belongs to a cluster key
+ * @returns the MAC key derived from the cluster key
  */
 export function gossipKey(clusterKey: string): GossipKey {
   const digest = createHash('sha256').update(`gossip:${clusterKey}`).digest();
@@ -83,7 +85,7 @@
 }
 
 /**
- * @returns the datagram
+ * @returns the datagram: MAC and encoded message
  */
 export function encodeGossip(message: PeerDatagram, key: GossipKey): Buffer {
   const body = packr.pack(message.type === 'health' ? healthToFields(message) : toFields(message));
@@ -91,8 +93,8 @@
 }
 
 /**
- * @returns the message; `wrong-cluster` where the hash does not fit, `malformed-datagram` where the
- *   rest does not; never throws
+ * @returns the message, or the error `wrong-cluster` if the MAC does not match and `malformed-datagram` if the body is
+ *   invalid
  */
 export function decodeGossip(
   datagram: Uint8Array,
@@ -103,7 +105,7 @@
   if (!Buffer.from(keyedHash(key, body)).equals(mac)) {
     return err(amberliftError('wrong-cluster', 'The datagram was made with another cluster key.'));
   }
-  const parsed = datagramFields.safeParse(unpack(body));
+  const parsed = datagramSchema.safeParse(unpack(body));
   if (!parsed.success) {
     return err(amberliftError('malformed-datagram', 'The datagram is no gossip message.'));
   }
@@ -116,7 +118,7 @@
   try {
     return packr.unpack(body);
   } catch {
-    // The decoder throws for bytes that are no MessagePack; the schema refuses undefined as malformed.
+    // The bytes are not valid MessagePack; the schema rejects undefined as malformed.
     return undefined;
   }
 }
@@ -130,11 +132,11 @@
     updates.map(recordToFields),
     zones.map(zoneToFields),
     'sequence' in message ? message.sequence : 0,
-    lastField(message),
+    typeSpecificField(message),
   ];
 }
 
-function lastField(message: GossipMessage): MessageFields[6] {
+function typeSpecificField(message: GossipMessage): MessageFields[6] {
   switch (message.type) {
     case 'ping':
     case 'ack':
--- a/src/managed/gossip/gossip-headers.ts
+++ b/src/managed/gossip/gossip-headers.ts
@@ -1,6 +1,6 @@
 /**
- * @file Builds the datagrams of a zone: what each carries (updates of members and one zone summary), pings, and their
- * acknowledgements. Sending an update counts it as sent (`member-list.ts`).
+ * @file Builds pings, acknowledgements and the gossip that each piggybacks: membership updates and one zone summary.
+ * Building a header counts a transmission of each update in it.
  */
 import {
   MAX_RECORDS,
@@ -13,8 +13,8 @@
 import { nextSummaries } from './zone-summaries.js';
 
 /**
- * @returns what every datagram to a member of the zone carries
- * @param receiverId where known, so that a suspicion of the receiver goes first and it can refute it
+ * @param receiverId if known, so that a suspicion of the receiver goes first and it can refute it
+ * @returns the header of a message to a member of the own zone
  */
 export function zoneHeader(state: GossipState, receiverId?: string): GossipHeader {
   return {
@@ -26,7 +26,8 @@
 }
 
 /**
- * @returns a ping to a member or to an address whose member is not known
+ * @param receiverId undefined if the member at the address is unknown
+ * @returns a ping with a new sequence number
  */
 export function pingMessage(state: GossipState, receiverId?: string): PingMessage {
   const sequence = allocateSequence(state);
@@ -35,14 +36,14 @@
 }
 
 /**
- * @returns the answer to a ping
+ * @returns the acknowledgement of the ping with this sequence number
  */
 export function ackMessage(state: GossipState, sequence: number, receiverId?: string): AckMessage {
   return { type: 'ack', ...zoneHeader(state, receiverId), sequence, digest: ownDigest(state) };
 }
 
 /**
- * @returns a digest of all members, the sender among them, that is equal where the lists are
+ * @returns a digest of the member list including this balancer; equal if the lists are equal
  */
 export function ownDigest(state: GossipState): number {
   return (state.list.digest ^ recordHash(state.self)) >>> 0;
--- a/src/managed/gossip/gossip-messages.ts
+++ b/src/managed/gossip/gossip-messages.ts
@@ -1,82 +1,82 @@
 /**
- * @file Datagrams between balancers. Each is bounded: at most `MAX_RECORDS` records and, where it
- * carries zones, `MAX_ZONES` of them.
+ * @file The UDP messages between balancers: SWIM failure detection, membership updates, zone summaries and shared
+ * health results. The bounds below keep each within one datagram.
  */
 import type { SharedResult } from '../health/health-sharing.js';
 import type { MemberAddresses, MemberRecord } from './member.js';
 
-/** Bound of member records in one datagram. */
+/** Maximum number of member records in one datagram. */
 export const MAX_RECORDS = 12;
-/** Bound of zone summaries in one datagram. */
+/** Maximum number of zone summaries in one datagram. */
 export const MAX_ZONES = 8;
-/** Bound of the contacts in one zone summary. */
+/** Maximum number of contacts in one zone summary. */
 export const MAX_CONTACTS = 3;
 
-/** What other zones know of a zone. */
+/** The summary of a zone that other zones receive. */
 export interface ZoneSummary {
   readonly zone: string;
-  /** Raised by the zone; of two summaries the one of the higher version counts. */
+  /** Incremented by the zone's representatives; the summary with the higher version wins. */
   readonly version: number;
-  /** Balancers that are alive. */
+  /** Number of live balancers. */
   readonly liveCount: number;
   readonly contacts: readonly MemberAddresses[];
 }
 
-/** What every datagram carries. */
+/** Fields common to all gossip messages. */
 export interface GossipHeader {
   readonly zone: string;
   /** The sender's record of itself. */
   readonly sender: MemberRecord;
-  /** Records of members of the sender's zone that have changed. */
+  /** Changed records of members of the sender's zone. */
   readonly updates: readonly MemberRecord[];
   readonly zones: readonly ZoneSummary[];
 }
 
-/** Asks for an acknowledgement. */
+/** Requests an acknowledgement. */
 export interface PingMessage extends GossipHeader {
   readonly type: 'ping';
   readonly sequence: number;
-  /** Digest of the sender's member list, by which lists that differ are detected. */
+  /** Digest of the sender's member list; a mismatch triggers a full sync. */
   readonly digest: number;
 }
 
-/** Asks the receiver to ping `target`, which did not answer the sender. */
+/** Asks the receiver to ping `target`, which has not acknowledged the sender's own ping. */
 interface PingRequestMessage extends GossipHeader {
   readonly type: 'ping-request';
   readonly sequence: number;
   readonly target: MemberAddresses;
 }
 
-/** Answer to a ping; or to a ping request, once its target has answered. */
+/** Acknowledges a ping, or a ping request once its target has acknowledged. */
 export interface AckMessage extends GossipHeader {
   readonly type: 'ack';
   readonly sequence: number;
   readonly digest: number;
 }
 
-/** A part of the sender's whole member list, in `updates`. */
+/** Anti-entropy: `updates` holds a part of the sender's full member list. */
 interface SyncMessage extends GossipHeader {
   readonly type: 'sync';
-  /** True where the receiver should send its own list back. */
+  /** True if the receiver should send its own list back. */
   readonly wantsAnswer: boolean;
 }
 
-/** To another zone: what is known of zones. */
+/** Exchanges zone summaries with another zone. */
 export interface ZonesMessage extends GossipHeader {
   readonly type: 'zones';
   readonly wantsAnswer: boolean;
 }
 
-/** Any datagram of gossip. */
+/** Any gossip message. */
 export type GossipMessage =
   PingMessage | PingRequestMessage | AckMessage | SyncMessage | ZonesMessage;
 
-/** Results of health probes, for a balancer of the same zone. */
+/** Health probe results, for a balancer of the same zone. */
 export interface HealthMessage {
   readonly type: 'health';
   readonly zone: string;
   readonly results: readonly SharedResult[];
 }
 
-/** Any datagram between balancers, of gossip or health. */
+/** Any datagram between balancers: gossip or health. */
 export type PeerDatagram = GossipMessage | HealthMessage;
--- a/src/managed/gossip/gossip-state.ts
+++ b/src/managed/gossip/gossip-state.ts
@@ -1,33 +1,30 @@
 /**
- * @file The state of a balancer's gossip: the members of its own zone one by one, other zones by a summary.
- * `member-list.ts` changes the list, `failure-detector.ts` and `suspicion.ts` the pings, `zone-summaries.ts` the
- * zones, `gossip-step.ts` the rest.
+ * @file The gossip state of a balancer: each member of its own zone, and a summary of every other zone.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { GossipMessage, ZoneSummary } from './gossip-messages.js';
 import { gossipAddress, type MemberAddresses, type MemberRecord } from './member.js';
 import { createMemberList, presentMembers, type MemberList } from './member-list.js';
 
-/** A summary of another zone that was not renewed for this time is not counted, in milliseconds. Not measured. */
-const ZONE_LIFETIME_MS = 60_000;
+/** The live count of another zone is ignored once its summary is older than this. */
+const ZONE_SUMMARY_LIFETIME_MS = 60_000;
 /**
- * Sequences of pings that belong to one incarnation, so that a late acknowledgement of a ping of the start before is none
- * of a ping of this start. A balancer sends one ping a second and few on behalf of others, and its incarnation is the
- * second of its start, so the next start begins above all that were used.
+ * Sequence numbers reserved for each incarnation, so that a late acknowledgement from before a restart matches no ping
+ * sent after it. A balancer sends far fewer pings a second, and its incarnation is its start time in seconds.
  */
 const SEQUENCES_PER_INCARNATION = 2 ** 16;
 
-/** Options of a member. */
+/** Options of the gossip state. */
 export interface GossipOptions extends MemberAddresses {
   readonly id: string;
   readonly zone: string;
-  /** Above that of any earlier run of this balancer, such as the Unix time of the start in seconds. */
+  /** Higher than in any earlier run of this balancer, such as the Unix start time in seconds. */
   readonly incarnation: number;
-  /** Gossip addresses of balancers from the platform's list, of any zone; may lag. */
+  /** Gossip addresses of balancers of any zone, from the platform; may be outdated. */
   readonly seeds: readonly Address[];
 }
 
-/** The ping that waits for an acknowledgement. */
+/** The ping of the current round. */
 interface PendingPing {
   readonly targetId: string;
   readonly sequence: number;
@@ -36,40 +33,40 @@
   acknowledged: boolean;
 }
 
-/** A ping on behalf of another member. */
+/** A ping sent on behalf of another member. */
 interface ForwardedPing {
   readonly origin: Address;
   readonly originSequence: number;
   readonly expiresAtMs: number;
 }
 
-/** A summary of a zone and when its version last rose. */
+/** A zone summary and when its version last increased. */
 interface KnownZone {
   readonly summary: ZoneSummary;
   readonly renewedAtMs: number;
 }
 
-/** The state of a member. */
+/** The gossip state of a balancer. */
 export interface GossipState {
   readonly options: GossipOptions;
   self: MemberRecord;
   readonly list: MemberList;
   readonly zones: Map<string, KnownZone>;
-  /** Addresses in the own zone, from the last summary of another balancer; they help to find the zone. */
+  /** Addresses in this balancer's zone, from the last summary received; used to discover members. */
   ownZoneContacts: readonly MemberAddresses[];
   pending: PendingPing | undefined;
-  readonly forwarded: Map<number, ForwardedPing>;
-  /** Members still to be pinged in this turn. */
-  turn: string[];
-  /** Of the next ping; an acknowledgement names nothing else, so no other start of this balancer uses the same. */
+  readonly forwardedPings: Map<number, ForwardedPing>;
+  /** IDs of the members still to be pinged before the next shuffle; taken from the end. */
+  pingOrder: string[];
+  /** Sequence number of the next ping; unique across restarts, since an acknowledgement carries no incarnation. */
   nextSequence: number;
   nextRoundAtMs: number;
-  nextSeedAtMs: number;
-  nextZonesAtMs: number;
+  nextSeedPingAtMs: number;
+  nextZoneExchangeAtMs: number;
   nextSummaryAtMs: number;
-  /** Whole lists are not sent before this time. */
+  /** When the next full sync may start. */
   nextSyncAtMs: number;
-  /** Whose turn it is among the zones that are spread along with pings. */
+  /** Position of the next zone summary to piggyback. */
   zoneCursor: number;
   lastTickAtMs: number | undefined;
 }
@@ -82,9 +79,9 @@
 }
 
 /**
- * @returns a member that knows only itself
+ * @returns the state of a balancer that knows no other member yet
  */
-export function createGossip(options: GossipOptions): GossipState {
+export function createGossipState(options: GossipOptions): GossipState {
   const { id, host, gossipPort, linkPort, incarnation } = options;
   return {
     options,
@@ -93,12 +90,12 @@
     zones: new Map(),
     ownZoneContacts: [],
     pending: undefined,
-    forwarded: new Map(),
-    turn: [],
+    forwardedPings: new Map(),
+    pingOrder: [],
     nextSequence: incarnation * SEQUENCES_PER_INCARNATION,
     nextRoundAtMs: 0,
-    nextSeedAtMs: 0,
-    nextZonesAtMs: 0,
+    nextSeedPingAtMs: 0,
+    nextZoneExchangeAtMs: 0,
     nextSummaryAtMs: 0,
     nextSyncAtMs: 0,
     zoneCursor: 0,
@@ -107,7 +104,7 @@
 }
 
 /**
- * @returns the members of the own zone that are believed to be alive, with this balancer
+ * @returns the present members of this balancer's zone, including itself unless it has left
  */
 export function zoneMembers(state: GossipState): MemberRecord[] {
   const others = presentMembers(state.list);
@@ -115,12 +112,12 @@
 }
 
 /**
- * @returns how many balancers are alive, in all zones; the other zones' part may lag by a minute
+ * @returns the number of live balancers in all zones; other zones' counts may be up to a minute old
  */
 export function liveBalancerCount(state: GossipState, nowMs: number): number {
   let count = zoneMembers(state).length;
   for (const [zone, { summary, renewedAtMs }] of state.zones) {
-    if (zone !== state.options.zone && nowMs - renewedAtMs < ZONE_LIFETIME_MS) {
+    if (zone !== state.options.zone && nowMs - renewedAtMs < ZONE_SUMMARY_LIFETIME_MS) {
       count += summary.liveCount;
     }
   }
@@ -128,7 +125,7 @@
 }
 
 /**
- * @returns addresses of balancers in other zones, those of the zones renewed last first
+ * @returns addresses of balancers in other zones, most recently updated zone first
  */
 export function otherZoneContacts(state: GossipState): MemberAddresses[] {
   return [...state.zones]
@@ -138,7 +135,7 @@
 }
 
 /**
- * @returns the effect that sends a message to a member
+ * @returns the effect that sends the message to the member's gossip socket
  */
 export function sendTo(to: MemberAddresses, message: GossipMessage): GossipSendEffect {
   return { type: 'gossip-send', to: gossipAddress(to), message };
--- a/src/managed/gossip/gossip-step.ts
+++ b/src/managed/gossip/gossip-step.ts
@@ -1,12 +1,11 @@
 /**
- * @file The decision step of gossip: datagrams of other balancers and time in, datagrams out. A balancer keeps the
- * members of its own zone one by one and other zones by a summary each. Which members are suspected or dead stands in
- * `failure-detector.ts` and `suspicion.ts`, zones in `zone-summaries.ts`.
+ * @file The gossip step: handles received messages and ticks, and returns the messages to send. Covers membership
+ * updates, refutation, anti-entropy and member discovery.
  */
 import { match } from 'ts-pattern';
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
-import { detectorTick, forwardPing, handleAck } from './failure-detector.js';
+import { failureDetectorTick, forwardPing, handleAck } from './failure-detector.js';
 import { ackMessage, ownDigest, pingMessage, zoneHeader } from './gossip-headers.js';
 import { MAX_RECORDS, type GossipMessage } from './gossip-messages.js';
 import { gossipAddress, type MemberRecord } from './member.js';
@@ -15,26 +14,26 @@
 import { sendTo, type GossipSendEffect, type GossipState } from './gossip-state.js';
 import { summaryOf, applySummaries, zonesMessage, zonesTick } from './zone-summaries.js';
 
-/** Time between two tries to find members, in milliseconds, while alone and otherwise. Not measured. */
-const LONELY_SEED_INTERVAL_MS = 500;
+/** Interval of discovery pings while no other member is present. */
+const ISOLATED_SEED_INTERVAL_MS = 500;
+/** Interval of discovery pings otherwise. */
 const SEED_INTERVAL_MS = 10_000;
-/** Addresses that are tried at a time while alone. Not measured. */
-const SEEDS_AT_A_TIME = 5;
-/** Time between two whole lists sent, in milliseconds; bounds the bytes of lists that differ. Not measured. */
+const ISOLATED_SEED_PING_COUNT = 5;
+/** Minimum time between two full syncs, to limit traffic while lists differ. */
 const SYNC_INTERVAL_MS = 5_000;
-/** Members that get a leave directly; the others get it as an update. Not measured. */
-const LEAVE_MESSAGES = 5;
+/** Members that a leave is sent to directly; the others receive it as an update. */
+const LEAVE_MESSAGE_COUNT = 5;
 
 /** An event of the gossip step. */
 export type GossipEvent =
   | { readonly type: 'gossip'; readonly message: GossipMessage; readonly from: Address }
-  /** Time has passed; comes at least every 100 ms. */
+  /** Sent at least every 100 ms. */
   | { readonly type: 'tick' }
-  /** This balancer stops, and sends so. */
+  /** This balancer stops and announces it. */
   | { readonly type: 'leave' };
 
 /**
- * Handles one event.
+ * Applies one event to the state.
  * @returns the datagrams to send
  */
 export function gossipStep(
@@ -54,9 +53,9 @@
     return [];
   }
   return [
-    ...detectorTick(state, context),
+    ...failureDetectorTick(state, context),
     ...zonesTick(state, context),
-    ...findMembers(state, context),
+    ...discoverMembers(state, context),
   ];
 }
 
@@ -68,30 +67,30 @@
 ): GossipSendEffect[] {
   applySummaries(state, message.zones, context.nowMs);
   if (message.zone !== state.options.zone) {
-    return handleOtherZone(state, message, from, context);
+    return handleOtherZoneMessage(state, message, from, context);
   }
   [message.sender, ...message.updates].forEach((record) =>
     applyUpdate(state, record, context.nowMs),
   );
   return match(message)
     .with({ type: 'ping' }, ({ sequence, sender, digest }) => [
-      reply(from, ackMessage(state, sequence, sender.id)),
-      ...syncIfDifferent(state, digest, from, context),
+      sendToAddress(from, ackMessage(state, sequence, sender.id)),
+      ...syncIfDigestsDiffer(state, digest, from, context),
     ])
     .with({ type: 'ping-request' }, (request) => forwardPing(state, request, from, context.nowMs))
     .with({ type: 'ack' }, (ack) => [
       ...handleAck(state, ack),
-      ...syncIfDifferent(state, ack.digest, from, context),
+      ...syncIfDigestsDiffer(state, ack.digest, from, context),
     ])
     .with({ type: 'sync' }, ({ wantsAnswer }) =>
-      wantsAnswer ? sendWholeList(state, from, false) : [],
+      wantsAnswer ? sendFullList(state, from, false) : [],
     )
     .with({ type: 'zones' }, () => [])
     .exhaustive();
 }
 
-/** A balancer of another zone learns about zones, and where its own zone is. */
-function handleOtherZone(
+/** Learns a contact of an unknown zone, and answers with zone summaries, the sender's zone first to aid its discovery. */
+function handleOtherZoneMessage(
   state: GossipState,
   message: GossipMessage,
   from: Address,
@@ -100,7 +99,7 @@
   const { zone, sender } = message;
   const { host, gossipPort, linkPort } = sender;
   const contacts = [{ host, gossipPort, linkPort }];
-  // Applied only where nothing is known of the zone.
+  // Version 0 applies only if the zone is unknown.
   applySummaries(state, [{ zone, version: 0, liveCount: 1, contacts }], context.nowMs);
   const wantsAnswer = message.type === 'ping' || (message.type === 'zones' && message.wantsAnswer);
   if (!wantsAnswer) {
@@ -109,26 +108,26 @@
   const answer = zonesMessage(state, false);
   const first = [...summaryOf(state, zone), ...summaryOf(state, state.options.zone)];
   const rest = answer.zones.filter((summary) => !first.includes(summary));
-  return [reply(from, { ...answer, zones: [...first, ...rest] })];
+  return [sendToAddress(from, { ...answer, zones: [...first, ...rest] })];
 }
 
-/** Applies a record; a suspicion of this balancer itself is refuted by a higher incarnation. */
+/** Applies a record; refutes a suspicion of this balancer with a higher incarnation. */
 function applyUpdate(state: GossipState, record: MemberRecord, nowMs: number): void {
   const { self } = state;
   if (record.id !== self.id) {
     applyRecord(state.list, deathAsSuspicion(state, record), nowMs);
     return;
   }
-  const isLater = record.incarnation > self.incarnation;
-  const isDoubt = record.incarnation === self.incarnation && record.status !== 'alive';
-  if (self.status === 'alive' && (isLater || isDoubt)) {
+  const isNewer = record.incarnation > self.incarnation;
+  const needsRefutation = record.incarnation === self.incarnation && record.status !== 'alive';
+  if (self.status === 'alive' && (isNewer || needsRefutation)) {
     state.self = { ...self, incarnation: record.incarnation + 1 };
   }
 }
 
 /**
- * A member that is alive here gets its time to refute even where another balancer believes it dead: after a partition
- * both sides receive such records from each other.
+ * Downgrades a death to a suspicion if the member is alive here, so that it can refute: after a partition heals, each
+ * side receives records that declare its members dead.
  */
 function deathAsSuspicion(state: GossipState, record: MemberRecord): MemberRecord {
   const known = state.list.members.get(record.id)?.record;
@@ -137,7 +136,7 @@
     : record;
 }
 
-function syncIfDifferent(
+function syncIfDigestsDiffer(
   state: GossipState,
   digest: number,
   to: Address,
@@ -147,16 +146,16 @@
     return [];
   }
   state.nextSyncAtMs = nowMs + SYNC_INTERVAL_MS;
-  return sendWholeList(state, to, true);
+  return sendFullList(state, to, true);
 }
 
-/** Dead members are sent too; a list without them would look like one of a balancer that never knew them. */
-function sendWholeList(state: GossipState, to: Address, wantsAnswer: boolean): GossipSendEffect[] {
+/** Sends the member list, dead members included, so that the receiver learns of their deaths. */
+function sendFullList(state: GossipState, to: Address, wantsAnswer: boolean): GossipSendEffect[] {
   const records = [...state.list.members.values()].map(({ record }) => record);
   const parts = Math.max(1, Math.ceil(records.length / MAX_RECORDS));
   const header = zoneHeader(state);
   return Array.from({ length: parts }, (_, part) =>
-    reply(to, {
+    sendToAddress(to, {
       ...header,
       type: 'sync',
       updates: records.slice(part * MAX_RECORDS, (part + 1) * MAX_RECORDS),
@@ -166,24 +165,24 @@
 }
 
 /**
- * Looks for members: among the seeds, and among those believed dead, so that parts of a zone that
- * believe each other dead find together again.
+ * Pings addresses of unknown members: seeds, contacts of the own zone, and dead members, so that the two sides of a
+ * partition rejoin.
  */
-function findMembers(state: GossipState, context: StepContext): GossipSendEffect[] {
-  if (context.nowMs < state.nextSeedAtMs) {
+function discoverMembers(state: GossipState, context: StepContext): GossipSendEffect[] {
+  if (context.nowMs < state.nextSeedPingAtMs) {
     return [];
   }
   const present = presentMembers(state.list);
-  const isAlone = present.length === 0;
-  const intervalMs = isAlone ? LONELY_SEED_INTERVAL_MS : SEED_INTERVAL_MS;
-  state.nextSeedAtMs = context.nowMs + intervalMs;
+  const isIsolated = present.length === 0;
+  const intervalMs = isIsolated ? ISOLATED_SEED_INTERVAL_MS : SEED_INTERVAL_MS;
+  state.nextSeedPingAtMs = context.nowMs + intervalMs;
   const known = new Set(
     [state.self, ...present].map((member) => formatAddress(gossipAddress(member))),
   );
   const unknown = candidateAddresses(state).filter((address) => !known.has(formatAddress(address)));
   return shuffled(unknown, context)
-    .slice(0, isAlone ? SEEDS_AT_A_TIME : 1)
-    .map((to) => reply(to, pingMessage(state)));
+    .slice(0, isIsolated ? ISOLATED_SEED_PING_COUNT : 1)
+    .map((to) => sendToAddress(to, pingMessage(state)));
 }
 
 function candidateAddresses(state: GossipState): Address[] {
@@ -196,10 +195,10 @@
 function leave(state: GossipState, context: StepContext): GossipSendEffect[] {
   state.self = { ...state.self, status: 'left' };
   return shuffled(presentMembers(state.list), context)
-    .slice(0, LEAVE_MESSAGES)
+    .slice(0, LEAVE_MESSAGE_COUNT)
     .map((member) => sendTo(member, pingMessage(state, member.id)));
 }
 
-function reply(to: Address, message: GossipMessage): GossipSendEffect {
+function sendToAddress(to: Address, message: GossipMessage): GossipSendEffect {
   return { type: 'gossip-send', to, message };
 }
--- a/src/managed/gossip/member-list.ts
+++ b/src/managed/gossip/member-list.ts
@@ -1,46 +1,46 @@
 /**
- * @file The members of a zone as one balancer knows them, and the updates that it still has to send to others. Owns
- * `MemberList`; a record is replaced only by later knowledge (`member.ts`).
+ * @file The member list of a zone and the queue of membership updates that are still to be gossiped. A record is
+ * replaced only by a newer one.
  */
 import { hashText } from '../../shared/common/rendezvous.js';
 import { isPresent, supersedes, type MemberRecord, type MemberStatus } from './member.js';
 
-/** Each update is sent this many times the logarithm of the number of members, as in SWIM. Not measured. */
-const SPREAD_FACTOR = 3;
+/** Each update is sent this many times log2 of the member count, as in SWIM. */
+const RETRANSMIT_FACTOR = 3;
 
-/** A member as this balancer knows it. */
-interface KnownMember {
+/** A member's latest record. */
+interface MemberEntry {
   record: MemberRecord;
-  /** Since when the status is what it is, in milliseconds. */
+  /** When the record was last replaced, in milliseconds. */
   changedAtMs: number;
 }
 
-/** An update that is being spread. */
+/** An update that is still being gossiped. */
 interface PendingUpdate {
   sentCount: number;
 }
 
-/** The members of a zone, without the balancer itself. */
+/** The members of a zone other than the balancer itself. */
 export interface MemberList {
-  readonly members: Map<string, KnownMember>;
-  /** By member ID; the record is the list's. */
+  readonly members: Map<string, MemberEntry>;
+  /** By member ID; the record is looked up in `members` when the update is sent. */
   readonly pendingUpdates: Map<string, PendingUpdate>;
-  /** Combines the hashes of all records, whatever their order. */
+  /** XOR of the hashes of all records. */
   digest: number;
-  /** Counts the changes of who is present or where; dependants recompute when it differs. */
+  /** Incremented when a member joins, leaves or changes its address, or a new zone appears; dependants recompute. */
   version: number;
 }
 
 /**
- * @returns a list without members
+ * @returns an empty list
  */
 export function createMemberList(): MemberList {
   return { members: new Map(), pendingUpdates: new Map(), digest: 0, version: 0 };
 }
 
 /**
- * Applies a record where it is later knowledge.
- * @returns true where it was applied
+ * Applies a record if it is newer than the known one.
+ * @returns true if it was applied
  */
 export function applyRecord(list: MemberList, record: MemberRecord, nowMs: number): boolean {
   const known = list.members.get(record.id);
@@ -58,7 +58,7 @@
 }
 
 /**
- * Changes what is believed of a member, at the incarnation that is known.
+ * Sets the status of a member within its known incarnation.
  */
 export function setStatus(list: MemberList, id: string, status: MemberStatus, nowMs: number): void {
   const known = list.members.get(id);
@@ -68,9 +68,9 @@
 }
 
 /**
- * Forgets a member.
+ * Removes a member and its pending update.
  */
-export function forgetMember(list: MemberList, id: string): void {
+export function removeMember(list: MemberList, id: string): void {
   const known = list.members.get(id);
   if (known !== undefined) {
     list.members.delete(id);
@@ -80,30 +80,30 @@
 }
 
 /**
- * @returns the members that may still take part
+ * @returns the members that are alive or only suspected
  */
 export function presentMembers(list: MemberList): MemberRecord[] {
   return [...list.members.values()].map(({ record }) => record).filter(isPresent);
 }
 
 /**
- * Chooses the updates that were sent least often, and counts them as sent once more.
- * @param first a member whose record goes first, such as the receiver, so that it may refute it
+ * Takes the updates that were sent least often, and counts one more transmission of each.
+ * @param firstId a member whose record goes first unless it is alive: the receiver, so that it can refute a suspicion
  */
-export function nextUpdates(list: MemberList, bound: number, first?: string): MemberRecord[] {
-  const limit = SPREAD_FACTOR * Math.ceil(Math.log2(list.members.size + 2));
-  const urgent = first !== undefined && isNotAlive(list, first) ? [first] : [];
+export function nextUpdates(list: MemberList, maxCount: number, firstId?: string): MemberRecord[] {
+  const maxTransmissions = RETRANSMIT_FACTOR * Math.ceil(Math.log2(list.members.size + 2));
+  const urgent = firstId !== undefined && isNotAlive(list, firstId) ? [firstId] : [];
   const rest = [...list.pendingUpdates]
     .filter(([id]) => id !== urgent[0])
     .sort(([, one], [, other]) => one.sentCount - other.sentCount)
     .map(([id]) => id);
-  const ids = [...urgent, ...rest].slice(0, bound);
-  ids.forEach((id) => countSent(list, id, limit));
+  const ids = [...urgent, ...rest].slice(0, maxCount);
+  ids.forEach((id) => recordTransmission(list, id, maxTransmissions));
   return ids.flatMap((id) => list.members.get(id)?.record ?? []);
 }
 
 /**
- * @returns the part of a record in digests; it differs where incarnation or presence differ
+ * @returns the hash of the ID and incarnation; 0 for a member that is dead, has left or is unknown
  */
 export function recordHash(record: MemberRecord | undefined): number {
   if (record === undefined || !isPresent(record)) {
@@ -117,13 +117,13 @@
   return known !== undefined && known.record.status !== 'alive';
 }
 
-function countSent(list: MemberList, id: string, limit: number): void {
+function recordTransmission(list: MemberList, id: string, maxTransmissions: number): void {
   const update = list.pendingUpdates.get(id);
   if (update === undefined) {
     return;
   }
   update.sentCount += 1;
-  if (update.sentCount >= limit) {
+  if (update.sentCount >= maxTransmissions) {
     list.pendingUpdates.delete(id);
   }
 }
--- a/src/managed/gossip/member.ts
+++ b/src/managed/gossip/member.ts
@@ -1,35 +1,35 @@
 /**
- * @file A balancer as its zone knows it, and which of two records of one balancer is later knowledge.
+ * @file Member records, and which of two records of the same member wins.
  */
 import type { Address } from '../../shared/common/address.js';
 
-/** The status of a member. `left` is a member that sent itself that it stops. */
+/** The status of a member. `left` means that the member announced its own shutdown. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
 
-/** Where a member is reached. */
+/** The addresses of a member. */
 export interface MemberAddresses {
-  /** IP address of its gossip socket and its link server. */
+  /** IP address of the gossip socket and the link server. */
   readonly host: string;
-  /** UDP port for gossip. */
+  /** UDP port of the gossip socket. */
   readonly gossipPort: number;
-  /** TCP port for links of other balancers. */
+  /** TCP port of the link server. */
   readonly linkPort: number;
 }
 
-/** What is known of a member; sent as gossip. */
+/** The state of a member as spread by gossip. */
 export interface MemberRecord extends MemberAddresses {
-  /** Name of the balancer; unique in the cluster. */
+  /** Name of the balancer, unique in the cluster. */
   readonly id: string;
-  /** Only the member itself raises it: at a start, and to refute a suspicion. */
+  /** Incremented only by the member itself: when it starts and to refute a suspicion. */
   readonly incarnation: number;
   readonly status: MemberStatus;
 }
 
-/** Of two records of one incarnation, the one of higher rank counts. */
+/** Within one incarnation, the status with the higher rank wins. */
 const STATUS_RANK: Record<MemberStatus, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
 /**
- * @returns true where `candidate` is later knowledge than `known`
+ * @returns true if `candidate` is newer than `known`
  */
 export function supersedes(candidate: MemberRecord, known: MemberRecord): boolean {
   if (candidate.incarnation !== known.incarnation) {
@@ -39,21 +39,21 @@
 }
 
 /**
- * @returns true where a member may still take part
+ * @returns true if the member is alive or only suspected
  */
 export function isPresent({ status }: MemberRecord): boolean {
   return status === 'alive' || status === 'suspect';
 }
 
 /**
- * @returns the UDP address of a member
+ * @returns the UDP address of the member's gossip socket
  */
 export function gossipAddress({ host, gossipPort }: MemberAddresses): Address {
   return { host, port: gossipPort };
 }
 
 /**
- * @returns the TCP address of a member
+ * @returns the TCP address of the member's link server
  */
 export function linkAddress({ host, linkPort }: MemberAddresses): Address {
   return { host, port: linkPort };
--- a/src/managed/gossip/shuffle.ts
+++ b/src/managed/gossip/shuffle.ts
@@ -1,10 +1,10 @@
 /**
- * @file A random order.
+ * @file Shuffles items with the random source of the step.
  */
 import type { StepContext } from '../../shared/common/step.js';
 
 /**
- * @returns the items in a random order
+ * @returns a shuffled copy of the items
  */
 export function shuffled<Item>(items: readonly Item[], { random }: StepContext): Item[] {
   return items
--- a/src/managed/gossip/suspicion.ts
+++ b/src/managed/gossip/suspicion.ts
@@ -1,52 +1,45 @@
 /**
- * @file When does a suspected member count as dead, and when is a dead one forgotten? A suspected member has a while
- * to refute by a higher incarnation; without it, it counts as dead. Dead and stopped members are remembered, so that
- * old gossip doesn't bring them back, and so that both sides of a partition find together again.
- *
- * Inputs: the status of each member with the time of its last change, in milliseconds on the clock of the step. After
- * a pause of this process, answers that came late count against nobody: suspicions are prolonged by the pause.
+ * @file Suspicion timeouts. A suspected member that does not refute in time is declared dead. Dead and departed members
+ * are retained for a while, so that old gossip does not revive them and the two sides of a partition can rejoin.
  */
 import type { GossipState } from './gossip-state.js';
-import { forgetMember, setStatus } from './member-list.js';
+import { removeMember, setStatus } from './member-list.js';
 
-/**
- * How long a suspected member has to refute, in milliseconds: four rounds. Not measured; too short if members that
- * live turn dead and come back.
- */
-const SUSPICION_MS = 4_000;
-/** How long a dead member is remembered, in milliseconds: ten minutes. Not measured. */
-const REMEMBER_DEAD_MS = 600_000;
-/** A gap between ticks beyond which this process counts as paused, in milliseconds; the daemon ticks every 20 ms. */
-const PAUSE_LIMIT_MS = 500;
+/** How long a suspected member has to refute: four rounds of the failure detector. */
+const SUSPICION_TIMEOUT_MS = 4_000;
+/** How long members that are dead or have left are retained. */
+const DEAD_MEMBER_RETENTION_MS = 600_000;
+/** A gap between ticks beyond which this process counts as paused; the daemon ticks every 20 ms. */
+const PAUSE_THRESHOLD_MS = 500;
 
 /**
- * Drops the pending ping and prolongs suspicions after a pause of this process.
+ * Drops the pending ping and extends all suspicions after a pause of this process, which may have delayed answers.
  */
-export function compensatePause(state: GossipState, nowMs: number): void {
+export function compensateForPause(state: GossipState, nowMs: number): void {
   const gapMs = nowMs - (state.lastTickAtMs ?? nowMs);
   state.lastTickAtMs = nowMs;
-  if (gapMs <= PAUSE_LIMIT_MS) {
+  if (gapMs <= PAUSE_THRESHOLD_MS) {
     return;
   }
   state.pending = undefined;
-  for (const known of state.list.members.values()) {
-    if (known.record.status === 'suspect') {
-      known.changedAtMs += gapMs;
+  for (const entry of state.list.members.values()) {
+    if (entry.record.status === 'suspect') {
+      entry.changedAtMs += gapMs;
     }
   }
 }
 
 /**
- * Turns suspected members dead, and forgets dead ones, once their time is up.
+ * Declares suspected members dead and removes dead and departed ones once their timeouts have elapsed.
  */
 export function expireStatuses(state: GossipState, nowMs: number): void {
   for (const [id, { record, changedAtMs }] of state.list.members) {
     const ageMs = nowMs - changedAtMs;
-    if (record.status === 'suspect' && ageMs >= SUSPICION_MS) {
+    if (record.status === 'suspect' && ageMs >= SUSPICION_TIMEOUT_MS) {
       setStatus(state.list, id, 'dead', nowMs);
     } else if (record.status === 'dead' || record.status === 'left') {
-      if (ageMs >= REMEMBER_DEAD_MS) {
-        forgetMember(state.list, id);
+      if (ageMs >= DEAD_MEMBER_RETENTION_MS) {
+        removeMember(state.list, id);
       }
     }
   }
--- a/src/managed/gossip/zone-summaries.ts
+++ b/src/managed/gossip/zone-summaries.ts
@@ -1,7 +1,6 @@
 /**
- * @file What do zones know of one another? Of each zone the number of live balancers and a few addresses. Two
- * representatives of a zone, chosen by rendezvous hashing, renew its summary and exchange summaries with other zones;
- * within the zone the summaries travel along with pings.
+ * @file Zone summaries: the live count and a few contacts of each zone. The representatives of a zone, chosen by
+ * rendezvous hashing, update its summary and exchange summaries with other zones; members piggyback them on gossip.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { MAX_CONTACTS, MAX_ZONES, type ZonesMessage, type ZoneSummary } from './gossip-messages.js';
@@ -9,28 +8,25 @@
 import { sendTo, zoneMembers, type GossipSendEffect, type GossipState } from './gossip-state.js';
 import { chooseByRendezvous } from '../../shared/common/rendezvous.js';
 
-/** Representatives of a zone. Not measured; with one, its loss would leave the summary old for a while. */
-const REPRESENTATIVES = 2;
-/** Time between two summaries of the own zone, in milliseconds. Not measured. */
+/** Representatives of a zone; more than one, so that the summary stays current if one fails. */
+const REPRESENTATIVE_COUNT = 2;
+/** Time between two updates of the own zone's summary. */
 const SUMMARY_INTERVAL_MS = 5_000;
-/** Time between two messages of a representative to other zones, in milliseconds. Not measured. */
-const ZONES_INTERVAL_MS = 2_000;
-/**
- * A zone that was not renewed for this time is forgotten, in milliseconds: an hour; regions may lose each other for
- * that long.
- */
-const FORGET_ZONE_AFTER_MS = 3_600_000;
+/** Time between two exchanges of a representative with other zones. */
+const ZONE_EXCHANGE_INTERVAL_MS = 2_000;
+/** How long a zone without updates is retained; regions may be partitioned for as long. */
+const ZONE_RETENTION_MS = 3_600_000;
 
 /**
- * @returns the names of the own zone's representatives
+ * @returns the IDs of the own zone's representatives
  */
 function representatives(state: GossipState): string[] {
   const names = zoneMembers(state).map(({ id }) => id);
-  return chooseByRendezvous(`zone/${state.options.zone}`, names, REPRESENTATIVES);
+  return chooseByRendezvous(`zone/${state.options.zone}`, names, REPRESENTATIVE_COUNT);
 }
 
 /**
- * Applies summaries of a higher version than known.
+ * Applies summaries whose version is higher than the known one.
  */
 export function applySummaries(
   state: GossipState,
@@ -43,7 +39,7 @@
     }
     const known = state.zones.get(summary.zone)?.summary;
     if (known === undefined) {
-      // Its contacts are candidates for links.
+      // The contacts of a new zone are link candidates.
       state.list.version += 1;
     }
     if (known === undefined || summary.version > known.version) {
@@ -52,21 +48,21 @@
   }
 }
 
-/** A balancer that is still alone in its zone tries the contacts at once. */
+/** Stores the contacts; a balancer without other members pings them at the next tick. */
 function updateOwnZoneContacts(state: GossipState, { contacts }: ZoneSummary): void {
   const isFirst = state.ownZoneContacts.length === 0;
   state.ownZoneContacts = contacts;
   if (isFirst && state.list.members.size === 0) {
-    state.nextSeedAtMs = 0;
+    state.nextSeedPingAtMs = 0;
   }
 }
 
 /**
- * @returns the next summaries in turn, for a datagram to any member
+ * @returns the next summaries in round-robin order
  */
-export function nextSummaries(state: GossipState, bound: number): ZoneSummary[] {
+export function nextSummaries(state: GossipState, maxCount: number): ZoneSummary[] {
   const known = [...state.zones.values()];
-  const count = Math.min(bound, known.length);
+  const count = Math.min(maxCount, known.length);
   const chosen = Array.from({ length: count }, (_, offset) => {
     const position = (state.zoneCursor + offset) % known.length;
     return known[position]?.summary;
@@ -76,31 +72,31 @@
 }
 
 /**
- * Renews the own zone's summary and talks to another zone, where this balancer speaks for its zone and
- * it is time.
+ * Updates the own zone's summary and exchanges summaries with another zone, when due and if this balancer is a
+ * representative. Every balancer removes stale zones.
  */
 export function zonesTick(state: GossipState, context: StepContext): GossipSendEffect[] {
   const { nowMs } = context;
-  if (nowMs < state.nextSummaryAtMs && nowMs < state.nextZonesAtMs) {
+  if (nowMs < state.nextSummaryAtMs && nowMs < state.nextZoneExchangeAtMs) {
     return [];
   }
   const isRepresentative = representatives(state).includes(state.options.id);
   if (nowMs >= state.nextSummaryAtMs) {
     state.nextSummaryAtMs = nowMs + SUMMARY_INTERVAL_MS;
-    forgetOldZones(state, nowMs);
+    removeStaleZones(state, nowMs);
     if (isRepresentative) {
-      renewSummary(state, context);
+      updateOwnSummary(state, context);
     }
   }
-  if (nowMs < state.nextZonesAtMs) {
+  if (nowMs < state.nextZoneExchangeAtMs) {
     return [];
   }
-  state.nextZonesAtMs = nowMs + ZONES_INTERVAL_MS;
+  state.nextZoneExchangeAtMs = nowMs + ZONE_EXCHANGE_INTERVAL_MS;
   return isRepresentative ? sendToOtherZone(state, context) : [];
 }
 
 /**
- * @returns the message to a balancer of another zone
+ * @returns a message with zone summaries for a balancer of another zone
  */
 export function zonesMessage(state: GossipState, wantsAnswer: boolean): ZonesMessage {
   return {
@@ -114,17 +110,17 @@
 }
 
 /**
- * @returns the summary of a zone, so that a balancer of it finds its neighbours
+ * @returns the summary of the zone; empty if it is unknown
  */
 export function summaryOf(state: GossipState, zone: string): ZoneSummary[] {
   const known = state.zones.get(zone);
   return known === undefined ? [] : [known.summary];
 }
 
-function renewSummary(state: GossipState, { nowMs, random }: StepContext): void {
+function updateOwnSummary(state: GossipState, { nowMs, random }: StepContext): void {
   const { zone, id } = state.options;
   const members = zoneMembers(state);
-  // The representatives are always among the contacts, others in turn.
+  // The contacts are the representatives and one random other member.
   const preferred = new Set([...representatives(state), id]);
   const others = members.filter((member) => !preferred.has(member.id));
   const extra = others[random.nextInt(Math.max(1, others.length))];
@@ -161,9 +157,9 @@
   return contacts[random.nextInt(Math.max(1, contacts.length))];
 }
 
-function forgetOldZones(state: GossipState, nowMs: number): void {
+function removeStaleZones(state: GossipState, nowMs: number): void {
   for (const [zone, { renewedAtMs }] of state.zones) {
-    if (nowMs - renewedAtMs > FORGET_ZONE_AFTER_MS) {
+    if (nowMs - renewedAtMs > ZONE_RETENTION_MS) {
       state.zones.delete(zone);
     }
   }
--- a/test/managed/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -1,6 +1,6 @@
 /**
- * @file Control machines and balancers on a virtual clock, with links that can be cut, processes that
- * can be paused, and clocks that run a little fast or slow.
+ * @file Simulates control machines and balancers on a virtual clock, with link failures, paused processes and clock
+ * drift.
  */
 import type { ConfigPosition } from '../../../src/managed/control/config-delta.js';
 import { emptyRoutingConfig } from '../../../src/managed/control/routing-config.js';
@@ -14,7 +14,7 @@
 import {
   createPublisher,
   disseminationStatus,
-  handleSubscriberGone,
+  handleSubscriberDisconnected,
   handleSubscriberMessage,
   publishChanges,
   skipToPosition,
@@ -26,8 +26,8 @@
   handleLinkOpened,
   subscriptionTick,
 } from '../../../src/managed/dissemination/subscription.js';
-import { acknowledge } from '../../../src/managed/dissemination/upward-report.js';
-import { handleLinkClosed } from '../../../src/managed/dissemination/link-choice.js';
+import { acknowledge } from '../../../src/managed/dissemination/upstream-report.js';
+import { handleLinkClosed } from '../../../src/managed/dissemination/link-selection.js';
 import {
   createSubscription,
   type SubscriptionEffect,
@@ -38,38 +38,39 @@
 const HOP_MS = 1;
 const KEY = 'test-cluster-key';
 
-/** A control machine; only one at a time reaches a quorum. */
+/** A control machine; only the leader reaches a quorum. */
 export interface Control {
   readonly publisher: PublisherState;
   readonly authority: LeaseAuthority;
   readonly port: number;
   term: number;
-  believesToLead: boolean;
+  /** True while it believes to lead; a deposed leader may not know of its successor. */
+  isLeading: boolean;
 }
 
 function createControl(port: number): Control {
   const authority = createLeaseAuthority();
   const publisher = createPublisher(KEY, { type: 'authority', authority });
-  return { publisher, authority, port, term: 0, believesToLead: false };
+  return { publisher, authority, port, term: 0, isLeading: false };
 }
 
 /** A balancer with its own clock. */
 export interface Balancer {
   readonly subscription: SubscriptionState;
   position: ConfigPosition;
-  /** How fast its clock runs; 1 is right. */
+  /** Rate of its clock; 1 is exact. */
   readonly clockRate: number;
   isPaused: boolean;
-  /** Control machines that it does not reach, by port. */
-  readonly cutFrom: Set<number>;
-  /** What came while it was paused. */
+  /** Ports of the control machines that it can't reach. */
+  readonly unreachablePorts: Set<number>;
+  /** Deliveries received while paused. */
   readonly inbox: (() => void)[];
 }
 
 interface Link {
   readonly balancer: Balancer;
   readonly control: Control;
-  /** The balancer's number of it. */
+  /** The balancer's ID of the link. */
   readonly linkId: number;
 }
 
@@ -78,7 +79,7 @@
   readonly run: () => void;
 }
 
-/** The world; the first control machine leads from the start. */
+/** Runs the machines; the first control machine is the initial leader. */
 export class LeaseWorld {
   nowMs = 0;
   committed: ConfigPosition = { term: 1, index: 1 };
@@ -102,37 +103,37 @@
       position: { term: 0, index: 0 },
       clockRate,
       isPaused: false,
-      cutFrom: new Set(),
+      unreachablePorts: new Set(),
       inbox: [],
     }));
     this.elect(0);
   }
 
-  /** Another machine is elected; the one before may go on believing that it leads. */
-  elect(number: number, formerKnows = true): void {
-    if (this.leader !== undefined && formerKnows) {
-      this.leader.believesToLead = false;
+  /** Elects a machine; the previous leader may continue to act as leader. */
+  elect(number: number, previousStepsDown = true): void {
+    if (this.leader !== undefined && previousStepsDown) {
+      this.leader.isLeading = false;
     }
     this.leader = this.controls[number];
     if (this.leader !== undefined) {
       skipToPosition(this.leader.publisher, this.committed);
-      this.leader.believesToLead = true;
+      this.leader.isLeading = true;
       this.leader.term = this.committed.term + 1;
       this.commit(this.leader.term);
     }
   }
 
-  /** An entry is committed; control machines that believe in a former leader don't hear of it. */
+  /** Commits an entry; a deposed leader that has not stepped down does not receive it. */
   commit(term = this.committed.term): void {
     this.committed = { term, index: this.committed.index + 1 };
     for (const control of this.controls) {
-      if (!control.believesToLead || control === this.leader) {
+      if (!control.isLeading || control === this.leader) {
         this.sendAll(control, publishChanges(control.publisher, this.committed, []));
       }
     }
   }
 
-  /** The highest index that a leader would release addresses for, by a command that is committed. */
+  /** The log index up to which the leader may release addresses. */
   get fencedIndex(): number {
     return this.leader === undefined ? 0 : this.status(this.leader).fencedIndex;
   }
@@ -144,21 +145,21 @@
   balancer(number: number): Balancer {
     const balancer = this.balancers[number];
     if (balancer === undefined) {
-      throw new Error(`There is no balancer ${number}.`);
+      throw new Error(`Balancer ${number} does not exist.`);
     }
     return balancer;
   }
 
-  isHolder(balancer: Balancer): boolean {
+  holdsLease(balancer: Balancer): boolean {
     return isLeaseHeld(balancer.subscription.lease, this.clockOf(balancer));
   }
 
   cut(balancer: Balancer, ports: readonly number[]): void {
-    ports.forEach((port) => balancer.cutFrom.add(port));
+    ports.forEach((port) => balancer.unreachablePorts.add(port));
   }
 
   heal(balancer: Balancer): void {
-    balancer.cutFrom.clear();
+    balancer.unreachablePorts.clear();
   }
 
   resume(balancer: Balancer): void {
@@ -192,14 +193,14 @@
   }
 
   private tickControl(control: Control): void {
-    const { publisher, authority, term, believesToLead } = control;
+    const { publisher, authority, term, isLeading } = control;
     const hasQuorum = control === this.leader;
     publisher.leader =
-      this.leader === undefined || believesToLead
+      this.leader === undefined || isLeading
         ? undefined
         : { host: '10.0.0.1', port: this.leader.port };
     const readId = leaseAuthorityTick(authority, {
-      isLeading: believesToLead,
+      isLeading,
       term,
       commitIndex: publisher.committed.index,
       nowMs: this.nowMs,
@@ -228,14 +229,14 @@
 
   private openLink(balancer: Balancer, linkId: number, port: number): void {
     const control = this.controls.find((candidate) => candidate.port === port);
-    if (control === undefined || balancer.cutFrom.has(port)) {
+    if (control === undefined || balancer.unreachablePorts.has(port)) {
       handleLinkClosed(balancer.subscription, linkId, this.clockOf(balancer));
       return;
     }
     for (const [id, link] of this.links) {
       if (link.balancer === balancer) {
         this.links.delete(id);
-        handleSubscriberGone(link.control.publisher, id);
+        handleSubscriberDisconnected(link.control.publisher, id);
       }
     }
     this.links.set(this.nextLink, { balancer, control, linkId });
@@ -247,7 +248,11 @@
 
   private sendUp(balancer: Balancer, effect: Extract<SubscriptionEffect, { type: 'link-send' }>) {
     for (const [id, { control, linkId, balancer: owner }] of this.links) {
-      if (owner === balancer && linkId === effect.linkId && !balancer.cutFrom.has(control.port)) {
+      if (
+        owner === balancer &&
+        linkId === effect.linkId &&
+        !balancer.unreachablePorts.has(control.port)
+      ) {
         this.after(() => {
           const { publisher } = control;
           const config = emptyRoutingConfig();
@@ -262,7 +267,7 @@
   private sendAll(control: Control, effects: readonly LinkSendEffect[]): void {
     for (const effect of effects) {
       const link = this.links.get(effect.linkId);
-      if (link !== undefined && !link.balancer.cutFrom.has(control.port)) {
+      if (link !== undefined && !link.balancer.unreachablePorts.has(control.port)) {
         this.after(() => this.receive(link, effect));
       }
     }
--- a/test/managed/dissemination/subtree-report.test.ts
+++ b/test/managed/dissemination/subtree-report.test.ts
@@ -1,17 +1,20 @@
-/** @file Reports of what is in force, summed up on the way to the control machine. */
+/** @file Guards the aggregation of subtree reports: no balancer is reported further ahead than it is, or twice. */
 import fc from 'fast-check';
 import t from 'tap';
 import {
   allReports,
   createSubtreeReports,
-  dropLink,
+  removeLink,
   expireReports,
   lowestIndex,
   REPORT_LIFETIME_MS,
   applyReport,
   type SubtreeReports,
 } from '../../../src/managed/dissemination/subtree-report.js';
-import { MAX_LAGGARDS, subtreeReport } from '../../../src/managed/dissemination/subtree-summary.js';
+import {
+  MAX_LAGGARDS,
+  buildSubtreeReport,
+} from '../../../src/managed/dissemination/subtree-summary.js';
 import type { SubtreeReport } from '../../../src/managed/dissemination/link-messages.js';
 
 const ZONE = 'zone-a';
@@ -25,14 +28,14 @@
 }
 
 function report(reports: SubtreeReports): SubtreeReport {
-  const subtree = subtreeReport(reports, true);
+  const subtree = buildSubtreeReport(reports, true);
   if (subtree === undefined) {
-    throw new Error('Nobody is below.');
+    throw new Error('The subtree is empty.');
   }
   return subtree;
 }
 
-t.test('a sum never says more than what the balancers said', async () => {
+t.test('an aggregated report never exceeds the indexes that the balancers reported', async () => {
   const indexes = fc.array(fc.nat(50), { minLength: 1, maxLength: 60 });
   fc.assert(
     fc.property(indexes, (below) => {
@@ -51,16 +54,16 @@
   );
 });
 
-t.test('a balancer whose link is closed counts until it is past its lease', async (t) => {
+t.test('a balancer whose link is closed counts until its lease has expired', async (t) => {
   const reports = relayWith([7, 9]);
-  dropLink(reports, 0);
+  removeLink(reports, 0);
   t.equal(lowestIndex(reports, 9), 7);
   expireReports(reports, REPORT_LIFETIME_MS + 1);
   t.equal(allReports(reports).length, 0);
   t.equal(lowestIndex(reports, 9), 9);
 });
 
-t.test('a balancer that moves to another relay counts where it is', async (t) => {
+t.test('a balancer that moves to another relay counts only there', async (t) => {
   const former = relayWith([7, 9]);
   const control = createSubtreeReports();
   const relay = (balancerId: string, reports: SubtreeReports) => ({
@@ -74,10 +77,10 @@
 
   const next = relayWith([9]);
   applyReport(control, 2, relay('next', next), 0);
-  t.equal(lowestIndex(control, 9), 9, 'the former relay still names it, but does not count');
+  t.equal(lowestIndex(control, 9), 9, 'the report of the former relay no longer counts');
 
-  dropLink(former, 0);
+  removeLink(former, 0);
   applyReport(control, 1, relay('former', former), 0);
-  t.equal(lowestIndex(control, 9), 9, 'nor when it has lost it');
+  t.equal(lowestIndex(control, 9), 9, 'nor does it after the former relay lost the link');
   t.equal(allReports(control).filter(({ balancerId }) => balancerId === 'child-0').length, 1);
 });
--- a/test/managed/dissemination/tree-world.ts
+++ b/test/managed/dissemination/tree-world.ts
@@ -1,6 +1,5 @@
 /**
- * @file One control machine and balancers of several zones, all with their real steps, on a virtual
- * network with links and gossip.
+ * @file Simulates a control machine and balancers of several zones, with their production steps, on a virtual network.
  */
 import { formatAddress, type Address } from '../../../src/shared/common/address.js';
 import type {
@@ -38,12 +37,13 @@
   readonly parent: TreeNode | undefined;
 }
 
+/** Runs the distribution tree of one control machine. */
 export class TreeWorld {
   readonly control = new SingleControl();
   readonly network = new VirtualNetwork(3, goodNetwork);
   readonly nodes: TreeNode[] = [];
   isControlUp = true;
-  /** What back ends answer to probes; they don't, where this gives nothing. */
+  /** Returns a back end's answer to a probe; undefined for no answer. */
   onProbe: (backendId: number) => ProbeResult | undefined = () => undefined;
   probeCount = 0;
   private readonly links = new Map<number, Link>();
@@ -53,7 +53,7 @@
   constructor(zoneSizes: readonly number[]) {
     this.control.run(2_000);
     this.network.runUntil(this.control.nowMs);
-    this.control.onLinkSend = ({ linkId, message }) => this.down(linkId, message);
+    this.control.onLinkSend = ({ linkId, message }) => this.sendDown(linkId, message);
     this.control.setOperator();
     this.network.every(TICK_MS, () => {
       this.control.nowMs = this.network.nowMs;
@@ -72,7 +72,7 @@
     return this.control.state.cluster.index;
   }
 
-  /** Links to the control machine. */
+  /** Number of links to the control machine. */
   get controlLinks(): number {
     return [...this.links.values()].filter(({ parent }) => parent === undefined).length;
   }
@@ -116,7 +116,7 @@
       .forEach((link) => this.close(link));
   }
 
-  /** Commits one change. */
+  /** Commits one change of the configuration. */
   change(): void {
     this.nextPort += 1;
     this.control.define(`service-${this.nextPort}`, this.nextPort);
@@ -131,7 +131,7 @@
     const startMs = this.network.nowMs;
     while (!condition()) {
       if (this.network.nowMs - startMs > limitMs) {
-        throw new Error(`It took longer than ${limitMs} ms.`);
+        throw new Error(`The condition did not hold within ${limitMs} ms.`);
       }
       this.run(5);
     }
@@ -155,9 +155,9 @@
     if (effect.type === 'link-open') {
       this.open(node, effect.linkId, effect.address);
     } else if (effect.type === 'link-send') {
-      this.up(node, effect.linkId, effect.message);
+      this.sendUp(node, effect.linkId, effect.message);
     } else if (effect.type === 'peer-send') {
-      this.down(effect.linkId, effect.message);
+      this.sendDown(effect.linkId, effect.message);
     } else if (effect.type === 'probe') {
       this.probeCount += 1;
       const { id } = effect.backend;
@@ -196,7 +196,7 @@
     );
   }
 
-  private up(
+  private sendUp(
     child: TreeNode,
     childLinkId: number,
     message: Extract<BalancerEffect, { type: 'link-send' }>['message'],
@@ -223,7 +223,7 @@
     }
   }
 
-  private down(
+  private sendDown(
     linkId: number,
     message: Extract<BalancerEffect, { type: 'peer-send' }>['message'],
   ): void {
--- a/test/managed/dissemination/tree.test.ts
+++ b/test/managed/dissemination/tree.test.ts
@@ -1,4 +1,4 @@
-/** @file The configuration's way over relays, with control machine and balancers in their real steps. */
+/** @file Guards the distribution of configuration and leases over relays when relays, balancers or control fail. */
 import t from 'tap';
 import { isLeaseHeld, LEASE_DURATION_MS } from '../../../src/managed/dissemination/lease.js';
 import {
@@ -17,16 +17,16 @@
   return world;
 }
 
-/** @returns a balancer that is a relay, or one that is none */
-function nodeThat({ nodes }: TreeWorld, isRelay: boolean): TreeNode {
+/** @returns the first balancer that is, or is not, a relay */
+function findNode({ nodes }: TreeWorld, isRelay: boolean): TreeNode {
   const node = nodes.find(({ state }) => state.subscription.plan.isRelay === isRelay);
   if (node === undefined) {
-    throw new Error('There is no such balancer.');
+    throw new Error('No balancer matches.');
   }
   return node;
 }
 
-function isHolder(world: TreeWorld, { state }: TreeNode): boolean {
+function holdsLease(world: TreeWorld, { state }: TreeNode): boolean {
   return isLeaseHeld(state.subscription.lease, world.network.nowMs);
 }
 
@@ -35,27 +35,30 @@
   return disseminationStatus(publisher, leaseAuthority, network.nowMs).inForceIndex;
 }
 
-t.test('two relays of each zone link to control, and all get changes and leases', async (t) => {
-  const world = settledWorld([12, 9]);
-  t.equal(world.controlLinks, 4);
-  t.ok(world.nodes.every((node) => isHolder(world, node)));
-  world.change();
-  t.ok(world.timeUntil(() => world.isInForceEverywhere(), 1_000) < 100);
-  t.ok(world.timeUntil(() => inForceIndex(world) === world.committedIndex, 5_000) < 1_000);
-  const reports = balancerReports(world.control.state.publisher);
-  const names = world.nodes.map(({ state }) => state.options.balancerId).sort();
-  t.same(reports.map(({ balancerId }) => balancerId).sort(), names);
-});
+t.test(
+  'two relays of each zone link to control, and all balancers get changes and leases',
+  async (t) => {
+    const world = settledWorld([12, 9]);
+    t.equal(world.controlLinks, 4);
+    t.ok(world.nodes.every((node) => holdsLease(world, node)));
+    world.change();
+    t.ok(world.timeUntil(() => world.isInForceEverywhere(), 1_000) < 100);
+    t.ok(world.timeUntil(() => inForceIndex(world) === world.committedIndex, 5_000) < 1_000);
+    const reports = balancerReports(world.control.state.publisher);
+    const names = world.nodes.map(({ state }) => state.options.balancerId).sort();
+    t.same(reports.map(({ balancerId }) => balancerId).sort(), names);
+  },
+);
 
-t.test('when a relay dies, changes reach everybody within seconds', async (t) => {
+t.test('when a relay fails, changes reach all balancers within seconds', async (t) => {
   const world = settledWorld([12]);
-  world.kill(nodeThat(world, true));
+  world.kill(findNode(world, true));
   world.change();
   t.ok(world.timeUntil(() => world.isInForceEverywhere(), 20_000) < 2_000);
   t.ok(world.timeUntil(() => inForceIndex(world) === world.committedIndex, 60_000) < 20_000);
-  t.ok(world.nodes.every((node) => !node.isUp || isHolder(world, node)));
+  t.ok(world.nodes.every((node) => !node.isUp || holdsLease(world, node)));
   world.run(SETTLE_MS);
-  t.equal(world.controlLinks, 2, 'there is a new relay');
+  t.equal(world.controlLinks, 2, 'a new relay has taken over');
 });
 
 t.test('a balancer that joins while control is down is ready within a second', async (t) => {
@@ -67,24 +70,24 @@
   t.ok(world.timeUntil(isReady, 10_000) < 1_000);
 });
 
-t.test('without control all leases run out, and come back with it', async (t) => {
+t.test('all leases expire while control is down and are granted again afterwards', async (t) => {
   const world = settledWorld([6, 3]);
   world.stopControl();
   world.run(LEASE_DURATION_MS + 100);
   t.notOk(
-    world.nodes.some((node) => isHolder(world, node)),
-    'nobody extends them in a circle',
+    world.nodes.some((node) => holdsLease(world, node)),
+    'balancers do not extend leases in a cycle',
   );
   world.run(60_000);
-  t.notOk(world.nodes.some((node) => isHolder(world, node)));
+  t.notOk(world.nodes.some((node) => holdsLease(world, node)));
   world.isControlUp = true;
-  const allHold = () => world.nodes.every((node) => isHolder(world, node));
+  const allHold = () => world.nodes.every((node) => holdsLease(world, node));
   t.ok(world.timeUntil(allHold, 120_000) < 60_000);
 });
 
-t.test('a balancer that is cut off is named until it is past its lease', async (t) => {
+t.test('a disconnected balancer is reported until its lease has expired', async (t) => {
   const world = settledWorld([8]);
-  const cutOff = nodeThat(world, false);
+  const cutOff = findNode(world, false);
   world.kill(cutOff);
   const before = world.committedIndex;
   world.change();
--- a/test/managed/gossip/membership-world.ts
+++ b/test/managed/gossip/membership-world.ts
@@ -1,10 +1,10 @@
 /**
- * @file Members of several zones on a virtual network that loses datagrams, and can be cut in parts.
+ * @file Simulates gossip members of several zones on a virtual network with packet loss and partitions.
  */
 import { formatAddress, type Address } from '../../../src/shared/common/address.js';
 import { decodeGossip, encodeGossip, gossipKey } from '../../../src/managed/gossip/gossip-codec.js';
 import {
-  createGossip,
+  createGossipState,
   zoneMembers,
   type GossipSendEffect,
   type GossipState,
@@ -20,13 +20,13 @@
   state: GossipState;
   readonly address: Address;
   isRunning: boolean;
-  /** Nodes of different parts don't reach each other. */
-  part: number;
+  /** Nodes in different partitions can't reach each other. */
+  partition: number;
   sentBytes: number;
   largestDatagram: number;
 }
 
-/** Runs members; node 0 is everybody's seed. */
+/** Runs the members; node 0 is the seed of all others. */
 export class MembershipWorld {
   readonly network: VirtualNetwork;
   readonly nodes: Node[] = [];
@@ -44,7 +44,7 @@
   node(number: number): Node {
     const node = this.nodes[number];
     if (node === undefined) {
-      throw new Error(`There is no node ${number}.`);
+      throw new Error(`Node ${number} does not exist.`);
     }
     return node;
   }
@@ -60,9 +60,9 @@
     }
   }
 
-  /** Starts a node again, with nothing but its settings. */
+  /** Restarts a node with empty state. */
   restart(node: Node, incarnation: number): void {
-    node.state = createGossip({ ...node.state.options, incarnation });
+    node.state = createGossipState({ ...node.state.options, incarnation });
     node.isRunning = true;
   }
 
@@ -71,15 +71,15 @@
     const startMs = this.network.nowMs;
     while (!condition()) {
       if (this.network.nowMs - startMs > limitMs) {
-        throw new Error(`It took longer than ${limitMs} ms.`);
+        throw new Error(`The condition did not hold within ${limitMs} ms.`);
       }
       this.run(TICK_MS);
     }
     return this.network.nowMs - startMs;
   }
 
-  /** @returns whether all running nodes of a zone believe exactly the running ones to be present */
-  isAgreed(zone = 'zone-0'): boolean {
+  /** @returns true if the member lists of all running nodes of the zone contain exactly the running nodes */
+  hasConverged(zone = 'zone-0'): boolean {
     const running = this.nodes.filter(
       ({ isRunning, state }) => isRunning && state.options.zone === zone,
     );
@@ -92,8 +92,8 @@
     });
   }
 
-  /** @returns what any node believes of a member */
-  beliefs(id: string): string[] {
+  /** @returns the status of a member at each running node that knows it */
+  statusesOf(id: string): string[] {
     return this.nodes.flatMap(({ state, isRunning }) => {
       const known = isRunning ? state.list.members.get(id) : undefined;
       return known === undefined ? [] : [known.record.status];
@@ -104,7 +104,7 @@
     const number = this.nodes.length;
     const address = { host: `10.${Math.floor(number / 250)}.${number % 250}.1`, port: 7000 };
     const seeds = this.nodes[0] === undefined ? [] : [this.nodes[0].address];
-    const state = createGossip({
+    const state = createGossipState({
       id: `balancer-${number}`,
       zone,
       incarnation: 1,
@@ -117,13 +117,13 @@
       state,
       address,
       isRunning: true,
-      part: 0,
+      partition: 0,
       sentBytes: 0,
       largestDatagram: 0,
     };
     this.nodes.push(node);
     this.byAddress.set(formatAddress(address), node);
-    // Ticks of different nodes fall on different moments.
+    // Staggers the ticks of the nodes.
     this.network.after(number % TICK_MS, () =>
       this.network.every(TICK_MS, () => this.step(node, { type: 'tick' })),
     );
@@ -134,13 +134,13 @@
     sender.sentBytes += datagram.length;
     sender.largestDatagram = Math.max(sender.largestDatagram, datagram.length);
     const receiver = this.byAddress.get(formatAddress(to));
-    if (receiver?.part !== sender.part) {
+    if (receiver?.partition !== sender.partition) {
       return;
     }
     this.network.transmit(HOP_MS, () => {
       const decoded = decodeGossip(datagram, KEY);
       if (decoded.isErr() || decoded.value.type === 'health') {
-        throw new Error('The datagram is none of membership.');
+        throw new Error('The datagram is not a gossip message.');
       }
       this.step(receiver, { type: 'gossip', message: decoded.value, from: sender.address });
     });
--- a/test/managed/gossip/membership.test.ts
+++ b/test/managed/gossip/membership.test.ts
@@ -1,4 +1,4 @@
-/** @file Membership: joining, detection, refutation, cuts, leaving, and what it costs. */
+/** @file Guards gossip membership: joining, failure detection, refutation, partitions, leaving and traffic per member. */
 import fc from 'fast-check';
 import t from 'tap';
 import { decodeGossip, encodeGossip, gossipKey } from '../../../src/managed/gossip/gossip-codec.js';
@@ -12,16 +12,19 @@
 
 function settledWorld(zoneSizes: readonly number[], lossShare = 0): MembershipWorld {
   const world = new MembershipWorld(zoneSizes, lossShare);
-  world.timeUntil(() => zoneSizes.every((_, zone) => world.isAgreed(`zone-${zone}`)), MINUTE_MS);
+  world.timeUntil(
+    () => zoneSizes.every((_, zone) => world.hasConverged(`zone-${zone}`)),
+    MINUTE_MS,
+  );
   return world;
 }
 
-t.test('a zone finds itself from one seed', async (t) => {
+t.test('the members of a zone discover each other from one seed', async (t) => {
   const world = new MembershipWorld([30]);
-  t.ok(world.timeUntil(() => world.isAgreed(), MINUTE_MS) < 20_000);
+  t.ok(world.timeUntil(() => world.hasConverged(), MINUTE_MS) < 20_000);
 });
 
-t.test('balancers of several zones know how many there are', async (t) => {
+t.test('balancers count the live balancers of all zones', async (t) => {
   const world = settledWorld([5, 4, 3]);
   const allKnow = () =>
     world.nodes.every(({ state }) => liveBalancerCount(state, world.network.nowMs) === 12);
@@ -34,13 +37,13 @@
   t.ok(world.timeUntil(othersKnow, 2 * MINUTE_MS) < 2 * MINUTE_MS);
 });
 
-t.test('a dead member is found out by all, within 15 s', async (t) => {
+t.test('all members detect a dead member within 15 s', async (t) => {
   const world = settledWorld([30]);
   world.node(3).isRunning = false;
-  t.ok(world.timeUntil(() => world.isAgreed(), MINUTE_MS) < 15_000);
+  t.ok(world.timeUntil(() => world.hasConverged(), MINUTE_MS) < 15_000);
 });
 
-t.test('nobody is believed dead under 5 % loss', async (t) => {
+t.test('no live member is declared dead at 5 % packet loss', async (t) => {
   const world = settledWorld([30], 0.05);
   let deaths = 0;
   for (let second = 0; second < 600; second += 1) {
@@ -52,53 +55,56 @@
   t.equal(deaths, 0);
 });
 
-t.test('a member that was suspected refutes it by a new incarnation', async (t) => {
+t.test('a suspected member refutes with a higher incarnation', async (t) => {
   const world = settledWorld([20]);
   const paused = world.node(3);
   const { id } = paused.state.options;
   paused.isRunning = false;
-  world.timeUntil(() => world.beliefs(id).includes('suspect'), MINUTE_MS);
+  world.timeUntil(() => world.statusesOf(id).includes('suspect'), MINUTE_MS);
   paused.isRunning = true;
   world.run(2 * MINUTE_MS);
-  t.ok(world.beliefs(id).every((belief) => belief === 'alive'));
+  t.ok(world.statusesOf(id).every((status) => status === 'alive'));
   t.ok(paused.state.self.incarnation > 1);
 });
 
-t.test('two parts of a zone find together again without new deaths', async (t) => {
+t.test('the two sides of a partitioned zone rejoin and stay joined', async (t) => {
   const world = settledWorld([20]);
-  world.nodes.slice(10).forEach((node) => (node.part = 1));
+  world.nodes.slice(10).forEach((node) => (node.partition = 1));
   world.run(MINUTE_MS);
-  t.ok(world.beliefs('balancer-0').includes('dead'));
-  world.nodes.forEach((node) => (node.part = 0));
-  t.ok(world.timeUntil(() => world.isAgreed(), 2 * MINUTE_MS) < MINUTE_MS);
+  t.ok(world.statusesOf('balancer-0').includes('dead'));
+  world.nodes.forEach((node) => (node.partition = 0));
+  t.ok(world.timeUntil(() => world.hasConverged(), 2 * MINUTE_MS) < MINUTE_MS);
   world.run(MINUTE_MS);
-  t.ok(world.isAgreed());
+  t.ok(world.hasConverged());
 });
 
-t.test('a member that leaves is not suspected, and comes back as a later run', async (t) => {
-  const world = settledWorld([20]);
-  const leaving = world.node(3);
-  const { id } = leaving.state.options;
-  world.step(leaving, { type: 'leave' });
-  leaving.isRunning = false;
-  t.ok(world.timeUntil(() => world.isAgreed(), MINUTE_MS) < 5_000);
-  t.ok(world.beliefs(id).every((belief) => belief === 'left'));
+t.test(
+  'a member that leaves is not suspected and can rejoin with a higher incarnation',
+  async (t) => {
+    const world = settledWorld([20]);
+    const leaving = world.node(3);
+    const { id } = leaving.state.options;
+    world.step(leaving, { type: 'leave' });
+    leaving.isRunning = false;
+    t.ok(world.timeUntil(() => world.hasConverged(), MINUTE_MS) < 5_000);
+    t.ok(world.statusesOf(id).every((status) => status === 'left'));
 
-  world.restart(leaving, 2);
-  t.ok(world.timeUntil(() => world.isAgreed(), MINUTE_MS) < 10_000);
-});
+    world.restart(leaving, 2);
+    t.ok(world.timeUntil(() => world.hasConverged(), MINUTE_MS) < 10_000);
+  },
+);
 
-t.test('a member that comes back with an old incarnation takes a later one', async (t) => {
+t.test('a member that restarts with its old incarnation rejoins', async (t) => {
   const world = settledWorld([10]);
   const member = world.node(3);
   member.isRunning = false;
-  world.timeUntil(() => world.isAgreed(), MINUTE_MS);
+  world.timeUntil(() => world.hasConverged(), MINUTE_MS);
   world.restart(member, 1);
-  t.ok(world.timeUntil(() => world.isAgreed(), MINUTE_MS) < 15_000);
+  t.ok(world.timeUntil(() => world.hasConverged(), MINUTE_MS) < 15_000);
 });
 
-t.test('the bytes of a member do not grow with the members', async (t) => {
-  const bytesASecond = (zoneSizes: readonly number[]) => {
+t.test('the traffic of a member does not grow with the number of members', async (t) => {
+  const bytesPerSecond = (zoneSizes: readonly number[]) => {
     const world = settledWorld(zoneSizes);
     world.run(MINUTE_MS);
     const before = world.nodes.reduce((sum, { sentBytes }) => sum + sentBytes, 0);
@@ -107,14 +113,14 @@
     t.ok(world.nodes.every(({ largestDatagram }) => largestDatagram <= MAX_DATAGRAM_BYTES));
     return (after - before) / world.nodes.length / 60;
   };
-  const few = bytesASecond([5, 5]);
-  const many = bytesASecond([60, 40]);
-  t.comment(`${few} bytes a second of 10 members, ${many} of 100`);
+  const few = bytesPerSecond([5, 5]);
+  const many = bytesPerSecond([60, 40]);
+  t.comment(`${few} bytes per second and member with 10 members, ${many} with 100`);
   t.ok(many < few * 1.25, `${many} after ${few}`);
   t.ok(many < 1_000);
 });
 
-t.test('another cluster, and any garbage, is refused', async (t) => {
+t.test('datagrams of another cluster and malformed ones are rejected', async (t) => {
   const world = settledWorld([2]);
   const { self, options } = world.node(0).state;
   const message = {
@@ -136,7 +142,7 @@
   );
 });
 
-t.test('of two records, exactly one counts, in whatever order they come', async () => {
+t.test('of two different records exactly one supersedes the other', async () => {
   const record = fc.record({
     incarnation: fc.nat(2),
     status: fc.constantFrom('alive', 'suspect', 'dead', 'left'),
@@ -159,7 +165,7 @@
   );
 });
 
-t.test('a choice by rendezvous changes only where the lost one was chosen', async (t) => {
+t.test('removing a name changes a rendezvous choice only if the name was chosen', async (t) => {
   const names = Array.from({ length: 30 }, (_, number) => `balancer-${number}`);
   const counts = new Map<string, number>();
   let moved = 0;
--- a/test/managed/gossip/restarted-pinger.test.ts
+++ b/test/managed/gossip/restarted-pinger.test.ts
@@ -1,13 +1,10 @@
 /**
- * @file A late acknowledgement of a ping of the start before does not let a silent member pass for one that answers.
- *
- * A balancer pings a member, is killed and starts again. It pings another member, which is dead. Then the acknowledgement
- * of its first ping comes. Sequences of pings began anew at each start, and an acknowledgement names only the sequence: the
- * dead member counted as one that had answered, and was suspected a round later.
+ * @file Guards against sequence numbers reused after a restart: a late acknowledgement of a ping from before the restart
+ * must not acknowledge a ping to a dead member.
  */
 import t from 'tap';
 import { seededRandom } from '../../../src/shared/common/random.js';
-import { createGossip, type GossipState } from '../../../src/managed/gossip/gossip-state.js';
+import { createGossipState, type GossipState } from '../../../src/managed/gossip/gossip-state.js';
 import { gossipStep, type GossipEvent } from '../../../src/managed/gossip/gossip-step.js';
 import type { GossipMessage } from '../../../src/managed/gossip/gossip-messages.js';
 
@@ -18,7 +15,7 @@
 
 function member(id: string, port: number, incarnation: number): GossipState {
   const host = '127.0.0.1';
-  return createGossip({
+  return createGossipState({
     id,
     zone: ZONE,
     host,
@@ -29,7 +26,7 @@
   });
 }
 
-/** Lets a balancer know one other, and gives the ping with which its first round begins. */
+/** Makes `other` known to a balancer and returns the ping that begins the balancer's first round. */
 function firstPing(state: GossipState, other: GossipState, nowMs: number): Ping {
   const header = { zone: ZONE, sender: other.self, updates: [], zones: [] };
   const known: GossipMessage = { type: 'sync', ...header, wantsAnswer: false };
@@ -50,7 +47,7 @@
   return gossipStep(state, event, { nowMs, random: seededRandom(1) });
 }
 
-t.test('a member that is dead is suspected after one round', (t) => {
+t.test('a dead member is suspected after one round despite a late acknowledgement', (t) => {
   const answering = member('answering', 7_001, 1);
   const dead = member('dead', 7_002, 1);
   const before = firstPing(member('pinger', 7_000, 100), answering, 0);
@@ -65,12 +62,12 @@
     throw new Error('The ping was not acknowledged.');
   }
 
-  const startedAgain = member('pinger', 7_000, 101);
-  firstPing(startedAgain, dead, 0);
-  step(startedAgain, { type: 'gossip', message: lateAck, from: addressOf(answering) }, 1);
+  const restarted = member('pinger', 7_000, 101);
+  firstPing(restarted, dead, 0);
+  step(restarted, { type: 'gossip', message: lateAck, from: addressOf(answering) }, 1);
   for (let nowMs = 100; nowMs <= ROUND_MS; nowMs += 100) {
-    step(startedAgain, { type: 'tick' }, nowMs);
+    step(restarted, { type: 'tick' }, nowMs);
   }
-  t.equal(startedAgain.list.members.get('dead')?.record.status, 'suspect');
+  t.equal(restarted.list.members.get('dead')?.record.status, 'suspect');
   t.end();
 });
