--- a/src/managed/dissemination/lease-authority.ts
+++ b/src/managed/dissemination/lease-authority.ts
@@ -1,6 +1,7 @@
 /**
  * @file Grants leases on a control machine, until `LEASE_DURATION_MS` after the start of the last round in which a quorum
- * confirmed that it leads. A new leader that waits for one lease has therefore outlasted all earlier grants.
+ * confirmed that it leads. No later leader can have been elected before that start, so a new leader that waits for one
+ * lease has outlasted all earlier grants.
  *
  * Each grant carries a floor index that only rises. An index is fenced once a lease and its margin have passed since the
  * last grant with a lower floor: every balancer then has the index in force or no lease.
--- a/src/managed/gossip/gossip-codec.ts
+++ b/src/managed/gossip/gossip-codec.ts
@@ -103,11 +103,13 @@
   const body = datagram.subarray(KEYED_HASH_BYTES);
   const mac = datagram.subarray(0, KEYED_HASH_BYTES);
   if (!Buffer.from(keyedHash(key, body)).equals(mac)) {
-    return err(amberliftError('wrong-cluster', 'The datagram was made with another cluster key.'));
+    return err(
+      amberliftError('wrong-cluster', 'The MAC of the datagram does not match the cluster key.'),
+    );
   }
   const parsed = datagramSchema.safeParse(unpack(body));
   if (!parsed.success) {
-    return err(amberliftError('malformed-datagram', 'The datagram is no gossip message.'));
+    return err(amberliftError('malformed-datagram', 'The datagram is not a valid peer message.'));
   }
   return parsed.data.length === HEALTH_FIELD_COUNT
     ? ok(healthFromFields(parsed.data))
@@ -167,7 +169,9 @@
   if ((type === 'sync' || type === 'zones') && typeof last === 'boolean') {
     return ok({ type, ...header, wantsAnswer: last });
   }
-  return err(amberliftError('malformed-datagram', 'The datagram does not fit its type.'));
+  return err(
+    amberliftError('malformed-datagram', 'The datagram has an invalid field for its message type.'),
+  );
 }
 
 function recordToFields(record: MemberRecord): RecordFields {
