--- a/src/managed/balancer/backend-evidence.ts
+++ b/src/managed/balancer/backend-evidence.ts
@@ -10,9 +10,9 @@
 import { explainJudgement, type BackendExplanation } from '../health/explanation.js';
 import { updateOnOpenOutcome, updateOnProbe, type OpenOutcome } from '../health/judgement.js';
 import {
-  estimateFailure,
-  estimateOpen,
-  estimateReport,
+  recordFailedOpen,
+  recordSentOpen,
+  recordLoadReport,
   resetEstimate,
 } from '../routing/load-estimate.js';
 import type { BackendView } from './backend-view.js';
@@ -48,7 +48,7 @@
  */
 export function recordAttempt(state: BalancerState, view: BackendView, context: StepContext): void {
   view.pendingOpens += 1;
-  estimateOpen(view.estimate, balancersSendingTo(state, view), context.nowMs);
+  recordSentOpen(view.estimate, balancersSendingTo(state, view), context.nowMs);
 }
 
 /**
@@ -64,7 +64,7 @@
 ): void {
   view.pendingOpens = Math.max(0, view.pendingOpens - 1);
   if (outcome !== 'accepted') {
-    estimateFailure(view.estimate, balancersSendingTo(state, view), context.nowMs);
+    recordFailedOpen(view.estimate, balancersSendingTo(state, view), context.nowMs);
   }
   const group = groupOf(state, view.backend.serviceId, context.nowMs);
   resetEstimateOnRestart(view, incarnation);
@@ -121,10 +121,10 @@
   const limit = Math.max(1, load.connectionLimit);
   if (view.judgement.trust.distrust === undefined) {
     group.typicalUse += TYPICAL_USE_GAIN * (load.connections / limit - group.typicalUse);
-    estimateReport(view.estimate, load, nowMs);
+    recordLoadReport(view.estimate, load, nowMs);
   } else {
     const connections = group.typicalUse * limit;
-    estimateReport(view.estimate, { ...load, connections, queuedRequests: 0 }, nowMs);
+    recordLoadReport(view.estimate, { ...load, connections, queuedRequests: 0 }, nowMs);
   }
 }
 
--- a/src/managed/health/backend-report.ts
+++ b/src/managed/health/backend-report.ts
@@ -1,20 +1,20 @@
 /**
- * @file What the HTTP endpoints of a back end report: `/health` and `/load`. Both may lag or be wrong.
+ * @file Reports from the HTTP endpoints `/health` and `/load` of a back end. They may be outdated or wrong.
  */
 import { z } from 'zod';
 
 const MAX_UINT32 = 0xffff_ffff;
 const count = z.number().int().min(0);
 
-/** Schema of the answer of `GET /health`. */
+/** Response body of `GET /health`. */
 export const healthReportSchema = z.object({
   backendId: count.optional(),
-  /** Changes with every start of the back end process. */
+  /** Changes whenever the back end process restarts. */
   incarnation: count.max(MAX_UINT32),
   state: z.enum(['starting', 'ready', 'draining']),
 });
 
-/** Schema of the answer of `GET /load`. */
+/** Response body of `GET /load`. */
 export const loadReportSchema = z.object({
   connections: count,
   connectionLimit: count,
@@ -23,15 +23,15 @@
   queuedRequests: count,
 });
 
-/** What a back end reports of its health. */
+/** Health as reported by a back end. */
 export type HealthReport = z.infer<typeof healthReportSchema>;
-/** What a back end reports of its load. */
+/** Load as reported by a back end. */
 export type LoadReport = z.infer<typeof loadReportSchema>;
 
-/** One probe's outcome. */
+/** Result of one probe. */
 export interface ProbeResult {
   readonly backendId: number;
-  /** Undefined where the endpoint did not answer in time or not by the schema. */
+  /** Undefined if the endpoint timed out or its response was invalid; the same goes for `load`. */
   readonly health: HealthReport | undefined;
   readonly load: LoadReport | undefined;
 }
--- a/src/managed/health/explanation.ts
+++ b/src/managed/health/explanation.ts
@@ -1,12 +1,12 @@
 /**
- * @file Explains one back end: its judged state, why, since when, the evidence, and the last changes. Plain data, so
- * that it can be sent as JSON. The sentences stand in the log line `Back end ID. It is STATE: ...` under `[health]`.
+ * @file Describes the judged state of a back end, with its reason, the evidence and recent changes. The description is
+ * plain data that can be sent as JSON.
  */
 import type { LoadReport } from './backend-report.js';
 import type { DistrustCause } from './report-trust.js';
 import type { Judgement, JudgedState, JudgementReason } from './judgement-state.js';
 
-/** One change of state; `agoMs` is how long ago it was, in milliseconds. */
+/** One change of state; `agoMs` is its age. */
 interface ExplainedTransition {
   readonly agoMs: number;
   readonly from: JudgedState;
@@ -14,27 +14,27 @@
   readonly reason: JudgementReason;
 }
 
-/** What a balancer knows of one back end. Durations are in milliseconds. */
+/** A balancer's description of one back end. */
 export interface BackendExplanation {
   readonly backendId: number;
   readonly state: JudgedState;
   readonly reason: JudgementReason;
-  /** One sentence for people. */
+  /** State and reason in one readable sentence. */
   readonly sentence: string;
-  /** Undefined before the first change. */
+  /** Time in the current state; undefined before the first change. */
   readonly forMs: number | undefined;
   readonly failedProbes: number;
   readonly openTimeoutsInRow: number;
   readonly openRefusalsInRow: number;
-  /** The last report; undefined where none has come. */
+  /** Last load report; undefined before the first. */
   readonly reportedLoad: LoadReport | undefined;
-  /** Why reports are not believed; undefined where they are. */
+  /** Why load reports are not trusted; undefined if they are. */
   readonly distrust: DistrustCause | undefined;
   /** Oldest first. */
   readonly history: readonly ExplainedTransition[];
 }
 
-/** What each reason says, after "since" or "because". */
+/** Text of each reason, without capital letter and full stop. */
 const sentences: Readonly<Record<JudgementReason, string>> = {
   'not-probed-yet': 'no health probe has come back yet',
   'reports-starting': 'it reports that it is starting',
@@ -51,14 +51,15 @@
 };
 
 /**
- * @returns why the back end is in its state, in one sentence
+ * @returns state and reason in one sentence, as logged
  */
 export function reasonSentence(state: JudgedState, reason: JudgementReason): string {
   return `It is ${state}: ${sentences[reason]}.`;
 }
 
 /**
- * @param nowMs on the clock of the step that judged
+ * @param nowMs on the same clock as the judgement
+ * @returns the description at `nowMs`
  */
 export function explainJudgement(
   backendId: number,
@@ -72,8 +73,8 @@
     sentence: reasonSentence(judgement.state, judgement.reason),
     forMs: judgement.sinceMs === undefined ? undefined : nowMs - judgement.sinceMs,
     failedProbes: judgement.failedProbes,
-    openTimeoutsInRow: judgement.timedOutInRow,
-    openRefusalsInRow: judgement.refusedInRow,
+    openTimeoutsInRow: judgement.consecutiveTimeouts,
+    openRefusalsInRow: judgement.consecutiveRefusals,
     reportedLoad: judgement.trust.lastReport,
     distrust: judgement.trust.distrust,
     history: judgement.history.map(({ atMs, ...rest }) => ({ agoMs: nowMs - atMs, ...rest })),
--- a/src/managed/health/health-sharing.ts
+++ b/src/managed/health/health-sharing.ts
@@ -1,69 +1,58 @@
 /**
- * @file Which probe results does a balancer send to the others of its zone next? Changed results first, the oldest
- * first, then others in turn, so that none grows old; all within a fixed number of results for a message. A result
- * holds from when the back end was asked; its age travels along, so no clocks are compared.
- *
- * Owns `HealthSharing`, the latest result of each back end. `balancer/shared-health.ts` decides when and to whom.
+ * @file Selects the probe results that a balancer gossips to its zone: changed results first, then unchanged ones in
+ * rotation. Results carry their age rather than a timestamp, so clocks need not agree.
  */
 import type { HealthReport, LoadReport, ProbeResult } from './backend-report.js';
 import { createMapCursor, nextEntry, type MapCursor } from './map-cursor.js';
 
-/**
- * Bound of results in one message. Two messages of this size twice a second bound what a balancer sends
- * (docs/CAPACITY.md).
- */
+/** Maximum number of results in one message; the message must fit into one datagram. */
 export const MAX_SHARED_RESULTS = 32;
-/**
- * Unchanged results that are repeated in one message. Not measured; too few if balancers probe by themselves what
- * others probe.
- */
+/** Maximum number of unchanged results in one message. */
 const MAX_REPEATED_RESULTS = 12;
-/** Out of how many results in turn the repeated ones are chosen. Not measured. */
+/** Number of results in rotation from which the unchanged ones are chosen. */
 const REPEAT_CANDIDATES = 60;
-/**
- * Connections must differ by this share of the limit to count as a change; coarse, to save messages. Not measured.
- */
-const CONNECTION_STEP = 0.02;
-/** A result that was observed longer ago is not sent, in milliseconds. */
+/** Smallest change in connections that counts, as a share of the limit; avoids messages for small changes. */
+const CONNECTION_CHANGE_SHARE = 0.02;
+/** Older results are not sent. */
 const MAX_SHARED_AGE_MS = 60_000;
 
-/** A result of another balancer or the own one. */
+/** A probe result as sent to other balancers. */
 export interface SharedResult {
   readonly backendId: number;
-  /** How long ago the back end was asked, in milliseconds. */
+  /** Time since the back end was probed. */
   readonly ageMs: number;
   readonly health: HealthReport | undefined;
   readonly load: LoadReport | undefined;
 }
 
-/** The latest result of a back end, and how often it is still to be sent. */
-interface KnownResult {
+/** The latest result of a back end, with its sending state. */
+interface LatestResult {
   readonly result: ProbeResult;
   readonly observedAtMs: number;
   sendsLeft: number;
-  /** When this observation was last sent, in milliseconds. */
+  /** When this result was last sent; -Infinity before the first time. */
   sentAtMs: number;
 }
 
-/** The latest results of all back ends. */
+/** The latest results of all back ends, from this balancer or another. */
 export interface HealthSharing {
-  readonly known: Map<number, KnownResult>;
-  /** Back ends whose change is still to be sent, the oldest first. */
+  readonly latest: Map<number, LatestResult>;
+  /** Back ends with a change still to be sent, oldest first. */
   readonly changed: Set<number>;
-  readonly cursor: MapCursor<number, KnownResult>;
+  readonly cursor: MapCursor<number, LatestResult>;
 }
 
 /**
  * @returns a state without results
  */
 export function createHealthSharing(): HealthSharing {
-  const known = new Map<number, KnownResult>();
-  return { known, changed: new Set(), cursor: createMapCursor(known) };
+  const latest = new Map<number, LatestResult>();
+  return { latest, changed: new Set(), cursor: createMapCursor(latest) };
 }
 
 /**
  * Records the latest result of a back end.
- * @param sends how often it is sent where it is a change
+ * @param sends how many times to send it if it is a change
  */
 export function recordResult(
   sharing: HealthSharing,
@@ -72,51 +61,56 @@
   sends: number,
 ): void {
   const { backendId } = result;
-  const before = sharing.known.get(backendId);
-  const isChange = before === undefined || differs(before.result, result);
-  const left = isChange ? sends : before.sendsLeft;
-  sharing.known.set(backendId, { result, observedAtMs, sendsLeft: left, sentAtMs: -Infinity });
-  if (left > 0) {
+  const previous = sharing.latest.get(backendId);
+  const isChange = previous === undefined || differs(previous.result, result);
+  const remainingSends = isChange ? sends : previous.sendsLeft;
+  sharing.latest.set(backendId, {
+    result,
+    observedAtMs,
+    sendsLeft: remainingSends,
+    sentAtMs: -Infinity,
+  });
+  if (remainingSends > 0) {
     sharing.changed.add(backendId);
   }
 }
 
 /**
- * Forgets a back end.
+ * Removes the result of a back end.
  */
 export function forgetResult(sharing: HealthSharing, backendId: number): void {
-  sharing.known.delete(backendId);
+  sharing.latest.delete(backendId);
   sharing.changed.delete(backendId);
 }
 
 /**
- * @returns the results for the next message: changes first, then others in turn
+ * @returns the results for the next message: changes first, then unchanged ones; marks them as sent
  */
 export function resultsToShare(sharing: HealthSharing, nowMs: number): SharedResult[] {
-  const chosen = new Map<number, KnownResult>();
+  const chosen = new Map<number, LatestResult>();
   for (const backendId of [...sharing.changed].slice(0, MAX_SHARED_RESULTS)) {
-    const known = sharing.known.get(backendId);
-    if (known !== undefined) {
-      chosen.set(backendId, known);
-      countSend(sharing, backendId, known);
+    const entry = sharing.latest.get(backendId);
+    if (entry !== undefined) {
+      chosen.set(backendId, entry);
+      recordSend(sharing, backendId, entry);
     }
   }
   const bound = Math.min(MAX_REPEATED_RESULTS, MAX_SHARED_RESULTS - chosen.size);
-  repeatedInTurn(sharing)
+  nextRepeatCandidates(sharing)
     .slice(0, bound)
-    .forEach(([backendId, known]) => chosen.set(backendId, known));
-  chosen.forEach((known) => (known.sentAtMs = nowMs));
+    .forEach(([backendId, entry]) => chosen.set(backendId, entry));
+  chosen.forEach((entry) => (entry.sentAtMs = nowMs));
   return sharedResults(chosen.values(), nowMs);
 }
 
 /**
- * @returns all results that are not too old, for a balancer that joins
+ * @returns all results that are not too old, for a joining balancer
  */
 export function allSharedResults(sharing: HealthSharing, nowMs: number): SharedResult[] {
-  return sharedResults(sharing.known.values(), nowMs);
+  return sharedResults(sharing.latest.values(), nowMs);
 }
 
-function sharedResults(results: Iterable<KnownResult>, nowMs: number): SharedResult[] {
+function sharedResults(results: Iterable<LatestResult>, nowMs: number): SharedResult[] {
   return [...results]
     .filter(({ observedAtMs }) => nowMs - observedAtMs < MAX_SHARED_AGE_MS)
     .map(({ result, observedAtMs }) => ({
@@ -127,20 +121,20 @@
     }));
 }
 
-function countSend(sharing: HealthSharing, backendId: number, known: KnownResult): void {
-  known.sendsLeft -= 1;
+function recordSend(sharing: HealthSharing, backendId: number, entry: LatestResult): void {
+  entry.sendsLeft -= 1;
   sharing.changed.delete(backendId);
-  if (known.sendsLeft > 0) {
+  if (entry.sendsLeft > 0) {
     sharing.changed.add(backendId);
   }
 }
 
-/** What was not sent yet goes first, of this the youngest: mostly this balancer's own results. */
-function repeatedInTurn(sharing: HealthSharing): [number, KnownResult][] {
-  const candidates: [number, KnownResult][] = [];
-  const count = Math.min(REPEAT_CANDIDATES, sharing.known.size);
+/** Least recently sent first; among those, the most recently observed, which are mostly this balancer's own. */
+function nextRepeatCandidates(sharing: HealthSharing): [number, LatestResult][] {
+  const candidates: [number, LatestResult][] = [];
+  const count = Math.min(REPEAT_CANDIDATES, sharing.latest.size);
   for (let position = 0; position < count; position += 1) {
-    const next = nextEntry(sharing.cursor, sharing.known);
+    const next = nextEntry(sharing.cursor, sharing.latest);
     if (next !== undefined) {
       candidates.push(next);
     }
@@ -171,12 +165,12 @@
   if (one === undefined || other === undefined) {
     return one !== other;
   }
-  const step = Math.max(1, CONNECTION_STEP * other.connectionLimit);
+  const threshold = Math.max(1, CONNECTION_CHANGE_SHARE * other.connectionLimit);
   return (
     one.busySlots !== other.busySlots ||
     one.slots !== other.slots ||
     one.connectionLimit !== other.connectionLimit ||
     one.queuedRequests !== other.queuedRequests ||
-    Math.abs(one.connections - other.connections) >= step
+    Math.abs(one.connections - other.connections) >= threshold
   );
 }
--- a/src/managed/health/judgement-rules.ts
+++ b/src/managed/health/judgement-rules.ts
@@ -1,74 +1,54 @@
 /**
- * @file Which state does the evidence on a back end call for? The rules in order of precedence:
- *
- * 1. drained by the operators, or reporting that it drains: `draining`;
- * 2. probes fail and are believed: `down`; never probed: `starting`;
- * 3. ejected for timeouts (`ejection.ts`): `down`;
- * 4. reports `starting`, or has not reported `ready` often enough after a loss: `starting`;
- * 5. refuses opens (`busy-hold.ts`), or holds as many connections as it may: `busy`;
- * 6. otherwise `ready`.
- *
- * No single source is believed alone: probes, load reports and own opens may each lag or be wrong. Inputs: the
- * judgement of one back end, the counts of its service's group, the time in milliseconds. Changes nothing.
+ * @file Derives the state of a back end from the evidence, by rules in a fixed order of precedence. Probes, load reports
+ * and own opens are checked against each other, since each may be outdated or wrong.
  */
 import type { Judgement, JudgedState, JudgementGroup, JudgementReason } from './judgement-state.js';
 
-/**
- * Failed probes in a row that count as failing. Not measured; too low if the log shows `probes-fail` for back ends
- * that accept opens.
- */
+/** Number of consecutive failed probes. */
 const FAILED_PROBES_FOR_DOWN = 3;
-/**
- * An open accepted within this time outweighs failed probes, in milliseconds. Not measured; too long if opens time
- * out at a dead back end.
- */
-const ACCEPTED_PROOF_MS = 2_000;
-/**
- * Part of a service's back ends beyond which failed probes are taken for a fault of the prober's own network. Not
- * measured; too low if the reason `probes-fail-everywhere` shows in the log while the back ends are really down.
- */
+/** An open accepted within this time outweighs failed probes. */
+const RECENT_ACCEPT_WINDOW_MS = 2_000;
+/** If probes fail on a larger part of a service's back ends, the fault is assumed to be in this balancer's network. */
 const MAX_FAILING_SHARE = 0.5;
-/** Timeouts in a row that confirm failed probes; as many as for an ejection. Not measured. */
+/** Number of consecutive timeouts of opens that confirm failed probes; as many as for an ejection. */
 const TIMEOUTS_FOR_DOWN = 3;
-/**
- * Use of the connection limit below which a full back end is no longer full. Not measured; too high if a back end
- * changes between ready and busy.
- */
-const NO_LONGER_FULL_BELOW = 0.95;
-/**
- * How long a loss of readiness is counted, in milliseconds, and the most ready probes in a row that are asked for.
- * Not measured.
- */
-const UNREADY_MEMORY_MS = 60_000;
+/** A full back end stays full until its utilization drops below this (hysteresis). */
+const FULL_CLEAR_UTILIZATION = 0.95;
+/** Losses of readiness within this window raise the number of ready probes required. */
+const READINESS_LOSS_WINDOW_MS = 60_000;
 const MAX_READY_PROBES = 16;
 
-/** A state with its reason. */
-export interface Verdict {
+/** The state that results from the evidence, with its reason. */
+export interface EvaluatedState {
   readonly state: JudgedState;
   readonly reason: JudgementReason;
 }
 
 /**
- * @returns the state that the evidence calls for
+ * @returns the result of the first rule that applies, or `ready`
  */
-export function verdictOn(judgement: Judgement, group: JudgementGroup, nowMs: number): Verdict {
+export function evaluateState(
+  judgement: Judgement,
+  group: JudgementGroup,
+  nowMs: number,
+): EvaluatedState {
   return (
-    drainVerdict(judgement) ??
-    probeVerdict(judgement, group, nowMs) ??
-    ejectionVerdict(judgement, nowMs) ??
-    readinessVerdict(judgement, nowMs) ??
-    loadVerdict(judgement, nowMs) ?? { state: 'ready', reason: readyReason(judgement, group) }
+    evaluateDrain(judgement) ??
+    evaluateProbes(judgement, group, nowMs) ??
+    evaluateEjection(judgement, nowMs) ??
+    evaluateReadiness(judgement, nowMs) ??
+    evaluateLoad(judgement, nowMs) ?? { state: 'ready', reason: readyReason(judgement, group) }
   );
 }
 
 /**
- * @returns true where enough probes in a row have failed
+ * @returns true if enough consecutive probes have failed
  */
 export function probesFail(judgement: Judgement): boolean {
   return judgement.failedProbes >= FAILED_PROBES_FOR_DOWN;
 }
 
-function drainVerdict(judgement: Judgement): Verdict | undefined {
+function evaluateDrain(judgement: Judgement): EvaluatedState | undefined {
   if (judgement.adminState === 'draining') {
     return { state: 'draining', reason: 'operators-drain' };
   }
@@ -78,13 +58,14 @@
   return undefined;
 }
 
-function probeVerdict(
+function evaluateProbes(
   judgement: Judgement,
   group: JudgementGroup,
   nowMs: number,
-): Verdict | undefined {
+): EvaluatedState | undefined {
   if (probesFail(judgement)) {
-    const isDown = judgement.health === undefined || probesAreBelieved(judgement, group, nowMs);
+    const isDown =
+      judgement.health === undefined || areProbeFailuresTrusted(judgement, group, nowMs);
     return isDown ? { state: 'down', reason: 'probes-fail' } : undefined;
   }
   return judgement.health === undefined
@@ -92,11 +73,15 @@
     : undefined;
 }
 
-function probesAreBelieved(judgement: Judgement, group: JudgementGroup, nowMs: number): boolean {
-  if (nowMs - judgement.lastAcceptedAtMs < ACCEPTED_PROOF_MS) {
+function areProbeFailuresTrusted(
+  judgement: Judgement,
+  group: JudgementGroup,
+  nowMs: number,
+): boolean {
+  if (nowMs - judgement.lastAcceptedAtMs < RECENT_ACCEPT_WINDOW_MS) {
     return false;
   }
-  const isConfirmed = judgement.timedOutInRow >= TIMEOUTS_FOR_DOWN;
+  const isConfirmed = judgement.consecutiveTimeouts >= TIMEOUTS_FOR_DOWN;
   const wasDraining = judgement.health?.state === 'draining';
   return isConfirmed || wasDraining || !probesFailEverywhere(group);
 }
@@ -105,31 +90,30 @@
   return group.failingProbes > Math.ceil(MAX_FAILING_SHARE * group.size);
 }
 
-function ejectionVerdict(judgement: Judgement, nowMs: number): Verdict | undefined {
+function evaluateEjection(judgement: Judgement, nowMs: number): EvaluatedState | undefined {
   return nowMs < judgement.ejectedUntilMs ? { state: 'down', reason: 'opens-time-out' } : undefined;
 }
 
-function readinessVerdict(judgement: Judgement, nowMs: number): Verdict | undefined {
+function evaluateReadiness(judgement: Judgement, nowMs: number): EvaluatedState | undefined {
   if (judgement.health?.state === 'starting' && !probesFail(judgement)) {
     return { state: 'starting', reason: 'reports-starting' };
   }
   const wasOut = judgement.state === 'starting' || judgement.state === 'down';
-  if (wasOut && judgement.readyProbes < readyProbesNeeded(judgement, nowMs)) {
+  if (wasOut && judgement.readyProbes < requiredReadyProbes(judgement, nowMs)) {
     return { state: 'starting', reason: 'readiness-unsteady' };
   }
   return undefined;
 }
 
-/**
- * One at first; twice as many with each loss of readiness in the last minute, so a flapping back end returns ever
- * more slowly.
- */
-function readyProbesNeeded(judgement: Judgement, nowMs: number): number {
-  const losses = judgement.unreadyAtMs.filter((atMs) => nowMs - atMs < UNREADY_MEMORY_MS).length;
+/** Doubles with each recent loss of readiness, to dampen flapping. */
+function requiredReadyProbes(judgement: Judgement, nowMs: number): number {
+  const losses = judgement.readinessLostAtMs.filter(
+    (atMs) => nowMs - atMs < READINESS_LOSS_WINDOW_MS,
+  ).length;
   return Math.min(MAX_READY_PROBES, 2 ** losses);
 }
 
-function loadVerdict(judgement: Judgement, nowMs: number): Verdict | undefined {
+function evaluateLoad(judgement: Judgement, nowMs: number): EvaluatedState | undefined {
   if (nowMs < judgement.busyUntilMs) {
     return { state: 'busy', reason: 'opens-refused' };
   }
@@ -142,8 +126,10 @@
     return false;
   }
   const wasFull = state === 'busy' && reason === 'connections-full';
-  const bound = wasFull ? NO_LONGER_FULL_BELOW * report.connectionLimit : report.connectionLimit;
-  return report.connections >= bound;
+  const threshold = wasFull
+    ? FULL_CLEAR_UTILIZATION * report.connectionLimit
+    : report.connectionLimit;
+  return report.connections >= threshold;
 }
 
 function readyReason(judgement: Judgement, group: JudgementGroup): JudgementReason {
--- a/src/managed/health/judgement-state.ts
+++ b/src/managed/health/judgement-state.ts
@@ -1,19 +1,18 @@
 /**
- * @file The judged state of a back end, the evidence that it follows from, and its history. `judgement.ts` changes
- * these records.
+ * @file The state of a back end as judged by one balancer, with the evidence and recent changes. Only
+ * `judgement.ts` and the modules that it calls change a `Judgement`.
  */
 import type { BackendAdminState } from '../control/routing-config.js';
 import type { HealthReport } from './backend-report.js';
 import { createReportTrust, type ReportTrust } from './report-trust.js';
 
 /**
- * The states of a back end as one balancer judges it: `starting` and `down` take no new flows,
- * `ready` takes them, `busy` takes them only where no other is ready, `draining` takes none and is
- * on its way out.
+ * State of a back end as judged by one balancer. Only `ready` back ends receive new flows, or `busy` ones if none is
+ * ready.
  */
 export type JudgedState = 'starting' | 'ready' | 'busy' | 'draining' | 'down';
 
-/** Why a back end is in its state. */
+/** Reason for the judged state, as logged. */
 export type JudgementReason =
   | 'not-probed-yet'
   | 'reports-starting'
@@ -28,7 +27,7 @@
   | 'opens-refused'
   | 'connections-full';
 
-/** One change of state. */
+/** A change of the judged state. */
 export interface JudgementTransition {
   readonly atMs: number;
   readonly from: JudgedState;
@@ -36,60 +35,59 @@
   readonly reason: JudgementReason;
 }
 
-/** The judgement of one back end by one balancer. Times are on the clock of the step. */
+/** State and evidence of one back end, as judged by one balancer. Times are on the clock of the step. */
 export interface Judgement {
   state: JudgedState;
   reason: JudgementReason;
-  /** When it entered its state; undefined before the first change. */
+  /** Start of the current state; undefined before the first change. */
   sinceMs: number | undefined;
   adminState: BackendAdminState;
-  /** The last health report. */
+  /** Last health report. */
   health: HealthReport | undefined;
-  /** Probes without a health report, in a row. */
+  /** Consecutive probes without a health report. */
   failedProbes: number;
-  /** Probes that reported `ready`, in a row. */
+  /** Consecutive probes that reported `ready`. */
   readyProbes: number;
-  /** Own opens that timed out, in a row. */
-  timedOutInRow: number;
-  /** Own opens that were refused, in a row. */
-  refusedInRow: number;
-  /** The part of own opens that timed out, forgotten exponentially over outcomes. */
+  /** Consecutive timeouts of this balancer's opens. */
+  consecutiveTimeouts: number;
+  /** Refusals of this balancer's opens since the last accepted one; timeouts don't reset them. */
+  consecutiveRefusals: number;
+  /** Share of this balancer's opens that timed out; exponential moving average over outcomes. */
   timeoutShare: number;
-  /** Outcomes since the last ejection. */
-  outcomes: number;
+  /** Outcomes of opens since the last ejection or restart. */
+  outcomeCount: number;
   lastAcceptedAtMs: number;
-  /** Ejected for timeouts until then. */
+  /** End of the ejection for timeouts. */
   ejectedUntilMs: number;
-  /** Ejections in a row, see `ejection.ts`. */
-  ejections: number;
-  /** Busy for refusals until then. */
+  /** Ejections that count for the backoff, see `ejection.ts`. */
+  consecutiveEjections: number;
+  /** End of the busy period for refusals. */
   busyUntilMs: number;
-  /** Busy times without an accepted open between. */
-  busyRepeats: number;
-  /** Its last losses of readiness, oldest first; bounded. */
-  readonly unreadyAtMs: number[];
-  /** Start of its slow start; undefined where it was warm when first seen. */
+  /** Busy periods since the last accepted open. */
+  consecutiveBusyPeriods: number;
+  /** Times of the last losses of readiness, oldest first; bounded. */
+  readonly readinessLostAtMs: number[];
+  /** Start of slow start; undefined if the back end was warm when first seen. */
   slowStartAtMs: number | undefined;
   readonly trust: ReportTrust;
-  /** Last changes of state, oldest first; bounded. */
+  /** Recent changes of state, oldest first; bounded. */
   readonly history: JudgementTransition[];
 }
 
 /**
- * What the judgements of one service's back ends have in common, so that few of them are taken out
- * of service on this balancer's evidence alone.
+ * Counts over one service's back ends, used to limit how many are taken out of service at once.
  */
 export interface JudgementGroup {
-  /** Back ends of the service. */
+  /** Number of back ends of the service. */
   size: number;
-  /** How many of them are ejected for timeouts. */
+  /** Number of back ends ejected for timeouts. */
   ejected: number;
-  /** How many of them have probes that fail. */
+  /** Number of back ends whose probes fail. */
   failingProbes: number;
 }
 
 /**
- * @returns the judgement of a back end of which nothing is known
+ * @returns the judgement before any evidence; its state is `starting`
  */
 export function createJudgement(adminState: BackendAdminState): Judgement {
   return {
@@ -100,16 +98,16 @@
     health: undefined,
     failedProbes: 0,
     readyProbes: 0,
-    timedOutInRow: 0,
-    refusedInRow: 0,
+    consecutiveTimeouts: 0,
+    consecutiveRefusals: 0,
     timeoutShare: 0,
-    outcomes: 0,
+    outcomeCount: 0,
     lastAcceptedAtMs: -Infinity,
     ejectedUntilMs: -Infinity,
-    ejections: 0,
+    consecutiveEjections: 0,
     busyUntilMs: -Infinity,
-    busyRepeats: 0,
-    unreadyAtMs: [],
+    consecutiveBusyPeriods: 0,
+    readinessLostAtMs: [],
     slowStartAtMs: undefined,
     trust: createReportTrust(),
     history: [],
--- a/src/managed/health/judgement.ts
+++ b/src/managed/health/judgement.ts
@@ -1,41 +1,33 @@
 /**
- * @file In which state is a back end, as this balancer judges it? Records the evidence (probes, outcomes of own
- * opens, what the operators want) and follows the rules from one state to the next. The rules stand in
- * `judgement-rules.ts` (state by evidence), `ejection.ts` (timeouts), `busy-hold.ts` (refusals) and `report-trust.ts`
- * (load reports).
- *
- * Owns `Judgement`: no other module changes one. Times are in milliseconds on the clock of the step. Each change of
- * state is returned, and the daemon logs it under `[health]` with its reason.
+ * @file The health state machine of a back end. It records probe results, outcomes of this balancer's opens and the
+ * administrative state, evaluates the state by `judgement-rules.ts`, and returns each change.
  */
 import type { BackendAdminState } from '../control/routing-config.js';
 import type { HealthReport, LoadReport } from './backend-report.js';
-import { holdBusyIfRefusing } from './busy-hold.js';
-import { ejectIfTimingOut, recordTimeoutShare } from './ejection.js';
-import { probesFail, verdictOn, type Verdict } from './judgement-rules.js';
+import { markBusyIfRefusing } from './busy-hold.js';
+import { ejectIfTimingOut, updateTimeoutShare } from './ejection.js';
+import { probesFail, evaluateState, type EvaluatedState } from './judgement-rules.js';
 import type { Judgement, JudgementGroup, JudgementTransition } from './judgement-state.js';
 import { createReportTrust, updateTrustOnAnswer, updateTrustOnReport } from './report-trust.js';
 
-/** Changes of state that are kept for `explanation.ts`. */
+/** Number of state changes kept for `explanation.ts`. */
 const HISTORY_LENGTH = 16;
-/** Losses of readiness that are kept; four within the last minute already ask for 16 ready probes, which are the most. */
-const MAX_UNREADY_TIMES = 8;
-/**
- * Reported use of the connection limit from which a back end that is first seen counts as warm. Not measured; too low
- * if a cold back end gets a full share of flows after a restart of this balancer.
- */
-const WARM_FROM_USE = 0.05;
+/** Above the four losses that already require the maximum number of ready probes. */
+const MAX_READINESS_LOSSES = 8;
+/** A back end that is first seen with at least this utilization counts as warm and skips slow start. */
+const MIN_WARM_UTILIZATION = 0.05;
 
-/** How an own open ended. */
+/** Outcome of an open that this balancer sent. */
 export type OpenOutcome = 'accepted' | 'refused' | 'timed-out';
 
-/** What one probe returned; each part is undefined where the endpoint gave no valid answer. */
+/** Result of one probe; a part is undefined if its endpoint gave no valid response. */
 interface ProbeEvidence {
   readonly health: HealthReport | undefined;
   readonly load: LoadReport | undefined;
 }
 
 /**
- * Records what a probe returned, and updates the state.
+ * Records a probe result and updates the state.
  * @returns the change of state, if any
  */
 export function updateOnProbe(
@@ -62,8 +54,8 @@
 }
 
 /**
- * Records how an own open ended, and updates the state.
- * @param incarnation the back end's present incarnation, where its answer carried one
+ * Records the outcome of an open and updates the state.
+ * @param incarnation the back end's current incarnation, if its answer carried one
  * @returns the change of state, if any
  */
 export function updateOnOpenOutcome(
@@ -80,13 +72,13 @@
   recordOutcome(judgement, outcome, nowMs);
   ejectIfTimingOut(judgement, group, nowMs);
   if (outcome === 'refused') {
-    holdBusyIfRefusing(judgement, nowMs);
+    markBusyIfRefusing(judgement, nowMs);
   }
   return updateState(judgement, group, nowMs);
 }
 
 /**
- * Sets what the operators want of the back end, and updates the state.
+ * Sets the administrative state and updates the judged state.
  * @returns the change of state, if any
  */
 export function updateAdminState(
@@ -99,35 +91,35 @@
   return updateState(judgement, group, nowMs);
 }
 
-/** A new process at the same address: the evidence about the former one is dropped. */
+/** Drops evidence about the previous process when a new incarnation is seen, and begins slow start. */
 function resetOnRestart(judgement: Judgement, incarnation: number, nowMs: number): void {
   if (judgement.health === undefined || judgement.health.incarnation === incarnation) {
     return;
   }
   Object.assign(judgement.trust, createReportTrust());
-  judgement.timedOutInRow = 0;
-  judgement.refusedInRow = 0;
+  judgement.consecutiveTimeouts = 0;
+  judgement.consecutiveRefusals = 0;
   judgement.timeoutShare = 0;
-  judgement.outcomes = 0;
+  judgement.outcomeCount = 0;
   judgement.busyUntilMs = -Infinity;
-  judgement.busyRepeats = 0;
+  judgement.consecutiveBusyPeriods = 0;
   judgement.slowStartAtMs = nowMs;
 }
 
 function recordOutcome(judgement: Judgement, outcome: OpenOutcome, nowMs: number): void {
   const timedOut = outcome === 'timed-out';
-  recordTimeoutShare(judgement, timedOut);
-  judgement.timedOutInRow = timedOut ? judgement.timedOutInRow + 1 : 0;
+  updateTimeoutShare(judgement, timedOut);
+  judgement.consecutiveTimeouts = timedOut ? judgement.consecutiveTimeouts + 1 : 0;
   if (timedOut) {
     return;
   }
   updateTrustOnAnswer(judgement.trust, outcome === 'accepted');
   if (outcome === 'accepted') {
-    judgement.refusedInRow = 0;
-    judgement.busyRepeats = 0;
+    judgement.consecutiveRefusals = 0;
+    judgement.consecutiveBusyPeriods = 0;
     judgement.lastAcceptedAtMs = nowMs;
   } else {
-    judgement.refusedInRow += 1;
+    judgement.consecutiveRefusals += 1;
   }
 }
 
@@ -136,47 +128,53 @@
   group: JudgementGroup,
   nowMs: number,
 ): JudgementTransition | undefined {
-  const verdict = verdictOn(judgement, group, nowMs);
-  if (verdict.state === judgement.state) {
-    updateReason(judgement, verdict, group);
+  const evaluated = evaluateState(judgement, group, nowMs);
+  if (evaluated.state === judgement.state) {
+    updateReason(judgement, evaluated, group);
     return undefined;
   }
   const transition = {
     atMs: nowMs,
     from: judgement.state,
-    to: verdict.state,
-    reason: verdict.reason,
+    to: evaluated.state,
+    reason: evaluated.reason,
   };
-  recordReadiness(judgement, verdict, nowMs);
-  updateReason(judgement, verdict, group);
-  judgement.state = verdict.state;
+  recordReadiness(judgement, evaluated, nowMs);
+  updateReason(judgement, evaluated, group);
+  judgement.state = evaluated.state;
   judgement.sinceMs = nowMs;
   pushBounded(judgement.history, transition, HISTORY_LENGTH);
   return transition;
 }
 
-/** Keeps the group's count of ejected back ends. */
-function updateReason(judgement: Judgement, { reason }: Verdict, group: JudgementGroup): void {
+/** Also maintains the group's count of ejected back ends. */
+function updateReason(
+  judgement: Judgement,
+  { reason }: EvaluatedState,
+  group: JudgementGroup,
+): void {
   group.ejected +=
     Number(reason === 'opens-time-out') - Number(judgement.reason === 'opens-time-out');
   judgement.reason = reason;
 }
 
-function recordReadiness(judgement: Judgement, verdict: Verdict, nowMs: number): void {
+function recordReadiness(judgement: Judgement, evaluated: EvaluatedState, nowMs: number): void {
   const tookFlows = judgement.state === 'ready' || judgement.state === 'busy';
-  const takesFlows = verdict.state === 'ready' || verdict.state === 'busy';
-  if (tookFlows && !takesFlows && verdict.state !== 'draining') {
-    pushBounded(judgement.unreadyAtMs, nowMs, MAX_UNREADY_TIMES);
+  const takesFlows = evaluated.state === 'ready' || evaluated.state === 'busy';
+  if (tookFlows && !takesFlows && evaluated.state !== 'draining') {
+    pushBounded(judgement.readinessLostAtMs, nowMs, MAX_READINESS_LOSSES);
   }
-  const seenFirst = judgement.reason === 'not-probed-yet';
-  if (!tookFlows && takesFlows && !(seenFirst && isWarm(judgement))) {
+  const isFirstSeen = judgement.reason === 'not-probed-yet';
+  if (!tookFlows && takesFlows && !(isFirstSeen && isWarm(judgement))) {
     judgement.slowStartAtMs = nowMs;
   }
 }
 
 function isWarm({ trust }: Judgement): boolean {
   const report = trust.lastReport;
-  return report !== undefined && report.connections >= WARM_FROM_USE * report.connectionLimit;
+  return (
+    report !== undefined && report.connections >= MIN_WARM_UTILIZATION * report.connectionLimit
+  );
 }
 
 function pushBounded<Item>(items: Item[], item: Item, bound: number): void {
--- a/src/managed/health/map-cursor.ts
+++ b/src/managed/health/map-cursor.ts
@@ -1,9 +1,9 @@
 /**
- * @file Visits the entries of a map in turn, each once in a round, while entries come and go. An entry that is added is
- * visited in the round in progress.
+ * @file A round-robin cursor over the entries of a map that may change meanwhile. Added entries are visited in the
+ * current round.
  */
 
-/** The position of a visit in turn. */
+/** Position in the current round. */
 export interface MapCursor<Key, Value> {
   entries: Iterator<[Key, Value]>;
 }
@@ -16,7 +16,7 @@
 }
 
 /**
- * @returns the next entry, from the first again after the last; undefined for an empty map
+ * @returns the next entry, wrapping around after the last; undefined if the map is empty
  */
 export function nextEntry<Key, Value>(
   cursor: MapCursor<Key, Value>,
--- a/src/managed/health/probe-ring.ts
+++ b/src/managed/health/probe-ring.ts
@@ -1,55 +1,59 @@
 /**
- * @file Which back ends are visited now? Each target of a ring is visited once in its interval, as evenly in time as
- * the calls allow, so that no balancer does the work for all at once. The interval grows with the targets where the
- * rate of probes would exceed its bound. Owns the position in the ring and the fraction of a visit that is due.
+ * @file Paces probes: visits each target once per interval, spread evenly over time. The interval grows with the number
+ * of targets where the probe rate would exceed its limit.
  */
 import type { Backend } from '../control/routing-config.js';
 import { createMapCursor, nextEntry, type MapCursor } from './map-cursor.js';
-import { PROBERS, type GroupHashes, type ProberAssignment } from './prober-selection.js';
+import {
+  PROBERS_PER_BACKEND,
+  type GroupHashes,
+  type ProberAssignment,
+} from './prober-selection.js';
 
 const MS_PER_SECOND = 1_000;
 
-/** A back end that some balancer of the zone probes. Times in milliseconds. */
+/** A back end to be probed by the balancers of the zone. */
 export interface ProbeTarget {
   backend: Backend;
   readonly keyHash: number;
-  /** When the back end was last asked, by this balancer or another one, or was added. */
+  /** When any balancer last probed the back end, or when its first visit was due. */
   observedAtMs: number | undefined;
-  /** When the probe in progress began. */
+  /** Start of this balancer's probe in progress. */
   startedAtMs: number | undefined;
   assignment: ProberAssignment | undefined;
 }
 
-/** Targets that are visited in turn. */
+/** Targets that are visited in rotation. */
 export interface TargetRing {
   readonly maxProbesPerSecond: number;
   readonly targets: Map<number, ProbeTarget>;
   readonly cursor: MapCursor<number, ProbeTarget>;
-  /** Visits that are due; a fraction is kept. */
-  allowance: number;
+  /** Number of visits due, including a fraction. */
+  dueVisits: number;
 }
 
 /**
- * @param maxProbesPerSecond bound of the probes of one prober
+ * @param maxProbesPerSecond limit for the probes of this balancer
  * @returns a ring without targets
  */
 export function createRing(maxProbesPerSecond: number): TargetRing {
   const targets = new Map<number, ProbeTarget>();
-  return { maxProbesPerSecond, targets, cursor: createMapCursor(targets), allowance: 0 };
+  return { maxProbesPerSecond, targets, cursor: createMapCursor(targets), dueVisits: 0 };
 }
 
 /**
- * @param intervalMs the interval that is wanted
- * @returns the interval in which this balancer's share of the targets can be probed, in milliseconds
+ * @param intervalMs the configured interval
+ * @returns the shortest interval, not below `intervalMs`, that keeps this balancer's share of probes within the limit
  */
 export function ringIntervalMs(ring: TargetRing, intervalMs: number, group: GroupHashes): number {
   const members = Math.max(1, group.hashes.length);
-  const share = (ring.targets.size * Math.min(PROBERS, members)) / members;
+  const share = (ring.targets.size * Math.min(PROBERS_PER_BACKEND, members)) / members;
   return Math.max(intervalMs, (share * MS_PER_SECOND) / ring.maxProbesPerSecond);
 }
 
 /**
- * @returns the targets whose visit is due after `elapsedMs`
+ * @param elapsedMs time since the last call
+ * @returns the targets whose visit is due
  */
 export function* dueTargets(
   ring: TargetRing,
@@ -57,8 +61,8 @@
   intervalMs: number,
 ): Generator<ProbeTarget> {
   const size = ring.targets.size;
-  ring.allowance = Math.min(size, ring.allowance + (elapsedMs * size) / intervalMs);
-  for (; ring.allowance >= 1; ring.allowance -= 1) {
+  ring.dueVisits = Math.min(size, ring.dueVisits + (elapsedMs * size) / intervalMs);
+  for (; ring.dueVisits >= 1; ring.dueVisits -= 1) {
     const target = nextEntry(ring.cursor, ring.targets)?.[1];
     if (target !== undefined) {
       yield target;
--- a/src/managed/health/probe-schedule.ts
+++ b/src/managed/health/probe-schedule.ts
@@ -1,11 +1,7 @@
 /**
- * @file Which back ends does this balancer probe now? The balancers of a zone share the probes: each back end has a
- * few probers (`prober-selection.ts`), visited in turn within a bounded rate (`probe-ring.ts`), and the others use
- * their results. A balancer probes by itself what it has had no result for, and a back end that it has not seen
- * before at once.
- *
- * Inputs: the back ends in force, the live balancers of the zone, when each back end was last asked, the lease, the
- * time in milliseconds. Returns the probes to begin. Owns `ProbeSchedule`.
+ * @file Schedules health probes. The balancers of a zone share the work: each back end is probed by a few of them
+ * (`prober-selection.ts`), who send the results to the others. A balancer falls back to its own probes for back ends
+ * whose results are stale.
  */
 import type { Backend } from '../control/routing-config.js';
 import { hashText } from '../../shared/common/rendezvous.js';
@@ -24,59 +20,53 @@
   type ProberGroup,
 } from './prober-selection.js';
 
-/**
- * Bounds of the probes a second of one balancer, for back ends of its own zone and of others. A probe took 0.239 ms of
- * processor time, so 50 a second are 1.2 % of a core (docs/CAPACITY.md).
- */
+/** Probe rates for back ends in this balancer's zone and in other zones. */
 const MAX_LOCAL_PROBES_PER_SECOND = 30;
 const MAX_REMOTE_PROBES_PER_SECOND = 20;
 /**
- * Bounds of the probes a second in place of results that did not come, with a lease and without. Without a lease each
- * back end must confirm its identity every 3 s. Not measured; too low if `lease-expired` is counted while back ends
- * answer.
+ * Rates of fallback probes for stale results. The urgent rate applies without a lease, when back ends must confirm
+ * their identity often.
  */
 const MAX_FALLBACK_PROBES_PER_SECOND = 5;
 const MAX_URGENT_FALLBACK_PROBES_PER_SECOND = 20;
-/**
- * Probes of back ends not seen before that are begun in one call. Not measured; thousands at once used up the
- * balancer's ports.
- */
-const MAX_FIRST_PROBES = 50;
-/** After this many intervals without a result a balancer without a lease probes by itself. Not measured. */
-const STALE_INTERVALS = 3;
-/** How much later a balancer with a lease does so, in milliseconds. Not measured. */
-const STALE_EXTRA_MS = 5_000;
-/** A probe without an end for this time is given up, in milliseconds; above the timeout of the request, 1 s. */
-const PROBE_LIFETIME_MS = 5_000;
-
-/** Probes this back end; a `probe-result` event follows. */
+/** Keeps a large initial configuration from exhausting the balancer's ports. */
+const MAX_INITIAL_PROBES_PER_CALL = 50;
+/** Number of probe intervals after which a result is stale. */
+const STALE_AFTER_INTERVALS = 3;
+/** With a lease, results may be older by this before they are stale. */
+const STALE_EXTRA_WITH_LEASE_MS = 5_000;
+/** A probe without a result is given up after this time; longer than the timeout of its request. */
+const PROBE_EXPIRY_MS = 5_000;
+
+/** Requests a probe of this back end; a `probe-result` event follows. */
 export interface ProbeEffect {
   readonly type: 'probe';
   readonly backend: Backend;
   /**
-   * True where the probe also sends the back end its identity and the order to drain. Without a lease it only asks:
-   * another back end may be at the address.
+   * True if the probe also sends the back end its identity and a drain request. False without a lease, since another
+   * back end may now have this address.
    */
   readonly isAuthoritative: boolean;
 }
 
-/** The state of a probe schedule. */
+/** State of the probe schedule of one balancer. */
 export interface ProbeSchedule {
   readonly intervalMs: number;
   readonly zone: string;
   readonly local: TargetRing;
   readonly remote: TargetRing;
-  /** Back ends not seen before. */
+  /** IDs of new back ends whose first visit is still due. */
   readonly unseen: Set<number>;
   group: GroupHashes;
+  /** Fallback probes that the rate currently allows, including a fraction. */
   fallbackAllowance: number;
-  /** False while the balancer depends on what back ends said a moment ago. */
+  /** Without a lease, results become stale sooner and probes are not authoritative. */
   hasLease: boolean;
   lastCallAtMs: number | undefined;
 }
 
 /**
- * @param intervalMs between two probes of a back end by one prober, where the rate allows it
+ * @param intervalMs time between two probes of a back end by one balancer, if the rate limit permits
  * @returns an empty schedule
  */
 export function createProbeSchedule(intervalMs: number, zone: string): ProbeSchedule {
@@ -94,7 +84,7 @@
 }
 
 /**
- * Adds a back end, or updates the one of that ID.
+ * Adds a back end, or replaces the one with the same ID.
  */
 export function setProbeTarget(schedule: ProbeSchedule, backend: Backend): void {
   const known = findTarget(schedule, backend.id);
@@ -114,7 +104,7 @@
 }
 
 /**
- * Removes a back end.
+ * Removes a back end from the schedule; does nothing for an unknown ID.
  */
 export function removeProbeTarget(schedule: ProbeSchedule, backendId: number): void {
   schedule.local.targets.delete(backendId);
@@ -123,7 +113,7 @@
 }
 
 /**
- * @returns the probes that are due; a back end not seen before is due at once
+ * @returns the probes to start now; new back ends assigned to this balancer are due at once
  */
 export function dueProbes(
   schedule: ProbeSchedule,
@@ -139,15 +129,15 @@
   const fallback = schedule.fallbackAllowance + (elapsedMs * maxFallback) / 1_000;
   schedule.fallbackAllowance = Math.min(fallback, maxFallback);
   return [
-    ...firstProbes(schedule, nowMs),
+    ...initialProbes(schedule, nowMs),
     ...visitRing(schedule, schedule.local, elapsedMs, nowMs),
     ...visitRing(schedule, schedule.remote, elapsedMs, nowMs),
   ];
 }
 
 /**
- * Ends a probe.
- * @returns when it began, in milliseconds; undefined where none was in progress
+ * Records that a probe has ended.
+ * @returns when it started; undefined if none was in progress
  */
 export function endProbe(schedule: ProbeSchedule, backendId: number): number | undefined {
   const target = findTarget(schedule, backendId);
@@ -160,9 +150,9 @@
 }
 
 /**
- * Records when a back end was asked, by this balancer or another one.
- * @param observedAtMs when the back end was asked
- * @returns false where a later one is known
+ * Records a result from this balancer or another.
+ * @param observedAtMs when the back end was probed
+ * @returns false if the back end is unknown or a result at least as recent is known
  */
 export function recordObservation(
   schedule: ProbeSchedule,
@@ -185,10 +175,10 @@
   return local.targets.get(backendId) ?? remote.targets.get(backendId);
 }
 
-function firstProbes(schedule: ProbeSchedule, nowMs: number): ProbeEffect[] {
+function initialProbes(schedule: ProbeSchedule, nowMs: number): ProbeEffect[] {
   const effects: ProbeEffect[] = [];
   for (const backendId of schedule.unseen) {
-    if (effects.length >= MAX_FIRST_PROBES) {
+    if (effects.length >= MAX_INITIAL_PROBES_PER_CALL) {
       break;
     }
     schedule.unseen.delete(backendId);
@@ -196,14 +186,13 @@
     if (target !== undefined) {
       target.observedAtMs ??= nowMs;
       effects.push(
-        ...(isOwn(schedule, target) ? beginProbe(target, schedule.hasLease, nowMs) : []),
+        ...(isAssigned(schedule, target) ? beginProbe(target, schedule.hasLease, nowMs) : []),
       );
     }
   }
   return effects;
 }
 
-/** Visits each target of a ring about once in its interval. */
 function visitRing(
   schedule: ProbeSchedule,
   ring: TargetRing,
@@ -224,15 +213,15 @@
   intervalMs: number,
   nowMs: number,
 ): ProbeEffect[] {
-  if (target.startedAtMs !== undefined && nowMs - target.startedAtMs < PROBE_LIFETIME_MS) {
+  if (target.startedAtMs !== undefined && nowMs - target.startedAtMs < PROBE_EXPIRY_MS) {
     return [];
   }
-  if (isOwn(schedule, target)) {
+  if (isAssigned(schedule, target)) {
     return beginProbe(target, schedule.hasLease, nowMs);
   }
   const ageMs = nowMs - (target.observedAtMs ?? nowMs);
-  const extraMs = schedule.hasLease ? STALE_EXTRA_MS : 0;
-  const isStale = ageMs > STALE_INTERVALS * intervalMs + extraMs;
+  const extraMs = schedule.hasLease ? STALE_EXTRA_WITH_LEASE_MS : 0;
+  const isStale = ageMs > STALE_AFTER_INTERVALS * intervalMs + extraMs;
   if (!isStale || schedule.fallbackAllowance < 1) {
     return [];
   }
@@ -245,10 +234,10 @@
   return [{ type: 'probe', backend: target.backend, isAuthoritative }];
 }
 
-/** Kept with the target until the group changes. */
-function isOwn({ group }: ProbeSchedule, target: ProbeTarget): boolean {
+/** Whether this balancer probes the target; cached until the group changes. */
+function isAssigned({ group }: ProbeSchedule, target: ProbeTarget): boolean {
   if (target.assignment?.version !== group.version) {
-    target.assignment = { version: group.version, isOwn: isProber(target.keyHash, group) };
+    target.assignment = { version: group.version, isProber: isProber(target.keyHash, group) };
   }
-  return target.assignment.isOwn;
+  return target.assignment.isProber;
 }
--- a/src/managed/health/prober-selection.ts
+++ b/src/managed/health/prober-selection.ts
@@ -1,46 +1,43 @@
 /**
- * @file Does this balancer probe this back end? Three balancers of each zone do, chosen by rendezvous hashing among the
- * zone's live balancers, so that all of them agree without a message. Owns the hashes of the zone's balancers.
+ * @file Selects the balancers of a zone that probe a back end, by rendezvous hashing over the live balancers, so that
+ * all of them agree without coordination.
  */
 import { hashText, rendezvousScore } from '../../shared/common/rendezvous.js';
 
-/**
- * Balancers of a zone that probe one back end. Not measured; too few if a zone learns late of a failure when one is
- * lost.
- */
-export const PROBERS = 3;
+/** Number of balancers in a zone that probe each back end; more than one, to tolerate failures of balancers. */
+export const PROBERS_PER_BACKEND = 3;
 
-/** The live balancers of the own zone, this one included. */
+/** The live balancers of this balancer's zone, including itself. */
 export interface ProberGroup {
   /** Name of this balancer. */
   readonly selfId: string;
   readonly ids: readonly string[];
-  /** Differs whenever the IDs do. */
+  /** Changes whenever the IDs change. */
   readonly version: number;
 }
 
-/** The hashes of a prober group, as of a version of it. */
+/** Hashes of the balancer IDs, cached for one version of the group. */
 export interface GroupHashes {
   readonly version: number;
   readonly hashes: readonly number[];
   readonly ownHash: number;
 }
 
-/** Whether this balancer is a prober, as of a version of the group. */
+/** Whether this balancer probes a back end, cached for one version of the group. */
 export interface ProberAssignment {
   readonly version: number;
-  readonly isOwn: boolean;
+  readonly isProber: boolean;
 }
 
 /**
- * @returns the hashes of a group before the first one is known
+ * @returns the hashes of an empty group, which differ from any version
  */
 export function emptyGroupHashes(): GroupHashes {
   return { version: Number.NEGATIVE_INFINITY, hashes: [], ownHash: 0 };
 }
 
 /**
- * @returns the hashes of the group; the same as before where its version is
+ * @returns the hashes of the group; the cached object if the version is unchanged
  */
 export function groupHashes(
   known: GroupHashes,
@@ -52,8 +49,8 @@
 }
 
 /**
- * @param keyHash hash of the back end
- * @returns true where fewer than `PROBERS` balancers have a higher score than this one
+ * @param keyHash hash of the back end ID
+ * @returns true if this balancer is among the highest scores for the back end
  */
 export function isProber(keyHash: number, group: GroupHashes): boolean {
   const ownScore = rendezvousScore(keyHash, group.ownHash);
@@ -61,5 +58,5 @@
   for (const hash of group.hashes) {
     higher += rendezvousScore(keyHash, hash) > ownScore ? 1 : 0;
   }
-  return higher < PROBERS;
+  return higher < PROBERS_PER_BACKEND;
 }
--- a/src/managed/health/report-trust.ts
+++ b/src/managed/health/report-trust.ts
@@ -1,52 +1,41 @@
 /**
- * @file Are a back end's load reports believed? Not where they stand still while the back end accepts opens, nor
- * where they say that it is idle while it refuses opens. Reports that are not believed are replaced by the typical
- * use of the service (`balancer/backend-evidence.ts`).
- *
- * Inputs: load reports and the answers to own opens, in the order in which they came. Owns `ReportTrust`. Under a
- * surge two misreporting back ends of ten (one idle, one frozen) raised peak over mean connections to 1.196, against
- * 2.554 for a policy that believes every report (docs/design/placement.md); the single counts below are not measured.
+ * @file Detects wrong load reports: those that stay the same while the back end accepts opens, and those that claim
+ * an idle back end while it refuses opens.
  */
 import type { LoadReport } from './backend-report.js';
 
-/**
- * Equal reports in a row, and opens accepted in the meantime, after which reports count as frozen. Too low if idle
- * services show `frozen`.
- */
-const FROZEN_AFTER_REPORTS = 2;
+/** Reports count as frozen once both thresholds are reached; equal reports alone are normal for an idle service. */
+const FROZEN_AFTER_EQUAL_REPORTS = 2;
 const FROZEN_AFTER_ACCEPTED = 10;
-/**
- * Refusals in a row under reports of an idle back end after which these are not believed. Too high if refusals go on
- * for long.
- */
-const IDLE_LIE_AFTER_REFUSED = 3;
-/** Accepted opens in a row after which reports of an idle back end are believed again. */
+/** Consecutive refusals after which reports of an idle back end are not trusted. */
+const DISTRUST_IDLE_AFTER_REFUSALS = 3;
+/** Consecutive accepted opens after which reports of an idle back end are trusted again. */
 const TRUST_AFTER_ACCEPTED = 5;
-/** Changed reports in a row after which reports no longer count as frozen. */
+/** Consecutive changed reports after which reports no longer count as frozen. */
 const TRUST_AFTER_CHANGES = 2;
-/** Connections over the limit below which a report counts as one of an idle back end. */
-const IDLE_BELOW_USE = 0.9;
+/** A report counts as idle below this connection utilization, if it also has a free slot and an empty queue. */
+const MAX_IDLE_UTILIZATION = 0.9;
 
-/** Why reports are not believed. */
+/** Why load reports are not trusted. */
 export type DistrustCause = 'frozen' | 'idle-but-refuses';
 
-/** The evidence for and against a back end's load reports. */
+/** Trust in a back end's load reports, with the evidence. */
 export interface ReportTrust {
-  /** Undefined where they are believed. */
+  /** Undefined if the reports are trusted. */
   distrust: DistrustCause | undefined;
   lastReport: LoadReport | undefined;
-  /** Reports equal to the one before, in a row. */
+  /** Consecutive reports equal to the previous one. */
   equalReports: number;
-  /** Reports different from the one before, in a row. */
+  /** Consecutive reports different from the previous one. */
   changedReports: number;
   /** Opens accepted since the reports last changed. */
   acceptedSinceChange: number;
-  acceptedInRow: number;
-  refusedInRow: number;
+  consecutiveAccepts: number;
+  consecutiveRefusals: number;
 }
 
 /**
- * @returns the trust in a back end that has not reported yet
+ * @returns the state before the first report; reports are trusted
  */
 export function createReportTrust(): ReportTrust {
   return {
@@ -55,13 +44,13 @@
     equalReports: 0,
     changedReports: 0,
     acceptedSinceChange: 0,
-    acceptedInRow: 0,
-    refusedInRow: 0,
+    consecutiveAccepts: 0,
+    consecutiveRefusals: 0,
   };
 }
 
 /**
- * Records a load report.
+ * Records a load report and updates the trust.
  */
 export function updateTrustOnReport(trust: ReportTrust, report: LoadReport): void {
   const isEqual = trust.lastReport !== undefined && sameLoad(trust.lastReport, report);
@@ -83,35 +72,36 @@
 }
 
 /**
- * Records the answer to an own open.
+ * Records whether the back end accepted or refused an open, and updates the trust.
  */
 export function updateTrustOnAnswer(trust: ReportTrust, accepted: boolean): void {
   if (accepted) {
     trust.acceptedSinceChange += 1;
-    trust.acceptedInRow += 1;
-    trust.refusedInRow = 0;
-    if (trust.distrust === 'idle-but-refuses' && trust.acceptedInRow >= TRUST_AFTER_ACCEPTED) {
+    trust.consecutiveAccepts += 1;
+    trust.consecutiveRefusals = 0;
+    if (trust.distrust === 'idle-but-refuses' && trust.consecutiveAccepts >= TRUST_AFTER_ACCEPTED) {
       trust.distrust = undefined;
     }
     return;
   }
-  trust.acceptedInRow = 0;
-  trust.refusedInRow += 1;
-  if (trust.refusedInRow >= IDLE_LIE_AFTER_REFUSED && reportsIdle(trust.lastReport)) {
+  trust.consecutiveAccepts = 0;
+  trust.consecutiveRefusals += 1;
+  if (trust.consecutiveRefusals >= DISTRUST_IDLE_AFTER_REFUSALS && reportsIdle(trust.lastReport)) {
     trust.distrust = 'idle-but-refuses';
   }
 }
 
 function isFrozen(trust: ReportTrust): boolean {
   return (
-    trust.equalReports >= FROZEN_AFTER_REPORTS && trust.acceptedSinceChange >= FROZEN_AFTER_ACCEPTED
+    trust.equalReports >= FROZEN_AFTER_EQUAL_REPORTS &&
+    trust.acceptedSinceChange >= FROZEN_AFTER_ACCEPTED
   );
 }
 
 function reportsIdle(report: LoadReport | undefined): boolean {
   return (
     report !== undefined &&
-    report.connections < IDLE_BELOW_USE * report.connectionLimit &&
+    report.connections < MAX_IDLE_UTILIZATION * report.connectionLimit &&
     report.busySlots < report.slots &&
     report.queuedRequests === 0
   );
--- a/src/managed/limits/backend-limits.ts
+++ b/src/managed/limits/backend-limits.ts
@@ -1,13 +1,11 @@
 /**
- * @file Which back ends are left out because they hold as many connections as their service allows each? Compares this
- * balancer's estimate with the limit `connectionsPerBackend`; a service without the limit leaves none out.
+ * @file Enforces a service's limit of connections per back end (`connectionsPerBackend`).
  */
 import type { ServiceLimits } from '../control/routing-config.js';
 import type { PlacementCandidate } from '../routing/placement-policy.js';
 
 /**
- * @returns IDs of the candidates that hold as many connections as the service allows each, by this
- *   balancer's estimate
+ * @returns IDs of the candidates whose estimated connections have reached the limit; empty without a limit
  */
 export function fullBackendIds(
   candidates: readonly PlacementCandidate[],
--- a/src/managed/limits/open-limits.ts
+++ b/src/managed/limits/open-limits.ts
@@ -1,18 +1,10 @@
 /**
- * @file Is an open from a caller admitted? Three bounds, in this order:
- *
- * 1. pending opens of the owner: `maxPendingOpens` in equal parts, without borrowing, since an open is pending only
- *    for milliseconds;
- * 2. opens a second of the service, where it has a limit: the cluster's limit over the live balancers;
- * 3. opens a second of the owner (`owner-shares.ts`).
- *
- * What is refused is refused at once, with the time in milliseconds after which to retry. A refused open never ran.
- * Owns the counts of pending opens, the buckets and the retry budgets of all services, and the counters that metrics
- * show.
+ * @file Admission control for opens. An open must pass the owner's share of pending opens, the service's rate limit
+ * and the owner's share of the balancer's rate, in this order. Refusals are immediate and carry a retry delay.
  */
 import type { Service } from '../control/routing-config.js';
 import type { ErrorKind } from '../../shared/common/error-kinds.js';
-import { createOwnerShares, takeFromShare, type OwnerShares } from './owner-shares.js';
+import { createOwnerShares, takeOpenFromShare, type OwnerShares } from './owner-shares.js';
 import {
   addToRetryBudget,
   createRetryBudget,
@@ -21,72 +13,66 @@
 } from './retry-budget.js';
 import {
   createTokenBucket,
-  fillBucket,
-  nextTokenInMs,
+  refillBucket,
+  msUntilNextToken,
   takeToken,
   type TokenBucket,
   type TokenRate,
 } from './token-bucket.js';
 
-/**
- * Burst of a service, in seconds of its rate. Not measured; too small if a service below its limit sees
- * `rate-limited`.
- */
+/** Burst size of a service, in seconds at its rate. */
 const SERVICE_BURST_SECONDS = 1;
-/**
- * When a caller retries where no rate says it, in milliseconds; spread at random up to twice as long. Not measured; too
- * short if the metric `amberlift_errors_total{kind="overloaded"}` stays high after a surge has ended.
- */
+/** Retry delay for refusals that no rate limit gives a delay for, before jitter. */
 export const OVERLOAD_RETRY_AFTER_MS = 500;
 
-/** The limits that hold for a whole balancer. */
+/** Limits of one balancer, shared by all owners. */
 interface BalancerOpenLimits {
-  /** Bound of pending opens; each owner has an equal part. */
+  /** Maximum number of pending opens; split equally among owners, without borrowing. */
   readonly maxPendingOpens: number;
-  /** Opens a second; each owner has an equal part, and what others leave unused. */
+  /** Split equally among owners, who may also use what others leave unused. */
   readonly maxOpensPerSecond: number;
 }
 
-/** The state of all limits of one balancer. */
+/** Limits, retry budgets and open counters of one balancer. */
 export interface OpenLimitsState {
-  /** Log index of the configuration that `owners` is of; undefined before the first. */
+  /** Log index of the configuration that `owners` is taken from; undefined before the first. */
   configIndex: number | undefined;
-  /** Owners of all services in force. */
+  /** Owners of all configured services. */
   owners: ReadonlySet<string>;
   /** Pending opens by owner. */
   readonly pendingByOwner: Map<string, number>;
   readonly ownerShares: OwnerShares;
-  /** By service ID; only for services that have a limit. */
+  /** By service ID; only for services with a rate limit. */
   readonly serviceBuckets: Map<number, TokenBucket>;
   /** By service ID. */
   readonly retryBudgets: Map<number, RetryBudget>;
-  /** Opens that came from callers. */
+  /** Opens received from callers. */
   receivedOpens: number;
-  /** Opens that were sent to back ends, retries included. */
+  /** Opens sent to back ends, including retries. */
   sentOpens: number;
-  /** Copies of opens that are pending already. */
+  /** Duplicates of pending opens. */
   repeatedOpens: number;
-  /** Answers of back ends to opens that are no longer pending. */
+  /** Answers from back ends to opens that are no longer pending. */
   lateAnswers: number;
 }
 
-/** What the admission of an open depends on, besides the state. */
-interface OpenSurroundings {
-  /** How many balancers share the traffic of the cluster. */
+/** Inputs of an admission decision that are not part of `OpenLimitsState`. */
+interface AdmissionContext {
+  /** Live balancers of the cluster, which split each service's rate limit. */
   readonly liveBalancerCount: number;
   readonly limits: BalancerOpenLimits;
   readonly nowMs: number;
 }
 
-/** Why an open is refused. */
+/** A refused open; it was not sent to any back end. */
 export interface OpenRefusal {
   readonly kind: ErrorKind;
-  /** When to retry, in milliseconds. */
+  /** Delay before the caller should retry. */
   readonly retryAfterMs: number;
 }
 
 /**
- * @returns the state before the first open
+ * @returns empty limits, budgets and counters
  */
 export function createOpenLimits(): OpenLimitsState {
   return {
@@ -104,20 +90,20 @@
 }
 
 /**
- * Decides on an open that came from a caller.
- * @returns undefined where it is admitted; then it is pending until `releaseOpen`
+ * Admits or refuses an open from a caller.
+ * @returns undefined if admitted; the open then counts as pending until `releaseOpen`
  */
 export function admitOpen(
   state: OpenLimitsState,
   service: Service,
-  surroundings: OpenSurroundings,
+  context: AdmissionContext,
 ): OpenRefusal | undefined {
   state.receivedOpens += 1;
   addToRetryBudget(budgetOf(state, service.id));
   const refusal =
-    pendingRefusal(state, service.owner, surroundings) ??
-    serviceRefusal(state, service, surroundings) ??
-    ownerRefusal(state, service.owner, surroundings);
+    pendingRefusal(state, service.owner, context) ??
+    serviceRefusal(state, service, context) ??
+    ownerRefusal(state, service.owner, context);
   if (refusal === undefined) {
     const pending = state.pendingByOwner.get(service.owner) ?? 0;
     state.pendingByOwner.set(service.owner, pending + 1);
@@ -126,7 +112,7 @@
 }
 
 /**
- * Ends an open that was admitted.
+ * Removes an admitted open from the pending opens of its owner.
  */
 export function releaseOpen(state: OpenLimitsState, owner: string): void {
   const pending = (state.pendingByOwner.get(owner) ?? 0) - 1;
@@ -138,14 +124,15 @@
 }
 
 /**
- * @returns true where an open of the service may be tried on another back end; counts it
+ * Takes a retry from the budget of the service.
+ * @returns false if the budget is used up
  */
 export function admitRetry(state: OpenLimitsState, serviceId: number): boolean {
   return takeRetry(budgetOf(state, serviceId));
 }
 
 /**
- * Updates owners, buckets and budgets to the services in force; does nothing where they are those of the last call.
+ * Updates the owners, and drops the state of removed services. Does nothing if the configuration is unchanged.
  * @param configIndex log index of the configuration
  */
 export function updateServices(
@@ -170,7 +157,7 @@
 function pendingRefusal(
   state: OpenLimitsState,
   owner: string,
-  { limits }: OpenSurroundings,
+  { limits }: AdmissionContext,
 ): OpenRefusal | undefined {
   const ownerCount = Math.max(1, state.owners.size);
   const share = Math.max(1, Math.floor(limits.maxPendingOpens / ownerCount));
@@ -183,7 +170,7 @@
 function serviceRefusal(
   state: OpenLimitsState,
   { id, limits: { opensPerSecond } }: Service,
-  { liveBalancerCount, nowMs }: OpenSurroundings,
+  { liveBalancerCount, nowMs }: AdmissionContext,
 ): OpenRefusal | undefined {
   if (opensPerSecond === undefined) {
     state.serviceBuckets.delete(id);
@@ -192,32 +179,32 @@
   const rate = localRate(opensPerSecond, liveBalancerCount);
   const bucket = state.serviceBuckets.get(id) ?? createTokenBucket(rate, nowMs);
   state.serviceBuckets.set(id, bucket);
-  fillBucket(bucket, rate, nowMs);
+  refillBucket(bucket, rate, nowMs);
   return takeToken(bucket)
     ? undefined
-    : { kind: 'rate-limited', retryAfterMs: nextTokenInMs(bucket, rate) };
+    : { kind: 'rate-limited', retryAfterMs: msUntilNextToken(bucket, rate) };
 }
 
 function ownerRefusal(
   state: OpenLimitsState,
   owner: string,
-  { limits, nowMs }: OpenSurroundings,
+  { limits, nowMs }: AdmissionContext,
 ): OpenRefusal | undefined {
   const rate = limits.maxOpensPerSecond;
-  const waitMs = takeFromShare(state.ownerShares, owner, state.owners, rate, nowMs);
+  const waitMs = takeOpenFromShare(state.ownerShares, owner, state.owners, rate, nowMs);
   return waitMs === undefined ? undefined : { kind: 'overloaded', retryAfterMs: waitMs };
 }
 
-/** A service's limit holds for the whole cluster, so each balancer takes its part. */
+/** This balancer's equal part of a service's rate limit, which applies to the whole cluster. */
 function localRate(opensPerSecond: number, liveBalancerCount: number): TokenRate {
   const tokensPerSecond = opensPerSecond / Math.max(1, liveBalancerCount);
   return { tokensPerSecond, capacity: Math.max(1, tokensPerSecond * SERVICE_BURST_SECONDS) };
 }
 
 function budgetOf(state: OpenLimitsState, serviceId: number): RetryBudget {
-  const known = state.retryBudgets.get(serviceId);
-  if (known !== undefined) {
-    return known;
+  const existing = state.retryBudgets.get(serviceId);
+  if (existing !== undefined) {
+    return existing;
   }
   const budget = createRetryBudget();
   state.retryBudgets.set(serviceId, budget);
--- a/src/managed/limits/owner-shares.ts
+++ b/src/managed/limits/owner-shares.ts
@@ -1,43 +1,39 @@
 /**
- * @file May this owner have another open this second? Each owner of services has a bucket of its own, filled with an
- * equal part of the balancer's rate. What a full bucket has no room for runs over into a spare bucket, from which
- * every owner may take. So a surge may use what is idle, and never what is in another owner's bucket.
- *
- * Inputs: all owners of services in force, the rate of the balancer (`maxOpensPerSecond`) and the time in
- * milliseconds. Returns the time until the next token in milliseconds where the open is refused. Owns the buckets.
+ * @file Divides a balancer's open rate fairly among the owners of services. Each owner has a token bucket with an equal
+ * part of the rate; tokens that overflow go to a spare bucket that all owners may use.
  */
 import {
   createTokenBucket,
-  fillBucket,
-  nextTokenInMs,
+  refillBucket,
+  msUntilNextToken,
   takeToken,
   type TokenBucket,
   type TokenRate,
 } from './token-bucket.js';
 
-/** Size of a bucket, in seconds of its rate. Not measured; too small if owners below their rate see refusals. */
+/** Capacity of a bucket, in seconds at its rate. */
 const BURST_SECONDS = 1;
 
-/** The shares of all owners. */
+/** Token buckets of all owners. */
 export interface OwnerShares {
-  /** By the owner's name. */
+  /** By owner name. */
   readonly buckets: Map<string, TokenBucket>;
   readonly spare: TokenBucket;
 }
 
 /**
- * @returns shares of no owners
+ * @returns no owner buckets and an empty spare bucket
  */
 export function createOwnerShares(): OwnerShares {
-  return { buckets: new Map(), spare: { tokens: 0, filledAtMs: 0 } };
+  return { buckets: new Map(), spare: { tokens: 0, refilledAtMs: 0 } };
 }
 
 /**
- * Takes one open from an owner's share, or from what the others leave unused.
- * @param owners all owners, this one included
- * @returns undefined where it was taken, else when to come back, in milliseconds from now on
+ * Takes one open from the owner's bucket or, if that is empty, from the spare bucket.
+ * @param owners all owners, including this one
+ * @returns undefined if one was taken, else the time until the owner's next token in milliseconds
  */
-export function takeFromShare(
+export function takeOpenFromShare(
   shares: OwnerShares,
   owner: string,
   owners: ReadonlySet<string>,
@@ -45,14 +41,14 @@
   nowMs: number,
 ): number | undefined {
   const rate = equalRate(opensPerSecond, owners.size);
-  forgetFormerOwners(shares, owners);
-  fillAll(shares, owners, rate, nowMs);
+  removeFormerOwners(shares, owners);
+  refillAll(shares, owners, rate, nowMs);
   const bucket = shares.buckets.get(owner) ?? createTokenBucket(rate, nowMs);
   shares.buckets.set(owner, bucket);
   if (takeToken(bucket) || takeToken(shares.spare)) {
     return undefined;
   }
-  return nextTokenInMs(bucket, rate);
+  return msUntilNextToken(bucket, rate);
 }
 
 function equalRate(opensPerSecond: number, ownerCount: number): TokenRate {
@@ -60,7 +56,7 @@
   return { tokensPerSecond, capacity: Math.max(1, tokensPerSecond * BURST_SECONDS) };
 }
 
-function forgetFormerOwners({ buckets }: OwnerShares, owners: ReadonlySet<string>): void {
+function removeFormerOwners({ buckets }: OwnerShares, owners: ReadonlySet<string>): void {
   if (buckets.size <= owners.size) {
     return;
   }
@@ -71,7 +67,7 @@
   }
 }
 
-function fillAll(
+function refillAll(
   { buckets, spare }: OwnerShares,
   owners: ReadonlySet<string>,
   rate: TokenRate,
@@ -81,9 +77,9 @@
     const bucket = buckets.get(owner);
     if (bucket === undefined) {
       buckets.set(owner, createTokenBucket(rate, nowMs));
-    } else if (bucket.filledAtMs < nowMs) {
-      const unused = fillBucket(bucket, rate, nowMs);
-      spare.tokens = Math.min(rate.capacity, spare.tokens + unused);
+    } else if (bucket.refilledAtMs < nowMs) {
+      const overflow = refillBucket(bucket, rate, nowMs);
+      spare.tokens = Math.min(rate.capacity, spare.tokens + overflow);
     }
   }
 }
--- a/src/managed/limits/token-bucket.ts
+++ b/src/managed/limits/token-bucket.ts
@@ -1,20 +1,20 @@
 /**
- * @file A token bucket: a rate of events a second, with bursts up to its capacity. Times in milliseconds.
+ * @file A token bucket: limits events to a rate per second, with bursts up to its capacity.
  */
 
 const MS_PER_SECOND = 1_000;
 
-/** A token bucket. */
+/** State of a token bucket; tokens may be fractional. */
 export interface TokenBucket {
   tokens: number;
-  /** When it was last filled, on the clock of the step, in milliseconds. */
-  filledAtMs: number;
+  /** Time of the last refill, on the clock of the step. */
+  refilledAtMs: number;
 }
 
-/** How fast a bucket fills, and how much it holds. */
+/** Refill rate and size of a bucket. */
 export interface TokenRate {
   readonly tokensPerSecond: number;
-  /** Most tokens that it holds. */
+  /** Maximum number of tokens. */
   readonly capacity: number;
 }
 
@@ -22,24 +22,24 @@
  * @returns a full bucket
  */
 export function createTokenBucket({ capacity }: TokenRate, nowMs: number): TokenBucket {
-  return { tokens: capacity, filledAtMs: nowMs };
+  return { tokens: capacity, refilledAtMs: nowMs };
 }
 
 /**
- * Fills a bucket up to now.
- * @returns the tokens that it had no room for
+ * Adds the tokens earned since the last refill.
+ * @returns tokens that exceeded the capacity
  */
-export function fillBucket(bucket: TokenBucket, rate: TokenRate, nowMs: number): number {
-  const elapsedMs = Math.max(0, nowMs - bucket.filledAtMs);
+export function refillBucket(bucket: TokenBucket, rate: TokenRate, nowMs: number): number {
+  const elapsedMs = Math.max(0, nowMs - bucket.refilledAtMs);
   const tokens = bucket.tokens + (elapsedMs * rate.tokensPerSecond) / MS_PER_SECOND;
   bucket.tokens = Math.min(rate.capacity, tokens);
-  bucket.filledAtMs = Math.max(bucket.filledAtMs, nowMs);
+  bucket.refilledAtMs = Math.max(bucket.refilledAtMs, nowMs);
   return tokens - bucket.tokens;
 }
 
 /**
- * Takes one token from a filled bucket.
- * @returns false where there is none
+ * Takes one token. The bucket must have been refilled first.
+ * @returns false if there is none
  */
 export function takeToken(bucket: TokenBucket): boolean {
   if (bucket.tokens < 1) {
@@ -50,9 +50,9 @@
 }
 
 /**
- * @returns when the bucket has its next token, in milliseconds from its last filling on
+ * @returns time from the last refill until the bucket holds a whole token, in milliseconds
  */
-export function nextTokenInMs(bucket: TokenBucket, { tokensPerSecond }: TokenRate): number {
-  const missing = Math.max(0, 1 - bucket.tokens);
-  return tokensPerSecond > 0 ? (missing * MS_PER_SECOND) / tokensPerSecond : Infinity;
+export function msUntilNextToken(bucket: TokenBucket, { tokensPerSecond }: TokenRate): number {
+  const deficit = Math.max(0, 1 - bucket.tokens);
+  return tokensPerSecond > 0 ? (deficit * MS_PER_SECOND) / tokensPerSecond : Infinity;
 }
--- a/src/managed/routing/least-reported-policy.ts
+++ b/src/managed/routing/least-reported-policy.ts
@@ -1,6 +1,6 @@
 /**
- * @file The policy `least-reported`: the candidate that reports the fewest connections for its limit. A baseline:
- * between two reports every open of every balancer goes to the same back end.
+ * @file The placement policy `least-reported`: the candidate with the lowest reported connection utilization. Only a
+ * baseline for comparisons: between two reports all balancers send their opens to the same back end.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import {
@@ -10,7 +10,7 @@
   type PlacementRequest,
 } from './placement-policy.js';
 
-/** Chooses the least loaded by the reports alone, at random among equals. */
+/** Chooses the back end with the lowest reported load; ties are broken at random. */
 export class LeastReportedPolicy implements PlacementPolicy {
   readonly name = 'least-reported';
 
@@ -20,16 +20,16 @@
     context: StepContext,
   ): PlacementCandidate | undefined {
     let least: PlacementCandidate | undefined;
-    let leastUse = Infinity;
-    let equals = 0;
+    let minUtilization = Infinity;
+    let tiedCount = 0;
     for (const candidate of candidates) {
-      const use = reportedUse(candidate);
-      if (use > leastUse || !isUntried(candidate, request)) {
+      const utilization = reportedUtilization(candidate);
+      if (utilization > minUtilization || !isUntried(candidate, request)) {
         continue;
       }
-      equals = use === leastUse ? equals + 1 : 1;
-      leastUse = use;
-      if (context.random.nextInt(equals) === 0) {
+      tiedCount = utilization === minUtilization ? tiedCount + 1 : 1;
+      minUtilization = utilization;
+      if (context.random.nextInt(tiedCount) === 0) {
         least = candidate;
       }
     }
@@ -37,8 +37,8 @@
   }
 }
 
-/** Connections over limit; 0 for a back end that has not reported. */
-function reportedUse({ judgement }: PlacementCandidate): number {
+/** Connections divided by the limit; 0 before the first report. */
+function reportedUtilization({ judgement }: PlacementCandidate): number {
   const report = judgement.trust.lastReport;
   return report === undefined ? 0 : report.connections / Math.max(1, report.connectionLimit);
 }
--- a/src/managed/routing/maglev-policy.ts
+++ b/src/managed/routing/maglev-policy.ts
@@ -1,6 +1,6 @@
 /**
- * @file The policy `maglev`: a table over the hash of the flow ID. A baseline: it ties a new flow to a back end
- * whatever the load.
+ * @file The placement policy `maglev`: consistent hashing of the flow ID. Only a baseline for comparisons, since it
+ * ignores load.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { buildMaglevTable, lookUpMaglev } from './maglev-table.js';
@@ -11,13 +11,13 @@
   type PlacementRequest,
 } from './placement-policy.js';
 
-/** Kept for each list of candidates, so that a service's opens don't rebuild another's table. */
+/** Lookup table of one list of candidates; cached per list, as each service has its own. */
 interface DerivedTable {
   readonly table: Int32Array;
   readonly byId: ReadonlyMap<number, PlacementCandidate>;
 }
 
-/** Chooses by a hash of the flow ID; a retry takes one of the others at random. */
+/** Chooses by a hash of the flow ID; retries choose at random among the untried candidates. */
 export class MaglevPolicy implements PlacementPolicy {
   readonly name = 'maglev';
   private readonly derived = new WeakMap<readonly PlacementCandidate[], DerivedTable>();
--- a/src/managed/routing/maglev-table.ts
+++ b/src/managed/routing/maglev-table.ts
@@ -1,13 +1,13 @@
 /**
- * @file The lookup table of Maglev (Eisenbud and others, NSDI 2016): every back end fills nearly
- * the same share of the table, and a changed set of back ends changes few other entries.
+ * @file The lookup table of Maglev hashing (Eisenbud et al., NSDI 2016). All back ends get nearly equal shares of the
+ * table, and adding or removing one changes few entries of the others.
  */
 import { KEYED_HASH_KEY_BYTES, keyedHash } from '../../shared/common/keyed-hash.js';
 
-/** Number of entries; a prime well above 100 entries for each of the back ends of a service. */
+/** Number of entries: a prime, with well over 100 entries for each back end of a service. */
 export const MAGLEV_TABLE_SIZE = 65_537;
 
-/** Fixed keys, since all balancers must build the same table. */
+/** Fixed hash keys, since all balancers must build the same table. */
 const OFFSET_KEY = new Uint8Array(KEYED_HASH_KEY_BYTES).fill(1);
 const SKIP_KEY = new Uint8Array(KEYED_HASH_KEY_BYTES).fill(2);
 const FLOW_KEY = new Uint8Array(KEYED_HASH_KEY_BYTES).fill(3);
@@ -20,8 +20,8 @@
 }
 
 /**
- * @param backendIds at least one, each once; the table does not depend on their order
- * @returns for each entry the ID of its back end
+ * @param backendIds at least one, without duplicates; their order has no effect
+ * @returns the back end ID of each entry
  */
 export function buildMaglevTable(backendIds: readonly number[]): Int32Array {
   const ids = [...backendIds].sort((left, right) => left - right);
@@ -41,7 +41,7 @@
 }
 
 /**
- * @returns the ID of the flow's back end
+ * @returns the ID of the back end that the flow ID hashes to
  */
 export function lookUpMaglev(table: Int32Array, flowId: Uint8Array): number {
   return table[lowWord(FLOW_KEY, flowId) % MAGLEV_TABLE_SIZE] ?? EMPTY;
--- a/src/managed/routing/placement-policy.ts
+++ b/src/managed/routing/placement-policy.ts
@@ -1,33 +1,32 @@
 /**
- * @file The interface of placement policies: which candidate receives a new flow. A policy sees the candidates with
- * their judgement and load estimate, and returns one of them. `policy-registry.ts` makes a policy by its name.
+ * @file The interface of placement policies, which choose the back end of each new flow.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { Backend } from '../control/routing-config.js';
 import type { Judgement } from '../health/judgement-state.js';
 import type { LoadEstimate } from './load-estimate.js';
 
-/** A back end that may receive a new flow, with what is known of its load. */
+/** A back end that may receive a new flow, with its health and load. */
 export interface PlacementCandidate {
   readonly backend: Backend;
-  /** Its judged state, and its last load report with whether it is trusted. */
+  /** Health state, and the last load report with whether it is trusted. */
   readonly judgement: Judgement;
-  /** Those reports corrected for what this balancer has done since. */
+  /** Load reports corrected for this balancer's own opens. */
   readonly estimate: LoadEstimate;
-  /** Opens that this balancer sent there and that are not yet answered. */
+  /** Unanswered opens that this balancer sent to the back end. */
   readonly pendingOpens: number;
 }
 
-/** What is known of the new flow and of the balancer that places it. */
+/** The new flow, and the balancer that places it. */
 export interface PlacementRequest {
   readonly flowId: Uint8Array;
-  /** Zone of the balancer. */
+  /** Zone of this balancer. */
   readonly localZone: string;
-  /** How many balancers share the traffic, this one included. */
+  /** Balancers that share the traffic, including this one. */
   readonly balancerCount: number;
-  /** How many of them are in the local zone, this one included. */
+  /** Balancers in the local zone, including this one. */
   readonly localBalancerCount: number;
-  /** Back ends that this open has been tried on, which are not chosen again. */
+  /** Back ends that this open has already been sent to; they are excluded. */
   readonly triedBackendIds: readonly number[];
 }
 
@@ -35,10 +34,10 @@
 export interface PlacementPolicy {
   readonly name: string;
   /**
-   * Called once for each open and each retry.
-   * @param candidates the back ends of the service that may receive a flow; the same array as long
-   *   as they are the same back ends in the same order, so that a policy may keep what it derives
-   * @returns the chosen candidate, or undefined where all have been tried
+   * Called once per open and per retry.
+   * @param candidates the same array as long as the list of back ends is unchanged, so a policy may use it as a cache
+   *   key
+   * @returns undefined if all candidates have been tried
    */
   choose(
     candidates: readonly PlacementCandidate[],
@@ -48,7 +47,7 @@
 }
 
 /**
- * @returns true where the open has not been tried on this candidate
+ * @returns true if the open has not been sent to this candidate yet
  */
 export function isUntried(candidate: PlacementCandidate, request: PlacementRequest): boolean {
   return !request.triedBackendIds.includes(candidate.backend.id);
--- a/src/managed/routing/policy-registry.ts
+++ b/src/managed/routing/policy-registry.ts
@@ -1,5 +1,5 @@
 /**
- * @file The placement policies by name.
+ * @file Creates placement policies by their configured name.
  */
 import { match } from 'ts-pattern';
 import type { PlacementPolicyName } from '../control/routing-config.js';
@@ -10,7 +10,7 @@
 import { RandomPolicy } from './random-policy.js';
 
 /**
- * @returns a new policy of that name
+ * @returns a new instance, with state of its own
  */
 export function createPolicy(name: PlacementPolicyName): PlacementPolicy {
   return match(name)
--- a/src/managed/routing/random-policy.ts
+++ b/src/managed/routing/random-policy.ts
@@ -1,6 +1,5 @@
 /**
- * @file The policy `random`: every candidate with equal probability. A baseline for measurements, and safe without
- * any report.
+ * @file The placement policy `random`: a uniform choice that needs no load reports. A baseline for comparisons.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import {
@@ -10,7 +9,7 @@
   type PlacementRequest,
 } from './placement-policy.js';
 
-/** Chooses uniformly at random. */
+/** Chooses uniformly at random among the untried candidates. */
 export class RandomPolicy implements PlacementPolicy {
   readonly name = 'random';
 
@@ -20,7 +19,9 @@
     context: StepContext,
   ): PlacementCandidate | undefined {
     const first = request.triedBackendIds.length === 0;
-    const untried = first ? candidates : candidates.filter((one) => isUntried(one, request));
+    const untried = first
+      ? candidates
+      : candidates.filter((candidate) => isUntried(candidate, request));
     return untried.length === 0 ? undefined : untried[context.random.nextInt(untried.length)];
   }
 }
--- a/src/managed/routing/zone-rotation.ts
+++ b/src/managed/routing/zone-rotation.ts
@@ -1,53 +1,48 @@
 /**
- * @file Which zone's candidates receive the next flow? Each zone gets its share (`zone-shares.ts`) as evenly in time
- * as can be, by smooth weighted round robin. Owns the credits of the zones for one list of candidates; a new list
- * starts anew.
+ * @file Chooses the zone of each new flow by smooth weighted round robin over the zone shares (`zone-shares.ts`).
  */
-import { ASSUMED_CONNECTION_LIMIT } from './load-estimate.js';
+import { DEFAULT_CONNECTION_LIMIT } from './load-estimate.js';
 import type { PlacementCandidate, PlacementRequest } from './placement-policy.js';
 import { slowStartWeight } from './slow-start.js';
 import { shareOverZones, type ZoneCapacity } from './zone-shares.js';
 
-/**
- * How long shares are kept before they are computed again, in milliseconds. Not measured; it saves a pass over all
- * candidates for each open.
- */
-const SHARES_LIFE_MS = 250;
+/** Shares are cached, as computing them takes a pass over all candidates. */
+const SHARES_TTL_MS = 250;
 
-interface ZoneTurn {
+interface WeightedZone {
   readonly zone: string;
   readonly candidates: PlacementCandidate[];
   share: number;
-  /** How many flows the zone is behind its share. */
+  /** Flows that the zone is behind its share; negative if it is ahead. */
   credit: number;
 }
 
-/** Takes the zones of one list of candidates in turn. */
+/** Weighted round robin over the zones of one list of candidates. */
 export class ZoneRotation {
-  private readonly turns: ZoneTurn[] = [];
-  private sharesEndAtMs = -Infinity;
+  private readonly entries: WeightedZone[] = [];
+  private sharesExpireAtMs = -Infinity;
 
   constructor(candidates: readonly PlacementCandidate[]) {
-    const byZone = new Map<string, ZoneTurn>();
+    const byZone = new Map<string, WeightedZone>();
     for (const candidate of candidates) {
       const { zone } = candidate.backend;
-      const turn = byZone.get(zone) ?? { zone, candidates: [], share: 0, credit: 0 };
-      turn.candidates.push(candidate);
-      byZone.set(zone, turn);
+      const entry = byZone.get(zone) ?? { zone, candidates: [], share: 0, credit: 0 };
+      entry.candidates.push(candidate);
+      byZone.set(zone, entry);
     }
-    this.turns.push(...byZone.values());
+    this.entries.push(...byZone.values());
   }
 
-  /** @returns the candidates of the zone whose turn it is */
+  /** @returns the candidates of the next zone; empty if there are no candidates */
   next(request: PlacementRequest, nowMs: number): readonly PlacementCandidate[] {
-    if (nowMs >= this.sharesEndAtMs) {
+    if (nowMs >= this.sharesExpireAtMs) {
       this.updateShares(request, nowMs);
     }
-    let chosen: ZoneTurn | undefined;
-    for (const turn of this.turns) {
-      turn.credit += turn.share;
-      if (chosen === undefined || turn.credit > chosen.credit) {
-        chosen = turn;
+    let chosen: WeightedZone | undefined;
+    for (const entry of this.entries) {
+      entry.credit += entry.share;
+      if (chosen === undefined || entry.credit > chosen.credit) {
+        chosen = entry;
       }
     }
     if (chosen === undefined) {
@@ -58,29 +53,29 @@
   }
 
   private updateShares(request: PlacementRequest, nowMs: number): void {
-    const zones = this.turns.map((turn) => capacityOf(turn, nowMs));
-    const localTraffic = request.localBalancerCount / request.balancerCount;
-    const shares = shareOverZones(zones, request.localZone, localTraffic);
-    this.turns.forEach((turn, index) => {
-      turn.share = shares[index] ?? 0;
+    const zones = this.entries.map((entry) => capacityOf(entry, nowMs));
+    const localTrafficShare = request.localBalancerCount / request.balancerCount;
+    const shares = shareOverZones(zones, request.localZone, localTrafficShare);
+    this.entries.forEach((entry, index) => {
+      entry.share = shares[index] ?? 0;
     });
-    this.sharesEndAtMs = nowMs + SHARES_LIFE_MS;
+    this.sharesExpireAtMs = nowMs + SHARES_TTL_MS;
   }
 }
 
-function capacityOf(turn: ZoneTurn, nowMs: number): ZoneCapacity {
+function capacityOf(entry: WeightedZone, nowMs: number): ZoneCapacity {
   let capacity = 0;
   let reportedLimits = 0;
   let connections = 0;
-  for (const { judgement } of turn.candidates) {
+  for (const { judgement } of entry.candidates) {
     const { distrust, lastReport } = judgement.trust;
-    const limit = Math.max(1, lastReport?.connectionLimit ?? ASSUMED_CONNECTION_LIMIT);
+    const limit = Math.max(1, lastReport?.connectionLimit ?? DEFAULT_CONNECTION_LIMIT);
     capacity += limit * slowStartWeight(judgement.slowStartAtMs, nowMs);
     if (lastReport !== undefined && distrust === undefined) {
       reportedLimits += limit;
       connections += lastReport.connections;
     }
   }
-  const use = reportedLimits === 0 ? 0 : connections / reportedLimits;
-  return { zone: turn.zone, capacity, use };
+  const utilization = reportedLimits === 0 ? 0 : connections / reportedLimits;
+  return { zone: entry.zone, capacity, utilization };
 }
--- a/test/managed/flows/limits.test.ts
+++ b/test/managed/flows/limits.test.ts
@@ -1,10 +1,10 @@
-/** @file Slots, queues, deadlines and cancellation at back ends, and what callers are told. */
+/** @file Slots, queue limits, deadlines and cancellation at back ends, and the outcomes that callers see. */
 import t from 'tap';
 import { harmOf, World } from './world.js';
 
 const NO_HARM = { ranTwice: 0, falseNotRun: 0, wrong: 0 };
 
-t.test('a full back end sheds with a truthful "not run"; its queue stays bounded', async (t) => {
+t.test('a full back end rejects requests as not run, and its queue stays bounded', async (t) => {
   const backend = { slots: 2, queueLimit: 5, meanServiceTimeMs: 100 };
   const world = new World({ seed: 1, backends: [backend] });
   for (let number = 0; number < 40; number += 1) {
@@ -26,12 +26,12 @@
   const runs = new Set(world.backends[0]?.runs);
   t.ok(
     unknown.every(({ requestNumber }) => runs.has(requestNumber)),
-    'what did not run is never left unknown',
+    'requests that did not run never end as unknown',
   );
   t.strictSame(harmOf(world), NO_HARM);
 });
 
-t.test('a request whose deadline passes in the queue is not run, then or later', async (t) => {
+t.test('a request whose deadline expires in the queue never runs', async (t) => {
   const world = new World({ seed: 2, backends: [{ slots: 1, meanServiceTimeMs: 3_000 }] });
   const first = world.addCaller({ requestCount: 1, requestDeadlineMs: 60_000 });
   world.run(50);
@@ -43,25 +43,22 @@
   t.equal(world.backends[0]?.runs.length, 1);
 });
 
-t.test('the back end holds a request to the deadline of its caller', async (t) => {
+t.test('the back end applies the deadline of the caller', async (t) => {
   const world = new World({ seed: 3, backends: [{ meanServiceTimeMs: 10_000 }] });
   const caller = world.addCaller({ requestCount: 1, requestDeadlineMs: 2_000 });
   world.run(1_000);
   const [record] = world.backends[0]?.running ?? [];
   const deadlineAtMs = caller.state.request?.deadlineAtMs ?? 0;
-  t.ok(Math.abs((record?.deadlineAtMs ?? 0) - deadlineAtMs) <= 5, 'but for the way to it');
+  t.ok(Math.abs((record?.deadlineAtMs ?? 0) - deadlineAtMs) <= 5, 'apart from the network delay');
 });
 
-t.test(
-  'a cancelled request never runs where it waits, and is answered where it runs',
-  async (t) => {
-    const world = new World({ seed: 4, backends: [{ slots: 1, meanServiceTimeMs: 800 }] });
-    const running = world.addCaller({ requestCount: 1, cancelAfterMs: 100 });
-    world.run(50);
-    const waiting = world.addCaller({ requestCount: 1, cancelAfterMs: 100 });
-    world.finish(20_000);
-    t.match(running.outcomes, [{ type: 'answered' }]);
-    t.match(waiting.outcomes, [{ type: 'not-run', kind: 'cancelled' }]);
-    t.strictSame(world.backends[0]?.runs, [running.outcomes[0]?.requestNumber]);
-  },
-);
+t.test('a cancelled request never runs if queued, and is answered if running', async (t) => {
+  const world = new World({ seed: 4, backends: [{ slots: 1, meanServiceTimeMs: 800 }] });
+  const running = world.addCaller({ requestCount: 1, cancelAfterMs: 100 });
+  world.run(50);
+  const waiting = world.addCaller({ requestCount: 1, cancelAfterMs: 100 });
+  world.finish(20_000);
+  t.match(running.outcomes, [{ type: 'answered' }]);
+  t.match(waiting.outcomes, [{ type: 'not-run', kind: 'cancelled' }]);
+  t.strictSame(world.backends[0]?.runs, [running.outcomes[0]?.requestNumber]);
+});
--- a/test/managed/health/judgement.test.ts
+++ b/test/managed/health/judgement.test.ts
@@ -1,3 +1,4 @@
+/** @file The judged state of a back end follows probes, opens and load reports, even if one of them is wrong. */
 import { test } from 'tap';
 import type { HealthReport, LoadReport } from '../../../src/managed/health/backend-report.js';
 import { explainJudgement } from '../../../src/managed/health/explanation.js';
@@ -21,8 +22,8 @@
   queuedRequests: 0,
 };
 
-/** One back end of a service, judged step by step. */
-class Subject {
+/** A back end of a service whose judgement is updated step by step. */
+class JudgedBackend {
   nowMs = 0;
   readonly judgement = createJudgement('active');
   private reports = 0;
@@ -33,14 +34,14 @@
     return this.judgement.state;
   }
 
-  /** A probe each interval; loads differ each time where none is given. */
-  probe(state: HealthReport['state'] | undefined, count = 1, given?: LoadReport): this {
+  /** Applies one probe per interval. Without `fixedLoad` each report differs from the one before. */
+  probe(state: HealthReport['state'] | undefined, count = 1, fixedLoad?: LoadReport): this {
     for (let number = 0; number < count; number += 1) {
       this.nowMs += PROBE_INTERVAL_MS;
       this.reports += 1;
       const health = state === undefined ? undefined : { incarnation: 1, state };
-      const told = given ?? { ...load, connections: load.connections + this.reports };
-      const evidence = { health, load: state === undefined ? undefined : told };
+      const reportedLoad = fixedLoad ?? { ...load, connections: load.connections + this.reports };
+      const evidence = { health, load: state === undefined ? undefined : reportedLoad };
       updateOnProbe(this.judgement, evidence, this.group, this.nowMs);
     }
     return this;
@@ -55,128 +56,164 @@
   }
 }
 
-test('from start to drain', async (t) => {
-  const subject = new Subject();
+test('state changes from start to drain', async (t) => {
+  const subject = new JudgedBackend();
   t.equal(subject.state, 'starting', 'before any probe');
   t.equal(subject.probe('starting').state, 'starting');
   t.equal(subject.probe('ready').state, 'ready');
-  t.equal(subject.judgement.slowStartAtMs, subject.nowMs, 'a back end seen starting is cold');
+  t.equal(
+    subject.judgement.slowStartAtMs,
+    subject.nowMs,
+    'a back end that was seen starting is cold',
+  );
   t.equal(subject.probe('draining').state, 'draining');
-  const warm = new Subject().probe('ready');
-  t.equal(warm.judgement.slowStartAtMs, undefined, 'one that others use already is warm');
+  const warm = new JudgedBackend().probe('ready');
+  t.equal(
+    warm.judgement.slowStartAtMs,
+    undefined,
+    'a back end with connections when first seen is warm',
+  );
   updateAdminState(warm.judgement, 'draining', warm.group, warm.nowMs);
-  t.equal(warm.state, 'draining', 'as soon as the operators want it');
-  t.equal(warm.probe('ready', 5).state, 'draining', 'also where it ignores the drain');
+  t.equal(warm.state, 'draining', 'an operator drain takes effect at once');
+  t.equal(warm.probe('ready', 5).state, 'draining', 'even if the back end still reports ready');
 });
 
-test('probes that fail', async (t) => {
-  const subject = new Subject().probe('ready').probe(undefined, 2);
-  t.equal(subject.state, 'ready', 'two may be lost');
+test('failed probes take a back end down unless opens contradict them', async (t) => {
+  const subject = new JudgedBackend().probe('ready').probe(undefined, 2);
+  t.equal(subject.state, 'ready', 'two failed probes are tolerated');
   t.equal(subject.probe(undefined).state, 'down');
-  t.equal(subject.probe('ready').state, 'starting', 'one good probe is not enough after that');
+  t.equal(
+    subject.probe('ready').state,
+    'starting',
+    'one successful probe is not enough after that',
+  );
   t.equal(subject.probe('ready').state, 'ready');
 
-  const working = new Subject().probe('ready');
+  const working = new JudgedBackend().probe('ready');
   for (let number = 0; number < 10; number += 1) {
     working.opens('accepted', 1).probe(undefined);
   }
   t.equal(working.state, 'ready', 'accepted opens outweigh failed probes');
   t.equal(working.judgement.reason, 'probes-fail-but-opens-succeed');
 
-  const cutOff = new Subject({ size: 10, ejected: 0, failingProbes: 5 });
+  const cutOff = new JudgedBackend({ size: 10, ejected: 0, failingProbes: 5 });
   cutOff.probe('ready').probe(undefined, 5);
-  t.equal(cutOff.state, 'ready', 'where most probes fail it is the prober that is cut off');
-  t.equal(cutOff.opens('timed-out', 3).probe(undefined).state, 'down', 'unless opens confirm it');
+  t.equal(cutOff.state, 'ready', 'if most probes fail, the network of the prober is at fault');
+  t.equal(
+    cutOff.opens('timed-out', 3).probe(undefined).state,
+    'down',
+    'unless timeouts of opens confirm it',
+  );
 });
 
-test('health says ready while opens time out', async (t) => {
-  const subject = new Subject().probe('ready').opens('timed-out', 2);
+test('ejects a back end that reports ready while opens time out', async (t) => {
+  const subject = new JudgedBackend().probe('ready').opens('timed-out', 2);
   t.equal(subject.state, 'ready');
   t.equal(subject.opens('timed-out', 1).state, 'down');
   t.equal(subject.judgement.reason, 'opens-time-out');
   t.equal(subject.group.ejected, 1);
-  t.equal(subject.probe('ready', 9).state, 'down', 'good probes alone do not bring it back');
-  t.equal(subject.probe('ready').state, 'ready', 'it is tried again after 5 s');
+  t.equal(subject.probe('ready', 9).state, 'down', 'successful probes do not end the ejection');
+  t.equal(subject.probe('ready').state, 'ready', 'the ejection ends after 5 s');
   t.equal(subject.group.ejected, 0);
-  t.equal(subject.judgement.slowStartAtMs, subject.nowMs, 'in slow start');
-  t.equal(subject.opens('timed-out', 3).probe('ready', 19).state, 'down', 'then twice as long');
+  t.equal(subject.judgement.slowStartAtMs, subject.nowMs, 'slow start begins');
+  t.equal(
+    subject.opens('timed-out', 3).probe('ready', 19).state,
+    'down',
+    'the next ejection lasts twice as long',
+  );
 });
 
-test('half of the opens time out', async (t) => {
-  const subject = new Subject().probe('ready');
+test('ejects a back end when half of its opens time out', async (t) => {
+  const subject = new JudgedBackend().probe('ready');
   for (let number = 0; number < 40; number += 1) {
     subject.opens('timed-out', 2).opens('accepted', 1);
   }
   t.equal(subject.state, 'down');
 });
 
-test('few are ejected at once', async (t) => {
+test('limits how many back ends are ejected at once', async (t) => {
   const group = { size: 10, ejected: 0, failingProbes: 0 };
-  const subjects = Array.from({ length: 10 }, () => new Subject(group));
+  const subjects = Array.from({ length: 10 }, () => new JudgedBackend(group));
   subjects.forEach((subject) => subject.probe('ready').opens('timed-out', 20));
   t.equal(subjects.filter(({ state }) => state === 'down').length, 3);
   t.equal(group.ejected, 3);
-  const alone = new Subject({ size: 1, ejected: 0, failingProbes: 0 });
-  t.equal(alone.probe('ready').opens('timed-out', 20).state, 'ready', 'never the only one');
+  const alone = new JudgedBackend({ size: 1, ejected: 0, failingProbes: 0 });
+  t.equal(
+    alone.probe('ready').opens('timed-out', 20).state,
+    'ready',
+    'the only back end is never ejected',
+  );
 });
 
-test('load says idle while it refuses', async (t) => {
+test('distrusts reports of an idle back end that refuses opens', async (t) => {
   const idle = { ...load, connections: 0, busySlots: 0 };
-  const subject = new Subject().probe('ready', 1, idle).opens('refused', 3);
+  const subject = new JudgedBackend().probe('ready', 1, idle).opens('refused', 3);
   t.equal(subject.state, 'busy');
   t.equal(subject.judgement.trust.distrust, 'idle-but-refuses');
-  t.equal(subject.probe('ready', 2, idle).state, 'ready', 'it is tried again');
-  t.equal(subject.opens('refused', 1).state, 'busy', 'one refusal more and it is busy for longer');
+  t.equal(subject.probe('ready', 2, idle).state, 'ready', 'the busy period ends');
+  t.equal(subject.opens('refused', 1).state, 'busy', 'another refusal starts a longer busy period');
   t.equal(subject.probe('ready', 1, idle).state, 'busy');
   subject.probe('ready', 2, idle).opens('accepted', 5);
   t.equal(subject.state, 'ready');
-  t.equal(subject.judgement.trust.distrust, undefined, 'trust comes back with accepted opens');
+  t.equal(subject.judgement.trust.distrust, undefined, 'accepted opens restore trust');
 });
 
-test('reports that stand still', async (t) => {
-  const subject = new Subject().probe('ready', 1, load);
+test('distrusts frozen load reports', async (t) => {
+  const subject = new JudgedBackend().probe('ready', 1, load);
   subject.opens('accepted', 10).probe('ready', 1, load);
   t.equal(subject.judgement.trust.distrust, undefined);
   subject.probe('ready', 1, load);
-  t.equal(subject.judgement.trust.distrust, 'frozen', 'while opens are accepted');
+  t.equal(subject.judgement.trust.distrust, 'frozen', 'equal reports while opens are accepted');
   const full = { ...load, connections: load.connectionLimit };
-  t.equal(subject.probe('ready', 1, full).state, 'ready', 'what is not believed makes none busy');
-  t.equal(subject.probe('ready', 1).judgement.trust.distrust, undefined, 'they move again');
-  const quiet = new Subject().probe('ready', 20, load);
-  t.equal(quiet.judgement.trust.distrust, undefined, 'without opens they may stand still');
+  t.equal(
+    subject.probe('ready', 1, full).state,
+    'ready',
+    'a distrusted report does not make a back end busy',
+  );
+  t.equal(
+    subject.probe('ready', 1).judgement.trust.distrust,
+    undefined,
+    'changing reports restore trust',
+  );
+  const quiet = new JudgedBackend().probe('ready', 20, load);
+  t.equal(quiet.judgement.trust.distrust, undefined, 'equal reports without opens are normal');
 });
 
-test('a back end that holds as many connections as it may', async (t) => {
+test('a back end at its connection limit is busy', async (t) => {
   const full = { ...load, connections: load.connectionLimit };
   const almostFull = { ...load, connections: load.connectionLimit - 1 };
-  const subject = new Subject().probe('ready').probe('ready', 1, full);
+  const subject = new JudgedBackend().probe('ready').probe('ready', 1, full);
   t.equal(subject.state, 'busy');
-  t.equal(subject.probe('ready', 1, almostFull).state, 'busy', 'until it is clearly below');
+  t.equal(
+    subject.probe('ready', 1, almostFull).state,
+    'busy',
+    'until utilization is clearly below the limit',
+  );
   t.equal(subject.probe('ready', 1, load).state, 'ready');
 });
 
-test('a flapping back end', async (t) => {
-  const subject = new Subject();
+test('a flapping back end returns to service more slowly', async (t) => {
+  const subject = new JudgedBackend();
   let changes = 0;
   for (let number = 0; number < 60; number += 1) {
     const before = subject.state;
     subject.probe(number % 4 < 2 ? 'ready' : 'starting');
     changes += Number(before !== 'ready' && subject.state === 'ready');
   }
-  t.ok(changes <= 4, 'comes back ever more slowly, not at each turn');
-  t.ok(subject.judgement.history.length <= 16, 'its history is bounded');
-  t.equal(subject.probe('ready', 16).state, 'ready', 'and is ready once it is steady');
+  t.ok(changes <= 4, 'not every ready report brings it back');
+  t.ok(subject.judgement.history.length <= 16, 'the history is bounded');
+  t.equal(subject.probe('ready', 16).state, 'ready', 'it is ready after enough ready probes');
 });
 
-test('a new process at the same address', async (t) => {
-  const subject = new Subject().probe('ready').opens('timed-out', 2).opens('refused', 2);
+test('a new process at the same address starts without the old evidence', async (t) => {
+  const subject = new JudgedBackend().probe('ready').opens('timed-out', 2).opens('refused', 2);
   updateOnOpenOutcome(subject.judgement, 'refused', 2, subject.group, subject.nowMs);
-  t.equal(subject.state, 'ready', 'what its predecessor did is forgotten');
+  t.equal(subject.state, 'ready', 'refusals and timeouts of the old process do not count');
   t.equal(subject.judgement.slowStartAtMs, subject.nowMs);
 });
 
-test('the explanation of a back end', async (t) => {
-  const subject = new Subject().probe('ready').opens('timed-out', 3);
+test('explains the state of a back end', async (t) => {
+  const subject = new JudgedBackend().probe('ready').opens('timed-out', 3);
   const explanation = explainJudgement(7, subject.judgement, subject.nowMs + 100);
   t.match(explanation, {
     backendId: 7,
--- a/test/managed/health/probe-sharing.test.ts
+++ b/test/managed/health/probe-sharing.test.ts
@@ -1,4 +1,4 @@
-/** @file Health probes shared out over the balancers of a zone. */
+/** @file The balancers of a zone share health probes: each back end is probed often enough, and changes spread quickly. */
 import t from 'tap';
 import type { Backend } from '../../../src/managed/control/routing-config.js';
 import type { ProbeResult } from '../../../src/managed/health/backend-report.js';
@@ -37,8 +37,8 @@
   return schedule;
 }
 
-/** @returns how often each back end was probed by the member, all answering at once */
-function probesOf(
+/** @returns the number of probes by back end ID; each probe is answered at once */
+function countProbes(
   schedule: ProbeSchedule,
   selfId: string,
   ids: readonly string[],
@@ -59,19 +59,19 @@
   return Array.from({ length: count }, (_, number) => `balancer-${number}`);
 }
 
-t.test('a balancer alone probes each back end in its interval', async (t) => {
+t.test('a single balancer probes each back end once per interval', async (t) => {
   const backends = Array.from({ length: 10 }, (_, id) => backendIn(ZONE, id + 1));
-  const counts = probesOf(scheduleOf(backends), 'balancer-0', ['balancer-0'], 0, 10_000);
+  const counts = countProbes(scheduleOf(backends), 'balancer-0', ['balancer-0'], 0, 10_000);
   t.equal(counts.size, 10);
   t.ok([...counts.values()].every((count) => count >= 18 && count <= 22));
 });
 
-t.test('each back end has three probers, and loses none with a dead one', async (t) => {
+t.test('each back end has three probers, also after a balancer fails', async (t) => {
   const backends = Array.from({ length: 60 }, (_, id) => backendIn(ZONE, id + 1));
   const proberCounts = (ids: readonly string[]) => {
     const probers = new Map<number, number>();
     for (const id of ids) {
-      for (const backendId of probesOf(scheduleOf(backends), id, ids, 0, 1_000).keys()) {
+      for (const backendId of countProbes(scheduleOf(backends), id, ids, 0, 1_000).keys()) {
         probers.set(backendId, (probers.get(backendId) ?? 0) + 1);
       }
     }
@@ -82,32 +82,32 @@
   t.same(new Set(proberCounts(ids.slice(1))), new Set([3]));
 });
 
-t.test('what one balancer probes is bounded, whatever there is to probe', async (t) => {
+t.test('the probe rate of a balancer is limited for any number of back ends', async (t) => {
   const backends = Array.from({ length: 2_000 }, (_, id) =>
     backendIn(id % 10 === 0 ? ZONE : 'zone-1', id + 1),
   );
   const schedule = scheduleOf(backends);
   const ids = memberIds(3);
-  probesOf(schedule, 'balancer-0', ids, 0, 10_000);
-  const counts = probesOf(schedule, 'balancer-0', ids, 10_000, 10_000);
+  countProbes(schedule, 'balancer-0', ids, 0, 10_000);
+  const counts = countProbes(schedule, 'balancer-0', ids, 10_000, 10_000);
   const total = [...counts.values()].reduce((sum, count) => sum + count, 0);
   t.ok(total > 400 && total < 600, `${total} probes in 10 s`);
 });
 
-t.test('a balancer probes by itself what it hears nothing of, and no sooner', async (t) => {
+t.test('a balancer probes other back ends only once their results are stale', async (t) => {
   const backends = Array.from({ length: 30 }, (_, id) => backendIn(ZONE, id + 1));
   const schedule = scheduleOf(backends);
   const ids = memberIds(20);
-  const own = probesOf(schedule, 'balancer-0', ids, 0, 2_000);
+  const own = countProbes(schedule, 'balancer-0', ids, 0, 2_000);
   for (let nowMs = 2_000; nowMs < 12_000; nowMs += 1_000) {
     backends.forEach(({ id }) => recordObservation(schedule, id, nowMs));
-    const counts = probesOf(schedule, 'balancer-0', ids, nowMs, 1_000);
+    const counts = countProbes(schedule, 'balancer-0', ids, nowMs, 1_000);
     t.same([...counts.keys()].sort(), [...own.keys()].sort());
   }
-  t.equal(probesOf(schedule, 'balancer-0', ids, 12_000, 15_000).size, 30);
+  t.equal(countProbes(schedule, 'balancer-0', ids, 12_000, 15_000).size, 30);
 });
 
-t.test('changes are told first, a number of times, and others in turn', async (t) => {
+t.test('changed results are sent first and repeated, unchanged ones in rotation', async (t) => {
   const sharing = createHealthSharing();
   const result = (backendId: number, state: 'ready' | 'draining'): ProbeResult => ({
     backendId,
@@ -130,25 +130,25 @@
   t.equal(resultsToShare(sharing, 350)[0]?.backendId, 77);
   const third = resultsToShare(sharing, 400);
   t.notOk(third.some(({ backendId }) => backendId === 77));
-  const told = new Set<number>();
+  const sharedIds = new Set<number>();
   for (let turn = 0; turn < 30; turn += 1) {
-    resultsToShare(sharing, 500 + turn).forEach(({ backendId }) => told.add(backendId));
+    resultsToShare(sharing, 500 + turn).forEach(({ backendId }) => sharedIds.add(backendId));
   }
-  t.equal(told.size, 100);
+  t.equal(sharedIds.size, 100);
 
   for (let id = 1; id <= 100; id += 1) {
     recordResult(sharing, result(1_000_000_000 + id, 'draining'), 0, 2);
   }
-  const many = resultsToShare(sharing, 50_000);
-  t.equal(many.length, MAX_SHARED_RESULTS);
+  const largeMessage = resultsToShare(sharing, 50_000);
+  t.equal(largeMessage.length, MAX_SHARED_RESULTS);
   const key = gossipKey('test-cluster-key');
-  const message = { type: 'health' as const, zone: ZONE, results: many };
+  const message = { type: 'health' as const, zone: ZONE, results: largeMessage };
   const datagram = encodeGossip(message, key);
   t.ok(datagram.length <= MAX_DATAGRAM_BYTES, `${datagram.length} bytes`);
   t.same(decodeGossip(datagram, key)._unsafeUnwrap(), message);
 });
 
-t.test('a change that few balancers see is known to the whole zone within 3 s', async (t) => {
+t.test('a change seen by few balancers reaches the whole zone within 3 s', async (t) => {
   const world = new TreeWorld([20]);
   world.run(5_000);
   world.control.define('authd', 5_000);
@@ -169,14 +169,17 @@
   world.run(20_000);
   const before = world.probeCount;
   world.run(10_000);
-  const probesASecond = (world.probeCount - before) / 10 / 30;
-  t.ok(probesASecond <= 7, `${probesASecond} probes a second of each back end`);
+  const probesPerSecond = (world.probeCount - before) / 10 / 30;
+  t.ok(probesPerSecond <= 7, `${probesPerSecond} probes per second and back end`);
 
   const joining = world.start(ZONE);
   const knowsAll = () =>
     joining.state.views.size === 30 &&
     [...joining.state.views.values()].every(({ health }) => health !== undefined);
-  t.ok(world.timeUntil(knowsAll, 10_000) < 1_000, 'a balancer that joins is told all at once');
+  t.ok(
+    world.timeUntil(knowsAll, 10_000) < 1_000,
+    'a joining balancer receives all results at once',
+  );
 
   draining = [...world.control.state.cluster.routing.backends.keys()][7] ?? 0;
   const allKnow = () =>
--- a/test/managed/routing/bench-placement.test.ts
+++ b/test/managed/routing/bench-placement.test.ts
@@ -1,3 +1,4 @@
+/** @file The placement benchmark is deterministic, and detects refusals and broken flows. */
 import { test } from 'tap';
 import { median } from '../../../src/proof/bench/bench.js';
 import { runPlacement } from '../../../src/proof/bench/placement-run.js';
@@ -22,18 +23,18 @@
   liars: [],
 };
 
-test('a run of the placement bench', async (t) => {
+test('runs the placement benchmark', async (t) => {
   const figures = runPlacement(scenario);
   t.same(runPlacement(scenario), figures, 'the same seed gives the same figures');
-  t.ok(figures.opened > 600, 'opens rise tenfold in the surge');
-  t.equal(figures.brokenFlows, 0, 'flows are found by their tokens');
+  t.ok(figures.opened > 600, 'the open rate rises tenfold during the surge');
+  t.equal(figures.brokenFlows, 0, 'packets are routed by token');
   t.equal(figures.refused, 0);
   t.ok(figures.peakOverMeanConnections > 1);
   const small = runPlacement({ ...scenario, shape: { ...scenario.shape, connectionLimit: 20 } });
-  t.ok(small.refused > 100, 'full back ends refuse');
+  t.ok(small.refused > 100, 'full back ends refuse opens');
 });
 
-test('a drain, a joining and a dying balancer', async (t) => {
+test('changes of back ends and balancers break flows only with flow tables', async (t) => {
   const changes = [
     { atMs: 3_000, type: 'backend-drains' },
     { atMs: 3_500, type: 'balancer-joins' },
@@ -41,13 +42,13 @@
     { atMs: 4_500, type: 'backend-joins' },
   ] as const;
   const tokens = runPlacement({ ...scenario, changes });
-  t.equal(tokens.brokenFlows, 0, 'no flow with a token breaks');
+  t.equal(tokens.brokenFlows, 0, 'no flow breaks with tokens');
   const tables = runPlacement({ ...scenario, changes, policy: 'maglev', packetPath: 'flow-table' });
-  t.ok(tables.brokenFlows > 10, 'flows in flow tables do');
+  t.ok(tables.brokenFlows > 10, 'flows break with flow tables');
 });
 
-test('the median', async (t) => {
+test('computes the median', async (t) => {
   t.equal(median([5, 1, 9]), 5);
-  t.equal(median([4, 1, 3, 2]), 2, 'of an even count the lower of the two in the middle');
+  t.equal(median([4, 1, 3, 2]), 2, 'the lower of the two middle values for an even count');
   t.throws(() => median([]));
 });
--- a/test/managed/routing/candidates.ts
+++ b/test/managed/routing/candidates.ts
@@ -1,8 +1,11 @@
-/** @file Candidates for tests of placement policies. */
+/** @file Builds candidates, requests and contexts for tests of placement policies. */
 import { seededRandom } from '../../../src/shared/common/random.js';
 import type { StepContext } from '../../../src/shared/common/step.js';
 import { createJudgement } from '../../../src/managed/health/judgement-state.js';
-import { createLoadEstimate, estimateReport } from '../../../src/managed/routing/load-estimate.js';
+import {
+  createLoadEstimate,
+  recordLoadReport,
+} from '../../../src/managed/routing/load-estimate.js';
 import type {
   PlacementCandidate,
   PlacementRequest,
@@ -31,7 +34,7 @@
   };
   judgement.trust.lastReport = load;
   judgement.slowStartAtMs = options.slowStartAtMs;
-  estimateReport(estimate, load, 0);
+  recordLoadReport(estimate, load, 0);
   return {
     backend: { id, serviceId: 1, address, healthAddress: address, zone, adminState: 'active' },
     judgement,
