--- a/src/managed/health/explanation.ts
+++ b/src/managed/health/explanation.ts
@@ -36,18 +36,18 @@
 
 /** Text of each reason, without capital letter and full stop. */
 const sentences: Readonly<Record<JudgementReason, string>> = {
-  'not-probed-yet': 'no health probe has come back yet',
+  'not-probed-yet': 'no health probe has completed yet',
   'reports-starting': 'it reports that it is starting',
   'reports-ready': 'it reports that it is ready',
   'reports-draining': 'it reports that it is draining',
-  'readiness-unsteady': 'it must report ready several times, since it has changed often',
-  'operators-drain': 'the operators drain it',
+  'readiness-unsteady': 'it has not yet reported ready enough times in a row',
+  'operators-drain': 'operators are draining it',
   'probes-fail': 'its health probes fail',
   'probes-fail-but-opens-succeed': 'it accepts opens, although its health probes fail',
-  'probes-fail-everywhere': 'health probes fail on most back ends, so they are not believed',
-  'opens-time-out': 'opens sent there time out, whatever its health probes say',
+  'probes-fail-everywhere': 'health probes fail on most back ends, so the failures are ignored',
+  'opens-time-out': 'opens sent there time out, regardless of its health probes',
   'opens-refused': 'it refuses opens',
-  'connections-full': 'it holds as many connections as it may',
+  'connections-full': 'it has reached its connection limit',
 };
 
 /**
