--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -11,7 +11,7 @@
 import type { BalancerLinkMessage, FeedMessage } from '../group/group-messages.js';
 import { applyFeedMessage } from '../ingress/feed-step.js';
 import { createLoadReporter, type LoadReporter } from '../ingress/load-reporter.js';
-import { FEED_RETRY_AFTER_MS, FeedSource } from '../decisions/feed-source.js';
+import { FEED_RETRY_DELAY_MS, FeedSource } from '../decisions/feed-source.js';
 import { isReady, type IngressState } from '../ingress/ingress-state.js';
 import { hashText } from '../../shared/common/rendezvous.js';
 import type { DecisionFields } from './decision-log.js';
@@ -146,7 +146,7 @@
     const { to } = followed;
     followed = undefined;
     logClosed(options, source.recordClosed(options.nowMs()), to, reason);
-    options.after(FEED_RETRY_AFTER_MS, () => follow(options.nowMs()));
+    options.after(FEED_RETRY_DELAY_MS, () => follow(options.nowMs()));
   }
 
   /** Reports to the control machine what passes here. */
--- a/src/registered/daemon/open-sharing.ts
+++ b/src/registered/daemon/open-sharing.ts
@@ -12,7 +12,7 @@
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { OpenMessage } from '../group/message-schemas.js';
 import type { IngressState } from '../ingress/ingress-state.js';
-import { CLAIM_MS, createOpenClaims } from '../decisions/open-claims.js';
+import { CLAIM_LIFETIME_MS, createOpenClaims } from '../decisions/open-claims.js';
 import type { FlowKey, PacketView } from '../ingress/packet-view.js';
 import { ASKED_HOLDERS, NOTIFIED_HOLDERS } from '../ingress/peer-table.js';
 
@@ -61,7 +61,7 @@
  * A balancer whose wait took longer, in milliseconds, since it had no processor meanwhile, asks again: its claim may be
  * over, and another balancer may be placing the open. Half of a claim, so that the answer still comes within it.
  */
-const LATE_MS = CLAIM_MS / 2;
+const LATE_MS = CLAIM_LIFETIME_MS / 2;
 /**
  * Opens that are held at the same time; each holds a datagram and its view. At 30 ms each this is room for more
  * than 300,000 unknown copies a second. Not measured; it bounds memory under a flood of opens.
@@ -128,7 +128,7 @@
     const nowMs = options.nowMs();
     state.opens.remember(key, token, nowMs);
     release(key, (waiting) => options.onFound(waiting, key, token));
-    const asker = claims.askerOf(key, nowMs);
+    const asker = claims.claimantOf(key, nowMs);
     if (asker !== undefined && formatAddress(asker) !== formatAddress(replyTo)) {
       options.sendToBalancer(asker, { type: 'open-found', key, token });
     }
--- a/src/registered/decisions/ejection/by-answers.ts
+++ b/src/registered/decisions/ejection/by-answers.ts
@@ -1,76 +1,62 @@
 /**
- * @file Which back ends get no new flows since their answers show that they fail, and for how long?
- *
- * - Inputs: back ends of one service with their answer stats over all balancers; the time in milliseconds.
- * - Returns: the candidates that are not ejected, all of them above the cap.
- * - Reason: an ejected back end shows nothing new, so its evidence fades. It is then tried again, and ejected for twice
- *   as long each time that it fails again.
- * - It owns the memory of who is ejected until when. Nothing is reset or refused by an ejection: new flows go elsewhere.
- *
- * Setting `policy.failing`; the line `backend passed over` gives each new ejection with its evidence, and
- * `amberlift_ingress_passed_over_backends` counts those that last.
+ * @file Ejects back ends whose answers show that they fail. An ejection ends after a hold time, and the back
+ * end is tried again; the hold doubles with each further failure. Established flows are not affected.
  */
 import type { AnswerStats } from '../../load-exchange/answer-stats.js';
 import { busyInFleet, type KnownBackend } from '../../ingress/known-backend.js';
 import type { ObservedBackend } from '../fleet-answer-stats.js';
-import { MAX_SHARE_BY_ANSWERS } from './caps.js';
-import { failureOf, serviceAnswers, type Failure } from './failure-signs.js';
+import { MAX_EJECTED_SHARE_BY_ANSWERS } from './caps.js';
+import { detectFailure, sumAnswers, type Failure } from './failure-signs.js';
 
-/** Who is ejected by answers. */
+/** Ejection of back ends whose answers show that they fail. */
 export interface EjectionByAnswers {
   /**
-   * Updates who is ejected. It costs more than a choice, so it is called some times a second, not for each flow.
+   * Updates the ejections. Too expensive to run for each flow; a few times a second is enough.
    * @param all eligible back ends of one service
    */
   detect(all: readonly ObservedBackend[], nowMs: number): void;
   /**
    * @param candidates back ends of one service
-   * @returns those that are not ejected, in the same order; all of them where the cap is passed
+   * @returns those that are not ejected, in the same order; all of them where more than the cap would be
+   * ejected
    */
   withoutEjected(candidates: readonly KnownBackend[], nowMs: number): readonly KnownBackend[];
-  /** @returns how many are ejected now, by what they show */
+  /** @returns the number of back ends that are ejected now, by failure */
   ejectedByFailure(nowMs: number): ReadonlyMap<Failure, number>;
-  /** @returns the ejections that began since the last call, for the logs; at most 20 */
+  /** @returns the ejections that began since the last call, at most 20; for the logs */
   takeEjections(): readonly Ejection[];
 }
 
-/** An ejection that begins. */
 interface Ejection {
   readonly backendId: string;
   readonly failure: Failure;
-  /** For how long at least, in milliseconds. */
+  /** Shortest duration; it is extended while the back end keeps failing. */
   readonly holdMs: number;
   readonly evidence: EjectionEvidence;
 }
 
-/** What the flows of a back end show at all balancers together. */
+/** Answer stats of a back end over all balancers. */
 interface EjectionEvidence extends AnswerStats {
   /** Requests in progress. */
   readonly busy: number;
 }
 
-/**
- * After the last sign of a failure: the reports of all balancers (500 ms) and the first repeat of a client (200 ms) fit
- * into it. Not measured; too short if `backend passed over` names the same back end again and again with `holdMs=1000`.
- */
-const SHORTEST_HOLD_MS = 1_000;
-/**
- * The hold doubles up to this, by when heartbeats show a dead back end (after 6 intervals). Not measured; too long if a
- * back end that answers again waits for flows.
- */
-const LONGEST_HOLD_MS = 8_000;
-/** Ejections kept between two calls of `takeEjections`; more lines in a tick say no more. */
-const MAX_UNLOGGED = 20;
+/** Covers a report of every balancer (500 ms) and a client's first retransmission (200 ms). */
+const MIN_HOLD_MS = 1_000;
+/** Longer than six missed heartbeats, after which a back end counts as dead. */
+const MAX_HOLD_MS = 8_000;
+/** Bounds the log lines of one tick. */
+const MAX_UNLOGGED_EJECTIONS = 20;
 
 interface Hold {
   readonly untilMs: number;
   readonly holdMs: number;
-  /** When it failed last, in milliseconds. */
+  /** Time of the last failure. */
   readonly failedAtMs: number;
   readonly failure: Failure;
 }
 
-/** @returns an ejection without any back end */
+/** @returns ejection state without any back end */
 export function createEjectionByAnswers(): EjectionByAnswers {
   const holds = new Map<string, Hold>();
   let unlogged: Ejection[] = [];
@@ -78,9 +64,9 @@
   return { detect, withoutEjected, ejectedByFailure, takeEjections };
 
   function detect(all: readonly ObservedBackend[], nowMs: number): void {
-    const service = serviceAnswers(all);
+    const service = sumAnswers(all);
     for (const { backend, stats } of all) {
-      const failure = failureOf(backend, stats, service, nowMs);
+      const failure = detectFailure(backend, stats, service, nowMs);
       if (failure === undefined) {
         release(backend, nowMs);
       } else {
@@ -91,24 +77,24 @@
 
   function eject(backend: KnownBackend, failure: Failure, stats: AnswerStats, nowMs: number): void {
     const { id } = backend;
-    const before = holds.get(id);
-    const hold = nextHold(before, failure, nowMs);
+    const previous = holds.get(id);
+    const hold = nextHold(previous, failure, nowMs);
     holds.set(id, hold);
-    const isNew = before === undefined || nowMs >= before.untilMs;
-    if (isNew && unlogged.length < MAX_UNLOGGED) {
+    const isNew = previous === undefined || nowMs >= previous.untilMs;
+    if (isNew && unlogged.length < MAX_UNLOGGED_EJECTIONS) {
       const evidence = { ...stats, busy: busyInFleet(backend) };
       unlogged.push({ backendId: id, failure, holdMs: hold.holdMs, evidence });
     }
   }
 
-  /** One that stalled is back once a client gets something of it; all are forgotten after a while without a failure. */
+  /** Ends a hold after progress of a stalled back end, or long after it ran out. */
   function release({ id, local }: KnownBackend, nowMs: number): void {
     const hold = holds.get(id);
     if (hold === undefined) {
       return;
     }
     const hasRecovered = hold.failure === 'stalls' && local.lastProgressAtMs > hold.failedAtMs;
-    if (hasRecovered || nowMs - hold.untilMs > LONGEST_HOLD_MS) {
+    if (hasRecovered || nowMs - hold.untilMs > MAX_HOLD_MS) {
       holds.delete(id);
     }
   }
@@ -120,9 +106,11 @@
     if (holds.size === 0) {
       return candidates;
     }
-    const left = candidates.filter(({ id }) => nowMs >= (holds.get(id)?.untilMs ?? nowMs));
-    const ejected = candidates.length - left.length;
-    return ejected > candidates.length * MAX_SHARE_BY_ANSWERS ? candidates : left;
+    const notEjected = candidates.filter(({ id }) => nowMs >= (holds.get(id)?.untilMs ?? nowMs));
+    const ejectedCount = candidates.length - notEjected.length;
+    return ejectedCount > candidates.length * MAX_EJECTED_SHARE_BY_ANSWERS
+      ? candidates
+      : notEjected;
   }
 
   function ejectedByFailure(nowMs: number): ReadonlyMap<Failure, number> {
@@ -142,10 +130,10 @@
   }
 }
 
-/** While it goes on to fail the hold keeps its length; one that ran out and fails again is held for twice as long. */
-function nextHold(before: Hold | undefined, failure: Failure, nowMs: number): Hold {
-  const isNew = before === undefined || nowMs >= before.untilMs;
-  const lastHoldMs = before?.holdMs ?? SHORTEST_HOLD_MS / 2;
-  const holdMs = isNew ? Math.min(LONGEST_HOLD_MS, 2 * lastHoldMs) : lastHoldMs;
+/** Extends a current hold by its own length; a new failure after a hold doubles it. */
+function nextHold(previous: Hold | undefined, failure: Failure, nowMs: number): Hold {
+  const isNew = previous === undefined || nowMs >= previous.untilMs;
+  const lastHoldMs = previous?.holdMs ?? MIN_HOLD_MS / 2;
+  const holdMs = isNew ? Math.min(MAX_HOLD_MS, 2 * lastHoldMs) : lastHoldMs;
   return { untilMs: nowMs + holdMs, holdMs, failedAtMs: nowMs, failure };
 }
--- a/src/registered/decisions/fleet-answer-stats.ts
+++ b/src/registered/decisions/fleet-answer-stats.ts
@@ -1,11 +1,11 @@
 /**
- * @file How does a back end answer at all balancers together? The sum of what is recorded here and what the feed says
- * of all others. One balancer of many sees too little: of 80 each sees one answer of a back end in ten seconds.
+ * @file Answer stats of a back end over all balancers: those of this balancer plus the sums that the feed
+ * reports for the others. A single balancer sees too few answers of each back end.
  */
 import type { AnswerStats } from '../load-exchange/answer-stats.js';
 import type { KnownBackend } from '../ingress/known-backend.js';
 
-/** @returns the sum over all balancers; the part of the others is half a second old or more */
+/** @returns the sum over all balancers; the part of the others lags by half a second or more */
 export function fleetAnswerStats({ local, fleet }: KnownBackend, nowMs: number): AnswerStats {
   const own = local.answers.stats(nowMs);
   return {
@@ -16,13 +16,13 @@
   };
 }
 
-/** A back end and how it answers at all balancers together. */
+/** A back end with its answer stats over all balancers. */
 export interface ObservedBackend {
   readonly backend: KnownBackend;
   readonly stats: AnswerStats;
 }
 
-/** @returns the same for each of some back ends */
+/** @returns the back ends with their answer stats over all balancers, in the same order */
 export function observeAll(backends: readonly KnownBackend[], nowMs: number): ObservedBackend[] {
   return backends.map((backend) => ({ backend, stats: fleetAnswerStats(backend, nowMs) }));
 }
--- a/src/registered/decisions/learning.ts
+++ b/src/registered/decisions/learning.ts
@@ -1,20 +1,12 @@
 /**
- * @file May there be back ends that this balancer does not know yet?
- *
- * - Inputs: whether the balancer is ready, when it was current, the heartbeat interval (milliseconds).
- * - Returns: true just after a start, while it is cut off, and while it stops.
- * - Reason: a back end that lives sends a heartbeat each interval, so two intervals after the first current feed all are
- *   known. Until then an open that finds no back end is dropped and not reset: its client repeats it.
- *
- * Setting `policy.learning`; the line `dropped reason=no-backend`.
+ * @file Decides whether this balancer may not know all back ends yet: just after a start, while it is cut off
+ * from control machines, and while it stops. An open without a back end is then dropped rather than reset, so
+ * that its client retries.
  */
 import type { FeedStatus } from '../ingress/feed-status.js';
 
-/**
- * Not measured. Too few if `reset reason=no-backend` is logged just after starts of balancers or control machines; too
- * many if callers of a service without back ends wait for their deadlines.
- */
-const LEARNING_INTERVALS = 2;
+/** Two intervals after the first current feed, a heartbeat of every live back end has arrived. */
+const LEARNING_HEARTBEAT_INTERVALS = 2;
 
 /** @param heartbeatIntervalMs time between two heartbeats of a back end */
 export function isLearning(
@@ -23,10 +15,10 @@
   heartbeatIntervalMs: number,
   nowMs: number,
 ): boolean {
-  const sinceFirstMs = nowMs - (feedStatus.firstCurrentAtMs ?? nowMs);
+  const sinceFirstCurrentMs = nowMs - (feedStatus.firstCurrentAtMs ?? nowMs);
   return (
     !isReady ||
     !feedStatus.isCurrent(nowMs) ||
-    sinceFirstMs < LEARNING_INTERVALS * heartbeatIntervalMs
+    sinceFirstCurrentMs < LEARNING_HEARTBEAT_INTERVALS * heartbeatIntervalMs
   );
 }
--- a/src/registered/decisions/least-load-choice.ts
+++ b/src/registered/decisions/least-load-choice.ts
@@ -1,13 +1,11 @@
-/**
- * @file Which back end has the least load? The choice where `policy.choice` is `least-load`.
- *
- * - Inputs: candidates of one service, the load of each for each slot, the hash of the flow.
- * - Returns: the first with the least load, from a place on that the hash gives; undefined where there is no candidate.
- * - Reason: the hash spreads equal choices. It takes no account of speed; `speed-draw` gives the figures of both.
- */
+/** @file Chooses the back end with the least load (`policy.choice=least-load`), regardless of speed. */
 import type { KnownBackend } from '../ingress/known-backend.js';
 
-/** @param loadOf requests in progress for each slot */
+/**
+ * @param flowHash chooses among candidates with equal load
+ * @param loadOf requests in progress per slot
+ * @returns undefined where there are no candidates
+ */
 export function leastLoaded(
   candidates: readonly KnownBackend[],
   flowHash: number,
--- a/src/registered/decisions/mechanism-switches.ts
+++ b/src/registered/decisions/mechanism-switches.ts
@@ -1,36 +1,36 @@
 /**
- * @file The mechanisms of an ingress that settings can switch off (`policy.*` in docs/SETTINGS.md), so that what each
- * is worth can be measured. The default of each is the product; `opens=own` breaks flows.
+ * @file Switches that turn off mechanisms of the ingress (settings `policy.*`), for comparing runs with and
+ * without them. Production uses the defaults; `opens=own` breaks flows.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
-/** The values of each switch as settings write them; the first is the default. */
+/** The values of each switch as written in settings; the first one is the default. */
 export const switchValues = {
-  /** Whether back ends of the own zone come first. */
+  /** Whether back ends of the own zone are preferred. */
   zones: ['own-first', 'any'],
-  /** Whether cold back ends get fewer flows and no more than slow start admits, only fewer, or as many as others. */
+  /** Cold back ends: limited by slow start and given lower priority, only lower priority, or treated as warm. */
   warmUp: ['limited', 'later', 'ignored'],
-  /** What the fleet's load decides: which zone, also which back end, or nothing. */
+  /** Use of the loads that other balancers report: for the zone choice, also for the back end, or not at all. */
   toldLoads: ['zone', 'backend', 'ignored'],
-  /** Whether suspect and dead back ends are left out. */
+  /** Whether suspect and dead back ends are excluded by their missing heartbeats. */
   silence: ['passed-over', 'ignored'],
-  /** Whether the back end is drawn by speed, or is the one with least load. */
+  /** Random choice weighted by speed, or the back end with the least load. */
   choice: ['by-speed', 'least-load'],
   /** Whether back ends are ejected by answers. */
   failing: ['passed-over', 'ignored'],
   /** Whether back ends are ejected by load. */
   outliers: ['passed-over', 'ignored'],
-  /** Whether flows whose back end is proven dead are reset, or left to the deadlines of their clients. */
+  /** Whether flows of dead back ends are reset, or left until their clients time out. */
   deadFlows: ['reset', 'left'],
   /**
-   * Whether the token of a flow names the start of its back end, or the back end alone, as balancers of a version that
-   * knows of no starts read it; `plain` until all balancers know of starts.
+   * Whether the token of a flow identifies the start of its back end, or the back end alone; `plain` until
+   * all balancers run a version that supports starts.
    */
   starts: ['named', 'plain'],
-  /** Whether balancers share the memory of opens. */
+  /** Whether balancers share which opens they have placed. */
   opens: ['shared', 'own'],
-  /** Whether an open of a service without back ends is dropped, so that its client repeats it, while some may be unknown. */
+  /** Opens without a back end while some may still be unknown: dropped, so that the client retries, or reset. */
   learning: ['dropped', 'reset'],
 } as const;
 
@@ -41,22 +41,22 @@
   readonly [Name in keyof SwitchValues]: SwitchValues[Name][number];
 };
 
-const names = Object.keys(switchValues) as (keyof SwitchValues)[];
+const switchNames = Object.keys(switchValues) as (keyof SwitchValues)[];
 
-/** All switches without any setting. */
+/** The default of each switch. */
 export const defaultSwitches = Object.fromEntries(
-  names.map((name) => [name, switchValues[name][0]]),
+  switchNames.map((name) => [name, switchValues[name][0]]),
 ) as unknown as MechanismSwitches;
 
 /**
- * Reads switches from a text such as `zones=any,warmUp=ignored`; those that it does not name have their defaults.
- * @returns the switches, or `invalid-settings` with what is wrong
+ * Parses a text such as `zones=any,warmUp=ignored`; switches that are not given have their defaults.
+ * @returns the switches, or an `invalid-settings` error that names the invalid part
  */
 export function parseSwitches(text: string): Result<MechanismSwitches, AmberliftError> {
   const changes: Record<string, string> = {};
   for (const part of text.split(',').filter((part) => part !== '')) {
     const [name = '', value = ''] = part.split('=', 2);
-    if (!isChoice(name, value)) {
+    if (!isSwitchValue(name, value)) {
       return err(amberliftError('invalid-settings', `The policy has no ${part}.`));
     }
     changes[name] = value;
@@ -64,7 +64,7 @@
   return ok({ ...defaultSwitches, ...changes });
 }
 
-function isChoice(name: string, value: string): boolean {
-  const known = names.find((candidate) => candidate === name);
+function isSwitchValue(name: string, value: string): boolean {
+  const known = switchNames.find((candidate) => candidate === name);
   return known !== undefined && switchValues[known].some((choice) => choice === value);
 }
--- a/src/registered/decisions/placement.ts
+++ b/src/registered/decisions/placement.ts
@@ -1,14 +1,7 @@
 /**
- * @file Which back end of a service takes a new flow?
- *
- * - Inputs: the eligible back ends of the service (active, outside of evacuated zones), a hash of the flow, the time in
- *   milliseconds; the mechanism switches.
- * - Returns: a back end, or undefined where none may take the flow.
- * - The steps below narrow the candidates one after the other, and each keeps their order: liveness, slow start,
- *   ejection by answers, ejection by load, zone choice. A draw among those that are left ends it. Each step is a module
- *   of its own, which gives its reason and its constants; its switch leaves it out.
- *
- * The line `placed` gives each choice with the load of the back end.
+ * @file Chooses the back end of a new flow. Steps narrow the eligible back ends in turn (liveness, slow
+ * start, ejection by answers, ejection by load, zone), then one of the remaining candidates is drawn. Each
+ * step can be switched off.
  */
 import type { KnownBackend } from '../ingress/known-backend.js';
 import { createEjectionByAnswers, type EjectionByAnswers } from './ejection/by-answers.js';
@@ -22,12 +15,12 @@
 import { drawBySpeed } from './speed-draw.js';
 import { createZoneChoice } from './zone-choice.js';
 
-/** Decides which back end takes a new flow. */
+/** Chooses back ends for new flows. */
 export interface Placement {
   /**
-   * @param eligible the back ends of a service that new flows may go to
-   * @param flowHash 32 bits; spreads equal choices
-   * @returns undefined where none may take the flow
+   * @param eligible active back ends of one service, outside of evacuated zones
+   * @param flowHash 32 bits; spreads flows over equal candidates
+   * @returns undefined where no back end may take the flow
    */
   choose(
     eligible: readonly KnownBackend[],
@@ -35,17 +28,17 @@
     nowMs: number,
   ): KnownBackend | undefined;
   readonly loadOf: LoadPerSlot;
-  /** Which back ends are ejected by their answers; for logs and metrics. */
+  /** Ejection by answers; for logs and metrics. */
   readonly ejections: EjectionByAnswers;
 }
 
-/** Narrows the candidates; keeps their order. */
+/** Narrows candidates; keeps their order. */
 type PlacementStep = (
   candidates: readonly KnownBackend[],
   nowMs: number,
 ) => readonly KnownBackend[];
 
-/** @param ownZone zone of the balancer that places */
+/** @param ownZone zone of this balancer */
 export function createPlacement(
   ownZone: string,
   switches: MechanismSwitches,
@@ -71,7 +64,7 @@
     nowMs: number,
   ): KnownBackend | undefined {
     const speeds = estimates.speedWeights(eligible, nowMs);
-    const candidates = steps.reduce((left, step) => step(left, nowMs), eligible);
+    const candidates = steps.reduce((remaining, step) => step(remaining, nowMs), eligible);
     return draw(candidates, flowHash, speeds, nowMs);
   }
 
--- a/src/registered/decisions/weighted-round-robin.ts
+++ b/src/registered/decisions/weighted-round-robin.ts
@@ -1,21 +1,14 @@
 /**
- * @file Which service takes the next flow of a route?
- *
- * - Inputs: the targets of the route with their weights (whole numbers; those with 0 get nothing).
- * - Returns: a service, by smooth weighted round-robin: each turn adds its weight to the credit of each target, the one
- *   with the highest credit is next and pays the sum of all weights. Of equal ones the first is next.
- * - Reason: flows keep the weights exactly over each round and the turns of a target are spread over it, without any
- *   random draw. Each balancer keeps its own credits, so the weights hold at each of them.
- *
- * The line `placed` names the service.
+ * @file Smooth weighted round-robin over the target services of a route. Each balancer keeps its own credits,
+ * so the weights hold at each of them.
  */
 import type { WeightedTarget } from '../declared/declared-config.js';
 
-/** The turns of one route. */
+/** Weighted round-robin of one route. */
 export interface WeightedRoundRobin {
-  /** @returns the service of the next flow; undefined where no target has a weight */
+  /** @returns the service of the next flow; undefined where all weights are 0 */
   next(): string | undefined;
-  /** @returns true where these targets have the same services and weights, in the same order */
+  /** @returns true where the targets have the same services and weights, in the same order */
   hasTargets(targets: readonly WeightedTarget[]): boolean;
 }
 
@@ -25,13 +18,15 @@
   credit: number;
 }
 
-/** @returns turns in which no target has any credit yet */
+/** @param targets services with their weights; those with weight 0 get no flows */
 export function createWeightedRoundRobin(targets: readonly WeightedTarget[]): WeightedRoundRobin {
-  const shares: readonly WeightedShare[] = weighted(targets).map(({ service, weight }) => ({
-    service,
-    weight,
-    credit: 0,
-  }));
+  const shares: readonly WeightedShare[] = withPositiveWeight(targets).map(
+    ({ service, weight }) => ({
+      service,
+      weight,
+      credit: 0,
+    }),
+  );
   const totalWeight = shares.reduce((sum, { weight }) => sum + weight, 0);
 
   return { next, hasTargets };
@@ -49,7 +44,7 @@
   }
 
   function hasTargets(others: readonly WeightedTarget[]): boolean {
-    const compared = weighted(others);
+    const compared = withPositiveWeight(others);
     return (
       shares.length === compared.length &&
       compared.every(({ service, weight }, index) => {
@@ -60,6 +55,6 @@
   }
 }
 
-function weighted(targets: readonly WeightedTarget[]): readonly WeightedTarget[] {
+function withPositiveWeight(targets: readonly WeightedTarget[]): readonly WeightedTarget[] {
   return targets.filter(({ weight }) => weight > 0);
 }
--- a/src/registered/ingress/established-packet.ts
+++ b/src/registered/ingress/established-packet.ts
@@ -3,8 +3,8 @@
  * that back end is proven dead the client is reset, and where it has started again the packet is handled as
  * restarted-backend.ts decides.
  */
-import { afterRestart } from '../decisions/restarted-backend.js';
-import { isProvenDead, type UnansweredData } from '../decisions/dead-flow.js';
+import { actionAfterRestart } from '../decisions/restarted-backend.js';
+import { isProvenDead, type UnacknowledgedData } from '../decisions/dead-flow.js';
 import { knowsCurrent, type IngressState } from './ingress-state.js';
 import type { KnownBackend } from './known-backend.js';
 import type { PacketDecision } from './packet-decision.js';
@@ -36,7 +36,7 @@
   successor: KnownBackend,
   nowMs: number,
 ): PacketDecision {
-  switch (afterRestart(backend, successor)) {
+  switch (actionAfterRestart(backend, successor)) {
     case 'follow':
       return decideForStart(state, packet, successor, nowMs);
     case 'end':
@@ -52,8 +52,8 @@
   backend: KnownBackend,
   nowMs: number,
 ): PacketDecision {
-  const unanswered = state.activities.recordPacket(flowKeyOf(packet), backend, packet, nowMs);
-  return unanswered !== undefined && isDead(state, backend, unanswered, nowMs)
+  const unacknowledged = state.activities.recordPacket(flowKeyOf(packet), backend, packet, nowMs);
+  return unacknowledged !== undefined && isDead(state, backend, unacknowledged, nowMs)
     ? { type: 'reset', reason: 'backend-dead' }
     : { type: 'forward', backend };
 }
@@ -61,7 +61,7 @@
 function isDead(
   state: IngressState,
   backend: KnownBackend,
-  unanswered: UnansweredData,
+  unacknowledged: UnacknowledgedData,
   nowMs: number,
 ): boolean {
   // Nearly all are alive: the evidence is gathered for the others only.
@@ -71,7 +71,7 @@
   const evidence = {
     isFeedCurrent: knowsCurrent(state, nowMs),
     isReplaced: state.backends.isReplaced(backend),
-    unanswered,
+    unacknowledged,
   };
   return isProvenDead(backend, evidence, state.options.switches);
 }
--- a/src/registered/ingress/flow-activity.ts
+++ b/src/registered/ingress/flow-activity.ts
@@ -6,7 +6,7 @@
  * It owns the memory of flows and alone changes the local activity of back ends. A stalled flow is one whose client
  * repeats what left this machine at once, without any sign of the back end.
  */
-import type { UnansweredData } from '../decisions/dead-flow.js';
+import type { UnacknowledgedData } from '../decisions/dead-flow.js';
 import { createAnswerSizes } from '../decisions/answer-sizes.js';
 import type { KnownBackend } from './known-backend.js';
 import { routeKey, type FlowKey, type PacketView } from './packet-view.js';
@@ -89,7 +89,7 @@
     backend: KnownBackend,
     packet: PacketView,
     nowMs: number,
-  ): UnansweredData | undefined {
+  ): UnacknowledgedData | undefined {
     const known = this.flows.get(key);
     if (packet.isFinish || packet.isReset) {
       if (known?.backend === backend && packet.isFinish) {
@@ -153,7 +153,7 @@
     }
   }
 
-  private recordData(flow: FlowActivity, packet: PacketView, nowMs: number): UnansweredData {
+  private recordData(flow: FlowActivity, packet: PacketView, nowMs: number): UnacknowledgedData {
     const end = (packet.sequence + packet.dataLength) >>> 0;
     const isNew = ((end - flow.sentEnd) | 0) > 0 || flow.sentEnd === 0;
     return isNew
@@ -166,7 +166,7 @@
     { acknowledged }: PacketView,
     end: number,
     nowMs: number,
-  ): UnansweredData {
+  ): UnacknowledgedData {
     const isKnown = flow.sentEnd !== 0 || flow.isBusy;
     if (isKnown && acknowledged !== flow.acknowledgedAtRequest) {
       flow.backend.local.recordProgress(nowMs);
@@ -179,18 +179,18 @@
     flow.wentOutAtOnce = this.isLinkFree();
     this.setStalled(flow, false);
     this.setBusy(flow, true);
-    return { repeats: 0, sinceMs: nowMs };
+    return { retransmissions: 0, sinceMs: nowMs };
   }
 
   /** Of several packets under way the last one counts: data before it may be sent again alone. */
-  private recordOldData(flow: FlowActivity, end: number, nowMs: number): UnansweredData {
+  private recordOldData(flow: FlowActivity, end: number, nowMs: number): UnacknowledgedData {
     const isRepeat = end === flow.sentEnd && nowMs - flow.endSentAtMs >= REPEATED_AFTER_MS;
     if (isRepeat) {
       flow.repeats += 1;
       flow.endSentAtMs = nowMs;
       this.setStalled(flow, flow.isBusy && flow.wentOutAtOnce);
     }
-    return { repeats: isRepeat ? flow.repeats : 0, sinceMs: flow.dataSinceMs };
+    return { retransmissions: isRepeat ? flow.repeats : 0, sinceMs: flow.dataSinceMs };
   }
 
   private replace(key: FlowKey, backend: KnownBackend, nowMs: number): FlowActivity | undefined {
--- a/src/registered/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -95,7 +95,7 @@
     zones,
     peers,
     warmUpOf: (service) => routes.config?.warmUps.get(service),
-    knowsOthers: (nowMs) => feedStatus.isCurrent(nowMs),
+    isFeedCurrent: (nowMs) => feedStatus.isCurrent(nowMs),
   });
   let isStopping = false;
 
--- a/src/registered/ingress/open-step.ts
+++ b/src/registered/ingress/open-step.ts
@@ -3,7 +3,7 @@
  * remembered; asked for at the holders where another balancer may have placed it; placed; refused where no back end may
  * take it. The rules themselves are in `src/registered/decisions`.
  */
-import { afterRestart } from '../decisions/restarted-backend.js';
+import { actionAfterRestart } from '../decisions/restarted-backend.js';
 import { isLearning } from '../decisions/learning.js';
 import { admitOpen } from '../decisions/open-admission.js';
 import { refuseOpen } from '../decisions/open-refusal.js';
@@ -85,7 +85,7 @@
     return false;
   }
   const successor = backends.successorOf(backend);
-  return successor !== undefined && afterRestart(backend, successor) === 'end';
+  return successor !== undefined && actionAfterRestart(backend, successor) === 'end';
 }
 
 function mayLearnMore(state: IngressState, nowMs: number): boolean {
--- a/test/registered/decisions/answer-evidence.test.ts
+++ b/test/registered/decisions/answer-evidence.test.ts
@@ -1,4 +1,4 @@
-/** @file What the packets of clients show of how back ends answer, and what they do not show. */
+/** @file Answer stats derived from the packets of clients: answer times, short answers and stalled flows. */
 import t from 'tap';
 import { createAnswerRecorder } from '../../../src/registered/decisions/answer-recorder.js';
 import { createAnswerSizes } from '../../../src/registered/decisions/answer-sizes.js';
@@ -9,110 +9,107 @@
 import { FlowActivities } from '../../../src/registered/ingress/flow-activity.js';
 import type { PacketView } from '../../../src/registered/ingress/packet-view.js';
 import { PLAIN_PACKET } from '../ingress/client-packets.js';
-import { recordOf, takeIn } from './backend-records.js';
+import { recordOf, applyFirstHeartbeat } from './backend-records.js';
 
 const FLOW = 'flow';
 const IDLE_TIMEOUT_MS = 15_000;
 
 function oneBackend(): KnownBackend {
-  return takeIn(new BackendTable(1_200), recordOf(1), 0);
+  return applyFirstHeartbeat(new BackendTable(1_200), recordOf(1), 0);
 }
 
-function watch(isLinkFree = () => true) {
+function createFlows(isLinkFree = () => true) {
   const backend = oneBackend();
   const flows = new FlowActivities(() => IDLE_TIMEOUT_MS, 100, isLinkFree);
-  const note = (changes: Partial<PacketView>, nowMs: number) =>
+  const recordPacket = (changes: Partial<PacketView>, nowMs: number) =>
     flows.recordPacket(FLOW, backend, { ...PLAIN_PACKET, ...changes }, nowMs);
-  return { backend, flows, note };
+  return { backend, flows, recordPacket };
 }
 
-t.test('an answer took from the last data of its request to its first sign', async (t) => {
-  const { backend, note } = watch();
-  note({ dataLength: 800 }, 1_000);
-  note({ sequence: 900, dataLength: 200 }, 1_010);
-  t.equal(backend.local.busy, 1);
-  note({ sequence: 1_100, acknowledged: 1_500 }, 1_060);
-  note({ sequence: 1_100, acknowledged: 2_500 }, 1_090);
-  const { answered, answerMs } = backend.local.answers.stats(1_060);
-  t.equal(answered, 1);
-  t.equal(answerMs, 50);
-  t.equal(backend.local.busy, 0);
-});
+t.test(
+  'measures an answer from the last data of its request to its first acknowledgement',
+  async (t) => {
+    const { backend, recordPacket } = createFlows();
+    recordPacket({ dataLength: 800 }, 1_000);
+    recordPacket({ sequence: 900, dataLength: 200 }, 1_010);
+    t.equal(backend.local.busy, 1);
+    recordPacket({ sequence: 1_100, acknowledged: 1_500 }, 1_060);
+    recordPacket({ sequence: 1_100, acknowledged: 2_500 }, 1_090);
+    const { answered, answerMs } = backend.local.answers.stats(1_060);
+    t.equal(answered, 1);
+    t.equal(answerMs, 50);
+    t.equal(backend.local.busy, 0);
+  },
+);
 
-t.test('the end of a flow with one request shows its answer as well', async (t) => {
-  const { backend, note } = watch();
-  note({ dataLength: 800 }, 1_000);
-  note({ sequence: 900, acknowledged: 1_200, isFinish: true }, 1_040);
+t.test('counts an answer that the last packet of a flow acknowledges', async (t) => {
+  const { backend, recordPacket } = createFlows();
+  recordPacket({ dataLength: 800 }, 1_000);
+  recordPacket({ sequence: 900, acknowledged: 1_200, isFinish: true }, 1_040);
   t.same(backend.local.answers.stats(1_040), { stalled: 0, answered: 1, answerMs: 40, short: 0 });
 });
 
-t.test('consent to an open is no answer', async (t) => {
-  const { backend, flows, note } = watch();
+t.test('does not count an accepted open as an answer', async (t) => {
+  const { backend, flows, recordPacket } = createFlows();
   flows.recordOpen(FLOW, backend, 1_000);
-  note({ dataLength: 0 }, 1_010);
+  recordPacket({ dataLength: 0 }, 1_010);
   t.equal(backend.local.answers.stats(1_010).answered, 0);
   t.equal(backend.local.busy, 1);
 });
 
-t.test('what a client repeats has stalled, until something comes of the back end', async (t) => {
-  const { backend, flows, note } = watch();
+t.test('a retransmission marks a flow as stalled until the back end shows progress', async (t) => {
+  const { backend, flows, recordPacket } = createFlows();
   flows.recordOpen(FLOW, backend, 1_000);
   flows.recordOpenCopy(FLOW, 1_200);
   t.equal(backend.local.answers.stats(1_200).stalled, 1);
-  note({ dataLength: 800 }, 1_250);
+  recordPacket({ dataLength: 800 }, 1_250);
   t.equal(backend.local.answers.stats(1_250).stalled, 0, 'the open was answered');
-  note({ dataLength: 800 }, 1_450);
-  t.equal(backend.local.answers.stats(1_450).stalled, 1, 'the request is not');
-  note({ sequence: 900, acknowledged: 1_500 }, 1_500);
+  recordPacket({ dataLength: 800 }, 1_450);
+  t.equal(backend.local.answers.stats(1_450).stalled, 1, 'the request is not answered');
+  recordPacket({ sequence: 900, acknowledged: 1_500 }, 1_500);
   const { stalled, answered } = backend.local.answers.stats(1_500);
   t.equal(stalled, 0);
-  t.equal(answered, 0, 'the time of a packet that was lost is no time of the back end');
+  t.equal(answered, 0, 'the time of a lost packet is not counted');
 });
 
-t.test('stalled flows end with the flow, and with the patience of its client', async (t) => {
-  const { backend, flows, note } = watch();
-  note({ dataLength: 800 }, 1_000);
-  note({ dataLength: 800 }, 1_200);
+t.test('a flow stops counting as stalled when it ends or its client gives up', async (t) => {
+  const { backend, flows, recordPacket } = createFlows();
+  recordPacket({ dataLength: 800 }, 1_000);
+  recordPacket({ dataLength: 800 }, 1_200);
   t.equal(backend.local.answers.stats(1_200).stalled, 1);
   flows.sweep(4_000);
   t.equal(backend.local.answers.stats(4_000).stalled, 0);
-  note({ sequence: 900, dataLength: 100 }, 4_100);
-  note({ sequence: 900, dataLength: 100 }, 4_300);
+  recordPacket({ sequence: 900, dataLength: 100 }, 4_100);
+  recordPacket({ sequence: 900, dataLength: 100 }, 4_300);
   t.equal(backend.local.answers.stats(4_300).stalled, 1);
-  note({ isReset: true }, 4_400);
+  recordPacket({ isReset: true }, 4_400);
   t.equal(backend.local.answers.stats(4_400).stalled, 0);
 });
 
-t.test(
-  "mutant: the wait for the balancer's own link is taken for the back end's time",
-  async (t) => {
-    let isFree = false;
-    const { backend, note } = watch(() => isFree);
-    note({ dataLength: 800 }, 1_000);
-    note({ dataLength: 800 }, 1_200);
-    note({ sequence: 900, acknowledged: 1_500 }, 1_400);
-    t.same(backend.local.answers.stats(1_400), { stalled: 0, answered: 0, answerMs: 0, short: 0 });
-    isFree = true;
-    note({ sequence: 900, acknowledged: 1_500, dataLength: 100 }, 1_500);
-    note({ sequence: 1_000, acknowledged: 2_500 }, 1_540);
-    t.match(backend.local.answers.stats(1_540), { answered: 1, answerMs: 40 });
-  },
-);
+t.test("mutant: the wait for the balancer's own link counts as answer time", async (t) => {
+  let isFree = false;
+  const { backend, recordPacket } = createFlows(() => isFree);
+  recordPacket({ dataLength: 800 }, 1_000);
+  recordPacket({ dataLength: 800 }, 1_200);
+  recordPacket({ sequence: 900, acknowledged: 1_500 }, 1_400);
+  t.same(backend.local.answers.stats(1_400), { stalled: 0, answered: 0, answerMs: 0, short: 0 });
+  isFree = true;
+  recordPacket({ sequence: 900, acknowledged: 1_500, dataLength: 100 }, 1_500);
+  recordPacket({ sequence: 1_000, acknowledged: 2_500 }, 1_540);
+  t.match(backend.local.answers.stats(1_540), { answered: 1, answerMs: 40 });
+});
 
-t.test(
-  'answers fade, and one that takes very long counts as no more than a late one',
-  async (t) => {
-    const answers = createAnswerRecorder();
-    answers.recordAnswer(7_000, 0);
-    t.match(answers.stats(0), { answered: 1, answerMs: 1_000 });
-    const later = answers.stats(12_000);
-    t.ok(later.answered < 0.06 && later.answerMs < 60, `${later.answered}`);
-  },
-);
+t.test('answers decay, and very long ones are capped', async (t) => {
+  const answers = createAnswerRecorder();
+  answers.recordAnswer(7_000, 0);
+  t.match(answers.stats(0), { answered: 1, answerMs: 1_000 });
+  const later = answers.stats(12_000);
+  t.ok(later.answered < 0.06 && later.answerMs < 60, `${later.answered}`);
+});
 
-t.test('a back end of which little is known counts as average', async (t) => {
+t.test('a back end with few answers counts as nearly average', async (t) => {
   const table = new BackendTable(1_200);
-  const all = [1, 2, 3].map((number) => takeIn(table, recordOf(number), 0));
+  const all = [1, 2, 3].map((number) => applyFirstHeartbeat(table, recordOf(number), 0));
   t.same([...relativeTimes(observeAll(all, 0)).values()], [1, 1, 1]);
   const [first, second, third] = all;
   Object.assign(first?.fleet ?? {}, { answered: 40, answerMs: 800 });
@@ -120,58 +117,58 @@
   third?.local.answers.recordAnswer(280, 0);
   const [fast = 0, slow = 0, unknown = 0] = relativeTimes(observeAll(all, 0)).values();
   t.ok(fast < 0.6 && slow > 1.3, `${fast} ${slow}`);
-  t.ok(unknown < slow + 0.4 && unknown > 1, `one tail: ${unknown}`);
+  t.ok(unknown < slow + 0.4 && unknown > 1, `one slow answer: ${unknown}`);
 });
 
-t.test('answers far below what is usual on their route are told from it', async (t) => {
+t.test('detects answers far shorter than usual on their route', async (t) => {
   const sizes = createAnswerSizes();
   const usual = [800, 1_200, 2_000, 900];
-  for (let at = 0; at < 40; at += 1) {
-    t.notOk(sizes.isShort(1, usual[at % usual.length] ?? 0));
+  for (let index = 0; index < 40; index += 1) {
+    t.notOk(sizes.isShort(1, usual[index % usual.length] ?? 0));
   }
   t.ok(sizes.isShort(1, 170));
-  t.notOk(sizes.isShort(2, 170), 'another route is another matter');
+  t.notOk(sizes.isShort(2, 170), 'each route has its own mean');
   for (let at = 0; at < 400; at += 1) {
     sizes.isShort(1, 170);
   }
-  t.notOk(sizes.isShort(1, 170), 'a route whose answers have changed is known again');
+  t.notOk(sizes.isShort(1, 170), 'the mean adapts when the answers of a route change');
 });
 
-t.test('a back end that fails at once is not taken for a fast one', async (t) => {
-  const { backend, note } = watch();
+t.test('fast errors do not make a back end count as fast', async (t) => {
+  const { backend, recordPacket } = createFlows();
   let sequence = 100;
   let acknowledged = 500;
   let nowMs = 1_000;
-  const ask = (answerBytes: number, tookMs: number) => {
-    note({ sequence, acknowledged, dataLength: 100 }, nowMs);
+  const sendRequest = (answerBytes: number, tookMs: number) => {
+    recordPacket({ sequence, acknowledged, dataLength: 100 }, nowMs);
     sequence += 100;
     acknowledged += answerBytes;
     nowMs += tookMs;
-    note({ sequence, acknowledged }, nowMs);
+    recordPacket({ sequence, acknowledged }, nowMs);
   };
   for (let at = 0; at < 20; at += 1) {
-    ask(1_000, 40);
+    sendRequest(1_000, 40);
   }
   const before = backend.local.answers.stats(nowMs);
-  ask(170, 3);
+  sendRequest(170, 3);
   const after = backend.local.answers.stats(nowMs);
   t.equal(after.short, 1);
-  t.ok(after.answered <= before.answered, 'it is no answer like the others');
-  t.ok(Math.abs(after.answerMs / after.answered - 40) < 1e-6, 'its time is not a time of work');
+  t.ok(after.answered <= before.answered, 'not counted as an answer of usual size');
+  t.ok(Math.abs(after.answerMs / after.answered - 40) < 1e-6, 'its time is not counted');
 });
 
-t.test('an acknowledgement that a later request has overtaken is no answer', async (t) => {
-  const { backend, note } = watch();
-  note({ sequence: 100, acknowledged: 5_000, dataLength: 100 }, 1_000);
-  note({ sequence: 100, acknowledged: 3_800 }, 1_002);
+t.test('ignores an acknowledgement that arrives out of order', async (t) => {
+  const { backend, recordPacket } = createFlows();
+  recordPacket({ sequence: 100, acknowledged: 5_000, dataLength: 100 }, 1_000);
+  recordPacket({ sequence: 100, acknowledged: 3_800 }, 1_002);
   t.equal(backend.local.busy, 1, 'the request is still in progress');
   t.match(backend.local.answers.stats(1_002), { answered: 0, short: 0 });
-  note({ sequence: 200, acknowledged: 6_000 }, 1_050);
+  recordPacket({ sequence: 200, acknowledged: 6_000 }, 1_050);
   t.match(backend.local.answers.stats(1_050), { answered: 1, answerMs: 50 });
 });
 
-t.test('a copy that was read together with the first, after a pause, shows nothing', async (t) => {
-  const { backend, flows } = watch();
+t.test('a copy read right after the first one does not mark the flow as stalled', async (t) => {
+  const { backend, flows } = createFlows();
   flows.recordOpen(FLOW, backend, 1_000);
   flows.recordOpenCopy(FLOW, 1_010);
   t.equal(backend.local.answers.stats(1_010).stalled, 0, 'the back end had 10 ms to answer');
@@ -179,7 +176,7 @@
   t.equal(backend.local.answers.stats(1_410).stalled, 1);
 });
 
-t.test('a back end that turns slow is known for it within two seconds', async (t) => {
+t.test('detects a slowdown within two seconds', async (t) => {
   const answers = createAnswerRecorder();
   const meanMs = (nowMs: number) => {
     const { answered, answerMs } = answers.stats(nowMs);
@@ -188,7 +185,7 @@
   for (let nowMs = 0; nowMs < 20_000; nowMs += 100) {
     answers.recordAnswer(30, nowMs);
   }
-  t.ok(Math.abs(answers.stats(20_000).answered - 40) < 2, 'about forty are known');
+  t.ok(Math.abs(answers.stats(20_000).answered - 40) < 2, 'about forty answers count');
   for (let nowMs = 20_000; nowMs < 22_000; nowMs += 100) {
     answers.recordAnswer(150, nowMs);
   }
--- a/test/registered/decisions/backend-records.ts
+++ b/test/registered/decisions/backend-records.ts
@@ -1,6 +1,4 @@
-/**
- * @file Records of back ends for tests, as their first heartbeats tell them.
- */
+/** @file Back end records for tests. */
 import type { BackendTable } from '../../../src/registered/ingress/backend-table.js';
 import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
 import type { BackendRecord } from '../../../src/registered/registry/backend-record.js';
@@ -8,7 +6,7 @@
 const INSTANCE_DIGITS = 16;
 const HEXADECIMAL = 16;
 
-/** @returns the record of a back end of `alpha` in `zone-a`, but for the changes */
+/** @returns a record of a back end of service `alpha` in `zone-a`, with the given changes */
 export function recordOf(number: number, changes: Partial<BackendRecord> = {}): BackendRecord {
   return {
     id: `backend-${number}`,
@@ -23,12 +21,16 @@
   };
 }
 
-/** Lets a table take the first heartbeat of a back end. */
-export function takeIn(table: BackendTable, record: BackendRecord, nowMs: number): KnownBackend {
+/** Adds a back end to a table by its first heartbeat. */
+export function applyFirstHeartbeat(
+  table: BackendTable,
+  record: BackendRecord,
+  nowMs: number,
+): KnownBackend {
   table.applyRecord({ record, ageMs: 0 }, nowMs);
   const backend = table.find(record.id);
   if (backend === undefined) {
-    throw new Error(`${record.id} was not taken.`);
+    throw new Error(`The table has no ${record.id}.`);
   }
   return backend;
 }
--- a/test/registered/decisions/ejection-by-answers.test.ts
+++ b/test/registered/decisions/ejection-by-answers.test.ts
@@ -1,6 +1,6 @@
 /**
- * @file Back ends that fail while their heartbeats and health are good: some take packets and show no sign of life,
- * some answer at once and say no.
+ * @file Ejection of back ends that fail while their heartbeats and health checks succeed: some stall, some
+ * answer fast with errors.
  */
 import t from 'tap';
 import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
@@ -17,18 +17,18 @@
   return [...table.all()];
 }
 
-/** @returns the numbers of those that are passed over */
-function passedOver(
-  failing: ReturnType<typeof createEjectionByAnswers>,
+/** @returns the numbers of the ejected back ends */
+function ejectedNumbers(
+  ejection: ReturnType<typeof createEjectionByAnswers>,
   all: readonly KnownBackend[],
   nowMs: number,
 ): number[] {
-  failing.detect(observeAll(all, nowMs), nowMs);
-  const sound = new Set(failing.withoutEjected(all, nowMs));
-  return all.flatMap((backend, at) => (sound.has(backend) ? [] : [at + 1]));
+  ejection.detect(observeAll(all, nowMs), nowMs);
+  const kept = new Set(ejection.withoutEjected(all, nowMs));
+  return all.flatMap((backend, at) => (kept.has(backend) ? [] : [at + 1]));
 }
 
-function one(all: readonly KnownBackend[], number: number): KnownBackend {
+function backendAt(all: readonly KnownBackend[], number: number): KnownBackend {
   const backend = all[number - 1];
   if (backend === undefined) {
     throw new Error(`There is no back end ${number}.`);
@@ -36,82 +36,79 @@
   return backend;
 }
 
-t.test('half of what is in progress there stalls, at two balancers', async (t) => {
+t.test('ejects a back end where half of its requests stall, over two balancers', async (t) => {
   const all = backends(10);
-  const failing = createEjectionByAnswers();
-  Object.assign(one(all, 4).fleet, { stalled: 1, busy: 1 });
-  t.same(passedOver(failing, all, 0), [], 'one flow may have lost its packets');
-  one(all, 4).local.answers.changeStalled(1);
-  one(all, 4).local.changeBusy(1);
-  t.same(passedOver(failing, all, 0), [4]);
-  Object.assign(one(all, 7).fleet, { stalled: 2, busy: 9 });
-  t.same(passedOver(failing, all, 0), [4], 'others get answers of a busy one');
+  const ejection = createEjectionByAnswers();
+  Object.assign(backendAt(all, 4).fleet, { stalled: 1, busy: 1 });
+  t.same(ejectedNumbers(ejection, all, 0), [], 'a single flow may have lost its packets');
+  backendAt(all, 4).local.answers.changeStalled(1);
+  backendAt(all, 4).local.changeBusy(1);
+  t.same(ejectedNumbers(ejection, all, 0), [4]);
+  Object.assign(backendAt(all, 7).fleet, { stalled: 2, busy: 9 });
+  t.same(ejectedNumbers(ejection, all, 0), [4], 'a busy back end still answers others');
 });
 
-t.test(
-  'it is tried again, and each time that it stalls again is passed over for longer',
-  async (t) => {
-    const all = backends(10);
-    const failing = createEjectionByAnswers();
-    let nowMs = 0;
-    const heldForMs: number[] = [];
-    for (let round = 0; round < 6; round += 1) {
-      Object.assign(one(all, 4).fleet, { stalled: 2 });
-      t.same(passedOver(failing, all, nowMs), [4]);
-      Object.assign(one(all, 4).fleet, { stalled: 0 });
-      const sinceMs = nowMs;
-      while (passedOver(failing, all, nowMs).length > 0) {
-        nowMs += 100;
-      }
-      heldForMs.push(nowMs - sinceMs);
+t.test('doubles the hold with each further failure, up to a limit', async (t) => {
+  const all = backends(10);
+  const ejection = createEjectionByAnswers();
+  let nowMs = 0;
+  const holdsMs: number[] = [];
+  for (let round = 0; round < 6; round += 1) {
+    Object.assign(backendAt(all, 4).fleet, { stalled: 2 });
+    t.same(ejectedNumbers(ejection, all, nowMs), [4]);
+    Object.assign(backendAt(all, 4).fleet, { stalled: 0 });
+    const sinceMs = nowMs;
+    while (ejectedNumbers(ejection, all, nowMs).length > 0) {
+      nowMs += 100;
     }
-    t.same(heldForMs, [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]);
-    Object.assign(one(all, 4).fleet, { stalled: 2 });
-    t.same(passedOver(failing, all, nowMs), [4]);
-    Object.assign(one(all, 4).fleet, { stalled: 0 });
-    one(all, 4).local.recordProgress(nowMs + 50);
-    t.same(passedOver(failing, all, nowMs + 100), [], 'somebody got something from it');
-  },
-);
+    holdsMs.push(nowMs - sinceMs);
+  }
+  t.same(holdsMs, [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]);
+  Object.assign(backendAt(all, 4).fleet, { stalled: 2 });
+  t.same(ejectedNumbers(ejection, all, nowMs), [4]);
+  Object.assign(backendAt(all, 4).fleet, { stalled: 0 });
+  backendAt(all, 4).local.recordProgress(nowMs + 50);
+  t.same(ejectedNumbers(ejection, all, nowMs + 100), [], 'progress ends the ejection');
+});
 
-t.test('what answers short is passed over, however fast it is', async (t) => {
+t.test('ejects a back end with short answers, however fast', async (t) => {
   const all = backends(10);
-  const failing = createEjectionByAnswers();
+  const ejection = createEjectionByAnswers();
   all.forEach(({ fleet }) => Object.assign(fleet, { answered: 20, answerMs: 600, short: 0.5 }));
-  t.same(passedOver(failing, all, 0), []);
-  Object.assign(one(all, 3).fleet, { answered: 10, answerMs: 30, short: 8 });
-  Object.assign(one(all, 5).fleet, { answered: 2, answerMs: 60, short: 2 });
-  t.same(passedOver(failing, all, 0), [3], 'two are too few to say');
-  t.same([...failing.ejectedByFailure(0)], [['answers-short', 1]]);
+  t.same(ejectedNumbers(ejection, all, 0), []);
+  Object.assign(backendAt(all, 3).fleet, { answered: 10, answerMs: 30, short: 8 });
+  Object.assign(backendAt(all, 5).fleet, { answered: 2, answerMs: 60, short: 2 });
+  t.same(ejectedNumbers(ejection, all, 0), [3], 'two short answers are too few');
+  t.same([...ejection.ejectedByFailure(0)], [['answers-short', 1]]);
   const evidence = { stalled: 0, busy: 0, answered: 10, answerMs: 30, short: 8 };
-  const news = [{ backendId: 'backend-3', failure: 'answers-short', holdMs: 1_000, evidence }];
-  t.same(failing.takeEjections(), news, 'the logs say what it is held for');
-  passedOver(failing, all, 100);
-  t.same(failing.takeEjections(), [], 'once');
+  const ejections = [{ backendId: 'backend-3', failure: 'answers-short', holdMs: 1_000, evidence }];
+  t.same(ejection.takeEjections(), ejections, 'reports the ejection with its evidence');
+  ejectedNumbers(ejection, all, 100);
+  t.same(ejection.takeEjections(), [], 'reported only once');
 });
 
-t.test('a route that is there for short answers has no back end that fails', async (t) => {
+t.test('ejects none where short answers are usual at all back ends', async (t) => {
   const all = backends(10);
-  const failing = createEjectionByAnswers();
+  const ejection = createEjectionByAnswers();
   all.forEach(({ fleet }) => Object.assign(fleet, { answered: 10, answerMs: 300, short: 8 }));
-  Object.assign(one(all, 3).fleet, { answered: 6, short: 12 });
-  t.same(passedOver(failing, all, 0), []);
+  Object.assign(backendAt(all, 3).fleet, { answered: 6, short: 12 });
+  t.same(ejectedNumbers(ejection, all, 0), []);
 });
 
-t.test('where most seem to fail, none is passed over', async (t) => {
+t.test('ejects none above the cap', async (t) => {
   const all = backends(10);
-  const failing = createEjectionByAnswers();
+  const ejection = createEjectionByAnswers();
   all.slice(0, 4).forEach(({ fleet }) => Object.assign(fleet, { stalled: 3, busy: 3 }));
-  t.same(passedOver(failing, all, 0), [1, 2, 3, 4]);
-  Object.assign(one(all, 5).fleet, { stalled: 3, busy: 3 });
-  t.same(passedOver(failing, all, 0), []);
+  t.same(ejectedNumbers(ejection, all, 0), [1, 2, 3, 4]);
+  Object.assign(backendAt(all, 5).fleet, { stalled: 3, busy: 3 });
+  t.same(ejectedNumbers(ejection, all, 0), []);
 });
 
-t.test('what stalls on the way of other balancers is sound where answers come here', async (t) => {
+t.test('progress at this balancer outweighs stalls at others', async (t) => {
   const all = backends(10);
-  const failing = createEjectionByAnswers();
-  Object.assign(one(all, 4).fleet, { stalled: 4, busy: 4 });
-  one(all, 4).local.recordProgress(900);
-  t.same(passedOver(failing, all, 1_000), []);
-  t.same(passedOver(failing, all, 3_000), [4], 'nothing has come here for two seconds either');
+  const ejection = createEjectionByAnswers();
+  Object.assign(backendAt(all, 4).fleet, { stalled: 4, busy: 4 });
+  backendAt(all, 4).local.recordProgress(900);
+  t.same(ejectedNumbers(ejection, all, 1_000), []);
+  t.same(ejectedNumbers(ejection, all, 3_000), [4], 'no progress here for two seconds');
 });
--- a/test/registered/decisions/feed-source.test.ts
+++ b/test/registered/decisions/feed-source.test.ts
@@ -1,4 +1,6 @@
-/** @file A balancer finds a control machine that is current, and leaves one that is not. */
+/**
+ * @file A balancer must find a current control machine, leave one that is not, and return to its own zone.
+ */
 import t from 'tap';
 import type { Address } from '../../../src/shared/common/address.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
@@ -10,10 +12,10 @@
   port: 7_700,
 }));
 
-/** Runs a source against control machines of which some are current, some answer, some are silent. */
-function runSource(
+/** Runs a source until it is linked to a current control machine. */
+function runUntilCurrent(
   source: FeedSource,
-  behaviour: (address: Address) => 'current' | 'stale' | 'silent',
+  stateOf: (address: Address) => 'current' | 'stale' | 'silent',
   untilMs: number,
 ): { readonly currentAtMs: number | undefined } {
   let linked: Address | undefined;
@@ -25,7 +27,7 @@
     } else if (action.type === 'connect') {
       linked = action.address;
     }
-    const answer = linked === undefined ? 'silent' : behaviour(linked);
+    const answer = linked === undefined ? 'silent' : stateOf(linked);
     if (answer !== 'silent') {
       source.recordMessage(answer === 'current', nowMs);
     }
@@ -36,9 +38,9 @@
   return { currentAtMs: undefined };
 }
 
-t.test('two machines that are not current are passed within a second', async (t) => {
+t.test('skips two control machines that are not current within a second', async (t) => {
   const source = new FeedSource({ seeds: CONTROLS, zone: 'zone-a', spread: 0 }, widestTiming.feed);
-  const { currentAtMs } = runSource(
+  const { currentAtMs } = runUntilCurrent(
     source,
     ({ host }) => (host === '10.0.1.3' ? 'current' : 'stale'),
     5_000,
@@ -46,9 +48,9 @@
   t.ok((currentAtMs ?? Infinity) <= 1_000, `current after ${currentAtMs} ms`);
 });
 
-t.test('two machines that are silent are passed within two seconds', async (t) => {
+t.test('skips two silent control machines within two seconds', async (t) => {
   const source = new FeedSource({ seeds: CONTROLS, zone: 'zone-a', spread: 0 }, widestTiming.feed);
-  const { currentAtMs } = runSource(
+  const { currentAtMs } = runUntilCurrent(
     source,
     ({ host }) => (host === '10.0.1.3' ? 'current' : 'silent'),
     5_000,
@@ -56,11 +58,19 @@
   t.ok((currentAtMs ?? Infinity) <= 2_000, `current after ${currentAtMs} ms`);
 });
 
-const STAY_MS = 10_000;
-const zoned = CONTROLS.map((linkAddress, at) => ({ linkAddress, zone: `zone-${'abc'[at]}` }));
+const RUN_MS = 10_000;
+const ONE_PER_ZONE = CONTROLS.map((linkAddress, at) => ({
+  linkAddress,
+  zone: `zone-${'abc'[at]}`,
+}));
 
-/** Steps a source for a while; all control machines are current but those that are named. */
-function follow(source: FeedSource, fromMs: number, untilMs: number, failing: string[] = []) {
+/** @returns the connections that a source makes; all control machines but the failing ones are current */
+function recordConnects(
+  source: FeedSource,
+  fromMs: number,
+  untilMs: number,
+  failing: string[] = [],
+) {
   const connects: { readonly host: string; readonly atMs: number }[] = [];
   for (let nowMs = fromMs; nowMs < untilMs; nowMs += STEP_MS) {
     const action = source.nextAction(nowMs);
@@ -72,7 +82,7 @@
         source.recordClosed(nowMs);
       } else {
         source.recordMessage(true, nowMs);
-        source.applyControls(zoned);
+        source.applyControls(ONE_PER_ZONE);
       }
     } else {
       source.recordMessage(true, nowMs);
@@ -81,21 +91,18 @@
   return connects;
 }
 
-t.test(
-  'a balancer moves to the control machine of its zone, once it has been elsewhere a while',
-  async (t) => {
-    const source = new FeedSource(
-      { seeds: CONTROLS, zone: 'zone-b', spread: 900 },
-      widestTiming.feed,
-    );
-    const connects = follow(source, 0, STAY_MS);
-    t.same(
-      connects.map(({ host }) => host),
-      ['10.0.1.1', '10.0.1.2'],
-    );
-    t.ok((connects[1]?.atMs ?? 0) >= 2_400, 'not at once');
-  },
-);
+t.test('returns to the control machine of its own zone after a stay elsewhere', async (t) => {
+  const source = new FeedSource(
+    { seeds: CONTROLS, zone: 'zone-b', spread: 900 },
+    widestTiming.feed,
+  );
+  const connects = recordConnects(source, 0, RUN_MS);
+  t.same(
+    connects.map(({ host }) => host),
+    ['10.0.1.1', '10.0.1.2'],
+  );
+  t.ok((connects[1]?.atMs ?? 0) >= 2_400, 'not at once');
+});
 
 t.test('balancers return at different times', async (t) => {
   const times = [0, 1_000, 2_000, 3_000].map((spread) => {
@@ -103,31 +110,31 @@
       { seeds: CONTROLS.slice(0, 1), zone: 'zone-b', spread },
       widestTiming.feed,
     );
-    return follow(source, 0, STAY_MS)[1]?.atMs ?? 0;
+    return recordConnects(source, 0, RUN_MS)[1]?.atMs ?? 0;
   });
   t.equal(new Set(times).size, times.length, times.join(' '));
 });
 
-t.test('one of the own zone that fails is left alone for longer each time', async (t) => {
+t.test('backs off longer each time a control machine of the own zone fails', async (t) => {
   const source = new FeedSource({ seeds: CONTROLS, zone: 'zone-b', spread: 0 }, widestTiming.feed);
-  const connects = follow(source, 0, 60_000, ['10.0.1.2']);
-  const tries = connects.filter(({ host }) => host === '10.0.1.2').map(({ atMs }) => atMs);
-  t.ok(tries.length >= 2 && tries.length <= 6, `tried ${tries.length} times`);
-  const gaps = tries.slice(1).map((atMs, at) => atMs - (tries[at] ?? 0));
-  t.ok((gaps.at(-1) ?? 0) > (gaps[0] ?? 0), gaps.join(' '));
+  const connects = recordConnects(source, 0, 60_000, ['10.0.1.2']);
+  const attemptsMs = connects.filter(({ host }) => host === '10.0.1.2').map(({ atMs }) => atMs);
+  t.ok(attemptsMs.length >= 2 && attemptsMs.length <= 6, `tried ${attemptsMs.length} times`);
+  const gapsMs = attemptsMs.slice(1).map((atMs, at) => atMs - (attemptsMs[at] ?? 0));
+  t.ok((gapsMs.at(-1) ?? 0) > (gapsMs[0] ?? 0), gapsMs.join(' '));
 });
 
-t.test('a link that brings some of a message now and then is not silent', async (t) => {
+t.test('a link with partial messages is not silent', async (t) => {
   const source = new FeedSource({ seeds: CONTROLS, zone: 'zone-a', spread: 0 }, widestTiming.feed);
   source.nextAction(0);
   for (let nowMs = 0; nowMs < 5_000; nowMs += 500) {
     source.recordProgress(nowMs);
     t.equal(source.nextAction(nowMs + 400).type, 'wait');
   }
-  t.equal(source.nextAction(6_000).type, 'close', 'and is once that ends');
+  t.equal(source.nextAction(6_000).type, 'close', 'silent once progress ends');
 });
 
-t.test('balancers of a zone with several control machines spread over them', async (t) => {
+t.test('spreads balancers over the control machines of their zone', async (t) => {
   const inOneZone = CONTROLS.map((linkAddress) => ({ linkAddress, zone: 'zone-b' }));
   const chosen = Array.from({ length: 30 }, (_, spread) => {
     const source = new FeedSource({ seeds: [], zone: 'zone-b', spread }, widestTiming.feed);
@@ -140,7 +147,7 @@
   }
 });
 
-t.test('a link that is closed from here says why', async (t) => {
+t.test('gives the reason for closing a link', async (t) => {
   const seeker = { seeds: CONTROLS, zone: 'zone-b', spread: 0 };
   const closeAfter = (prepare: (source: FeedSource) => void, nowMs: number) => {
     const source = new FeedSource(seeker, widestTiming.feed);
@@ -161,7 +168,7 @@
     { type: 'close', why: 'not-current' },
   );
   const current = (source: FeedSource) => {
-    source.applyControls(zoned);
+    source.applyControls(ONE_PER_ZONE);
     source.recordMessage(true, 2_900);
   };
   t.same(closeAfter(current, 3_000), { type: 'close', why: 'returns-to-own-zone' });
--- a/test/registered/decisions/open-claims.test.ts
+++ b/test/registered/decisions/open-claims.test.ts
@@ -1,11 +1,6 @@
 /**
- * @file Two balancers read copies of one open at the same moment, one of them after it stood still: at most one
- * of them places it.
- *
- * Seen in a soak of real processes: balancers stood still one after the other, 1.3 s each; one of them woke with
- * an open in its socket, asked its holders, and placed it 30 ms later, though another had placed a newer copy 5 ms
- * before and told the holders, and though a packet of that flow had passed the first one meanwhile. The second
- * back end reset the flow.
+ * @file Two balancers that look up copies of one open at the same time, one of them after a pause, must not
+ * both place it: the second back end would reset the flow.
  */
 import t from 'tap';
 import type { Address } from '../../../src/shared/common/address.js';
@@ -48,7 +43,7 @@
   return { host: `10.0.3.${names.indexOf(name) + 1}`, port: 7_700 };
 }
 
-/** Balancers that know each other, joined by datagrams of half a millisecond. */
+/** Balancers that know each other; datagrams between them take half a millisecond. */
 function createBalancers(clock: VirtualClock) {
   const outcomes: string[] = [];
   const list = names.map((name) => ({ name, zone: 'zone-a', peerAddress: addressOf(name) }));
@@ -94,24 +89,24 @@
   };
 }
 
-for (const apartMs of [0, 0.2, 1, 5, 20, 29, 31]) {
+for (const delayMs of [0, 0.2, 1, 5, 20, 29, 31]) {
   for (const first of names) {
     for (const second of names.filter((name) => name !== first)) {
-      t.test(`${first} asks, ${second} asks ${apartMs} ms later`, async (t) => {
+      t.test(`${first} asks, ${second} asks ${delayMs} ms later`, async (t) => {
         const clock = new VirtualClock();
         const { outcomes, sharingOf } = createBalancers(clock);
         sharingOf(first).askHolders(KEY, held);
-        clock.after(apartMs, () => sharingOf(second).askHolders(KEY, held));
+        clock.after(delayMs, () => sharingOf(second).askHolders(KEY, held));
         await clock.runUntil(WAIT_MS);
         const placed = outcomes.filter((outcome) => outcome.endsWith('places'));
         t.ok(placed.length <= 1, outcomes.join(', '));
-        t.equal(outcomes.length, 2, 'each comes to an end');
+        t.equal(outcomes.length, 2, 'each lookup ends');
       });
     }
   }
 }
 
-t.test('a placement that is heard of while holders are asked is followed at once', async (t) => {
+t.test('follows a placement that arrives while holders are asked', async (t) => {
   const clock = new VirtualClock();
   const { outcomes, sharingOf } = createBalancers(clock);
   sharingOf('one').askHolders(KEY, held);
@@ -121,7 +116,7 @@
   t.same(outcomes, ['one follows']);
 });
 
-t.test('a claim holds for its balancer, and up no later copy', async (t) => {
+t.test('a claim holds for its balancer and expires before the next copy', async (t) => {
   const claims = createOpenClaims();
   t.equal(claims.claim(KEY, addressOf('one'), 1_000), true);
   t.equal(claims.claim(KEY, addressOf('one'), 1_010), true, 'the same balancer again');
--- a/test/registered/decisions/placement.test.ts
+++ b/test/registered/decisions/placement.test.ts
@@ -1,4 +1,4 @@
-/** @file Which back end a new flow goes to. */
+/** @file Placement of new flows: spread, zones, liveness, reported loads, policy switches. */
 import t from 'tap';
 import { wholeUpdate } from '../../../src/registered/declared/config-update.js';
 import { widestTiming } from '../../../src/registered/group/timing.js';
@@ -31,14 +31,14 @@
 };
 const OPEN: PacketView = { ...PLAIN_PACKET, isOpen: true, token: 0, sequence: 0, acknowledged: 0 };
 
-/** Nothing bounds what cold back ends are given. */
+/** Slow start without a limit for cold back ends. */
 const UNBOUNDED = createSlowStart({
   bounds: undefined,
   heartbeatIntervalMs: OPTIONS.heartbeatIntervalMs,
   zones: createZoneTable(),
   peers: createPeerTable('balancer-1'),
   warmUpOf: () => undefined,
-  knowsOthers: () => true,
+  isFeedCurrent: () => true,
 });
 
 function addBackend(table: BackendTable, number: number, zone: string, ageMs = 0): void {
@@ -75,14 +75,14 @@
   return decision.type === 'forward' ? decision.backend.id : decision.type;
 }
 
-t.test('new flows are spread over the back ends of the zone', async (t) => {
+t.test('spreads new flows over the back ends of the own zone', async (t) => {
   const state = stateWith(3);
   addBackend(state.backends, 9, 'zone-b');
   const chosen = [1, 2, 3].map((port) => chosenId(state, port, 0));
   t.same(new Set(chosen), new Set(['backend-1', 'backend-2', 'backend-3']));
 });
 
-t.test('another zone takes flows where the own is clearly busier', async (t) => {
+t.test('uses another zone where the own one has a clearly higher load', async (t) => {
   const state = stateWith(1);
   addBackend(state.backends, 9, 'zone-b');
   const chosen = [1, 2, 3, 4].map((port) => chosenId(state, port, 0));
@@ -90,7 +90,7 @@
   t.equal(chosen[0], 'backend-1');
 });
 
-t.test('a copy goes where the first went', async (t) => {
+t.test('forwards a copy of an open to the back end of the first', async (t) => {
   const state = stateWith(3);
   const first = chosenId(state, 1, 0);
   chosenId(state, 2, 10);
@@ -98,7 +98,7 @@
   t.equal(chosenId(state, 1, 600, 2), first);
 });
 
-t.test('a back end that is silent for long is used only where no other is', async (t) => {
+t.test('uses a suspect back end only where no other is alive', async (t) => {
   const table = new BackendTable(OPTIONS.heartbeatIntervalMs);
   addBackend(table, 1, 'zone-a', 4_000);
   const placement = createPlacement('zone-a', defaultSwitches, UNBOUNDED);
@@ -110,14 +110,14 @@
   }
 });
 
-t.test('a service without back ends is refused once all are known', async (t) => {
+t.test('resets opens of a service without back ends once learning is over', async (t) => {
   const state = stateWith(0);
-  t.equal(chosenId(state, 1, 100), 'drop', 'they may still come');
+  t.equal(chosenId(state, 1, 100), 'drop', 'back ends may still be unknown');
   state.feedStatus.recordCurrent(2_500);
   t.equal(chosenId(state, 2, 2_500), 'reset');
 });
 
-/** Back ends 1 to 3 are of the own zone, 4 to 6 of another. */
+/** Back ends 1 to 3 are in the own zone, 4 to 6 in another. */
 function twoZones(): BackendTable {
   const table = new BackendTable(OPTIONS.heartbeatIntervalMs);
   for (let number = 1; number <= 6; number += 1) {
@@ -138,7 +138,7 @@
   return new Set(ids);
 }
 
-t.test('loads that are told do not draw all balancers to one back end', async (t) => {
+t.test('reported loads do not draw all balancers to one back end', async (t) => {
   const table = twoZones();
   table.applyFleetLoads([1, 2].flatMap((number) => [tokenOf(table, number), 1]));
   t.same(chosenFrom(table, ''), new Set(['backend-1', 'backend-2', 'backend-3']));
@@ -146,7 +146,7 @@
 });
 
 t.test(
-  'another zone takes flows while all back ends of the own zone are busy elsewhere',
+  'uses another zone while other balancers keep all back ends of the own zone busy',
   async (t) => {
     const table = twoZones();
     table.applyFleetLoads([1, 2, 3].flatMap((number) => [tokenOf(table, number), 2]));
@@ -157,7 +157,7 @@
   },
 );
 
-t.test('each mechanism can be switched, and no other', async (t) => {
+t.test('parses each known switch and rejects all others', async (t) => {
   t.same(parseSwitches('')._unsafeUnwrap(), defaultSwitches);
   const policy = parseSwitches('zones=any,warmUp=ignored')._unsafeUnwrap();
   t.same(policy, { ...defaultSwitches, zones: 'any', warmUp: 'ignored' });
@@ -166,27 +166,27 @@
   }
 });
 
-t.test('a policy that ignores zones, warm-up, loads or silence places without them', async (t) => {
+t.test('a switched-off mechanism does not affect placement', async (t) => {
   const cases = [
-    { text: 'zones=any', spoil: (table: BackendTable) => addBackend(table, 2, 'zone-b') },
+    { text: 'zones=any', change: (table: BackendTable) => addBackend(table, 2, 'zone-b') },
     {
       text: 'silence=ignored',
-      spoil: (table: BackendTable) => addBackend(table, 2, 'zone-a', 4_000),
+      change: (table: BackendTable) => addBackend(table, 2, 'zone-a', 4_000),
     },
     {
       text: 'toldLoads=ignored',
-      spoil: (table: BackendTable) => {
+      change: (table: BackendTable) => {
         addBackend(table, 2, 'zone-a');
         addBackend(table, 3, 'zone-b');
         table.applyFleetLoads([tokenOf(table, 2), 9]);
       },
     },
   ];
-  for (const { text, spoil } of cases) {
+  for (const { text, change } of cases) {
     const table = new BackendTable(OPTIONS.heartbeatIntervalMs);
     addBackend(table, 1, 'zone-a');
-    spoil(table);
-    const chosenBy = (policyText: string) => {
+    change(table);
+    const countChosen = (policyText: string) => {
       const placement = createPlacement(
         'zone-a',
         parseSwitches(policyText)._unsafeUnwrap(),
@@ -197,7 +197,7 @@
       });
       return new Set(ids).size;
     };
-    t.equal(chosenBy(''), 1, `${text}: by default`);
-    t.equal(chosenBy(text), 2, text);
+    t.equal(countChosen(''), 1, `${text}: by default`);
+    t.equal(countChosen(text), 2, text);
   }
 });
--- a/test/registered/decisions/speed-draw.test.ts
+++ b/test/registered/decisions/speed-draw.test.ts
@@ -1,83 +1,88 @@
 /**
- * @file Who waits where back ends are of unequal speed, or some turn slow: a third of them does its work in two fifths
- * of the time of the others, and the crest of the demand takes four tenths of all slots.
+ * @file Compares the weighted random choice by speed with least load, in a simulation with back ends of
+ * unequal speed or some that slow down.
  */
 import t from 'tap';
 import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
-import { playChoiceLoad, type ChoiceOutcome } from './choice-load.js';
+import { simulateLoad, type SimulatedOutcome } from './load-simulation.js';
 
 const leastLoad = { ...defaultSwitches, choice: 'least-load' } as const;
 const UNEQUAL = Array.from({ length: 30 }, (_, at) => [0.7, 0.7, 1.7][at % 3] ?? 1);
 const EQUAL = Array.from({ length: 30 }, () => 1);
 const SEEDS = [1, 2, 3];
 
-function mean({ tookMs }: ChoiceOutcome): number {
-  return tookMs.reduce((sum, ms) => sum + ms, 0) / tookMs.length;
+function mean({ latenciesMs }: SimulatedOutcome): number {
+  return latenciesMs.reduce((sum, ms) => sum + ms, 0) / latenciesMs.length;
 }
 
-function quantile({ tookMs }: ChoiceOutcome, share: number): number {
-  return tookMs[Math.floor(tookMs.length * share)] ?? Infinity;
+function quantile({ latenciesMs }: SimulatedOutcome, share: number): number {
+  return latenciesMs[Math.floor(latenciesMs.length * share)] ?? Infinity;
 }
 
-t.test('a crest of demand before a fast third: callers wait for less', async (t) => {
+t.test('unequal speeds: lower latency than least load', async (t) => {
   for (const seed of SEEDS) {
     const load = { speeds: UNEQUAL, requestsPerS: 900, seed };
-    const one = playChoiceLoad({ ...load, policy: defaultSwitches });
-    const other = playChoiceLoad({ ...load, policy: leastLoad });
-    t.ok(mean(one) < 0.8 * mean(other), `mean ${mean(one)} and ${mean(other)} ms`);
-    const [late, lateOther] = [quantile(one, 0.99), quantile(other, 0.99)];
-    t.ok(late < 0.9 * lateOther, `99th of 100 ${late} and ${lateOther} ms`);
-    const fast = one.shares.filter((_, at) => at % 3 === 2);
+    const drawn = simulateLoad({ ...load, policy: defaultSwitches });
+    const leastLoaded = simulateLoad({ ...load, policy: leastLoad });
+    t.ok(mean(drawn) < 0.8 * mean(leastLoaded), `mean ${mean(drawn)} and ${mean(leastLoaded)} ms`);
+    const [drawnP99, leastLoadedP99] = [quantile(drawn, 0.99), quantile(leastLoaded, 0.99)];
+    t.ok(drawnP99 < 0.9 * leastLoadedP99, `99th percentile ${drawnP99} and ${leastLoadedP99} ms`);
+    const fast = drawn.shares.filter((_, at) => at % 3 === 2);
     const fastest = Math.max(...fast);
-    t.ok(fastest < 2.5 / UNEQUAL.length, `no herd: ${fastest} of all to the most popular`);
+    t.ok(fastest < 2.5 / UNEQUAL.length, `no herd effect: largest share ${fastest}`);
   }
 });
 
-t.test('equal back ends are used alike', async (t) => {
+t.test('equal speeds: similar shares and no higher latency', async (t) => {
   for (const seed of SEEDS) {
     const load = { speeds: EQUAL, requestsPerS: 900, seed };
-    const one = playChoiceLoad({ ...load, policy: defaultSwitches });
-    const other = playChoiceLoad({ ...load, policy: leastLoad });
-    t.ok(mean(one) < 1.05 * mean(other), `mean ${mean(one)} and ${mean(other)} ms`);
-    t.ok(Math.max(...one.shares) < 1.6 / EQUAL.length, `${Math.max(...one.shares)}`);
+    const drawn = simulateLoad({ ...load, policy: defaultSwitches });
+    const leastLoaded = simulateLoad({ ...load, policy: leastLoad });
+    t.ok(mean(drawn) < 1.05 * mean(leastLoaded), `mean ${mean(drawn)} and ${mean(leastLoaded)} ms`);
+    t.ok(Math.max(...drawn.shares) < 1.6 / EQUAL.length, `${Math.max(...drawn.shares)}`);
   }
 });
 
 t.test(
-  'four in ten turn five times slower for eight seconds, and are used again after',
+  'back ends that slow down for eight seconds get fewer flows, and their share back afterwards',
   async (t) => {
     const isSlow = (backend: number) => backend % 5 < 2;
-    const changeOf = (backend: number, nowMs: number) =>
+    const speedFactorOf = (backend: number, nowMs: number) =>
       isSlow(backend) && nowMs > 5_000 && nowMs < 13_000 ? 0.2 : 1;
     for (const seed of SEEDS) {
-      const load = { speeds: EQUAL, requestsPerS: 700, seed, changeOf };
-      const one = playChoiceLoad({ ...load, policy: defaultSwitches });
-      const other = playChoiceLoad({ ...load, policy: leastLoad });
-      const [late, lateOther] = [one, other].map((outcome) => lateShare(outcome));
-      t.ok((late ?? 1) < 0.5 * (lateOther ?? 0), `late ${late} and ${lateOther}`);
+      const load = { speeds: EQUAL, requestsPerS: 700, seed, speedFactorOf };
+      const drawn = simulateLoad({ ...load, policy: defaultSwitches });
+      const leastLoaded = simulateLoad({ ...load, policy: leastLoad });
+      const [drawnShare, leastLoadedShare] = [drawn, leastLoaded].map((outcome) =>
+        lateShare(outcome),
+      );
+      t.ok(
+        (drawnShare ?? 1) < 0.5 * (leastLoadedShare ?? 0),
+        `share above the target: ${drawnShare} and ${leastLoadedShare}`,
+      );
     }
-    const longAfter = playChoiceLoad({
+    const oneMinute = simulateLoad({
       policy: defaultSwitches,
       speeds: EQUAL,
       requestsPerS: 700,
       seed: 4,
       seconds: 60,
-      changeOf,
+      speedFactorOf,
     });
-    const slowShare = longAfter.shares.reduce((sum, one, at) => sum + (isSlow(at) ? one : 0), 0);
-    t.ok(slowShare > 0.3, `${slowShare} of the work of a minute: an estimate fades`);
+    const slowShare = oneMinute.shares.reduce((sum, one, at) => sum + (isSlow(at) ? one : 0), 0);
+    t.ok(slowShare > 0.3, `their share over a minute: ${slowShare}`);
   },
 );
 
-t.test('a balancer that is told nothing serves by what it sees', async (t) => {
-  const load = { speeds: UNEQUAL, requestsPerS: 900, seed: 1, isTold: false };
-  const one = playChoiceLoad({ ...load, policy: defaultSwitches });
-  const other = playChoiceLoad({ ...load, policy: leastLoad });
-  t.ok(mean(one) < 1.05 * mean(other), `mean ${mean(one)} and ${mean(other)} ms`);
+t.test('without reports of other balancers: no higher latency than least load', async (t) => {
+  const load = { speeds: UNEQUAL, requestsPerS: 900, seed: 1, sharesLoads: false };
+  const drawn = simulateLoad({ ...load, policy: defaultSwitches });
+  const leastLoaded = simulateLoad({ ...load, policy: leastLoad });
+  t.ok(mean(drawn) < 1.05 * mean(leastLoaded), `mean ${mean(drawn)} and ${mean(leastLoaded)} ms`);
 });
 
-const TARGET_MS = 250;
+const LATENCY_TARGET_MS = 250;
 
-function lateShare({ tookMs }: ChoiceOutcome): number {
-  return tookMs.filter((ms) => ms > TARGET_MS).length / tookMs.length;
+function lateShare({ latenciesMs }: SimulatedOutcome): number {
+  return latenciesMs.filter((ms) => ms > LATENCY_TARGET_MS).length / latenciesMs.length;
 }
--- a/test/registered/ingress/zone-table.test.ts
+++ b/test/registered/ingress/zone-table.test.ts
@@ -8,7 +8,7 @@
 } from '../../../src/registered/decisions/slow-start.js';
 import { createPeerTable } from '../../../src/registered/ingress/peer-table.js';
 import { createZoneTable } from '../../../src/registered/ingress/zone-table.js';
-import { recordOf, takeIn } from '../decisions/backend-records.js';
+import { recordOf, applyFirstHeartbeat } from '../decisions/backend-records.js';
 
 const WARM_UP = { service: 'alpha', warmUpMs: 2_000 };
 const HEARTBEAT_MS = 1_200;
@@ -43,7 +43,7 @@
       zones: createZoneTable(),
       peers,
       warmUpOf: () => ({ ...WARM_UP, coldRequestsPerS }),
-      knowsOthers: () => true,
+      isFeedCurrent: () => true,
     });
   });
   return { shares, backend };
@@ -51,7 +51,7 @@
 
 function coldBackend(): KnownBackend {
   const record = recordOf(1, { zone: 'a', warmUpLeftMs: 2_000 });
-  return takeIn(new BackendTable(HEARTBEAT_MS), record, 0);
+  return applyFirstHeartbeat(new BackendTable(HEARTBEAT_MS), record, 0);
 }
 
 const cases = [
@@ -93,7 +93,7 @@
     zones: createZoneTable(),
     peers: createPeerTable('balancer-1'),
     warmUpOf: () => ({ ...WARM_UP, coldRequestsPerS: 0 }),
-    knowsOthers: (nowMs) => nowMs < 1_000,
+    isFeedCurrent: (nowMs) => nowMs < 1_000,
   });
   const backend = coldBackend();
   t.ok(share.admits(backend, 500));
@@ -109,7 +109,7 @@
     zones,
     peers: createPeerTable('balancer-1'),
     warmUpOf: () => ({ service: 'alpha', warmUpMs: 9_000, coldRequestsPerS: 0 }),
-    knowsOthers: () => true,
+    isFeedCurrent: () => true,
   });
   const backend = coldBackend();
   zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 2, readmittedAgoMs: 0 }], 10_000);
