--- a/src/registered/decisions/mechanism-switches.ts
+++ b/src/registered/decisions/mechanism-switches.ts
@@ -57,7 +57,7 @@
   for (const part of text.split(',').filter((part) => part !== '')) {
     const [name = '', value = ''] = part.split('=', 2);
     if (!isSwitchValue(name, value)) {
-      return err(amberliftError('invalid-settings', `The policy has no ${part}.`));
+      return err(amberliftError('invalid-settings', `Unknown policy switch or value: ${part}.`));
     }
     changes[name] = value;
   }
