--- a/src/managed/balancer/forwarding.ts
+++ b/src/managed/balancer/forwarding.ts
@@ -20,15 +20,24 @@
 const TOKEN_OFFSET = SHORT_HEADER_ID_OFFSET;
 const MIN_PACKET_BYTES = TOKEN_OFFSET + TOKEN_LENGTH_BYTES;
 
-const truncated = amberliftError('malformed-datagram', 'Short header is cut short.');
-const unknownKey = amberliftError('unknown-key', 'The token names no known key.');
-const forgedToken = amberliftError('forged-token', 'The token was not made with its key.');
+const truncated = amberliftError(
+  'malformed-datagram',
+  'Short header or routing token is truncated.',
+);
+const unknownKey = amberliftError('unknown-key', 'The key ID of the token is unknown.');
+const forgedToken = amberliftError('forged-token', 'The MAC of the token is invalid.');
 const unknownService = amberliftError('unknown-service', 'No service has this address.');
-const unknownBackend = amberliftError('unknown-backend', 'The token names no known back end.');
-const wrongService = amberliftError('wrong-service', 'The token belongs to another service.');
+const unknownBackend = amberliftError(
+  'unknown-backend',
+  'The back end ID of the token is unknown.',
+);
+const wrongService = amberliftError(
+  'wrong-service',
+  'Token, back end and destination address belong to different services.',
+);
 const leaseExpired = amberliftError(
   'lease-expired',
-  'The back end may have another one at its address.',
+  'The lease has expired and the back end has not confirmed its identity recently.',
 );
 
 /**
--- a/src/managed/balancer/open-packets.ts
+++ b/src/managed/balancer/open-packets.ts
@@ -28,12 +28,17 @@
 export function parseOpen(packet: Uint8Array): Result<ParsedOpen, AmberliftError> {
   return parseLongHeader(packet).andThen(({ sourceId, body }) => {
     if (sourceId.length !== FLOW_ID_LENGTH_BYTES) {
-      return err(amberliftError('malformed-datagram', 'The flow ID has a wrong length.'));
+      return err(amberliftError('malformed-datagram', 'Flow ID has an invalid length.'));
     }
     return decodeMessage(body).andThen((message) =>
       message.type === 'open'
         ? ok({ flowId: sourceId, message })
-        : err(amberliftError('malformed-datagram', 'A long header carries no open.')),
+        : err(
+            amberliftError(
+              'malformed-datagram',
+              'Long-header packet from a caller is not an open.',
+            ),
+          ),
     );
   });
 }
@@ -45,7 +50,7 @@
 export function parseOpenReply(datagram: Uint8Array): Result<OpenReply, AmberliftError> {
   return decodeEnvelope(datagram).andThen((envelope) => {
     if (!hasLongHeader(envelope.packet)) {
-      return err(amberliftError('malformed-datagram', 'An answer to an open has a long header.'));
+      return err(amberliftError('malformed-datagram', 'Reply to an open has a short header.'));
     }
     return parseLongHeader(envelope.packet).andThen(({ destinationId, sourceId, body }) =>
       sourceId.length === TOKEN_LENGTH_BYTES
@@ -55,7 +60,12 @@
             token: sourceId,
             message,
           }))
-        : err(amberliftError('malformed-datagram', 'An answer to an open carries no token.')),
+        : err(
+            amberliftError(
+              'malformed-datagram',
+              'Source ID of a reply to an open is not a routing token.',
+            ),
+          ),
     );
   });
 }
--- a/src/managed/flow/envelope.ts
+++ b/src/managed/flow/envelope.ts
@@ -71,10 +71,10 @@
     fields = packr.unpack(datagram);
   } catch {
     // The decoder throws for invalid MessagePack; the caller counts the error.
-    return err(amberliftError('malformed-datagram', 'Envelope is no MessagePack.'));
+    return err(amberliftError('malformed-datagram', 'Envelope is not valid MessagePack.'));
   }
   if (!Array.isArray(fields) || fields.length !== FIELD_COUNT) {
-    return err(amberliftError('malformed-datagram', 'Envelope has not five fields.'));
+    return err(amberliftError('malformed-datagram', 'Envelope is not an array of five fields.'));
   }
   const [clientHost, clientPort, serviceHost, servicePort, packet] = fields as unknown[];
   if (
@@ -84,7 +84,9 @@
     !isPort(servicePort) ||
     !(packet instanceof Uint8Array)
   ) {
-    return err(amberliftError('malformed-datagram', 'Envelope has a field of a wrong type.'));
+    return err(
+      amberliftError('malformed-datagram', 'Envelope has an invalid address, port or packet.'),
+    );
   }
   return ok({ clientHost, clientPort, serviceHost, servicePort, packet });
 }
--- a/src/managed/flow/header.ts
+++ b/src/managed/flow/header.ts
@@ -72,22 +72,22 @@
 export function parseLongHeader(packet: Uint8Array): Result<LongHeaderPacket, AmberliftError> {
   const destinationLength = packet[DESTINATION_LENGTH_OFFSET];
   if (destinationLength === undefined) {
-    return err(amberliftError('malformed-datagram', 'Long header is cut short.'));
+    return err(amberliftError('malformed-datagram', 'Long header is truncated.'));
   }
   const version = new DataView(packet.buffer, packet.byteOffset).getUint32(VERSION_OFFSET);
   if (version !== AMBERLIFT_VERSION) {
-    return err(amberliftError('unsupported-version', `Version ${version} is not spoken.`));
+    return err(amberliftError('unsupported-version', `Version ${version} is not supported.`));
   }
   const destinationStart = DESTINATION_LENGTH_OFFSET + 1;
   const sourceLengthOffset = destinationStart + destinationLength;
   const sourceLength = packet[sourceLengthOffset];
   if (sourceLength === undefined) {
-    return err(amberliftError('malformed-datagram', 'Destination ID is cut short.'));
+    return err(amberliftError('malformed-datagram', 'Destination connection ID is truncated.'));
   }
   const sourceStart = sourceLengthOffset + 1;
   const bodyStart = sourceStart + sourceLength;
   if (bodyStart > packet.length) {
-    return err(amberliftError('malformed-datagram', 'Source ID is cut short.'));
+    return err(amberliftError('malformed-datagram', 'Source connection ID is truncated.'));
   }
   return ok({
     destinationId: packet.subarray(destinationStart, sourceLengthOffset),
@@ -107,7 +107,7 @@
 ): Result<ShortHeaderPacket, AmberliftError> {
   const bodyStart = SHORT_HEADER_ID_OFFSET + destinationIdLength;
   if (packet.length < bodyStart) {
-    return err(amberliftError('malformed-datagram', 'Short header is cut short.'));
+    return err(amberliftError('malformed-datagram', 'Short header is truncated.'));
   }
   return ok({
     destinationId: packet.subarray(SHORT_HEADER_ID_OFFSET, bodyStart),
--- a/src/managed/flow/messages.ts
+++ b/src/managed/flow/messages.ts
@@ -148,10 +148,15 @@
     value = packr.unpack(body);
   } catch {
     // The decoder throws for invalid MessagePack; the caller counts the error.
-    return err(amberliftError('malformed-datagram', 'Body is no MessagePack.'));
+    return err(amberliftError('malformed-datagram', 'Message body is not valid MessagePack.'));
   }
   const parsed = messageSchema.safeParse(value);
   return parsed.success
     ? ok(parsed.data)
-    : err(amberliftError('malformed-datagram', 'Body is no known message.'));
+    : err(
+        amberliftError(
+          'malformed-datagram',
+          'Message body does not match the schema of any message.',
+        ),
+      );
 }
--- a/test/managed/flows/world.ts
+++ b/test/managed/flows/world.ts
@@ -206,7 +206,7 @@
     const endMs = this.network.nowMs + limitMs;
     while (!this.callers.every((caller) => caller.state.finished)) {
       if (this.network.nowMs >= endMs) {
-        throw new Error('Callers did not finish in time.');
+        throw new Error('Callers did not finish within the time limit.');
       }
       this.run(100);
     }
