--- a/src/managed/balancer/open-packets.ts
+++ b/src/managed/balancer/open-packets.ts
@@ -1,6 +1,5 @@
 /**
- * @file Decodes opens of callers and answers of back ends to opens. Each function returns `malformed-datagram` (or
- * what the decoders of `flow` return) for anything else.
+ * @file Decodes opens from callers and replies to opens from back ends.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
@@ -14,7 +13,7 @@
   readonly message: OpenMessage;
 }
 
-/** A back end's answer to an open. */
+/** A back end's reply to an open. */
 interface OpenReply {
   readonly envelope: Envelope;
   readonly flowId: Uint8Array;
@@ -23,28 +22,35 @@
 }
 
 /**
- * @param packet a long-header packet of a caller
+ * @param packet a long-header packet from a caller
+ * @returns the open, or `malformed-datagram` / `unsupported-version`
  */
 export function parseOpen(packet: Uint8Array): Result<ParsedOpen, AmberliftError> {
   return parseLongHeader(packet).andThen(({ sourceId, body }) => {
     if (sourceId.length !== FLOW_ID_LENGTH_BYTES) {
-      return err(amberliftError('malformed-datagram', 'The flow ID has a wrong length.'));
+      return err(amberliftError('malformed-datagram', 'Flow ID has an invalid length.'));
     }
     return decodeMessage(body).andThen((message) =>
       message.type === 'open'
         ? ok({ flowId: sourceId, message })
-        : err(amberliftError('malformed-datagram', 'A long header carries no open.')),
+        : err(
+            amberliftError(
+              'malformed-datagram',
+              'Long-header packet from a caller is not an open.',
+            ),
+          ),
     );
   });
 }
 
 /**
- * @param datagram a datagram of a back end
+ * @param datagram a datagram from a back end
+ * @returns the reply, or `malformed-datagram` / `unsupported-version`
  */
 export function parseOpenReply(datagram: Uint8Array): Result<OpenReply, AmberliftError> {
   return decodeEnvelope(datagram).andThen((envelope) => {
     if (!hasLongHeader(envelope.packet)) {
-      return err(amberliftError('malformed-datagram', 'An answer to an open has a long header.'));
+      return err(amberliftError('malformed-datagram', 'Reply to an open has a short header.'));
     }
     return parseLongHeader(envelope.packet).andThen(({ destinationId, sourceId, body }) =>
       sourceId.length === TOKEN_LENGTH_BYTES
@@ -54,7 +60,12 @@
             token: sourceId,
             message,
           }))
-        : err(amberliftError('malformed-datagram', 'An answer to an open carries no token.')),
+        : err(
+            amberliftError(
+              'malformed-datagram',
+              'Source ID of a reply to an open is not a routing token.',
+            ),
+          ),
     );
   });
 }
