--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -10,7 +10,10 @@
 import { createGroupState } from '../../registered/group/group-state.js';
 import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import type { ConsensusState } from '../../shared/consensus/consensus-state.js';
-import { firstStorageId, isFirstMember } from '../../registered/group/members/member-identity.js';
+import {
+  initialStorageId,
+  isInitialMember,
+} from '../../registered/group/members/member-identity.js';
 import { packFeed } from '../../registered/group/wire/feed-codec.js';
 import { isBalancerLinkMessage } from '../../registered/group/group-messages.js';
 import { parseControlInbound } from '../../registered/group/message-schemas.js';
@@ -63,8 +66,8 @@
     const generation = this.gate.renew();
     const { clock, wires } = this.parts;
     wires.hostStarted(this.address.host);
-    const makeStorageId = isFirstMember(this.address, this.seeds, isFirstStart)
-      ? () => firstStorageId(this.address)
+    const makeStorageId = isInitialMember(this.address, this.seeds, isFirstStart)
+      ? () => initialStorageId(this.address)
       : () => this.freshStorageId();
     const pause = () => this.pause();
     const name = formatAddress(this.address);
--- a/src/registered/daemon/group-disk.ts
+++ b/src/registered/daemon/group-disk.ts
@@ -14,7 +14,7 @@
 import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 import { logDecision } from './decision-log.js';
 import type { GroupOptions } from '../group/group-options.js';
-import { firstStorageId, isFirstMember } from '../group/members/member-identity.js';
+import { initialStorageId, isInitialMember } from '../group/members/member-identity.js';
 
 /**
  * A write that failed, or a disk that can't be opened, is tried again after this time. Not measured; a group that takes
@@ -39,8 +39,8 @@
 ): Promise<Result<ConsensusStorage, AmberliftError>> {
   const { linkAddress, seeds, isFirstStart } = options;
   const pause = () => sleep(RETRY_WRITE_AFTER_MS);
-  const makeStorageId = isFirstMember(linkAddress, seeds, isFirstStart)
-    ? () => firstStorageId(linkAddress)
+  const makeStorageId = isInitialMember(linkAddress, seeds, isFirstStart)
+    ? () => initialStorageId(linkAddress)
     : undefined;
   for (let attempt = 1; ; attempt += 1) {
     try {
--- a/src/registered/daemon/metrics/group-metrics.ts
+++ b/src/registered/daemon/metrics/group-metrics.ts
@@ -88,7 +88,7 @@
   value('registered_backends', 'Back ends whose heartbeats are known.', () => state.registry.size);
   value('departures', 'Departures that are kept.', () => state.replicated.allDepartures().length);
   value('fed_balancers', 'Balancers that get their feed here.', () => state.subscribers.size);
-  value('waiting_calls', 'Calls that wait for their answer.', () => state.calls.waitingCount);
+  value('waiting_calls', 'Calls that wait for their answer.', () => state.calls.clientCallCount);
   registerLabelledValues(
     registry,
     'amberlift_group_calls_total',
--- a/src/registered/group/applied-entries.ts
+++ b/src/registered/group/applied-entries.ts
@@ -1,6 +1,6 @@
 /**
- * @file What follows from entries of the log that are committed, and from snapshots: the replicated state changes,
- * balancers are sent the change, the call behind an entry gets its reply, and the change is logged.
+ * @file Applies committed log entries and snapshots: updates the replicated state, queues the change for balancers,
+ * replies to the call that proposed the entry, and returns the log line.
  */
 import { match } from 'ts-pattern';
 import { currentMembership } from '../../shared/consensus/consensus-state.js';
@@ -14,12 +14,13 @@
 import { decodeGroupCommand, type AppliedChange } from './replicated-state.js';
 import type { ZoneStatus } from './zone-orders.js';
 
-/** What committed entries change. */
+/** State that committed entries change. */
 export type AppliedState = ReplyState &
   Pick<GroupState, 'backendList' | 'configs' | 'consensus' | 'readmissions' | 'updates'>;
 
 /**
  * Applies a committed entry.
+ * @returns the effects: log lines, and the reply to the call that proposed the entry
  */
 export function applyEntry(state: AppliedState, entry: LogEntry, nowMs: number): GroupEffect[] {
   const { content, index, term } = entry;
@@ -66,7 +67,7 @@
     .exhaustive();
 }
 
-/** Publishes a committed order that changed a zone; not called for what was committed before the start. */
+/** Publishes a zone change; not called for orders that were committed before this start. */
 export function publishZoneChange(
   { readmissions, updates }: Pick<GroupState, 'readmissions' | 'updates'>,
   { zone, isEvacuated, orders }: ZoneStatus,
@@ -89,7 +90,7 @@
 }
 
 /**
- * Replaces the replicated state by a snapshot that the leader sent.
+ * Replaces the replicated state with a snapshot that the leader sent.
  */
 export function restoreSnapshot(state: AppliedState, data: Uint8Array): GroupEffect[] {
   const { replicated, updates } = state;
--- a/src/registered/group/backends/backend-list-progress.ts
+++ b/src/registered/group/backends/backend-list-progress.ts
@@ -1,20 +1,20 @@
 /**
- * @file How far the registry of heartbeats and the replicated list of back ends are in step: the change of the list
- * that is under way, and whether the list is in the registry. Soft state.
+ * @file Tracks the synchronization between the heartbeat registry and the replicated list of back ends: the pending
+ * change of the list, and whether the registry was seeded from the list. Soft state.
  */
 
-/** How far the registry and the replicated list are in step. */
+/** Synchronization state of the registry and the replicated list. */
 export interface BackendListProgress {
-  /** Index of the last change of the list that was proposed here; 0 for none. */
+  /** Log index of the last list change that this machine proposed; 0 for none. */
   readonly proposalIndex: number;
   recordProposal(index: number): void;
-  /** @returns true where the list is not in the registry yet; it counts as seeded from now on */
+  /** @returns true if the registry must be seeded from the list; marks it as seeded */
   startSeeding(): boolean;
-  /** The list was replaced as a whole. */
+  /** Requires seeding again, after the list was replaced by a snapshot. */
   requireSeeding(): void;
 }
 
-/** @returns the progress of a machine that has just started */
+/** @returns the state after a start */
 export function createBackendListProgress(): BackendListProgress {
   let proposalIndex = 0;
   let isSeeded = false;
--- a/src/registered/group/backends/backend-list.ts
+++ b/src/registered/group/backends/backend-list.ts
@@ -1,22 +1,17 @@
 /**
- * @file Which back ends does the leader add to the replicated list, and which does it drop?
+ * @file Maintains the replicated list of back ends, from which a group that restarts as a whole learns its back ends
+ * before their next heartbeats. The leader adds back ends with a configured service that have not departed, and removes
+ * those that the heartbeat registry has dropped.
  *
- * The list lets a group that restarts as a whole know its back ends before their next heartbeats. Inputs: the registry
- * of heartbeats, the list and the departures of the replicated state, and whether a change of the list is under way.
- * Returns the next command, or none. Back ends that the list lacks are added, unless they are gone or no configuration
- * names their service; back ends that the
- * registry has forgotten (`forgetBackendAfterMs` without a heartbeat, in milliseconds) are dropped.
- *
- * One command at a time carries all that is due, so that many heartbeats at once cost one entry, and no heartbeat waits
- * for an entry.
+ * Changes are batched: only one command is pending at a time, and heartbeats are acknowledged without waiting for it.
  */
-import { isNamedService } from './backend-admission.js';
+import { isConfiguredService } from './backend-admission.js';
 import type { BackendRecord } from '../../registry/backend-record.js';
 import type { GroupState } from '../group-state.js';
 import type { GroupCommand, ReplicatedState } from '../replicated-state.js';
 
 /**
- * @returns the next change of the list that this machine should make as the leader; none while one is under way
+ * @returns the next list change to propose; undefined if there is none, one is pending, or this machine is not the leader
  */
 export function nextBackendListCommand({
   consensus,
@@ -28,14 +23,14 @@
   GroupCommand | undefined {
   const { role, commitIndex, log } = consensus;
   const { proposalIndex } = backendList;
-  const isUnderWay = proposalIndex > commitIndex && proposalIndex <= log.last.index;
-  if (role.name !== 'leader' || commitIndex < role.termStartIndex || isUnderWay) {
+  const isPending = proposalIndex > commitIndex && proposalIndex <= log.last.index;
+  if (role.name !== 'leader' || commitIndex < role.termStartIndex || isPending) {
     return undefined;
   }
   const records = [...registry.all()]
     .map(({ record }) => record)
-    .filter(isNewTo(replicated))
-    .filter(({ service }) => isNamedService({ configs }, service));
+    .filter(isMissingFrom(replicated))
+    .filter(({ service }) => isConfiguredService({ configs }, service));
   if (records.length > 0) {
     return { type: 'register-backends', records };
   }
@@ -45,7 +40,7 @@
   return backendIds.length > 0 ? { type: 'forget-backends', backendIds } : undefined;
 }
 
-function isNewTo(replicated: ReplicatedState) {
+function isMissingFrom(replicated: ReplicatedState) {
   return ({ id }: BackendRecord) =>
     !replicated.hasBackend(id) && replicated.departureOf(id) !== 'gone';
 }
--- a/src/registered/group/backends/heartbeat-exchange.ts
+++ b/src/registered/group/backends/heartbeat-exchange.ts
@@ -1,28 +1,28 @@
 /**
- * @file The heartbeats that wait to be sent to the other control machines, and since when this machine gets all
- * heartbeats. Both are soft state, lost with the process.
+ * @file Queue of heartbeats for the other control machines, and the time since which this machine receives all
+ * heartbeats. Soft state, lost on restart.
  */
 import type { AgedRecord } from '../group-messages.js';
 
-/** Heartbeats on their way through a control machine. */
+/** Exchange of heartbeats with the other control machines. */
 export interface HeartbeatExchange {
   /**
-   * Since when silence of a back end counts, in milliseconds; undefined while this machine is not current, since it
-   * may miss heartbeats then.
+   * Time in milliseconds since which silence of a back end counts; undefined while this machine is not current and may
+   * miss heartbeats.
    */
   readonly listeningSinceMs: number | undefined;
   startListening(sinceMs: number): void;
   stopListening(): void;
-  /** Lets a heartbeat that came in here wait for the next tick. */
-  addToShare(aged: AgedRecord): void;
-  /** Removes and returns the heartbeats that wait. */
-  takeToShare(): readonly AgedRecord[];
+  /** Queues a heartbeat until the next tick. */
+  enqueue(aged: AgedRecord): void;
+  /** Removes and returns the queued heartbeats. */
+  takeQueued(): readonly AgedRecord[];
 }
 
-/** @returns an exchange through which nothing has come yet */
+/** @returns an exchange with an empty queue */
 export function createHeartbeatExchange(): HeartbeatExchange {
   let listeningSinceMs: number | undefined;
-  let toShare: AgedRecord[] = [];
+  let queue: AgedRecord[] = [];
 
   return {
     get listeningSinceMs() {
@@ -34,13 +34,13 @@
     stopListening: () => {
       listeningSinceMs = undefined;
     },
-    addToShare: (aged) => void toShare.push(aged),
-    takeToShare,
+    enqueue: (aged) => void queue.push(aged),
+    takeQueued,
   };
 
-  function takeToShare(): readonly AgedRecord[] {
-    const taken = toShare;
-    toShare = [];
+  function takeQueued(): readonly AgedRecord[] {
+    const taken = queue;
+    queue = [];
     return taken;
   }
 }
--- a/src/registered/group/backends/heartbeats.ts
+++ b/src/registered/group/backends/heartbeats.ts
@@ -1,11 +1,7 @@
 /**
- * @file Which heartbeats are passed on, and to whom?
- *
- * Every heartbeat that came in here, and that is later than what was known, goes to all other control machines with the
- * next tick: each of them detects silence for the balancers that it feeds. A balancer is sent a heartbeat only where it
- * changes something, so that its link does not carry each one (docs/design/registered-placement.md), and for a while
- * after the zone of the back end was readmitted. Which heartbeats are late is decided in
- * registry/heartbeat-registry.ts.
+ * @file Applies heartbeats and forwards them. Each new heartbeat received from a back end is sent to all other control
+ * machines on the next tick, because each of them detects silence for the balancers that it feeds. Balancers get a
+ * heartbeat only if it changes the record, or for some time after the zone was readmitted, to limit traffic.
  */
 import type { BackendRecord } from '../../registry/backend-record.js';
 import type { GroupEffect } from '../group-events.js';
@@ -14,16 +10,14 @@
 import { otherMembers } from '../leadership.js';
 
 /**
- * Balancers disregard heartbeats of the first two intervals after a zone was readmitted, since a heartbeat that is sent
- * again may be older than the readmission (docs/design/zones-and-slow-start.md); of the next two one comes,
- * also where one is lost. The half is for their jitter. Not measured; too short would show as back ends that balancers
- * count as cold for long.
+ * After a readmission, balancers ignore heartbeats for two intervals, because a retried one may be older. Two more
+ * intervals tolerate one lost heartbeat, and the half covers jitter.
  */
-const WARMTH_AWAITED_INTERVALS = 4.5;
+const READMISSION_FORWARDING_INTERVALS = 4.5;
 
 /**
- * Applies a heartbeat; balancers are sent it only where it changes something, or where they wait for it.
- * @returns false where a later one was known
+ * Applies a heartbeat and queues it for balancers if they need it.
+ * @returns false if a later heartbeat was already applied
  */
 export function applyHeartbeat(
   state: Pick<GroupState, 'options' | 'readmissions' | 'registry' | 'updates'>,
@@ -33,30 +27,30 @@
   const outcome = state.registry.apply(aged.record, nowMs - aged.ageMs);
   if (
     outcome === 'changed' ||
-    (outcome === 'alive' && isWarmthAwaited(state, aged.record, nowMs))
+    (outcome === 'alive' && isRecentlyReadmitted(state, aged.record, nowMs))
   ) {
     state.updates.addRegistered(aged.record.id);
   }
   return outcome !== 'late';
 }
 
-/** Balancers count the back ends of a zone that was readmitted as cold until a heartbeat says otherwise. */
-function isWarmthAwaited(
+/** Balancers treat back ends of a readmitted zone as cold until they get a heartbeat. */
+function isRecentlyReadmitted(
   { readmissions, options }: Pick<GroupState, 'options' | 'readmissions'>,
   { zone }: BackendRecord,
   nowMs: number,
 ): boolean {
   const ageMs = readmissions.ageMs(zone, nowMs) ?? Number.POSITIVE_INFINITY;
-  return ageMs <= WARMTH_AWAITED_INTERVALS * options.heartbeatIntervalMs;
+  return ageMs <= READMISSION_FORWARDING_INTERVALS * options.heartbeatIntervalMs;
 }
 
 /**
- * Sends the other control machines the heartbeats that came in here.
+ * Sends the queued heartbeats to the other control machines.
  */
 export function shareHeartbeats(
   state: Pick<GroupState, 'consensus' | 'heartbeats'>,
 ): GroupEffect[] {
-  const records = state.heartbeats.takeToShare();
+  const records = state.heartbeats.takeQueued();
   if (records.length === 0) {
     return [];
   }
--- a/src/registered/group/backends/liveness-updates.ts
+++ b/src/registered/group/backends/liveness-updates.ts
@@ -1,30 +1,20 @@
 /**
- * @file Since when does the silence of a back end count?
- *
- * Inputs: whether this machine is current, the last heartbeat of each back end, the replicated list of back ends, the
- * heartbeat interval and the time, in milliseconds. Effect: liveness changes wait to be sent to balancers. Which
- * silence means suspect or dead is decided in registry/backend-liveness.ts.
- *
- * A control machine that is cut off misses heartbeats that others get, so it detects no silence while it is not
- * current. Once it is current again, silence from before counts for one heartbeat interval at most, and back ends of
- * the replicated list that it does not know count as alive with a heartbeat of one interval ago: a back end that is
- * really gone is then suspect after the usual time less one interval. More than one interval would be unfair to back
- * ends whose next heartbeat is on its way; with none, those that are gone would get flows for longer. Not measured.
- *
- * Tests: test/registered/group/balancer-feed ("silence while the machine was cut off"), backend-list. Log line at the
- * balancer: `backend judged`.
+ * @file Updates the liveness of back ends with each tick. A machine that is not current may miss heartbeats, so it detects
+ * no silence. When it becomes current again, earlier silence counts for at most one heartbeat interval, and listed back
+ * ends that it lacks are added with a heartbeat of one interval ago. This gives live back ends time for their next
+ * heartbeat, while dead ones are suspected one interval sooner than usual.
  */
 import type { GroupState } from '../group-state.js';
 import { isCurrent } from '../leadership.js';
 
-/** What the update of liveness reads and changes. */
+/** State that liveness updates read and change. */
 type LivenessState = Pick<
   GroupState,
   'backendList' | 'consensus' | 'heartbeats' | 'options' | 'registry' | 'replicated' | 'updates'
 >;
 
 /**
- * Updates the liveness of all back ends; called with each tick.
+ * Updates the liveness of all back ends and queues the changes for balancers; called with each tick.
  */
 export function updateLiveness(state: LivenessState, nowMs: number): void {
   const { registry, options, heartbeats } = state;
@@ -44,7 +34,7 @@
   changes.forEach(({ backendId }) => state.updates.addLivenessChange(backendId));
 }
 
-/** Adds the back ends of the replicated list that the registry lacks: after a start, a snapshot or a cut. */
+/** Adds listed back ends that the registry lacks, after a start, a snapshot or a partition. */
 function seedRegistry(state: LivenessState, nowMs: number): void {
   const ageMs = state.options.heartbeatIntervalMs;
   for (const registered of state.replicated.allBackends()) {
--- a/src/registered/group/calls/backend-calls.ts
+++ b/src/registered/group/calls/backend-calls.ts
@@ -1,12 +1,7 @@
 /**
- * @file How heartbeats and departures of back ends are handled.
- *
- * A heartbeat is accepted by any machine that is current, and takes no entry of the log. A departure is acknowledged
- * once it is committed, since it is final: a back end may end once it has the reply, and must get no new flow after any
- * restart. Departures that are committed already need no leader.
- *
- * Both belong to one start of a back end. A heartbeat of a start that is not the current one is not acknowledged, since it
- * has no effect (registry/current-starts.ts). To which start a departure belongs is decided in departing-start.ts.
+ * @file Handles heartbeats and departures of back ends. Heartbeats are accepted by any current machine and append
+ * no log entry. Departures are acknowledged after they are committed, because a back end may stop right after the
+ * acknowledgement; those that are already committed need no leader.
  */
 import { formatAddress } from '../../../shared/common/address.js';
 import {
@@ -25,12 +20,12 @@
 import { startCall, type CallState } from './leader-requests.js';
 import { isCurrent } from '../leadership.js';
 
-/** What calls of back ends read and change. */
+/** State that calls of back ends read and change. */
 type BackendCallState = CallState &
   Pick<GroupState, 'configs' | 'heartbeats' | 'readmissions' | 'registry' | 'updates'>;
 
 /**
- * Handles a heartbeat that came in here; one of a back end that is draining records its departure, too.
+ * Handles a heartbeat of a back end. If the back end is draining, this also records its departure.
  */
 export function handleHeartbeat(
   state: BackendCallState,
@@ -47,7 +42,7 @@
   const decisions = registrationDecision(state, record);
   const aged: AgedRecord = { record, ageMs: 0 };
   if (applyHeartbeat(state, aged, nowMs)) {
-    state.heartbeats.addToShare(aged);
+    state.heartbeats.enqueue(aged);
   }
   if (state.registry.isSupersededByOtherStart(record.id)) {
     return [...decisions, unavailable(requestId, 'Another start of this back end is current.')];
@@ -59,7 +54,7 @@
   return [...decisions, accepted(requestId)];
 }
 
-/** One line for each start of a back end that sends its first heartbeat here. */
+/** Log line for the first heartbeat of a start. */
 function registrationDecision(
   { registry }: Pick<GroupState, 'registry'>,
   record: BackendRecord,
@@ -82,8 +77,8 @@
 }
 
 /**
- * Handles the departure of a back end that has ended, or is about to.
- * @param backendId names the start, or the back end alone
+ * Handles the deregistration of a back end.
+ * @param backendId ID of the start, or the plain name of the back end
  */
 export function handleDeregistration(
   state: BackendCallState,
@@ -98,7 +93,7 @@
       const departure = { backendId: departing.id, kind: 'gone' } as const;
       return handleDeparture(state, requestId, departure, nowMs, run);
     }
-    case 'doubtful':
+    case 'ambiguous':
       return [
         unavailable(requestId, 'This may be of the start before; the next one has just begun.'),
       ];
@@ -108,7 +103,7 @@
 }
 
 /**
- * Brings a departure to the leader, unless it is committed already.
+ * Sends a departure to the leader, unless it is already committed.
  */
 function handleDeparture(
   state: CallState,
@@ -117,8 +112,8 @@
   nowMs: number,
   run: RunConsensus,
 ): GroupEffect[] {
-  const known = state.replicated.departureOf(departure.backendId);
-  if (!isLaterDeparture(departure.kind, known)) {
+  const recordedKind = state.replicated.departureOf(departure.backendId);
+  if (!isLaterDeparture(departure.kind, recordedKind)) {
     return [accepted(requestId)];
   }
   const command = { type: 'note-departure', departure } as const;
--- a/src/registered/group/calls/leader-replies.ts
+++ b/src/registered/group/calls/leader-replies.ts
@@ -1,10 +1,9 @@
 /**
- * @file How the leader performs a call, and what it replies.
+ * @file Performs calls on the leader and builds the replies.
  *
- * Reads, and commands that change nothing any more, take no entry of the log: a read round confirms that this machine
- * still leads, and the reply is made from the replicated state after it. All other commands are proposed, and
- * replied to once they are committed and applied. Repeating a call is therefore safe, and cheap where it has taken
- * effect already.
+ * Reads, and commands that have already taken effect, append no entry: a read round confirms the leadership, then the
+ * reply is built from the replicated state. Other commands are proposed, and answered after they are committed and
+ * applied. Calls are idempotent, so clients can retry them.
  */
 import { match } from 'ts-pattern';
 import type { ConsensusEvent } from '../../../shared/consensus/consensus-events.js';
@@ -20,14 +19,14 @@
 import { isFulfilled } from '../zone-orders.js';
 import { zoneReports, type ZoneReportState } from '../zone-reports.js';
 
-/** Runs a consensus event and gives its effects. */
+/** Runs a consensus event and returns its effects. */
 export type RunConsensus = (event: ConsensusEvent) => GroupEffect[];
 
-/** What replies are made from. */
+/** State that replies are built from. */
 export type ReplyState = Pick<GroupState, 'calls' | 'replicated'> & ZoneReportState;
 
 /**
- * Proposes a command, or confirms leadership for what needs no entry.
+ * Proposes a command, or starts a read round if no entry is needed.
  */
 export function performAsLeader(
   { calls, replicated }: ReplyState,
@@ -49,8 +48,8 @@
       ({ document }) => document.version <= (replicated.config?.version ?? 0),
     )
     .with({ type: 'note-departure' }, ({ departure }) => {
-      const known = replicated.departureOf(departure.backendId);
-      return known === 'gone' || known === departure.kind;
+      const recordedKind = replicated.departureOf(departure.backendId);
+      return recordedKind === 'gone' || recordedKind === departure.kind;
     })
     .with({ type: 'order-zone' }, ({ order }) =>
       isFulfilled(order, replicated.zones.statusOf(order.zone)),
@@ -60,7 +59,7 @@
 }
 
 /**
- * Replies to the call behind a proposal or read, where one waits.
+ * Replies to the call that waits for a proposal or read, if there is one.
  */
 export function finishCall(
   state: ReplyState,
@@ -72,8 +71,7 @@
 }
 
 /**
- * Replies to the call behind a read that is confirmed: with what was asked for, or that the command has taken effect
- * already.
+ * Replies to the call that waits for a confirmed read: with the requested data, or that the command has taken effect.
  */
 export function finishRead(state: ReplyState, readId: number): GroupEffect[] {
   const request = state.calls.requestOf(readId);
@@ -92,7 +90,7 @@
       zones: zoneReports(state),
     }))
     .with({ type: 'command' }, ({ command }): LeaderReply =>
-      // Another order may have been committed while the read was confirmed.
+      // Another order may have been committed during the read round.
       command.type === 'order-zone' && !changesNothing(replicated, command)
         ? outdatedOrder(command.order.zone)
         : { type: 'committed' },
@@ -100,7 +98,7 @@
     .exhaustive();
 }
 
-/** Sends a reply to the client, or to the machine that forwarded the call. */
+/** Sends a reply to the client or to the machine that forwarded the call. */
 export function replyTo(
   { calls }: ReplyState,
   receiver: ReplyTo,
@@ -114,11 +112,11 @@
       message: { type: 'forward-reply', forwardId, answer: leaderReply },
     };
   }
-  calls.stopWaiting(receiver.requestId);
+  calls.removeClientCall(receiver.requestId);
   return reply(receiver.requestId, clientReply(leaderReply));
 }
 
-/** Sends the leader's reply to a client of this machine, whose call was forwarded and waits no more. */
+/** Sends the reply of the leader to the client of a forwarded call. */
 export function replyToForwarded(requestId: RequestId, leaderReply: LeaderReply): GroupEffect {
   return reply(requestId, clientReply(leaderReply));
 }
@@ -133,21 +131,21 @@
 }
 
 /**
- * @returns the reply to a call that could not be performed
+ * @returns the reply to a refused call
  */
 export function refused(reason: string): LeaderReply {
   return { type: 'refused', reason };
 }
 
 /**
- * @returns the reply to an order that does not follow the last one for its zone
+ * @returns the reply to an order that was based on an outdated status of its zone
  */
 export function outdatedOrder(zone: string): LeaderReply {
   return refused(`Another order for zone ${zone} came between.`);
 }
 
 /**
- * @returns the reply to a call that is given up; it may or may not have taken effect
+ * @returns the reply to a call that failed or timed out; it may still take effect
  */
 export function unavailable(requestId: RequestId, reason: string): GroupEffect {
   return reply(requestId, { type: 'unavailable', reason });
--- a/src/registered/group/calls/leader-requests.ts
+++ b/src/registered/group/calls/leader-requests.ts
@@ -1,20 +1,11 @@
 /**
- * @file Which machine performs a call, and when is it given up?
+ * @file Routes calls of clients to the leader: performs them if this machine is the leader, forwards them to the leader
+ * otherwise, and fails them as `unavailable` if no leader is known or the deadline passes. A call that failed may still
+ * take effect.
  *
- * A call is performed by the leader. Inputs: the call, who leads as this machine knows, the time in milliseconds and
- * the request deadline of the options. Returns effects: the call is proposed here, forwarded to the leader, or
- * answered `unavailable`.
- *
- * - Where no leader is known, the client gets its reply at once and goes on to another machine; waiting here could
- *   only end at its deadline.
- * - A forwarded call is named by the start of this machine and a count (forward-ids.ts).
- * - A call is forwarded once. A machine that gets a forwarded call and does not lead refuses it, so that calls can't
- *   circle among machines that disagree about the leader.
- * - There are no retries here: the client repeats its call, and repeated commands change nothing (leader-replies.ts).
- * - After `requestDeadlineMs` the call is given up. `unavailable` promises nothing: the command may still be
- *   committed.
- *
- * `requestDeadlineMs` comes from the program that embeds the group: it has to be shorter than what its clients wait.
+ * A call is forwarded only once: a machine that is not the leader refuses forwarded calls, so that they cannot loop
+ * between machines that disagree about the leader. Retries are left to clients, since commands are idempotent. The
+ * deadline must be shorter than the timeout of the clients.
  */
 import { formatAddress } from '../../../shared/common/address.js';
 import type { GroupEffect, RequestId } from '../group-events.js';
@@ -33,11 +24,11 @@
 
 type DecisionEffect = Extract<GroupEffect, { type: 'decision' }>;
 
-/** What the way of a call needs of the machine. */
+/** State that the routing of calls reads and changes. */
 export type CallState = ReplyState & Pick<GroupState, 'consensus' | 'options'>;
 
 /**
- * Brings a call of a client of this machine to the leader.
+ * Performs a call of a client, or forwards it to the leader.
  */
 export function startCall(
   state: CallState,
@@ -49,14 +40,14 @@
   const { calls, consensus, options } = state;
   const deadlineMs = nowMs + options.requestDeadlineMs;
   if (consensus.role.name === 'leader') {
-    calls.startWaiting(requestId, deadlineMs);
+    calls.addClientCall(requestId, deadlineMs);
     return performAsLeader(state, request, { type: 'client', requestId }, run);
   }
   const leader = leaderAddress(state);
   if (leader === undefined) {
     return [unavailable(requestId, 'No leader is known.')];
   }
-  const forwardId = calls.startForwarding(requestId, deadlineMs);
+  const forwardId = calls.addForwardedCall(requestId, deadlineMs);
   return [
     {
       type: 'send-peer',
@@ -72,7 +63,7 @@
 }
 
 /**
- * Performs a call that another machine forwarded, or refuses it where this machine does not lead.
+ * Performs a call that another machine forwarded, or refuses it if this machine is not the leader.
  */
 export function handleForward(
   state: CallState,
@@ -88,8 +79,8 @@
 }
 
 /**
- * Passes the leader's reply to a forwarded call on to its client. One to a call that was given up, or that was forwarded
- * before this machine started again, is dropped.
+ * Passes the reply to a forwarded call on to its client. Replies to calls that have timed out, or that were forwarded
+ * before a restart, are dropped.
  */
 export function handleForwardReply(
   state: CallState,
@@ -97,22 +88,22 @@
 ): GroupEffect[] {
   const { calls } = state;
   const requestId = calls.takeForwarded(forwardId);
-  const line = callDecision('leader replied', {
+  const decision = callDecision('leader replied', {
     forward: forwardId,
     reply: answer.type,
     awaited: requestId !== undefined,
     ofThisStart: calls.isForwardOfThisStart(forwardId),
   });
-  return requestId === undefined ? [line] : [line, replyToForwarded(requestId, answer)];
+  return requestId === undefined ? [decision] : [decision, replyToForwarded(requestId, answer)];
 }
 
-/** With these lines a reply is found to the call that it answers, on one machine and over its starts. */
+/** Log line; the field `forward` matches replies to calls. */
 function callDecision(name: string, fields: DecisionEffect['fields']): DecisionEffect {
   return { type: 'decision', name, fields };
 }
 
 /**
- * Gives up calls whose deadline has passed.
+ * Replies `unavailable` to calls whose deadline has passed.
  */
 export function expireCalls({ calls }: CallState, nowMs: number): GroupEffect[] {
   return calls
--- a/src/registered/group/calls/order-guard.ts
+++ b/src/registered/group/calls/order-guard.ts
@@ -1,19 +1,12 @@
 /**
- * @file From which pause of this process on may an order that was read after it be late?
- *
- * Returns the guard that zone-order-calls.ts asks before it accepts an order. How long orders are refused after a pause
- * stands in shared/common/stall-guard.ts.
+ * @file Detects pauses of this process after which a queued zone order may be outdated (zone-order-calls.ts).
  */
 import { createStallGuard, type StallGuard } from '../../../shared/common/stall-guard.js';
 
-/**
- * A pause of this process from which on orders may be late. An order that waited for less is as new as any that was on
- * its way: its sender waits for a second. Shorter pauses were not tried; that an order may be read more than 0.3 s
- * after a pause is an accepted limit (docs/design/zones-and-slow-start.md).
- */
+/** Shorter than the time for which the sender of an order waits. */
 const ORDER_STALL_MS = 300;
 
-/** @returns the guard that detects pauses of this process; no order is remembered by others, so none is doubtful */
+/** @returns the guard; orders are either fresh or stale, since other machines keep no record of them */
 export function createOrderGuard(): StallGuard {
   return createStallGuard({ stallMs: ORDER_STALL_MS, rememberedMs: 0 });
 }
--- a/src/registered/group/calls/pending-calls.ts
+++ b/src/registered/group/calls/pending-calls.ts
@@ -1,77 +1,75 @@
 /**
- * @file The calls that wait on this control machine. It owns the calls of its own clients, which wait for their
- * deadline, by which numbers those of them are known that were forwarded, and what the leader has to reply to: proposals
- * and reads under way, for clients or for other machines.
- * Both are lost with the process; clients repeat their calls.
+ * @file Calls that wait on this control machine: calls of its own clients, with their deadlines and forward IDs, and the
+ * proposals and reads that it performs as leader, for clients or other machines. Lost on restart; clients retry.
  */
 import type { Address } from '../../../shared/common/address.js';
 import type { RequestId } from '../group-events.js';
 import type { LeaderRequest } from '../group-messages.js';
 import { createForwardIds, type StartNumber } from './forward-ids.js';
 
-/** Who gets the reply to a proposal or read of this leader. */
+/** Receiver of the reply to a proposal or read. */
 export type ReplyTo =
   | { readonly type: 'client'; readonly requestId: RequestId }
   | { readonly type: 'peer'; readonly address: Address; readonly forwardId: number };
 
-/** A proposal or read under way. */
+/** A pending proposal or read. */
 interface PendingReply {
   readonly replyTo: ReplyTo;
   readonly request: LeaderRequest;
 }
 
-/** The calls that wait. */
+/** Table of pending calls. */
 export interface PendingCalls {
-  /** How many calls of clients of this machine wait for their reply. */
-  readonly waitingCount: number;
-  /** Lets a call of a client wait until its reply or its deadline, in milliseconds. */
-  startWaiting(requestId: RequestId, deadlineMs: number): void;
-  /** The same for a call that is forwarded. @returns the number by which the leader replies to it */
-  startForwarding(requestId: RequestId, deadlineMs: number): number;
-  /** Removes and returns the call that waits for the leader's reply to this number; undefined where none does. */
+  /** Number of pending calls of clients of this machine. */
+  readonly clientCallCount: number;
+  /** Adds a call of a client; `deadlineMs` is a point in time, not a duration. */
+  addClientCall(requestId: RequestId, deadlineMs: number): void;
+  /** Adds a call that is forwarded. @returns its forward ID, which the reply of the leader carries */
+  addForwardedCall(requestId: RequestId, deadlineMs: number): number;
+  /** Removes and returns the call with this forward ID; undefined if none is pending. */
   takeForwarded(forwardId: number): RequestId | undefined;
-  /** @returns true where a number was given to a call since this machine started */
+  /** @returns true if the forward ID was issued since this machine started */
   isForwardOfThisStart(forwardId: number): boolean;
-  /** @returns true where the call was still waiting; it is not any more */
-  stopWaiting(requestId: RequestId): boolean;
+  /** Removes a call. @returns false if it was not pending */
+  removeClientCall(requestId: RequestId): boolean;
   /** Removes and returns the calls whose deadline has passed. */
   takeExpired(nowMs: number): RequestId[];
-  /** @returns the number by which consensus knows the proposal or read of this request; positive */
+  /** @returns the ID of the proposal or read for this request; positive */
   addPendingReply(pending: PendingReply): number;
-  /** @returns the request behind a proposal or read under way */
+  /** @returns the request of a pending proposal or read */
   requestOf(proposalId: number): LeaderRequest | undefined;
-  /** Removes and returns who waits for a proposal or read. */
+  /** Removes and returns a pending proposal or read. */
   takePendingReply(proposalId: number): PendingReply | undefined;
-  /** @returns all proposals and reads under way, oldest first */
+  /** @returns the IDs of all pending proposals and reads, oldest first */
   pendingIds(): number[];
-  /** A proposal has its place in the log, and is not committed yet. */
+  /** Records the log position of a proposal that is appended and not yet committed. */
   recordAppended(index: number, term: number, proposalId: number): void;
-  /** Removes the proposal at an index; returns it where the entry that is committed there is its own. */
+  /** Removes the proposal at an index; returns its ID if the entry committed there has the same term. */
   takeAppended(index: number, term: number): number | undefined;
-  /** Forgets the places in the log: this machine does not lead any more. */
+  /** Removes all log positions, after leadership was lost. */
   forgetAppended(): void;
 }
 
-/** @returns a machine on which nothing waits, since it has just started */
+/** @returns an empty table */
 export function createPendingCalls(start: StartNumber): PendingCalls {
   const forwardIds = createForwardIds(start);
   const deadlines = new Map<RequestId, number>();
-  /** Calls that were forwarded, by the number that the leader knows. */
+  /** Forwarded calls, by forward ID. */
   const forwarded = new Map<number, RequestId>();
   const pendingReplies = new Map<number, PendingReply>();
-  /** By the index in the log. */
+  /** Appended proposals, by log index. */
   const appended = new Map<number, { readonly term: number; readonly proposalId: number }>();
   let nextProposalId = 1;
 
   return {
-    get waitingCount() {
+    get clientCallCount() {
       return deadlines.size;
     },
-    startWaiting: (requestId, deadlineMs) => void deadlines.set(requestId, deadlineMs),
-    startForwarding,
+    addClientCall: (requestId, deadlineMs) => void deadlines.set(requestId, deadlineMs),
+    addForwardedCall,
     takeForwarded,
     isForwardOfThisStart: forwardIds.isOfThisStart,
-    stopWaiting: (requestId) => deadlines.delete(requestId),
+    removeClientCall: (requestId) => deadlines.delete(requestId),
     takeExpired,
     addPendingReply,
     requestOf: (proposalId) => pendingReplies.get(proposalId)?.request,
@@ -82,7 +80,7 @@
     forgetAppended: () => appended.clear(),
   };
 
-  function startForwarding(requestId: RequestId, deadlineMs: number): number {
+  function addForwardedCall(requestId: RequestId, deadlineMs: number): number {
     const forwardId = forwardIds.next();
     deadlines.set(requestId, deadlineMs);
     forwarded.set(forwardId, requestId);
--- a/src/registered/group/calls/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -1,15 +1,7 @@
 /**
- * @file Does this machine accept an operator's order for a zone?
- *
- * Inputs: the zone, the kind of order, the time in milliseconds, and when this process last stood still. Returns
- * effects: the order goes to the leader, or is answered `unknown-zone` or `unavailable`.
- *
- * An order carries no time. One that waited while this process stood still may be older than what its sender has
- * ordered at another machine meanwhile, so orders that are read within a moment after a pause are refused; the sender
- * goes on to another machine within a second. Behind this machine the order can't be late: it names the number of
- * orders for the zone that are known here, and zone-orders.ts refuses one that does not follow the last (the ways
- * weighed: docs/design/zones-and-slow-start.md). Log lines: `zone evacuated`, `zone readmitted`,
- * `order outdated`.
+ * @file Handles zone orders of operators. An order carries no time, so orders that are read shortly after a pause of this
+ * process are refused: the operator may have given a newer order to another machine meanwhile. Later delays are harmless,
+ * because the order names the number of orders that this machine knew for the zone (zone-orders.ts).
  */
 import type { GroupEffect, GroupEvent, GroupReply } from '../group-events.js';
 import type { GroupState } from '../group-state.js';
@@ -19,11 +11,11 @@
 
 type ZoneOrderCall = Extract<GroupEvent, { readonly type: 'order-zone' }>;
 
-/** What an order is checked against. */
+/** State that orders are validated against. */
 type ZoneOrderState = CallState & Pick<GroupState, 'balancers' | 'stallGuard'>;
 
 /**
- * Handles the order of an operator.
+ * Handles an order: forwards it to the leader, or replies `unknown-zone` or `unavailable`.
  */
 export function orderZone(
   state: ZoneOrderState,
@@ -44,19 +36,22 @@
 }
 
 function hasZone({ options, balancers, replicated }: ZoneOrderState, zone: string): boolean {
-  const runsThere = (other: { readonly zone: string }) => other.zone === zone;
+  const isInZone = (other: { readonly zone: string }) => other.zone === zone;
   return (
     options.zones.includes(zone) ||
     options.zone === zone ||
     balancers.hasControlIn(zone) ||
-    [...balancers.published.values()].some(runsThere) ||
-    [...replicated.allBackends()].some(runsThere)
+    [...balancers.published.values()].some(isInZone) ||
+    [...replicated.allBackends()].some(isInZone)
   );
 }
 
-/** A machine that has just started, or is cut off, knows of no other zone yet: the order goes to another machine. */
+/** A machine that is not current may lack zones, so its reply lets the client try another machine. */
 function unknownZone(state: ZoneOrderState, zone: string, nowMs: number): GroupReply {
   return isCurrent(state, nowMs)
     ? { type: 'unknown-zone', zone }
-    : { type: 'unavailable', reason: `Zone ${zone} is not known here, which may change.` };
+    : {
+        type: 'unavailable',
+        reason: `Zone ${zone} is not known here, which may change.`,
+      };
 }
--- a/src/registered/group/feed/balancer-feed.ts
+++ b/src/registered/group/feed/balancer-feed.ts
@@ -101,7 +101,7 @@
   const plans = planMessages(state, subscriber, isCurrent(state, nowMs), nowMs);
   return plans.map((plan) => {
     subscriber.wasSentCurrent = plan.isCurrent;
-    subscriber.nextPulseAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
+    subscriber.nextPulseAtMs = nowMs + state.options.timing.feedKeepaliveIntervalMs;
     return { type: 'send-feed', linkId, message: messageOf(state, plan, nowMs) };
   });
 }
--- a/src/registered/group/feed/feed-plan.ts
+++ b/src/registered/group/feed/feed-plan.ts
@@ -11,7 +11,7 @@
  * - Each message is bounded in names and in changes of routes. Back ends come before routes: placement waits for both,
  *   and routes may be many.
  * - Where nothing is to be sent, a pulse says whether this machine is current: at once when that changes, otherwise
- *   every `feedPulseIntervalMs` (timing.ts).
+ *   every `feedKeepaliveIntervalMs` (timing.ts).
  *
  * Without bounds a configuration of 2,710 routes is one message of 287,446 bytes, 1.15 s of a link of 2 Mbit/s, and the
  * feed is given up before it has come (docs/incidents/tv-cartago-grown-drain.md). The ways weighed are in
--- a/src/registered/group/feed/load-duties.ts
+++ b/src/registered/group/feed/load-duties.ts
@@ -105,7 +105,7 @@
     if (fields === undefined) {
       continue;
     }
-    subscriber.nextPulseAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
+    subscriber.nextPulseAtMs = nowMs + state.options.timing.feedKeepaliveIntervalMs;
     const isComplete = !isBehind(state, subscriber);
     effects.push({
       type: 'send-feed',
--- a/src/registered/group/group-consensus.ts
+++ b/src/registered/group/group-consensus.ts
@@ -1,7 +1,6 @@
 /**
- * @file How a control machine carries out the effects of its consensus: messages go to members, committed entries are
- * applied, calls get their replies, snapshots are taken in time. It relies on src/shared/consensus for agreement, and
- * owns no state.
+ * @file Runs the consensus step (src/shared/consensus) of a control machine and carries out its effects: sends messages
+ * to members, applies committed entries, replies to calls and takes snapshots.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
@@ -18,15 +17,15 @@
 import type { WithConsensus } from './leadership.js';
 import { isSnapshotDue } from './snapshot-schedule.js';
 
-/** What consensus events read and change. */
+/** State that consensus events read and change. */
 export type ConsensusRunState = AppliedState & Pick<GroupState, 'announcements'>;
 
-/** Proposal ID of the leader's own changes, for which no call waits. */
+/** Proposal ID of the leader's own changes, which no call waits for. */
 export const OWN_PROPOSAL = 0;
 
 /**
- * Runs the consensus step and carries out its effects, among them those that change the state here.
- * @returns the effects that are left, in order
+ * Runs the consensus step and carries out the effects that change the state of this machine.
+ * @returns the effects for the caller to carry out, in order
  */
 export function runConsensus(
   state: ConsensusRunState,
@@ -35,7 +34,7 @@
 ): GroupEffect[] {
   const effects = consensusStep(state.consensus, event, context);
   const handled = effects.flatMap((effect) => handleConsensusEffect(state, effect, context.nowMs));
-  return [...handled, ...takeSnapshotWhereDue(state, context)];
+  return [...handled, ...takeSnapshotIfDue(state, context)];
 }
 
 function handleConsensusEffect(
@@ -45,7 +44,7 @@
 ): GroupEffect[] {
   return match(consensusEffect)
     .with({ type: 'persist' }, { type: 'persist-snapshot' }, (effect): GroupEffect[] => [effect])
-    .with({ type: 'consensus-send' }, ({ to, message }) => sendConsensus(state, to, message))
+    .with({ type: 'consensus-send' }, ({ to, message }) => sendConsensusMessage(state, to, message))
     .with({ type: 'committed' }, ({ entries }) =>
       entries.flatMap((entry) => applyEntry(state, entry, nowMs)),
     )
@@ -68,7 +67,7 @@
     .exhaustive();
 }
 
-function sendConsensus(
+function sendConsensusMessage(
   { consensus, options, announcements }: ConsensusRunState,
   to: NodeId,
   message: ConsensusMessage,
@@ -89,7 +88,7 @@
   return [{ type: 'send-peer', to: address, message: peerMessage }];
 }
 
-/** What was proposed may still be committed; a client that repeats its call learns whether it was. */
+/** Refuses all pending calls. Their proposals may still be committed; a client that retries learns the outcome. */
 function abandonCalls(state: ReplyState, kind: string): GroupEffect[] {
   state.calls.forgetAppended();
   return state.calls
@@ -105,7 +104,7 @@
   return { type: 'decision', name: 'role', fields };
 }
 
-function takeSnapshotWhereDue(state: ConsensusRunState, context: StepContext): GroupEffect[] {
+function takeSnapshotIfDue(state: ConsensusRunState, context: StepContext): GroupEffect[] {
   const { consensus, replicated } = state;
   const index = consensus.commitIndex;
   const entries = index - (consensus.snapshot?.index ?? 0);
--- a/src/registered/group/group-events.ts
+++ b/src/registered/group/group-events.ts
@@ -1,5 +1,5 @@
 /**
- * @file Events and effects of the step of a control machine of a group.
+ * @file Types of the events that the step of a control machine handles and of the effects that it returns.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { LinkId } from '../../shared/common/link-table.js';
@@ -16,10 +16,10 @@
 import type { ConfigDocument } from './replicated-state.js';
 import type { ZoneOrderKind } from './zone-orders.js';
 
-/** Names a call of a back end or operator until its reply; positive. */
+/** Identifies a call of a back end or operator until its reply; positive. */
 export type RequestId = number;
 
-/** What can happen to a control machine. */
+/** Input of the step of a control machine. */
 export type GroupEvent =
   | {
       readonly type: 'heartbeat';
@@ -30,10 +30,10 @@
   | {
       readonly type: 'deregister';
       readonly requestId: RequestId;
-      /** Names the start, or the back end alone where it does not say when it started (registry/backend-start.ts). */
+      /** ID of the start; the plain name if the back end reports no start time (registry/backend-start.ts). */
       readonly backendId: string;
     }
-  /** The document is valid; it comes into force where its version is the highest. */
+  /** The document has been validated; it takes effect if its version is the highest. */
   | {
       readonly type: 'declare-config';
       readonly requestId: RequestId;
@@ -54,26 +54,26 @@
   | { readonly type: 'link-closed'; readonly linkId: LinkId }
   | PersistEvent
   | { readonly type: 'tick' }
-  /** The process is about to stop: leadership is handed over. */
+  /** The process is about to stop and hands over leadership. */
   | { readonly type: 'stop' };
 
-/** The reply to a call. */
+/** Reply to a call of a back end or operator. */
 export type GroupReply =
   | { readonly type: 'accepted' }
   | { readonly type: 'config'; readonly document: ConfigDocument | undefined }
   | { readonly type: 'zones'; readonly zones: readonly ZoneReport[] }
-  /** Nothing was ordered: the deployment has no such zone. */
+  /** The deployment has no such zone; nothing was changed. */
   | { readonly type: 'unknown-zone'; readonly zone: string }
-  /** Nothing is promised: the call may or may not take effect. */
+  /** The outcome is unknown: the call may or may not take effect. */
   | { readonly type: 'unavailable'; readonly reason: string };
 
-/** What the step asks of its surroundings. */
+/** Output of the step, to be carried out by the caller. */
 export type GroupEffect =
   | PersistEffect
   | { readonly type: 'send-peer'; readonly to: Address; readonly message: PeerMessage }
   | { readonly type: 'send-feed'; readonly linkId: LinkId; readonly message: FeedMessage }
   | { readonly type: 'reply'; readonly requestId: RequestId; readonly reply: GroupReply }
-  /** A decision that changed what this process believes; for logs. */
+  /** A line for the log. */
   | {
       readonly type: 'decision';
       readonly name: string;
--- a/src/registered/group/group-messages.ts
+++ b/src/registered/group/group-messages.ts
@@ -1,7 +1,7 @@
 /**
- * @file Messages of the control group: among control machines, and between a control machine and the balancers that it
- * feeds. They travel as MessagePack in frames over TCP; feeds are packed before (wire/feed-codec.ts), all others travel
- * with these field names. Where a name is older than the term of the code, its comment gives the term.
+ * @file Types of the messages between control machines, and between a control machine and the balancers that it feeds.
+ * They are sent over TCP as MessagePack frames with these field names; feed messages are packed first
+ * (wire/feed-codec.ts). If a field name differs from the term used in the code, its comment gives the term.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
@@ -13,60 +13,60 @@
 import type { ConfigDocument, GroupCommand } from './replicated-state.js';
 import type { ZoneStatus } from './zone-orders.js';
 
-/** A heartbeat that is passed on; it carries its age, since clocks need not agree. */
+/** A forwarded heartbeat; carries its age, because clocks may differ between machines. */
 export interface AgedRecord {
   readonly record: BackendRecord;
-  /** Milliseconds since the heartbeat came. */
+  /** Milliseconds since the heartbeat was received. */
   readonly ageMs: number;
 }
 
-/** A balancer as the group knows it. */
+/** A balancer that is registered with the group. */
 export interface BalancerInfo {
   readonly name: string;
   readonly zone: string;
-  /** UDP address at which other balancers reach it. */
+  /** UDP address for messages from other balancers. */
   readonly peerAddress: Address;
 }
 
-/** A control machine as the group knows it. */
+/** A control machine that balancers can connect to. */
 export interface ControlInfo {
   readonly linkAddress: Address;
-  /** Where it runs; absent while it is not known. */
+  /** Zone that it runs in; absent while unknown. */
   readonly zone?: string;
 }
 
-/** A zone as balancers are sent it. */
+/** Status of a zone in a feed. */
 export interface ZoneUpdate extends ZoneStatus {
   /**
-   * Milliseconds since it was readmitted, where the sender saw that: its back ends may have turned cold shortly before.
+   * Milliseconds since the zone was readmitted, if the sender observed it; its back ends may still be cold.
    */
   readonly readmittedAgoMs?: number | undefined;
 }
 
-/** What is known of the work of a zone. */
+/** Load of a zone. */
 export interface ZoneReport extends ZoneStatus {
-  /** Active back ends there that are alive. */
+  /** Number of back ends that are alive and have not announced a departure. */
   readonly backendCount: number;
-  /** How many requests these work on at the same time. */
+  /** Number of requests that these back ends can process concurrently. */
   readonly slots: number;
-  /** Requests that seem to be in progress there. */
+  /** Estimated number of requests in progress. */
   readonly busy: number;
 }
 
-/** What a request of a client asks of the leader. */
+/** Request of a client to the leader. */
 export type LeaderRequest =
   | { readonly type: 'command'; readonly command: GroupCommand }
   | { readonly type: 'read-config' }
   | { readonly type: 'read-zones' };
 
-/** The leader's reply. */
+/** Reply of the leader. */
 export type LeaderReply =
   | { readonly type: 'committed' }
   | { readonly type: 'config'; readonly document: ConfigDocument | undefined }
   | { readonly type: 'zones'; readonly zones: readonly ZoneReport[] }
   | { readonly type: 'refused'; readonly reason: string };
 
-/** From one control machine to another. */
+/** Message between control machines. */
 export type PeerMessage =
   | {
       readonly type: 'consensus';
@@ -77,25 +77,25 @@
       readonly toNodeId: string;
       readonly message: ConsensusMessage;
     }
-  /** The sender belongs to no group, or got nothing from its leader for some time. */
+  /** The sender belongs to no group, or has lost contact with its leader. */
   | { readonly type: 'announce'; readonly from: Sender; readonly linkAddress: Address }
-  /** The sender stops for good, or at least for now; asked of the leader. */
+  /** The sender is stopping and asks the leader to remove it. */
   | { readonly type: 'leave'; readonly from: Sender }
   | { readonly type: 'heartbeats'; readonly records: readonly AgedRecord[] }
   | {
       readonly type: 'balancers';
       readonly sender: Address;
-      /** Where the sender runs. */
+      /** Zone that the sender runs in. */
       readonly zone: string;
       readonly balancers: readonly BalancerInfo[];
     }
-  /** The load exchange: sums over the balancers that the sender feeds, in place of its last ones. */
+  /** Load exchange: sums over the balancers that the sender feeds; replaces its previous sums. */
   | {
       readonly type: 'load-sums';
       readonly sender: Address;
-      /** Undefined where the last ones still hold. */
+      /** Undefined if unchanged. */
       readonly loads?: PackedLoads | undefined;
-      /** Answer stats; undefined where the last ones still hold. */
+      /** Answer stats; undefined if unchanged. */
       readonly signals?: PackedAnswerStats | undefined;
     }
   | {
@@ -104,92 +104,92 @@
       readonly replyTo: Address;
       readonly request: LeaderRequest;
     }
-  /** `answer` is the leader's reply. */
+  /** `answer` is the reply of the leader. */
   | { readonly type: 'forward-reply'; readonly forwardId: number; readonly answer: LeaderReply };
 
-/** From a balancer to the control machine that feeds it; the first message of a link. */
+/** First message on a link, from a balancer to the control machine that feeds it. */
 export interface SubscribeMessage {
   readonly type: 'subscribe';
   readonly balancer: BalancerInfo;
-  /** Version of the configuration that it holds; 0 for none. */
+  /** Version of the configuration that the balancer holds; 0 for none. */
   readonly configVersion: number;
-  /** What it has of an update to a newer version, from a link that ended before all had come. */
+  /** Changes of a newer version that the balancer received before its previous link closed. */
   readonly unfinished?: UnfinishedConfig;
 }
 
-/** The first changes of an update, which a balancer got before the link ended. */
+/** A configuration update that was interrupted when the link closed. */
 export interface UnfinishedConfig {
   readonly version: number;
-  /** The version that the changes are made to. */
+  /** Version that the changes apply to. */
   readonly baseVersion: number;
-  /** How many changes have come. */
+  /** Number of changes received. */
   readonly changesTaken: number;
 }
 
-/** From a balancer to the control machine that feeds it: its tables of the load exchange, in place of the last ones. */
+/** From a balancer to the control machine that feeds it: its load tables; they replace the previous ones. */
 export interface LoadReportMessage {
   readonly type: 'load-report';
-  /** Undefined where the last ones still hold. */
+  /** Undefined if unchanged. */
   readonly loads?: PackedLoads | undefined;
-  /** Answer stats; undefined where the last ones still hold. */
+  /** Answer stats; undefined if unchanged. */
   readonly signals?: PackedAnswerStats | undefined;
 }
 
-/** The acknowledgement of a balancer: it has applied what it was sent. */
+/** From a balancer: acknowledges the feed messages that it has applied. */
 export interface FeedTakenMessage {
   readonly type: 'feed-taken';
-  /** How many counted messages it has applied on this link. */
+  /** Number of counted messages that the balancer has applied on this link. */
   readonly count: number;
 }
 
-/** Where a message stands in a full sync. */
+/** Position of a message within a full sync. */
 export type FullSyncStage =
   /** The first of several messages. */
   | 'begins'
   | 'goes-on'
-  /** The last one: back ends that no message of a current full sync named are suspect from now on. */
+  /** The last message; back ends that a full sync from a current sender did not include become suspect. */
   | 'ends'
-  /** The only one. */
+  /** The only message. */
   | 'whole';
 
-/** From a control machine to a balancer. Absent parts have not changed. */
+/** From a control machine to a balancer. Absent fields are unchanged. */
 export interface FeedMessage {
   readonly type: 'feed';
-  /** True where the sender follows a leader that a quorum follows, and so knows what is committed. */
+  /** True if the sender is in contact with a leader that has a quorum, so its committed state is current. */
   readonly isCurrent: boolean;
-  /** True where the receiver, with this message, has all that the sender knows. */
+  /** True if the receiver is fully up to date with the sender after this message. */
   readonly isComplete: boolean;
-  /** True where the receiver acknowledges the message; the sender counts it as under way until then. */
+  /** True if the receiver must acknowledge the message; it counts as in flight until then. */
   readonly isCounted: boolean;
-  /** The stage of a full sync; absent for updates. */
+  /** Stage of a full sync; absent in incremental updates. */
   readonly transfer?: FullSyncStage;
   readonly config?: ConfigPart;
-  /** Back ends that are new, or whose record has changed. */
+  /** Back ends that are new or whose record has changed. */
   readonly records?: readonly AgedRecord[];
-  /** Changes of liveness. */
+  /** Liveness changes. */
   readonly judgements?: readonly LivenessChange[];
   readonly departures?: readonly Departure[];
-  /** Balancers that came. */
+  /** Balancers that were added. */
   readonly balancers?: readonly BalancerInfo[];
-  /** Names of balancers that went. */
+  /** Names of balancers that were removed. */
   readonly lostBalancers?: readonly string[];
   readonly controls?: readonly ControlInfo[];
-  /** All zones for which there ever was an order. */
+  /** All zones that have ever had an order. */
   readonly zones?: readonly ZoneUpdate[];
-  /** Loads: the sums over all other balancers, in place of the last ones. */
+  /** Loads, summed over all other balancers; replaces the previous sums. */
   readonly loads?: PackedLoads;
-  /** Answer stats: the sums over all other balancers, in place of the last ones. */
+  /** Answer stats, summed over all other balancers; replaces the previous sums. */
   readonly signals?: PackedAnswerStats;
 }
 
-/** What a balancer sends on its link. */
+/** Message of a balancer to the control machine that feeds it. */
 export type BalancerLinkMessage = SubscribeMessage | LoadReportMessage | FeedTakenMessage;
 
-/** Every message that comes in at the link address of a control machine. */
+/** Any message that a control machine receives at its link address. */
 export type ControlInboundMessage = PeerMessage | BalancerLinkMessage;
 
 /**
- * @returns true where a message comes from a balancer that is fed here, and not from a control machine
+ * @returns true if the message comes from a balancer, false if from a control machine
  */
 export function isBalancerLinkMessage(
   message: ControlInboundMessage,
--- a/src/registered/group/group-options.ts
+++ b/src/registered/group/group-options.ts
@@ -1,36 +1,35 @@
 /**
- * @file Options of a control machine. They are fixed at the start; only the addresses at which it looks for its
- * group may change later (members/announcements.ts).
+ * @file Options of a control machine, fixed at the start; only the seeds can change later (members/announcements.ts).
  */
 import type { Address } from '../../shared/common/address.js';
 import type { DeclaredConfig } from '../declared/declared-config.js';
 import type { ConfigDocument } from './replicated-state.js';
 import type { Timing } from './timing.js';
 
-/** Options of a control machine; all times in milliseconds. */
+/** Options of a control machine; all times are in milliseconds. */
 export interface GroupOptions {
   readonly linkAddress: Address;
-  /** Where this machine runs; balancers of the zone prefer it as the source of their feed. */
+  /** Zone of this machine; balancers in the same zone prefer it as their feed source. */
   readonly zone: string;
-  /** Zones of the deployment that the settings name; others are known by what runs there. */
+  /** Zones that the settings list; other zones are discovered from the machines that run in them. */
   readonly zones: readonly string[];
-  /** Link addresses of the machines with which the group begins, and by which it is found later. */
+  /** Link addresses of the initial members; other machines join the group through them. */
   readonly seeds: readonly Address[];
-  /** True at the first start of the whole system, with empty disks. */
+  /** True on the first start of the whole system, with empty disks. */
   readonly isFirstStart: boolean;
-  /** How many disks may be lost right after an acknowledgement. */
+  /** Number of disks that may be lost right after an acknowledgement without losing data. */
   readonly tolerableLosses: number;
-  /** Time between two heartbeats of a back end. */
+  /** Interval between heartbeats of a back end. */
   readonly heartbeatIntervalMs: number;
-  /** A back end without a heartbeat for so long is forgotten. */
+  /** A back end is removed after this time without a heartbeat. */
   readonly forgetBackendAfterMs: number;
-  /** A voter above the number needed that is silent for so long is removed. */
+  /** A spare voter is removed after this time without contact. */
   readonly removeVoterAfterMs: number;
-  /** A call is answered within this time, at worst with `unavailable`. */
+  /** Calls without a reply are answered `unavailable` after this time. */
   readonly requestDeadlineMs: number;
-  /** Parses a document; it was checked before it came into the log. */
+  /** Parses a document that was validated before it was proposed. */
   readonly readDocument: (document: ConfigDocument) => DeclaredConfig;
   readonly timing: Timing;
-  /** Synced copies that an acknowledgement waits for. */
+  /** Number of synced copies that an acknowledgement waits for. */
   readonly minimumCopies: number;
 }
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -1,7 +1,6 @@
 /**
- * @file The state of a control machine, put together from the parts that its modules own. Each part is made by one
- * factory, in the module that is named here, and changed through its functions; duties declare which parts they need.
- * Only `consensus` and `replicated` are durable; all else is rebuilt after a restart.
+ * @file State of a control machine, composed of parts that other modules create and change. Only `consensus` and
+ * `replicated` are durable; all other parts are rebuilt after a restart.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { LinkId } from '../../shared/common/link-table.js';
@@ -29,57 +28,55 @@
 import { createUpdateCollector, type UpdateCollector } from './feed/pending-updates.js';
 import type { Subscriber } from './feed/subscribers.js';
 import { createAnnouncements, type Announcements } from './members/announcements.js';
-import { memberName } from './members/member-identity.js';
+import { nodeIdOf } from './members/member-identity.js';
 import type { FeedMessage } from './group-messages.js';
 import type { GroupOptions } from './group-options.js';
 import { decodeGroupCommand, ReplicatedState } from './replicated-state.js';
 import type { Timing } from './timing.js';
 import { createZoneReadmissions, type ZoneReadmissions } from './zone-readmissions.js';
 
-/** The state of one control machine. */
+/** State of one control machine. */
 export interface GroupState {
   readonly options: GroupOptions;
-  /** Names the group; taken from the seeds at the first start only, since these may change later. */
+  /** ID of the group; derived from the seeds on the first start only, because they may change later. */
   readonly clusterId: string;
-  /** Term, vote, log and membership; changed by src/shared/consensus. */
+  /** Term, vote, log and membership (src/shared/consensus). */
   readonly consensus: ConsensusState;
-  /** What the group agrees on; changed by applied-entries.ts. */
+  /** State machine of the log (applied-entries.ts). */
   readonly replicated: ReplicatedState;
-  /** The last heartbeat of each back end; changed by heartbeats.ts and liveness-updates.ts of backends/. */
+  /** Last heartbeat of each back end (backends/heartbeats.ts, backends/liveness-updates.ts). */
   readonly registry: HeartbeatRegistry;
-  /** Heartbeats that wait to be sent to the other control machines (backends/heartbeat-exchange.ts). */
+  /** Heartbeats queued for the other control machines (backends/heartbeat-exchange.ts). */
   readonly heartbeats: HeartbeatExchange;
-  /** How far registry and replicated list are in step (backends/backend-list-progress.ts). */
+  /** Synchronization of registry and replicated list (backends/backend-list-progress.ts). */
   readonly backendList: BackendListProgress;
-  /** Calls and proposals that wait (calls/pending-calls.ts). */
+  /** Pending calls and proposals (calls/pending-calls.ts). */
   readonly calls: PendingCalls;
-  /** Machines that ask to be admitted, and this one's own request (members/announcements.ts). */
+  /** Join requests of other machines and of this one (members/announcements.ts). */
   readonly announcements: Announcements;
-  /** Balancers that are fed here, by their links; changed by feed/balancer-feed.ts. */
+  /** Balancers fed by this machine, by link (feed/balancer-feed.ts). */
   readonly subscribers: Map<LinkId, Subscriber>;
-  /** Messages that were made since the last tick, by their plans; changed by feed-messages.ts of feed/. */
+  /** Feed messages built since the last tick, by plan (feed/feed-messages.ts). */
   readonly feedMessages: Map<string, FeedMessage>;
-  /** What has changed for all balancers since the last tick (feed/pending-updates.ts). */
+  /** Changes for all balancers since the last tick (feed/pending-updates.ts). */
   readonly updates: UpdateCollector;
-  /** The balancers of all control machines (feed/balancer-list.ts). */
+  /** Balancers of all control machines (feed/balancer-list.ts). */
   readonly balancers: BalancerList;
   /** Loads of back ends (feed/load-tables.ts). */
   readonly loads: ExchangedTable;
-  /** How back ends answer (feed/load-tables.ts). */
+  /** Answer stats of back ends (feed/load-tables.ts). */
   readonly answerStats: ExchangedTable;
-  /** The configuration in force, with what changed lately (feed/config-history.ts). */
+  /** Current configuration and its recent changes (feed/config-history.ts). */
   readonly configs: ConfigHistory;
-  /** When this machine saw zones being readmitted (zone-readmissions.ts). */
+  /** Times at which this machine observed zone readmissions (zone-readmissions.ts). */
   readonly readmissions: ZoneReadmissions;
-  /** Detects pauses of this process, for orders that waited meanwhile (calls/order-guard.ts). */
+  /** Detects pauses of this process, after which queued orders may be outdated (calls/order-guard.ts). */
   readonly stallGuard: StallGuard;
 }
 
 /**
- * How consensus sends entries. A batch and a part of a snapshot are bounded so that a link of 51 Mbit/s carries them in
- * 80 and 40 ms, below the election time-out (docs/incidents/tv-cartago-grown-drain.md). The numbers of entries and of
- * batches under way, and the entries that are kept behind a snapshot for members that lag, are not measured: too few
- * kept entries would show as `snapshot taken over` after short pauses of a follower.
+ * Batches and snapshot chunks are small enough to be sent within an election timeout on a slow link. Trailing entries
+ * let followers catch up after a short lag without a snapshot.
  */
 const REPLICATION_OPTIONS = {
   maxBatchEntries: 64,
@@ -90,19 +87,19 @@
 } as const;
 
 /**
- * @param recovered what was found on disk
- * @param start names this start; another one than at the starts before
- * @returns the state of a control machine that starts
+ * @param recovered state read from disk
+ * @param start number of this start; differs from those of previous starts
+ * @returns the initial state of a control machine
  */
 export function createGroupState(
   options: GroupOptions,
   recovered: RecoveredState,
   start: StartNumber,
 ): GroupState {
-  const nodeId = memberName(options.linkAddress, recovered.storageId);
+  const nodeId = nodeIdOf(options.linkAddress, recovered.storageId);
   const consensusOptions = groupConsensusOptions(options.timing, options.minimumCopies);
   const consensus = createConsensusState(nodeId, recovered, consensusOptions);
-  const replicated = recoverReplicated(consensus);
+  const replicated = recoverReplicatedState(consensus);
   const document = replicated.config;
   return {
     options,
@@ -130,8 +127,8 @@
   return { ...REPLICATION_OPTIONS, ...timing.consensus, minimumCopies };
 }
 
-/** Applies what is known to be committed. */
-function recoverReplicated({ snapshot, log, commitIndex }: ConsensusState): ReplicatedState {
+/** Applies the snapshot and the entries that are known to be committed. */
+function recoverReplicatedState({ snapshot, log, commitIndex }: ConsensusState): ReplicatedState {
   const replicated = new ReplicatedState();
   if (snapshot !== undefined) {
     replicated.restore(snapshot.data);
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -1,15 +1,12 @@
 /**
- * @file The decision step of a control machine: calls of back ends and operators, messages of the other control
- * machines, links of balancers, the disk, and time. Each event is handled by the module that is named here:
+ * @file Step function of a control machine: dispatches each event to the module that handles it. Events are calls of back
+ * ends and operators, messages of other control machines, links of balancers, completed disk writes, and ticks.
  *
- * - `members`: how the group forms, and who belongs to it;
- * - `calls`: the way of a call to the leader and back;
+ * - `members`: group formation and membership;
+ * - `calls`: forwarding of calls to the leader, and their replies;
  * - `backends`: heartbeats, liveness, and the replicated list of back ends;
- * - `feed`: what balancers get, and the load exchange;
- * - `wire`: how a feed is packed.
- *
- * Beside them stand the state and its parts (group-state.ts), what follows from committed entries (applied-entries.ts),
- * and the times (timing.ts). The rules are listed in docs/decisions/group.md.
+ * - `feed`: updates to balancers, and the load exchange;
+ * - `wire`: encoding of feeds.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
@@ -18,7 +15,7 @@
 import { addSubscriber, applyFeedTaken, feedOne, removeSubscriber } from './feed/balancer-feed.js';
 import { runConsensus } from './group-consensus.js';
 import type { GroupEffect, GroupEvent } from './group-events.js';
-import { askToLeave } from './members/group-formation.js';
+import { requestRemoval } from './members/group-formation.js';
 import type { GroupState } from './group-state.js';
 import { handleTick } from './group-tick.js';
 import type { RunConsensus } from './calls/leader-replies.js';
@@ -73,14 +70,14 @@
       removeSubscriber(state, linkId);
       return [];
     })
-    .with({ type: 'persisted' }, { type: 'persist-failed' }, (ended) => run(ended))
+    .with({ type: 'persisted' }, { type: 'persist-failed' }, (persistEvent) => run(persistEvent))
     .with({ type: 'tick' }, () => handleTick(state, context))
     .with({ type: 'stop' }, () => handleStop(state, run))
     .exhaustive();
 }
 
-/** Hands leadership over, and asks to be removed where the group can spare this voter, so that it may stay away. */
+/** Hands over leadership, and asks to be removed if the group can spare this voter. */
 function handleStop(state: GroupState, run: RunConsensus): GroupEffect[] {
   state.announcements.stop();
-  return [...run({ type: 'transfer-leadership' }), ...askToLeave(state)];
+  return [...run({ type: 'transfer-leadership' }), ...requestRemoval(state)];
 }
--- a/src/registered/group/group-tick.ts
+++ b/src/registered/group/group-tick.ts
@@ -1,7 +1,6 @@
 /**
- * @file What a control machine does with each tick, in this order: it forms or joins its group, lets consensus act on
- * time, changes the membership and the list of back ends as the leader, gives up calls, updates the liveness of back
- * ends, informs the other control machines, and feeds the balancers with what has changed.
+ * @file Periodic work of a control machine, in this order: group formation, consensus timers, membership and back end
+ * list changes of the leader, call deadlines, liveness, exchange with other control machines, and feeds to balancers.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { nextBackendListCommand } from './backends/backend-list.js';
@@ -9,7 +8,7 @@
 import { forgetSilentPeers, shareBalancers } from './feed/balancer-list-duties.js';
 import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
 import type { GroupEffect } from './group-events.js';
-import { announceWhereDue, askToLeave, firstMembershipEvent } from './members/group-formation.js';
+import { announceIfDue, requestRemoval, bootstrapEvent } from './members/group-formation.js';
 import type { GroupState } from './group-state.js';
 import { shareHeartbeats } from './backends/heartbeats.js';
 import { expireCalls } from './calls/leader-requests.js';
@@ -19,15 +18,15 @@
 import { encodeGroupCommand } from './replicated-state.js';
 
 /**
- * Does what is due.
+ * Runs the periodic work that is due.
  * @returns the effects, in order
  */
 export function handleTick(state: GroupState, context: StepContext): GroupEffect[] {
   const { nowMs } = context;
   const effects: GroupEffect[] = [];
-  effects.push(...beginGroup(state, context));
-  effects.push(...announceWhereDue(state, nowMs));
-  effects.push(...(state.announcements.isStopping ? askToLeave(state) : []));
+  effects.push(...bootstrapGroup(state, context));
+  effects.push(...announceIfDue(state, nowMs));
+  effects.push(...(state.announcements.isStopping ? requestRemoval(state) : []));
   effects.push(...runConsensus(state, { type: 'tick' }, context));
   effects.push(...changeMembers(state, context));
   effects.push(...changeBackendList(state, context));
@@ -43,11 +42,11 @@
   return effects;
 }
 
-function beginGroup(
+function bootstrapGroup(
   state: ConsensusRunState & Pick<GroupState, 'clusterId'>,
   context: StepContext,
 ): GroupEffect[] {
-  const event = firstMembershipEvent(state);
+  const event = bootstrapEvent(state);
   return event === undefined ? [] : runConsensus(state, event, context);
 }
 
--- a/src/registered/group/leadership.ts
+++ b/src/registered/group/leadership.ts
@@ -1,26 +1,23 @@
 /**
- * @file Is this control machine current, that is: does it know what is committed?
- *
- * Inputs: the state of its consensus and the time, in milliseconds. Returns a boolean. A machine that is not current
- * accepts no heartbeats, detects no silence, and says in its feed that it is not current, so that balancers look for
+ * @file Decides whether this control machine is current, that is, whether its committed state is up to date. A machine
+ * that is not current accepts no heartbeats, detects no silence, and reports it in its feed, so that balancers switch to
  * another one (src/registered/decisions/feed-source.ts).
  *
- * Reason: a leader is current once an entry of its own term is committed, since only then are all entries of earlier
- * terms known as committed. A follower is current while the last message of its leader is younger than an election
- * time-out (timing.ts): after that the others may follow a new leader. So a machine that is cut off says for at most
- * that time that it is current.
+ * A leader is current once an entry of its own term is committed; until then it does not know which earlier entries are.
+ * A follower is current until an election timeout has passed without a message of its leader, since others may have a
+ * new leader after that.
  */
 import type { Address } from '../../shared/common/address.js';
 import { currentMembership, type ConsensusState } from '../../shared/consensus/consensus-state.js';
 import { findMember, type Member } from '../../shared/consensus/membership.js';
 
-/** Consensus, from which follow the leader and the other members. */
+/** State that contains the consensus state. */
 export interface WithConsensus {
   readonly consensus: ConsensusState;
 }
 
 /**
- * @returns true where this machine leads a quorum, or follows a leader that sent something lately
+ * @returns true if this machine is a leader with a quorum, or has had recent contact with its leader
  */
 export function isCurrent({ consensus }: WithConsensus, nowMs: number): boolean {
   const { role, leaderId, leaderContactAtMs, options, commitIndex } = consensus;
@@ -32,7 +29,7 @@
 }
 
 /**
- * @returns the link address of the leader, where another machine leads
+ * @returns the link address of the leader; undefined if it is unknown or this machine is the leader
  */
 export function leaderAddress({ consensus }: WithConsensus): Address | undefined {
   const { leaderId, nodeId } = consensus;
--- a/src/registered/group/members/announcements.ts
+++ b/src/registered/group/members/announcements.ts
@@ -1,12 +1,12 @@
 /**
- * @file Which machines ask to be admitted to the group, and where machines outside of it are reached. It owns the
- * announcements that came in here, the time of this machine's own next one, and the addresses at which it looks for the
- * group. All of it is soft state: machines announce themselves until they are admitted.
+ * @file Announcements of machines that ask to join the group, the schedule of this machine's own ones, the seeds that it
+ * sends them to, and reply addresses of machines that are not members. Soft state: machines announce themselves until
+ * they are admitted.
  */
 import type { Address } from '../../../shared/common/address.js';
 import type { NodeId } from '../../../shared/consensus/membership.js';
 
-/** A machine that asks to be admitted. */
+/** A request of a machine to join the group. */
 export interface Announcement {
   readonly nodeId: NodeId;
   readonly storageId: string;
@@ -14,40 +14,33 @@
   readonly announcedAtMs: number;
 }
 
-/** Announcements, own and others'. */
+/** Announcements sent and received. */
 export interface Announcements {
-  /** Where this machine looks for the group. */
+  /** Addresses at which this machine looks for the group. */
   readonly seeds: readonly Address[];
-  /** True once this machine is about to stop; it announces itself no more. */
+  /** True once this machine is stopping; it sends no announcements then. */
   readonly isStopping: boolean;
-  /** Looks for the group at other addresses from now on. */
+  /** Replaces the seeds. */
   setSeeds(seeds: readonly Address[]): void;
   stop(): void;
-  /** @returns true where this machine may announce itself again; the next time is an interval later */
-  startSending(nowMs: number): boolean;
+  /** @returns true if an announcement is due; the next one is due an interval later */
+  takeDue(nowMs: number): boolean;
   record(announcement: Announcement): void;
   /**
-   * Forgets announcements that are too old or whose sender is a member by now.
-   * @returns the oldest of the others
+   * Removes announcements that have expired or whose sender is a member.
+   * @returns the oldest remaining one
    */
   firstCandidate(nowMs: number, isMember: (nodeId: NodeId) => boolean): Announcement | undefined;
-  /** Records where a sender of consensus messages is reached; it may not be a member here yet. */
+  /** Records the address of a sender of consensus messages, which may not be a member yet. */
   recordReplyAddress(nodeId: NodeId, address: Address): void;
   replyAddressOf(nodeId: NodeId): Address | undefined;
 }
 
-/**
- * Time between two announcements of one machine. Not measured; too long would show as a machine with an empty disk
- * that gets its vote late, too short as traffic of machines that find no group.
- */
 const ANNOUNCE_INTERVAL_MS = 300;
-/**
- * An announcement counts for five intervals, so that four in a row may be lost. Not measured; too long would show as
- * learners that are added after they have ended, and removed again.
- */
+/** Five intervals, so that four announcements in a row may be lost. */
 const ANNOUNCEMENT_LIFETIME_MS = 1_500;
 
-/** @returns announcements of a machine that has just started */
+/** @returns the state after a start */
 export function createAnnouncements(firstSeeds: readonly Address[]): Announcements {
   const announced = new Map<NodeId, Announcement>();
   const replyAddresses = new Map<NodeId, Address>();
@@ -68,14 +61,14 @@
     stop: () => {
       isStopping = true;
     },
-    startSending,
+    takeDue,
     record: (announcement) => void announced.set(announcement.nodeId, announcement),
     firstCandidate,
     recordReplyAddress: (nodeId, address) => void replyAddresses.set(nodeId, address),
     replyAddressOf: (nodeId) => replyAddresses.get(nodeId),
   };
 
-  function startSending(nowMs: number): boolean {
+  function takeDue(nowMs: number): boolean {
     if (isStopping || nowMs < nextAnnounceAtMs) {
       return false;
     }
--- a/src/registered/group/members/group-formation.ts
+++ b/src/registered/group/members/group-formation.ts
@@ -1,8 +1,7 @@
 /**
- * @file How a machine finds its group and leaves it, with no operator. The first members begin the group with one entry
- * that is the same on each. Any other machine announces itself to the seeds and to the members that it knows; a machine
- * that does not lead passes the announcement on to the leader. A voter that stops asks to be removed, where the group
- * can spare it. Who is admitted or removed is decided in member-changes.ts.
+ * @file Group formation without an operator. The initial members bootstrap the group with an identical first entry. Other
+ * machines announce themselves to the seeds and to known members, which pass the announcement on to the leader. A voter
+ * that stops asks to be removed if the group can spare it. Admission and removal are decided in member-changes.ts.
  */
 import { formatAddress, type Address } from '../../../shared/common/address.js';
 import type { ConsensusEvent } from '../../../shared/consensus/consensus-events.js';
@@ -18,33 +17,30 @@
 import type { GroupState } from '../group-state.js';
 import { leaderAddress, otherMembers } from '../leadership.js';
 import { hasSpareVoter } from './member-changes.js';
-import { firstStorageId, memberName } from './member-identity.js';
+import { initialStorageId, nodeIdOf } from './member-identity.js';
 
-/** What joining and leaving need of the machine. */
+/** State that joining and leaving depend on. */
 type FormationState = Pick<GroupState, 'options' | 'consensus' | 'clusterId' | 'announcements'>;
 
-/**
- * A voter that got nothing from its leader for so many election time-outs announces itself: its address may be another
- * one than the group knows. Not measured; with one time-out each late message would cause announcements.
- */
+/** After this time without a leader a voter announces itself, since its address may have changed. */
 const LEADERLESS_ELECTION_TIMEOUTS = 2;
 
 /**
- * @returns the event that begins a group, on each of its first members alike
+ * @returns the event that bootstraps the group, identical on all initial members; undefined on other machines
  */
-export function firstMembershipEvent(state: FormationState): ConsensusEvent | undefined {
+export function bootstrapEvent(state: FormationState): ConsensusEvent | undefined {
   const { options, consensus, clusterId } = state;
-  const isBlank = consensus.clusterId === undefined && consensus.log.last.index === 0;
+  const isUninitialized = consensus.clusterId === undefined && consensus.log.last.index === 0;
   if (
     !options.isFirstStart ||
-    !isBlank ||
-    consensus.storageId !== firstStorageId(options.linkAddress)
+    !isUninitialized ||
+    consensus.storageId !== initialStorageId(options.linkAddress)
   ) {
     return undefined;
   }
   const members = options.seeds.map((linkAddress): Member => ({
-    nodeId: memberName(linkAddress, firstStorageId(linkAddress)),
-    storageId: firstStorageId(linkAddress),
+    nodeId: nodeIdOf(linkAddress, initialStorageId(linkAddress)),
+    storageId: initialStorageId(linkAddress),
     role: 'voter',
     linkAddress,
     operatorAddress: linkAddress,
@@ -53,16 +49,16 @@
 }
 
 /**
- * Announces this machine while it is no voter or gets nothing from a leader.
+ * Announces this machine while it is not a voter or has no contact with a leader.
  */
-export function announceWhereDue(state: FormationState, nowMs: number): GroupEffect[] {
+export function announceIfDue(state: FormationState, nowMs: number): GroupEffect[] {
   const { consensus, options, announcements } = state;
   const { electionTimeoutMs } = options.timing.consensus;
-  const isSettled =
+  const isActiveVoter =
     consensus.role.name === 'leader' ||
     (isVoter(consensus) &&
       nowMs - consensus.leaderContactAtMs < LEADERLESS_ELECTION_TIMEOUTS * electionTimeoutMs);
-  if (isSettled || !announcements.startSending(nowMs)) {
+  if (isActiveVoter || !announcements.takeDue(nowMs)) {
     return [];
   }
   const message: PeerMessage = {
@@ -70,8 +66,8 @@
     from: { nodeId: consensus.nodeId, storageId: consensus.storageId },
     linkAddress: options.linkAddress,
   };
-  const known = otherMembers(state).map((member) => member.linkAddress);
-  const addresses = [...announcements.seeds, ...known];
+  const memberAddresses = otherMembers(state).map((member) => member.linkAddress);
+  const addresses = [...announcements.seeds, ...memberAddresses];
   return distinctAddresses(addresses, options.linkAddress).map((to) => ({
     type: 'send-peer',
     to,
@@ -79,14 +75,14 @@
   }));
 }
 
-function distinctAddresses(addresses: readonly Address[], own: Address): Address[] {
-  const byText = new Map(addresses.map((address) => [formatAddress(address), address]));
-  byText.delete(formatAddress(own));
-  return [...byText.values()];
+function distinctAddresses(addresses: readonly Address[], ownAddress: Address): Address[] {
+  const byAddressText = new Map(addresses.map((address) => [formatAddress(address), address]));
+  byAddressText.delete(formatAddress(ownAddress));
+  return [...byAddressText.values()];
 }
 
 /**
- * Records that a machine asks to be admitted, or passes that on to the leader.
+ * Records an announcement, or passes it on to the leader.
  */
 export function handleAnnouncement(
   state: FormationState,
@@ -104,9 +100,9 @@
 }
 
 /**
- * @returns a request to the leader to remove this machine, where the group can spare it, so that it may stay away
+ * @returns a request to the leader to remove this machine, if the group can spare it
  */
-export function askToLeave(state: FormationState): GroupEffect[] {
+export function requestRemoval(state: FormationState): GroupEffect[] {
   const { nodeId, storageId } = state.consensus;
   const leader = leaderAddress(state);
   if (leader === undefined || !hasSpareVoter(state)) {
@@ -117,9 +113,9 @@
 }
 
 /**
- * @returns the change for a voter that asks to be removed, where the group can spare it
+ * @returns the removal of a voter that asked for it, if the group can spare it
  */
-export function changeForLeaver(
+export function changeForLeaveRequest(
   state: FormationState,
   { from }: Extract<PeerMessage, { type: 'leave' }>,
 ): MemberChange | undefined {
--- a/src/registered/group/members/member-changes.ts
+++ b/src/registered/group/members/member-changes.ts
@@ -1,21 +1,15 @@
 /**
- * @file Who becomes a voter of the group, who is removed, and when?
+ * @file Membership changes by the leader, one at a time; the next one is made after the previous one is committed. In
+ * order of priority:
  *
- * Inputs: the membership and the progress of each member as the leader knows them, the announcements of machines that
- * ask to be admitted, the time in milliseconds, and the options `tolerableLosses` (disks) and `removeVoterAfterMs`.
- * Returns one change of the membership, or none; the next one is made only once that is committed. In this order:
- *
- * 1. A learner that has all committed entries becomes a voter. It takes the place of the voter at the same address, in
- *    one step: that is the same machine before it lost its disk, and can never vote again. Otherwise it needs a free
- *    place below MAX_VOTERS.
- * 2. A machine that announces itself becomes a learner; an earlier learner at its address is removed first.
- * 3. A voter that is silent for longer than `removeVoterAfterMs` is removed, but only where the group has more voters
- *    than 2 × `tolerableLosses` + 1: with fewer a removal makes no quorum smaller and costs a vote when the machine
+ * 1. A learner that has all committed entries becomes a voter. It replaces the voter at the same address in one step,
+ *    which is the same machine before it lost its disk and cannot vote again. Otherwise it needs a free place below
+ *    MAX_VOTERS.
+ * 2. A machine that announces itself becomes a learner, after an earlier learner at its address is removed.
+ * 3. A voter without contact for longer than `removeVoterAfterMs` is removed if the group has more than
+ *    2 × `tolerableLosses` + 1 voters. With fewer, a removal would make no quorum smaller, and cost a vote when the machine
  *    returns.
- * 4. A learner that is silent for LEARNER_SILENT_MS is removed.
- *
- * Why the replacement in one step is safe, and what it has to do with the copies of an entry, is explained in
- * docs/design/registered.md, "Formation and repair". Log line: `membership`.
+ * 4. A learner without contact for longer than LEARNER_TIMEOUT_MS is removed.
  */
 import { formatAddress, type Address } from '../../../shared/common/address.js';
 import {
@@ -33,23 +27,16 @@
 import type { GroupState } from '../group-state.js';
 import type { WithConsensus } from '../leadership.js';
 
-/** What changes of the membership depend on. */
+/** State that membership changes depend on. */
 type MemberChangeState = Pick<GroupState, 'options' | 'consensus' | 'announcements'>;
 
-/**
- * A learner without a sign of life for so long is removed. Not measured; too short would show as learners that are
- * removed and added again on slow links, while they install a snapshot.
- */
-const LEARNER_SILENT_MS = 3_000;
-/**
- * As many machines as the largest deployment sets aside for control (DEVELOPERS.md, "What it is built for"). Each voter
- * above the quorum that losses ask for costs messages and a sync for each entry. What more of them would cost was not
- * measured.
- */
+/** Long enough for a learner to install a snapshot over a slow link. */
+const LEARNER_TIMEOUT_MS = 3_000;
+/** Number of control machines in the largest deployment; each voter costs messages and a disk sync per entry. */
 const MAX_VOTERS = 9;
 
 /**
- * @returns the next change of the membership that this machine should make as the leader
+ * @returns the next membership change to propose; undefined if there is none or this machine is not the leader
  */
 export function nextMemberChange(
   state: MemberChangeState,
@@ -81,11 +68,11 @@
   if (ready === undefined) {
     return undefined;
   }
-  const former = members.find(
+  const formerVoter = members.find(
     (member) => member.role === 'voter' && isSameMachine(member, ready.linkAddress),
   );
-  if (former !== undefined) {
-    return { type: 'replace-member', nodeId: ready.nodeId, lostNodeId: former.nodeId };
+  if (formerVoter !== undefined) {
+    return { type: 'replace-member', nodeId: ready.nodeId, lostNodeId: formerVoter.nodeId };
   }
   const hasRoom = votersOf(membership).length < MAX_VOTERS;
   return hasRoom ? { type: 'promote-member', nodeId: ready.nodeId } : undefined;
@@ -127,7 +114,7 @@
 }
 
 /**
- * @returns true where the group has more voters than it needs for the losses that it must tolerate
+ * @returns true if the group has more voters than it needs to tolerate the configured losses
  */
 export function hasSpareVoter({
   consensus,
@@ -144,12 +131,12 @@
 ): MemberChange | undefined {
   const silent = currentMembership(consensus).members.find(
     ({ nodeId, role: memberRole }) =>
-      memberRole === 'learner' && silenceMs(role, nodeId, nowMs) > LEARNER_SILENT_MS,
+      memberRole === 'learner' && silenceMs(role, nodeId, nowMs) > LEARNER_TIMEOUT_MS,
   );
   return silent === undefined ? undefined : { type: 'remove-member', nodeId: silent.nodeId };
 }
 
-/** @returns how long the leader got nothing from a member; 0 where it has not sent it anything yet */
+/** @returns the time since the last message of a member; 0 if the leader has not contacted it yet */
 function silenceMs(role: LeaderRole, nodeId: NodeId, nowMs: number): number {
   return nowMs - (role.progress.get(nodeId)?.receivedAtMs ?? nowMs);
 }
--- a/src/registered/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -1,6 +1,5 @@
 /**
- * @file Schemas of the messages between processes: all that comes in on an internal port is checked by one of them
- * before any decision sees it.
+ * @file Schemas of the messages between processes. Everything received on an internal port is validated before use.
  */
 import * as z from 'zod/mini';
 import {
@@ -17,7 +16,7 @@
 import { packedRowsSchema } from './wire/packed-rows-schema.js';
 import type { ControlInboundMessage } from './group-messages.js';
 
-/** Room for the largest configuration document, against faulty senders. */
+/** Larger than any valid configuration document; limits what a faulty sender can send. */
 const MAX_DOCUMENT_BYTES = 4 * 1024 * 1024;
 
 const record = z.object({
@@ -35,12 +34,13 @@
 const balancer = z.object({ name: text, zone: text, peerAddress: address });
 const loads = z.optional(packedRowsSchema(LOAD_ROWS));
 const signals = z.optional(packedRowsSchema(ANSWER_STATS_ROWS));
-interface Tables {
+interface LoadTables {
   readonly loads?: unknown;
   readonly signals?: unknown;
 }
-const hasTable = z.refine<Tables>(
-  ({ loads: one, signals: other }) => one !== undefined || other !== undefined,
+const hasTable = z.refine<LoadTables>(
+  ({ loads: loadTable, signals: statsTable }) =>
+    loadTable !== undefined || statsTable !== undefined,
   'There is no table.',
 );
 const configDocument = z.object({
@@ -121,14 +121,14 @@
   }),
 ]);
 
-/** From one balancer to another, in a datagram. */
+/** Message between balancers, sent in a datagram. */
 export type BalancerMessage = z.infer<typeof balancerMessage>;
 
-/** What balancers send each other about opens. */
+/** Message between balancers about a flow open. */
 export type OpenMessage = Exclude<BalancerMessage, { type: 'find-zones' | 'zones-known' }>;
 
 /**
- * @returns the message that came to a control machine, or undefined where it is none
+ * @returns the message that a control machine received, or undefined if it is invalid
  */
 export function parseControlInbound(value: unknown): ControlInboundMessage | undefined {
   const parsed = controlInbound.safeParse(value);
@@ -136,7 +136,7 @@
 }
 
 /**
- * @returns the message of another balancer, or undefined where it is none
+ * @returns the message of another balancer, or undefined if it is invalid
  */
 export function parseBalancerMessage(value: unknown): BalancerMessage | undefined {
   const parsed = balancerMessage.safeParse(value);
--- a/src/registered/group/peer-messages.ts
+++ b/src/registered/group/peer-messages.ts
@@ -1,5 +1,5 @@
 /**
- * @file How messages of the other control machines are handled.
+ * @file Handles the messages of other control machines.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
@@ -7,7 +7,7 @@
 import { applyPeerBalancers } from './feed/balancer-list-duties.js';
 import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
 import type { GroupEffect } from './group-events.js';
-import { changeForLeaver, handleAnnouncement } from './members/group-formation.js';
+import { changeForLeaveRequest, handleAnnouncement } from './members/group-formation.js';
 import type { PeerMessage } from './group-messages.js';
 import type { GroupState } from './group-state.js';
 import { applyHeartbeat } from './backends/heartbeats.js';
@@ -29,7 +29,7 @@
     .with({ type: 'consensus' }, (message) => handleConsensusMessage(state, message, context))
     .with({ type: 'announce' }, (message) => handleAnnouncement(state, message, nowMs))
     .with({ type: 'leave' }, (message) => {
-      const change = changeForLeaver(state, message);
+      const change = changeForLeaveRequest(state, message);
       return change === undefined
         ? []
         : run({ type: 'change-membership', proposalId: OWN_PROPOSAL, change });
@@ -51,7 +51,7 @@
     .exhaustive();
 }
 
-/** Messages to another member than this one, or of another cluster, are dropped. */
+/** Drops messages for another member or from another cluster. */
 function handleConsensusMessage(
   state: ConsensusRunState,
   { clusterId, from, replyTo, toNodeId, message }: Extract<PeerMessage, { type: 'consensus' }>,
@@ -65,12 +65,12 @@
     return [];
   }
   state.announcements.recordReplyAddress(from.nodeId, replyTo);
-  const joining =
+  const joinEffects =
     consensus.clusterId === undefined
       ? runConsensus(state, { type: 'join-cluster', clusterId }, context)
       : [];
   return [
-    ...joining,
+    ...joinEffects,
     ...runConsensus(state, { type: 'consensus-message', from, message }, context),
   ];
 }
--- a/src/registered/group/replicated-state.ts
+++ b/src/registered/group/replicated-state.ts
@@ -1,10 +1,9 @@
 /**
- * @file What the control group agrees on and never loses: the declared configuration in force, which zones are
- * evacuated, which back ends exist, and which have said that they leave. It is the state machine of the log: the same
- * commands give the same state on every member.
+ * @file The replicated state machine of the control group: the declared configuration, evacuated zones, the list of back
+ * ends and their departures. The same commands give the same state on every member.
  *
- * Heartbeats stay out of it: it says where back ends are, not whether they are alive, so that a group that restarts as
- * a whole need not wait for their next heartbeats. Commands and snapshots are stored, so their fields keep their names.
+ * It holds no heartbeats. The list tells a group that restarts as a whole which back ends exist, not whether they are
+ * alive. Commands and snapshots are stored, so their field names must not change.
  */
 import { Packr } from 'msgpackr';
 import {
@@ -16,36 +15,33 @@
 import { startOf } from '../registry/backend-start.js';
 import { createZoneOrders, type ZoneOrder, type ZoneStatus } from './zone-orders.js';
 
-/** A configuration as it was sent, with the version that it carries. */
+/** A declared configuration. */
 export interface ConfigDocument {
   readonly version: number;
-  /** The text that was sent, to be given back unchanged. */
+  /** The text as received; returned to readers unchanged. */
   readonly text: string;
 }
 
-/** A change of the replicated state. */
+/** A command that changes the replicated state. */
 export type GroupCommand =
   | { readonly type: 'declare-config'; readonly document: ConfigDocument }
   | { readonly type: 'note-departure'; readonly departure: Departure }
   | { readonly type: 'order-zone'; readonly order: ZoneOrder }
-  /** Back ends whose first heartbeat came. */
+  /** Adds back ends after their first heartbeat. */
   | { readonly type: 'register-backends'; readonly records: readonly BackendRecord[] }
-  /** Back ends that were silent for so long that no flow of theirs can live. */
+  /** Removes back ends that have been silent for longer than any flow can last. */
   | { readonly type: 'forget-backends'; readonly backendIds: readonly string[] };
 
-/** What a command changed. */
+/** Result of applying a command. */
 export type AppliedChange =
   | { readonly type: 'config-changed'; readonly document: ConfigDocument }
   | { readonly type: 'departure-recorded'; readonly departure: Departure }
   | { readonly type: 'zone-changed'; readonly status: ZoneStatus }
-  /** The order does not follow the last one for its zone, and changed nothing. */
+  /** The order was based on an outdated status of its zone and was ignored. */
   | { readonly type: 'order-outdated'; readonly order: ZoneOrder }
   | { readonly type: 'nothing-changed' };
 
-/**
- * Departures beyond this number are forgotten, oldest first: those of weeks. Not measured; too few would show as back
- * ends that left and are listed again by a late heartbeat.
- */
+/** The oldest departures are dropped beyond this number; kept ones stop late heartbeats from listing back ends again. */
 const MAX_DEPARTURES = 20_000;
 
 const packr = new Packr({ useRecords: false });
@@ -54,18 +50,18 @@
   readonly config: ConfigDocument | undefined;
   readonly departures: [string, DepartureKind][];
   readonly backends: BackendRecord[];
-  /** Absent in states that were written before there were orders. */
+  /** Absent in snapshots of versions without zone orders. */
   readonly zones?: ZoneStatus[];
 }
 
-/** The replicated state. */
+/** State machine of the group; changes only through commands and snapshots. */
 export class ReplicatedState {
   readonly zones = createZoneOrders();
   private document: ConfigDocument | undefined;
   private departures = new Map<string, DepartureKind>();
   private backends = new Map<string, BackendRecord>();
 
-  /** The configuration in force. */
+  /** The current configuration. */
   get config(): ConfigDocument | undefined {
     return this.document;
   }
@@ -75,7 +71,7 @@
     return [...this.departures].map(([backendId, kind]) => ({ backendId, kind }));
   }
 
-  /** The back ends that exist, with the records of their first heartbeats. */
+  /** The listed back ends, with the records of their first heartbeats. */
   allBackends(): IterableIterator<BackendRecord> {
     return this.backends.values();
   }
@@ -84,7 +80,7 @@
     return this.backends.has(backendId);
   }
 
-  /** @returns the IDs of all starts of a back end that exist or have left, those of the list first */
+  /** @returns the IDs of all starts of a back end, listed ones first, then departed ones */
   startsOf(backend: string): string[] {
     const ids = [...this.backends.keys(), ...this.departures.keys()];
     return ids.filter((id) => startOf(id).backend === backend);
@@ -95,8 +91,8 @@
   }
 
   /**
-   * Applies a command that is committed.
-   * @returns what changed; a version at or below the one held changes nothing, whatever its content
+   * Applies a committed command.
+   * @returns what changed; a configuration whose version is not higher than the current one changes nothing
    */
   apply(command: GroupCommand): AppliedChange {
     switch (command.type) {
@@ -115,7 +111,7 @@
     }
   }
 
-  /** @returns the whole state as bytes */
+  /** @returns the encoded state, for a snapshot */
   encode(): Uint8Array {
     const content: SnapshotContent = {
       config: this.document,
@@ -126,7 +122,7 @@
     return packr.pack(content);
   }
 
-  /** Replaces the state by an encoded one. */
+  /** Replaces the state with the decoded snapshot. */
   restore(data: Uint8Array): void {
     const content = packr.unpack(data) as SnapshotContent;
     this.document = content.config ?? undefined;
@@ -152,7 +148,7 @@
     if (kind === 'gone') {
       this.backends.delete(backendId);
     }
-    this.forgetOldest();
+    this.evictOldestDeparture();
     return { type: 'departure-recorded', departure };
   }
 
@@ -160,7 +156,7 @@
     switch (this.zones.apply(order)) {
       case 'changed':
         return { type: 'zone-changed', status: this.zones.statusOf(order.zone) };
-      case 'known':
+      case 'unchanged':
         return { type: 'nothing-changed' };
       case 'outdated':
         return { type: 'order-outdated', order };
@@ -175,7 +171,7 @@
     }
   }
 
-  private forgetOldest(): void {
+  private evictOldestDeparture(): void {
     const [oldest] = this.departures.keys();
     if (this.departures.size > MAX_DEPARTURES && oldest !== undefined) {
       this.departures.delete(oldest);
@@ -184,14 +180,14 @@
 }
 
 /**
- * @returns a command as bytes, for the log
+ * @returns the encoded command, for the log
  */
 export function encodeGroupCommand(command: GroupCommand): Uint8Array {
   return packr.pack(command);
 }
 
 /**
- * @returns the command of a log entry
+ * @returns the decoded command of a log entry
  */
 export function decodeGroupCommand(data: Uint8Array): GroupCommand {
   return packr.unpack(data) as GroupCommand;
--- a/src/registered/group/snapshot-schedule.ts
+++ b/src/registered/group/snapshot-schedule.ts
@@ -1,21 +1,18 @@
 /**
- * @file When is the log replaced by a snapshot?
- *
- * Inputs: how many entries are committed behind the last snapshot, and the size of the configuration document, in
- * bytes, as the measure of an entry. Returns a boolean. Reason: a restart reads the whole log, and entries with whole
- * configurations are large while the state holds one of them.
+ * @file Decides when the log is compacted into a snapshot. A restart reads the whole log, so both the number and the size
+ * of its entries are limited.
  */
 
-/** A snapshot is taken after so many bytes of entries. Not measured; too large would show as slow restarts. */
-const SNAPSHOT_AFTER_BYTES = 2 * 1024 * 1024;
-/** ... or after so many entries. Not measured; too few would show as commits that wait for the write of a snapshot. */
-const SNAPSHOT_AFTER_ENTRIES = 256;
+const SNAPSHOT_THRESHOLD_BYTES = 2 * 1024 * 1024;
+const SNAPSHOT_THRESHOLD_ENTRIES = 256;
 
 /**
- * @param entries that are committed behind the last snapshot
- * @param configBytes size of the configuration document that holds
+ * @param entries number of committed entries since the last snapshot
+ * @param configBytes size of the current configuration document; estimates the size of an entry
  */
 export function isSnapshotDue(entries: number, configBytes: number): boolean {
   const bytes = entries * configBytes;
-  return entries >= SNAPSHOT_AFTER_ENTRIES || (entries > 0 && bytes >= SNAPSHOT_AFTER_BYTES);
+  return (
+    entries >= SNAPSHOT_THRESHOLD_ENTRIES || (entries > 0 && bytes >= SNAPSHOT_THRESHOLD_BYTES)
+  );
 }
--- a/src/registered/group/zone-orders.ts
+++ b/src/registered/group/zone-orders.ts
@@ -1,64 +1,56 @@
 /**
- * @file Does a committed order for a zone take effect, or does it come too late?
+ * @file Evacuation and readmission orders for zones. An order names the number of orders that its receiver knew for the
+ * zone, and is ignored if another one has been applied since (optimistic concurrency control). This protects against
+ * orders that were delayed by a paused process or a broken link, and that the operator has since reversed elsewhere.
  *
- * Inputs: the order with the number of orders for its zone that were known to the machine that accepted it, and how the
- * zone stands. Returns `changed`, `known` or `outdated`. An order that does not follow the last one for its zone
- * changes nothing.
- *
- * Reason: an order may be held by a machine that stood still, or on a link that was cut, while its sender gave it to
- * another machine, had it acknowledged, and has taken it back since. An age that is carried along was weighed and left
- * out, since nobody sees how long an order lay in a socket (docs/design/zones-and-slow-start.md; a mutant that
- * applies late orders is caught by test/registered/ingress/evacuation). Log lines: `zone evacuated`, `zone readmitted`,
- * `order outdated`.
- *
- * A zone that is evacuated gets no new flows until it is readmitted. The statuses are a part of the replicated state
- * and of its snapshots, so the fields keep their names.
+ * An evacuated zone gets no new flows until it is readmitted. Orders and statuses are part of stored commands and
+ * snapshots, so their field names must not change.
  */
 
-/** What an operator may order for a zone. */
+/** The kinds of orders that operators can give. */
 export type ZoneOrderKind = 'evacuate' | 'readmit';
 
 /** An order for a zone. */
 export interface ZoneOrder {
   readonly zone: string;
   readonly kind: ZoneOrderKind;
-  /** How many orders that changed the zone were known to the machine that accepted this one. */
+  /** Value of `orders` of the zone at the machine that accepted this order. */
   readonly afterOrders: number;
 }
 
-/** Whether a zone is evacuated, by the orders for it. */
+/** Status of a zone. */
 export interface ZoneStatus {
   readonly zone: string;
   readonly isEvacuated: boolean;
-  /** How many orders have changed it; the highest number is the newest. */
+  /** Number of orders that have changed the zone; a higher number is a newer status. */
   readonly orders: number;
 }
 
-/** What became of an order. */
+/** Result of applying an order. */
 type ZoneOrderOutcome =
   | 'changed'
-  /** The zone is in that state already: the order is acknowledged again. */
-  | 'known'
-  /** Another order came between; an operator who still wants this one sends it again. */
+  /** The zone is already in the ordered state; the order is acknowledged. */
+  | 'unchanged'
+  /** Another order was applied in the meantime; the order is refused. */
   | 'outdated';
 
-/** All orders for zones. */
+/** Status of all zones. */
 interface ZoneOrders {
-  /** @returns the status of a zone; not evacuated where there was no order for it */
+  /** @returns the status of a zone; not evacuated if it has had no order */
   statusOf(zone: string): ZoneStatus;
-  /** All zones for which there ever was an order. */
+  /** @returns the status of every zone that has had an order */
   all(): ZoneStatus[];
   apply(order: ZoneOrder): ZoneOrderOutcome;
-  /** Replaces all. */
+  /** Replaces all statuses. */
   restore(statuses: readonly ZoneStatus[]): void;
 }
 
-/** @returns true where a zone is in the state that an order asks for */
+/** @returns true if a zone is already in the ordered state */
 export function isFulfilled({ kind }: ZoneOrder, { isEvacuated }: ZoneStatus): boolean {
   return isEvacuated === (kind === 'evacuate');
 }
 
-/** @returns the orders of a group to which none was given */
+/** @returns an empty set of zone statuses */
 export function createZoneOrders(): ZoneOrders {
   const statuses = new Map<string, ZoneStatus>();
 
@@ -70,14 +62,14 @@
 
   function apply(order: ZoneOrder): ZoneOrderOutcome {
     const { zone, kind, afterOrders } = order;
-    const before = statusOf(zone);
-    if (isFulfilled(order, before)) {
-      return 'known';
+    const status = statusOf(zone);
+    if (isFulfilled(order, status)) {
+      return 'unchanged';
     }
-    if (afterOrders !== before.orders) {
+    if (afterOrders !== status.orders) {
       return 'outdated';
     }
-    statuses.set(zone, { zone, isEvacuated: kind === 'evacuate', orders: before.orders + 1 });
+    statuses.set(zone, { zone, isEvacuated: kind === 'evacuate', orders: status.orders + 1 });
     return 'changed';
   }
 
--- a/src/registered/group/zone-readmissions.ts
+++ b/src/registered/group/zone-readmissions.ts
@@ -1,17 +1,17 @@
 /**
- * @file When this machine saw zones being readmitted. Balancers count the back ends of such a zone as cold until a
- * later heartbeat says otherwise (slow-start.ts). It is soft state, lost when the process restarts.
+ * @file Times at which this machine observed zones being readmitted. Balancers treat back ends of a readmitted zone as
+ * cold until a later heartbeat (slow-start.ts). Soft state, lost on restart.
  */
 
-/** When zones were readmitted. */
+/** Readmission times of zones. */
 export interface ZoneReadmissions {
   recordReadmitted(zone: string, nowMs: number): void;
   recordEvacuated(zone: string): void;
-  /** @returns milliseconds since a zone was readmitted; undefined where that was not seen */
+  /** @returns milliseconds since a zone was readmitted; undefined if this machine did not observe it */
   ageMs(zone: string, nowMs: number): number | undefined;
 }
 
-/** @returns readmissions of a machine that has seen none */
+/** @returns an empty table of readmission times */
 export function createZoneReadmissions(): ZoneReadmissions {
   const readmittedAtMs = new Map<string, number>();
 
--- a/src/registered/group/zone-reports.ts
+++ b/src/registered/group/zone-reports.ts
@@ -1,5 +1,5 @@
 /**
- * @file What a control machine knows of the work of each zone, for operators who weigh an evacuation.
+ * @file Reports the load of each zone, so that operators can judge an evacuation.
  */
 import { eachLoad } from '../load-exchange/backend-load.js';
 import { tokenOf } from '../registry/backend-token.js';
@@ -7,11 +7,11 @@
 import type { GroupState } from './group-state.js';
 import type { ReplicatedState } from './replicated-state.js';
 
-/** What reports are made from. */
+/** State that the reports are made from. */
 export type ZoneReportState = Pick<GroupState, 'options' | 'registry' | 'replicated' | 'loads'>;
 
 /**
- * @returns a report of each zone that the settings name, that has an order, or where back ends are; by name
+ * @returns a report for each zone that is in the settings, has had an order, or has back ends; sorted by name
  */
 export function zoneReports({
   options,
@@ -26,14 +26,14 @@
   eachLoad(loads.totals.fleetSums(), (token, busy) => busyByToken.set(token, busy));
   for (const { record, liveness } of registry.all()) {
     const { zone, capacity } = record;
-    const before = reports.get(zone) ?? emptyReport(replicated, zone);
+    const report = reports.get(zone) ?? emptyReport(replicated, zone);
     const isActive = liveness === 'alive' && replicated.departureOf(record.id) === undefined;
     const busy = busyByToken.get(tokenOf(record)) ?? 0;
     reports.set(zone, {
-      ...before,
-      backendCount: before.backendCount + Number(isActive),
-      slots: before.slots + (isActive ? capacity : 0),
-      busy: before.busy + busy,
+      ...report,
+      backendCount: report.backendCount + Number(isActive),
+      slots: report.slots + (isActive ? capacity : 0),
+      busy: report.busy + busy,
     });
   }
   return [...reports.values()].sort((one, other) => (one.zone < other.zone ? -1 : 1));
--- a/test/registered/group/departing-start.test.ts
+++ b/test/registered/group/departing-start.test.ts
@@ -1,4 +1,4 @@
-/** @file Which start of a back end a departure ends, where it names the start and where it does not. */
+/** @file Guards against a delayed departure that ends the wrong start of a back end. */
 import t from 'tap';
 import { departingStart } from '../../../src/registered/group/calls/departing-start.js';
 import { createGroupState, type GroupState } from '../../../src/registered/group/group-state.js';
@@ -47,46 +47,47 @@
   };
 }
 
-t.test('a departure that names its start ends that one', async (t) => {
+t.test('a departure with a start ID ends that start', async (t) => {
   const state = emptyState();
   state.registry.apply(recordOf(NEXT), 0);
   t.same(departingStart(state, FIRST, 10_000), { type: 'start', id: FIRST });
   t.same(departingStart(state, NEXT, 10_000), { type: 'start', id: NEXT });
 });
 
-t.test('one that names the back end alone ends its current start', async (t) => {
+t.test('a departure with a plain name ends the current start', async (t) => {
   const state = emptyState();
   state.registry.apply(recordOf('b'), 0);
-  t.same(departingStart(state, 'b', 100), { type: 'start', id: 'b' }, 'no start before is known');
+  t.same(departingStart(state, 'b', 100), { type: 'start', id: 'b' }, 'no earlier start is known');
   state.replicated.apply({ type: 'register-backends', records: [recordOf('b')] });
   state.registry.apply(recordOf(NEXT), 1_000);
   t.same(departingStart(state, 'b', 1_000 + 2 * INTERVAL_MS), { type: 'start', id: NEXT });
 });
 
-t.test('while the current start is new, it may be of the one before', async (t) => {
+t.test('a departure with a plain name is ambiguous while the current start is new', async (t) => {
   const state = emptyState();
   state.replicated.apply({ type: 'register-backends', records: [recordOf(FIRST)] });
   state.registry.apply(recordOf(NEXT), 1_000);
-  t.same(departingStart(state, 'b', 1_000 + INTERVAL_MS), { type: 'doubtful' });
+  t.same(departingStart(state, 'b', 1_000 + INTERVAL_MS), { type: 'ambiguous' });
   const departure = { backendId: FIRST, kind: 'gone' } as const;
   state.replicated.apply({ type: 'note-departure', departure });
-  t.same(departingStart(state, 'b', 1_000 + INTERVAL_MS), { type: 'doubtful' }, 'sent again');
+  t.same(
+    departingStart(state, 'b', 1_000 + INTERVAL_MS),
+    { type: 'ambiguous' },
+    'after the earlier start has departed',
+  );
 });
 
-t.test(
-  'where only the replicated state knows the back end, the latest start is ended',
-  async (t) => {
-    const state = emptyState();
-    t.same(departingStart(state, 'b', 0), { type: 'unknown' });
-    const records = [recordOf(NEXT), recordOf(FIRST)];
-    state.replicated.apply({ type: 'register-backends', records });
-    t.same(departingStart(state, 'b', 0), { type: 'start', id: NEXT });
-  },
-);
+t.test('the latest start is ended if the back end is only in the replicated state', async (t) => {
+  const state = emptyState();
+  t.same(departingStart(state, 'b', 0), { type: 'unknown' });
+  const records = [recordOf(NEXT), recordOf(FIRST)];
+  state.replicated.apply({ type: 'register-backends', records });
+  t.same(departingStart(state, 'b', 0), { type: 'start', id: NEXT });
+});
 
-t.test('the start before may be known by its heartbeats alone', async (t) => {
+t.test('an earlier start that is only in the registry makes a departure ambiguous', async (t) => {
   const state = emptyState();
   state.registry.apply(recordOf(FIRST), 0);
   state.registry.apply(recordOf(NEXT), 1_000);
-  t.same(departingStart(state, 'b', 1_000 + INTERVAL_MS), { type: 'doubtful' });
+  t.same(departingStart(state, 'b', 1_000 + INTERVAL_MS), { type: 'ambiguous' });
 });
--- a/test/registered/group/forward-ids.test.ts
+++ b/test/registered/group/forward-ids.test.ts
@@ -1,4 +1,4 @@
-/** @file Numbers of forwarded calls: another for each call and each start, whole on the wire at both ends of the range. */
+/** @file Guards against forward IDs that collide between calls or starts, or that change when encoded in a message. */
 import t from 'tap';
 import { encodeFrame, FrameDecoder } from '../../../src/shared/common/frame-codec.js';
 import {
@@ -8,15 +8,15 @@
 } from '../../../src/registered/group/calls/forward-ids.js';
 import { parseControlInbound } from '../../../src/registered/group/message-schemas.js';
 
-const CALLS = 1_000;
+const CALL_COUNT = 1_000;
 
 function firstIds(start: number): number[] {
   const ids = createForwardIds(startNumberOf(start));
-  return Array.from({ length: CALLS }, () => ids.next());
+  return Array.from({ length: CALL_COUNT }, () => ids.next());
 }
 
-/** The number as another process reads it in a reply; undefined where the message is refused. */
-function travelled(forwardId: number): number | undefined {
+/** Encodes and decodes a reply with this ID; undefined if the message is refused. */
+function decodedForwardId(forwardId: number): number | undefined {
   const sent = { type: 'forward-reply', forwardId, answer: { type: 'committed' } };
   const decoded = new FrameDecoder().push(encodeFrame(sent));
   const [message] = decoded.type === 'malformed' ? [] : decoded.messages;
@@ -24,26 +24,26 @@
   return parsed?.type === 'forward-reply' ? parsed.forwardId : undefined;
 }
 
-t.test('no two calls have one number, in one start or in several', (t) => {
+t.test('IDs are unique within a start and across starts', (t) => {
   const starts = [0, 1, 2, START_BOUND - 2, START_BOUND - 1];
   const ids = starts.flatMap(firstIds);
-  t.equal(new Set(ids).size, starts.length * CALLS);
+  t.equal(new Set(ids).size, starts.length * CALL_COUNT);
   t.end();
 });
 
-t.test('a start knows its own numbers', (t) => {
+t.test('a start recognizes the IDs that it issued', (t) => {
   const one = createForwardIds(startNumberOf(7));
   const other = createForwardIds(startNumberOf(8));
   t.equal(one.isOfThisStart(one.next()), true);
   t.equal(one.isOfThisStart(other.next()), false);
-  t.equal(one.isOfThisStart(1), false, 'as numbers were before they named the start');
+  t.equal(one.isOfThisStart(1), false, 'an ID of the former format, without a start number');
   t.end();
 });
 
-t.test('numbers of the first and of the last start come back as they went', (t) => {
+t.test('IDs of the lowest and the highest start number survive encoding', (t) => {
   for (const start of [0, START_BOUND - 1]) {
     const [id = Number.NaN] = firstIds(start);
-    t.equal(travelled(id), id);
+    t.equal(decodedForwardId(id), id);
     t.ok(Number.isSafeInteger(id));
   }
   t.end();
--- a/test/registered/group/forwarded-calls.test.ts
+++ b/test/registered/group/forwarded-calls.test.ts
@@ -1,4 +1,4 @@
-/** @file A reply of the leader belongs to the call for which it was made, also where its machine has started again. */
+/** @file Guards against a late reply to a call from before a restart that answers a call made after it. */
 import t from 'tap';
 import { seededRandom } from '../../../src/shared/common/random.js';
 import {
@@ -22,12 +22,12 @@
   const states = world.controls.flatMap(({ process }) => process?.state ?? []);
   const state = states.find(({ consensus }) => consensus.role.name === 'follower');
   if (state === undefined) {
-    throw new Error('No follower.');
+    throw new Error('The group has no follower.');
   }
   return { state, nowMs: world.clock.nowMs };
 }
 
-/** Surroundings that keep what is sent to other control machines. */
+/** Surroundings that record the messages to other control machines. */
 function surroundings(sent: PeerMessage[], nowMs: () => number): GroupSurroundings {
   const random = seededRandom(SEED);
   return {
@@ -47,31 +47,31 @@
   return forward.forwardId;
 }
 
-t.test('a late reply to a call of the start before answers no call of this one', async (t) => {
+t.test('a late reply to a call of the previous start answers no call of this start', async (t) => {
   const { state, nowMs } = await formedFollower();
   let atMs = nowMs;
-  const before: PeerMessage[] = [];
+  const sentByFirst: PeerMessage[] = [];
   const first = new GroupProcess(
     state,
-    surroundings(before, () => atMs),
+    surroundings(sentByFirst, () => atMs),
   );
   first.call({ type: 'deregister', backendId: 'backend-1' }, () => undefined);
-  const lateId = forwardIdOf(before);
+  const lateId = forwardIdOf(sentByFirst);
 
-  // The machine starts again; its log and its leader are the same, and the first call is given up.
+  // The machine restarts with the same log and leader; the first call has timed out.
   atMs += state.options.requestDeadlineMs + 1;
   state.calls.takeExpired(atMs);
-  const after: PeerMessage[] = [];
+  const sentBySecond: PeerMessage[] = [];
   const second = new GroupProcess(
     state,
-    surroundings(after, () => atMs),
+    surroundings(sentBySecond, () => atMs),
   );
   const replies: GroupReply[] = [];
   const document = { version: 1_000, text: '{}' };
   second.call({ type: 'declare-config', document }, (reply) => replies.push(reply));
-  forwardIdOf(after);
+  forwardIdOf(sentBySecond);
 
   const answer = { type: 'committed' } as const;
   second.handlePeerMessage({ type: 'forward-reply', forwardId: lateId, answer });
-  t.same(replies, [], 'nobody has committed the configuration');
+  t.same(replies, [], 'the configuration is not committed');
 });
--- a/test/registered/group/message-schemas.test.ts
+++ b/test/registered/group/message-schemas.test.ts
@@ -1,4 +1,4 @@
-/** @file Whatever comes in on an internal port is one of our messages or is refused; nothing throws. */
+/** @file Guards against invalid messages that pass validation or make it throw. */
 import fc from 'fast-check';
 import t from 'tap';
 import { unpackFeed } from '../../../src/registered/group/wire/feed-codec.js';
@@ -14,16 +14,16 @@
 };
 const FEED = { type: 'feed', isCurrent: true, isComplete: true, isCounted: false };
 const REPORT = { type: 'load-report', loads: [1, 0] };
-const PLACED = { type: 'open-placed', key: 'a>b', token: 1 };
+const OPEN_PLACED = { type: 'open-placed', key: 'a>b', token: 1 };
 
-t.test('good messages are taken', async (t) => {
+t.test('valid messages are accepted', async (t) => {
   t.same(parseControlInbound(SUBSCRIBE), SUBSCRIBE);
   t.same(unpackFeed(FEED), FEED);
   t.same(parseControlInbound(REPORT), REPORT);
-  t.same(parseBalancerMessage(PLACED), PLACED);
+  t.same(parseBalancerMessage(OPEN_PLACED), OPEN_PLACED);
 });
 
-t.test('a message with a field of another form is refused', async (t) => {
+t.test('a message with an invalid field is refused', async (t) => {
   const cases = [
     parseControlInbound({ ...SUBSCRIBE, configVersion: -1 }),
     parseControlInbound({ ...SUBSCRIBE, balancer: undefined }),
@@ -35,13 +35,13 @@
     parseControlInbound({ ...REPORT, loads: [1.5, 0] }),
     parseControlInbound({ ...REPORT, loads: [1] }),
     parseControlInbound({ ...REPORT, loads: [1, -1] }),
-    parseBalancerMessage({ ...PLACED, token: 1.5 }),
-    parseBalancerMessage({ ...PLACED, key: 7 }),
+    parseBalancerMessage({ ...OPEN_PLACED, token: 1.5 }),
+    parseBalancerMessage({ ...OPEN_PLACED, key: 7 }),
   ];
   t.same(new Set(cases), new Set([undefined]));
 });
 
-t.test('no value makes a check throw or passes for a message', async (t) => {
+t.test('arbitrary values are refused without an exception', async (t) => {
   const types = fc.constantFrom(
     'consensus',
     'announce',
--- a/test/registered/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -140,7 +140,7 @@
   const failed = await emptyZone((world) =>
     world.controls.forEach(({ process }) => {
       if (process !== undefined) {
-        process.state.replicated.zones.apply = () => 'known';
+        process.state.replicated.zones.apply = () => 'unchanged';
       }
     }),
   );
