--- a/src/registered/group/calls/backend-calls.ts
+++ b/src/registered/group/calls/backend-calls.ts
@@ -34,10 +34,12 @@
   run: RunConsensus,
 ): GroupEffect[] {
   if (!isCurrent(state, nowMs)) {
-    return [unavailable(requestId, 'This machine follows no leader.')];
+    return [unavailable(requestId, 'This machine has no current leader.')];
   }
   if (!admitsBackend(state, record)) {
-    return [unavailable(requestId, `No configuration names the service ${record.service}.`)];
+    return [
+      unavailable(requestId, `The service ${record.service} is not in the current configuration.`),
+    ];
   }
   const decisions = registrationDecision(state, record);
   const aged: AgedRecord = { record, ageMs: 0 };
@@ -95,10 +97,13 @@
     }
     case 'ambiguous':
       return [
-        unavailable(requestId, 'This may be of the start before; the next one has just begun.'),
+        unavailable(
+          requestId,
+          'The back end has just restarted: this deregistration may be meant for its previous start.',
+        ),
       ];
     case 'unknown':
-      return [unavailable(requestId, 'No heartbeat of this back end is known here.')];
+      return [unavailable(requestId, 'This back end is not registered.')];
   }
 }
 
--- a/src/registered/group/calls/leader-replies.ts
+++ b/src/registered/group/calls/leader-replies.ts
@@ -141,7 +141,7 @@
  * @returns the reply to an order that was based on an outdated status of its zone
  */
 export function outdatedOrder(zone: string): LeaderReply {
-  return refused(`Another order for zone ${zone} came between.`);
+  return refused(`Another order for zone ${zone} was applied in the meantime.`);
 }
 
 /**
--- a/src/registered/group/calls/leader-requests.ts
+++ b/src/registered/group/calls/leader-requests.ts
@@ -73,7 +73,7 @@
   const { replyTo: address, forwardId, request } = message;
   const receiver = { type: 'peer', address, forwardId } as const;
   if (state.consensus.role.name !== 'leader') {
-    return [replyTo(state, receiver, refused('This machine does not lead.'))];
+    return [replyTo(state, receiver, refused('This machine is not the leader.'))];
   }
   return performAsLeader(state, request, receiver, run);
 }
@@ -108,5 +108,5 @@
 export function expireCalls({ calls }: CallState, nowMs: number): GroupEffect[] {
   return calls
     .takeExpired(nowMs)
-    .map((requestId) => unavailable(requestId, 'No answer came in time.'));
+    .map((requestId) => unavailable(requestId, 'The leader did not reply in time.'));
 }
--- a/src/registered/group/calls/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -27,7 +27,7 @@
     return [{ type: 'reply', requestId, reply: unknownZone(state, zone, nowMs) }];
   }
   if (state.stallGuard.trustAt(nowMs) !== 'fresh') {
-    const reason = 'This process stood still a moment ago: the order may be old.';
+    const reason = 'This process was paused a moment ago, so the order may be outdated.';
     return [{ type: 'reply', requestId, reply: { type: 'unavailable', reason } }];
   }
   const order = { zone, kind, afterOrders: state.replicated.zones.statusOf(zone).orders };
@@ -52,6 +52,6 @@
     ? { type: 'unknown-zone', zone }
     : {
         type: 'unavailable',
-        reason: `Zone ${zone} is not known here, which may change.`,
+        reason: `Zone ${zone} is unknown to this machine, which has no current leader.`,
       };
 }
--- a/src/registered/group/message-schemas.ts
+++ b/src/registered/group/message-schemas.ts
@@ -41,7 +41,7 @@
 const hasTable = z.refine<LoadTables>(
   ({ loads: loadTable, signals: statsTable }) =>
     loadTable !== undefined || statsTable !== undefined,
-  'There is no table.',
+  'The message has neither loads nor signals.',
 );
 const configDocument = z.object({
   version: index,
