--- a/src/registered/group/applied-entries.ts
+++ b/src/registered/group/applied-entries.ts
@@ -24,7 +24,7 @@
 export function applyEntry(state: AppliedState, entry: LogEntry, nowMs: number): GroupEffect[] {
   const { content, index, term } = entry;
   if (content.type === 'membership') {
-    state.updates.addControls();
+    state.updates.markControlsChanged();
     return [membershipDecision(state, index)];
   }
   if (content.type === 'no-op') {
@@ -77,7 +77,7 @@
   } else {
     readmissions.recordReadmitted(zone, nowMs);
   }
-  updates.addZones();
+  updates.markZonesChanged();
   const name = isEvacuated ? 'zone evacuated' : 'zone readmitted';
   return [{ type: 'decision', name, fields: { zone, orders } }];
 }
@@ -99,7 +99,7 @@
     state.configs.apply(state.options.readDocument(config));
   }
   replicated.allDepartures().forEach(({ backendId }) => updates.addDeparture(backendId));
-  updates.addZones();
+  updates.markZonesChanged();
   state.backendList.requireSeeding();
   return [{ type: 'decision', name: 'snapshot taken over', fields: { version: config?.version } }];
 }
--- a/src/registered/group/feed/balancer-feed.ts
+++ b/src/registered/group/feed/balancer-feed.ts
@@ -1,10 +1,9 @@
 /**
- * @file The feed of the balancers that are linked to this control machine: one full sync, then updates that are
- * gathered for a tick, and a pulse where nothing changes. It owns the subscribers. What each gets and when is decided
- * in feed-plan.ts; feed-messages.ts makes the messages.
+ * @file Feeds the balancers that are connected to this control machine: a full sync, then the updates of each tick, and
+ * keepalives when nothing changes. feed-plan.ts plans the messages, feed-messages.ts builds them.
  */
 import type { LinkId } from '../../../shared/common/link-table.js';
-import { messageOf, type FeedMessageState } from './feed-messages.js';
+import { messageForPlan, type FeedMessageState } from './feed-messages.js';
 import { isBehind, planMessages, type FeedPlanState } from './feed-plan.js';
 import type { GroupEffect } from '../group-events.js';
 import type { SubscribeMessage } from '../group-messages.js';
@@ -13,11 +12,11 @@
 import { hasNoUpdates, mergeUpdates } from './pending-updates.js';
 import { createSubscriber, type Subscriber } from './subscribers.js';
 
-/** What the feed needs of the machine. */
+/** The part of the group state that feeds depend on. */
 type FeedState = FeedPlanState & FeedMessageState & Pick<GroupState, 'subscribers' | 'updates'>;
 
 /**
- * Adds a balancer that subscribed on a link.
+ * Adds the balancer that subscribed on a link; sends nothing yet.
  */
 export function addSubscriber(
   { subscribers, balancers }: Pick<GroupState, 'subscribers' | 'balancers'>,
@@ -25,11 +24,11 @@
   message: SubscribeMessage,
 ): void {
   subscribers.set(linkId, createSubscriber(message));
-  balancers.recordOwnChange();
+  balancers.recordLocalChange();
 }
 
 /**
- * Forgets a balancer whose link is closed, with what it reported.
+ * Removes the balancer of a closed link, with its load reports.
  */
 export function removeSubscriber(
   {
@@ -43,23 +42,23 @@
   loads.totals.removeReporter(linkId);
   answerStats.totals.removeReporter(linkId);
   if (subscribers.delete(linkId)) {
-    balancers.recordOwnChange();
+    balancers.recordLocalChange();
   }
 }
 
 /**
- * Sends a balancer what it lacks, at once after it subscribed or acknowledged a message; the others learn of a new
- * balancer with the next tick.
+ * Sends one balancer its due messages without waiting for the tick, after it subscribed or acknowledged a message. The
+ * other balancers are sent a new balancer with the next tick.
  */
-export function feedOne(state: FeedState, linkId: LinkId, nowMs: number): GroupEffect[] {
+export function feedSubscriber(state: FeedState, linkId: LinkId, nowMs: number): GroupEffect[] {
   const subscriber = state.subscribers.get(linkId);
-  return subscriber === undefined ? [] : feedSubscriber(state, linkId, subscriber, nowMs);
+  return subscriber === undefined ? [] : sendDueMessages(state, linkId, subscriber, nowMs);
 }
 
 /**
- * Applies the acknowledgement of a balancer: it has applied the first `count` counted messages of its link.
+ * Records that a balancer has applied the first `count` counted messages of its link, and sends it the next ones.
  */
-export function applyFeedTaken(
+export function applyAcknowledgement(
   state: FeedState,
   linkId: LinkId,
   count: number,
@@ -70,29 +69,29 @@
     return [];
   }
   subscriber.countedApplied = Math.min(count, subscriber.countedSent);
-  return isBehind(state, subscriber) ? feedOne(state, linkId, nowMs) : [];
+  return isBehind(state, subscriber) ? feedSubscriber(state, linkId, nowMs) : [];
 }
 
 /**
- * Sends each balancer what it lacks; called with each tick.
+ * Called each tick: adds the new updates to those pending for each balancer, and sends all due messages.
  */
 export function feedSubscribers(state: FeedState, nowMs: number): GroupEffect[] {
   const { subscribers, balancers, updates } = state;
-  const ownBalancers = () => [...subscribers.values()].map(({ balancer }) => balancer);
-  balancers.publish(ownBalancers).forEach((name) => updates.addBalancer(name));
-  const sinceLastTick = updates.take();
-  if (!hasNoUpdates(sinceLastTick)) {
+  const listLocalBalancers = () => [...subscribers.values()].map(({ balancer }) => balancer);
+  balancers.publish(listLocalBalancers).forEach((name) => updates.addBalancer(name));
+  const newUpdates = updates.take();
+  if (!hasNoUpdates(newUpdates)) {
     for (const { pendingUpdates } of subscribers.values()) {
-      mergeUpdates(pendingUpdates, sinceLastTick);
+      mergeUpdates(pendingUpdates, newUpdates);
     }
   }
   state.feedMessages.clear();
   return [...subscribers].flatMap(([linkId, subscriber]) =>
-    feedSubscriber(state, linkId, subscriber, nowMs),
+    sendDueMessages(state, linkId, subscriber, nowMs),
   );
 }
 
-function feedSubscriber(
+function sendDueMessages(
   state: FeedState,
   linkId: LinkId,
   subscriber: Subscriber,
@@ -100,8 +99,8 @@
 ): GroupEffect[] {
   const plans = planMessages(state, subscriber, isCurrent(state, nowMs), nowMs);
   return plans.map((plan) => {
-    subscriber.wasSentCurrent = plan.isCurrent;
-    subscriber.nextPulseAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
-    return { type: 'send-feed', linkId, message: messageOf(state, plan, nowMs) };
+    subscriber.lastSentIsCurrent = plan.isCurrent;
+    subscriber.nextKeepaliveAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
+    return { type: 'send-feed', linkId, message: messageForPlan(state, plan, nowMs) };
   });
 }
--- a/src/registered/group/feed/balancer-list-duties.ts
+++ b/src/registered/group/feed/balancer-list-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * @file How control machines keep each other's lists of balancers: each sends the others which ones it feeds.
+ * @file Exchanges balancer lists between control machines: each sends the balancers that are connected to it.
  */
 import { formatAddress } from '../../../shared/common/address.js';
 import type { GroupEffect } from '../group-events.js';
@@ -11,7 +11,7 @@
 type BalancersMessage = Extract<PeerMessage, { readonly type: 'balancers' }>;
 
 /**
- * Sends the other control machines the balancers that are fed here: once a second, and with the tick after a change.
+ * Sends the list of connected balancers to the other control machines: once a second, and in the tick after a change.
  */
 export function shareBalancers(
   state: Pick<GroupState, 'balancers' | 'consensus' | 'options' | 'subscribers'>,
@@ -30,23 +30,23 @@
 }
 
 /**
- * Applies the list of balancers that another control machine feeds, and where that machine runs.
+ * Applies the balancer list and the zone of another control machine.
  */
 export function applyPeerBalancers(
-  { balancers: list, updates }: BalancerListState,
+  { balancers: balancerList, updates }: BalancerListState,
   { sender, zone, balancers }: BalancersMessage,
   nowMs: number,
 ): void {
-  if (list.applyPeerList(formatAddress(sender), zone, balancers, nowMs)) {
-    updates.addControls();
+  if (balancerList.applyPeerList(formatAddress(sender), zone, balancers, nowMs)) {
+    updates.markControlsChanged();
   }
 }
 
 /**
- * Forgets the balancers of control machines that have been silent for long.
+ * Removes the balancer lists of control machines that have sent none for the lifetime of a list.
  */
-export function forgetSilentPeers({ balancers, updates }: BalancerListState, nowMs: number): void {
-  if (balancers.forgetSilentPeers(nowMs)) {
-    updates.addControls();
+export function removeSilentPeers({ balancers, updates }: BalancerListState, nowMs: number): void {
+  if (balancers.removeSilentPeers(nowMs)) {
+    updates.markControlsChanged();
   }
 }
--- a/src/registered/group/feed/balancer-list.ts
+++ b/src/registered/group/feed/balancer-list.ts
@@ -1,20 +1,19 @@
 /**
- * @file Which balancers there are, and in which zones the other control machines run. It owns the lists that the other
- * control machines send of the balancers that they feed, and the joined list that the balancers fed here know of. Soft
- * state: lists are sent again every second.
+ * @file Merges the balancers connected to all control machines into one list, and stores the zones of the other control
+ * machines. Soft state: each machine sends its list every second.
  */
 import type { BalancerInfo } from '../group-messages.js';
 
-/** The balancers that all control machines feed. */
+/** The balancers connected to any control machine. */
 export interface BalancerList {
-  /** The balancers that subscribers know of, by their names. */
+  /** The merged list as last published to the connected balancers, by name. */
   readonly published: ReadonlyMap<string, BalancerInfo>;
-  /** A balancer came or went here: subscribers and other control machines learn of it with the next tick. */
-  recordOwnChange(): void;
+  /** Records that a balancer connected or disconnected here; the change is sent with the next tick. */
+  recordLocalChange(): void;
   /**
-   * Replaces the list of another control machine.
+   * Replaces the list and the zone of another control machine.
    * @param sender its link address as text
-   * @returns true where its zone was not known
+   * @returns true if its zone is new or has changed
    */
   applyPeerList(
     sender: string,
@@ -23,43 +22,36 @@
     nowMs: number,
   ): boolean;
   /**
-   * Forgets control machines that have been silent for long, with their balancers and zones.
-   * @returns true where there was one
+   * Removes the lists and zones of control machines whose lists have expired.
+   * @returns true if there was one
    */
-  forgetSilentPeers(nowMs: number): boolean;
+  removeSilentPeers(nowMs: number): boolean;
   /**
-   * Publishes all balancers that are known now.
-   * @param own those that are fed here
-   * @returns the names of those that came, went, or moved since they were published last
+   * Publishes the current merged list.
+   * @param listLocalBalancers returns the balancers connected here; called only if something has changed
+   * @returns the names of balancers that were added, changed or removed since the last publication
    */
-  publish(own: () => BalancerInfo[]): string[];
-  /** @returns true where the own list is to be sent to the other control machines now; the next time is set */
+  publish(listLocalBalancers: () => BalancerInfo[]): string[];
+  /** @returns true if the local list is to be sent to the other control machines now; schedules the next time */
   startSharing(nowMs: number): boolean;
-  /** @returns where another control machine runs; undefined while that is not known */
+  /** @returns the zone of another control machine; undefined if unknown */
   zoneOfControl(linkAddress: string): string | undefined;
-  /** @returns true where another control machine runs in a zone */
+  /** @returns true if another control machine runs in the zone */
   hasControlIn(zone: string): boolean;
 }
 
-/** The balancers that another control machine feeds. */
+/** The list of another control machine. */
 interface PeerBalancers {
   readonly balancers: readonly BalancerInfo[];
   readonly receivedAtMs: number;
 }
 
-/**
- * Time between two lists of balancers to the other control machines. Not measured; changes are sent at once, so it
- * only bounds how long a machine that has just started lacks the others' lists.
- */
-const SHARE_BALANCERS_INTERVAL_MS = 1_000;
-/**
- * A list of another control machine counts for so long: three may be lost. Not measured; too short would show as
- * balancers that come and go in `lostBalancers` while a control machine is cut off, too long as opens that are copied
- * to balancers that are gone.
- */
-const BALANCERS_LIFETIME_MS = 4_000;
+/** Changes are sent in the next tick; this bounds how long a newly started machine lacks the other lists. */
+const SHARE_INTERVAL_MS = 1_000;
+/** The list of a control machine expires after this time; tolerates three lost lists. */
+const PEER_LIST_LIFETIME_MS = 4_000;
 
-/** @returns a list without any balancer */
+/** @returns an empty list */
 export function createBalancerList(): BalancerList {
   const peers = new Map<string, PeerBalancers>();
   const controlZones = new Map<string, string>();
@@ -71,16 +63,16 @@
     get published() {
       return published;
     },
-    recordOwnChange,
+    recordLocalChange,
     applyPeerList,
-    forgetSilentPeers,
+    removeSilentPeers,
     publish,
     startSharing,
     zoneOfControl: (linkAddress) => controlZones.get(linkAddress),
     hasControlIn: (zone) => [...controlZones.values()].includes(zone),
   };
 
-  function recordOwnChange(): void {
+  function recordLocalChange(): void {
     isChanged = true;
     nextShareAtMs = Number.NEGATIVE_INFINITY;
   }
@@ -98,38 +90,42 @@
     return isZoneNew;
   }
 
-  function forgetSilentPeers(nowMs: number): boolean {
+  function removeSilentPeers(nowMs: number): boolean {
     const silent = [...peers].filter(
-      ([, { receivedAtMs }]) => nowMs - receivedAtMs > BALANCERS_LIFETIME_MS,
+      ([, { receivedAtMs }]) => nowMs - receivedAtMs > PEER_LIST_LIFETIME_MS,
     );
     for (const [sender] of silent) {
       peers.delete(sender);
       isChanged = true;
-      // Without a zone no balancer prefers a machine that may be gone.
+      // Balancers prefer control machines in their own zone, so a silent one loses its zone.
       controlZones.delete(sender);
     }
     return silent.length > 0;
   }
 
-  function publish(own: () => BalancerInfo[]): string[] {
+  function publish(listLocalBalancers: () => BalancerInfo[]): string[] {
     if (!isChanged) {
       return [];
     }
     isChanged = false;
-    const before = published;
-    const fedByPeers = [...peers.values()].flatMap(({ balancers }) => balancers);
-    const all = new Map([...own(), ...fedByPeers].map((info) => [info.name, info]));
+    const previous = published;
+    const peerBalancers = [...peers.values()].flatMap(({ balancers }) => balancers);
+    const all = new Map(
+      [...listLocalBalancers(), ...peerBalancers].map((info) => [info.name, info]),
+    );
     published = all;
-    const came = [...all.values()].filter((info) => !isSameBalancer(info, before.get(info.name)));
-    const lost = [...before.keys()].filter((name) => !all.has(name));
-    return [...came.map(({ name }) => name), ...lost];
+    const addedOrChanged = [...all.values()].filter(
+      (info) => !isSameBalancer(info, previous.get(info.name)),
+    );
+    const removed = [...previous.keys()].filter((name) => !all.has(name));
+    return [...addedOrChanged.map(({ name }) => name), ...removed];
   }
 
   function startSharing(nowMs: number): boolean {
     if (nowMs < nextShareAtMs) {
       return false;
     }
-    nextShareAtMs = nowMs + SHARE_BALANCERS_INTERVAL_MS;
+    nextShareAtMs = nowMs + SHARE_INTERVAL_MS;
     return true;
   }
 }
--- a/src/registered/group/feed/config-history.ts
+++ b/src/registered/group/feed/config-history.ts
@@ -1,13 +1,6 @@
 /**
- * @file Does a balancer get the changes since the version that it holds, or all routes?
- *
- * Inputs: the version that the balancer holds, the configuration in force, and the updates between the last versions.
- * Returns a config update, or none where the balancer lacks nothing. It gets the changes, joined over all versions
- * since its own, unless that version is not kept any more or they are more than the routes there are.
- *
- * Reason: whole configurations fill links. One of 2,710 routes, sent whole, was 287,446 bytes and occupied a balancer's
- * link of 2 Mbit/s for 1.15 s (docs/incidents/tv-cartago-grown-drain.md). The history owns the configuration in force
- * in its parsed form; it is soft state but for the newest version, which is in the replicated state.
+ * @file Keeps the current configuration and the deltas between its last versions. A balancer is sent the merged deltas
+ * since its version, or a full update if its version is no longer kept or a full update has fewer changes.
  */
 import {
   mergeSteps,
@@ -19,35 +12,32 @@
 } from '../../declared/config-update.js';
 import type { DeclaredConfig } from '../../declared/declared-config.js';
 
-/** The configuration in force, and the changes that led to it. */
+/** The current configuration, and the deltas that led to it. */
 export interface ConfigHistory {
   readonly config: DeclaredConfig | undefined;
-  /** The version in force; `NO_VERSION` for none. */
+  /** The current version; `NO_VERSION` if there is no configuration. */
   readonly version: number;
-  /** Applies the configuration that is in force from now on. */
+  /** Replaces the current configuration and records the delta. */
   apply(config: DeclaredConfig): void;
   /**
-   * @param version that a balancer holds
-   * @returns what it lacks; undefined where it lacks nothing
+   * @param version the version of a balancer
+   * @returns the update to the current version; undefined if the balancer needs none
    */
   updateFrom(version: number): ConfigUpdate | undefined;
 }
 
-/**
- * Steps that are kept: the changes of four minutes at one a second. Not measured; too few would show as feeds that
- * carry all routes after a short outage of a link.
- */
+/** Four minutes of changes at one per second, so that a short link outage needs no full update. */
 const MAX_STEPS = 256;
-/** Changes of routes that are kept over all steps; at some 100 bytes each 2 MB of memory. Not measured. */
+/** Route changes over all steps; about 2 MB of memory at 100 bytes each. */
 const MAX_CHANGES = 20_000;
 
-/** @returns a history with the configuration that was found at the start, or none */
-export function createConfigHistory(found: DeclaredConfig | undefined): ConfigHistory {
-  let config = found;
-  /** Each leads to the version that the next one is made to; the last one to the version that holds. */
+/** @returns a history that starts with the given configuration, without deltas */
+export function createConfigHistory(initial: DeclaredConfig | undefined): ConfigHistory {
+  let config = initial;
+  /** Consecutive deltas; the last one leads to the current version. */
   let steps: ConfigStep[] = [];
-  /** Updates that were asked for since the last change, by the version that they are made to. */
-  const cached = new Map<number, ConfigUpdate>();
+  /** Updates to the current version, by base version. */
+  const cachedUpdates = new Map<number, ConfigUpdate>();
 
   return {
     get config() {
@@ -62,32 +52,34 @@
 
   function apply(next: DeclaredConfig): void {
     if (config !== undefined) {
-      steps = withinBounds([...steps, updateBetween(config, next)]);
+      steps = newestSteps([...steps, updateBetween(config, next)]);
     }
     config = next;
-    cached.clear();
+    cachedUpdates.clear();
   }
 
   function updateFrom(version: number): ConfigUpdate | undefined {
     if (config === undefined || version >= config.version) {
       return undefined;
     }
-    const update = cached.get(version) ?? createUpdate(config, version);
-    cached.set(version, update);
+    const update = cachedUpdates.get(version) ?? createUpdate(config, version);
+    cachedUpdates.set(version, update);
     return update;
   }
 
-  function createUpdate(held: DeclaredConfig, version: number): ConfigUpdate {
-    const from = steps.findIndex(({ baseVersion }) => baseVersion === version);
-    const joined = from < 0 ? undefined : mergeSteps(steps.slice(from));
-    const whole = joined === undefined || joined.changes.length > held.routes.length;
-    return whole ? fullUpdate(held) : joined;
+  function createUpdate(current: DeclaredConfig, version: number): ConfigUpdate {
+    const firstStep = steps.findIndex(({ baseVersion }) => baseVersion === version);
+    const delta = firstStep < 0 ? undefined : mergeSteps(steps.slice(firstStep));
+    const shouldSendFull = delta === undefined || delta.changes.length > current.routes.length;
+    return shouldSendFull ? fullUpdate(current) : delta;
   }
 }
 
-/** The newest steps, as many as may be kept. */
-function withinBounds(steps: readonly ConfigStep[]): ConfigStep[] {
-  let changes = 0;
-  const firstKept = steps.findLastIndex((step) => (changes += step.changes.length) > MAX_CHANGES);
-  return steps.slice(Math.max(firstKept + 1, steps.length - MAX_STEPS));
+/** The newest steps within `MAX_STEPS` and `MAX_CHANGES`. */
+function newestSteps(steps: readonly ConfigStep[]): ConfigStep[] {
+  let changeCount = 0;
+  const lastDropped = steps.findLastIndex(
+    (step) => (changeCount += step.changes.length) > MAX_CHANGES,
+  );
+  return steps.slice(Math.max(lastDropped + 1, steps.length - MAX_STEPS));
 }
--- a/src/registered/group/feed/feed-messages.ts
+++ b/src/registered/group/feed/feed-messages.ts
@@ -1,6 +1,6 @@
 /**
- * @file Makes the messages to balancers from their plans: the state of each name is looked up now. Balancers that lack
- * the same get the same message object, whose bytes are then made once; it owns these messages until the next tick.
+ * @file Builds feed messages from their plans, with the current state of each planned name. Equal plans within a tick
+ * share one message object, so that it is encoded once.
  */
 import { formatAddress } from '../../../shared/common/address.js';
 import { currentMembership } from '../../../shared/consensus/consensus-state.js';
@@ -17,7 +17,7 @@
 import type { GroupState } from '../group-state.js';
 import type { PendingUpdates } from './pending-updates.js';
 
-/** What messages are made from. */
+/** The part of the group state that messages are built from. */
 export type FeedMessageState = Pick<
   GroupState,
   | 'balancers'
@@ -30,21 +30,25 @@
   | 'replicated'
 >;
 
-/** What a message says of the names in its plan. */
+/** The fields of a message that are built from the names in its plan. */
 type UpdateFields = Omit<
   FeedMessage,
   'type' | 'isCurrent' | 'isComplete' | 'isCounted' | 'transfer' | 'config'
 >;
 
-/** @returns the message of a plan; the same object for equal plans within a tick */
-export function messageOf(state: FeedMessageState, plan: MessagePlan, nowMs: number): FeedMessage {
-  const key = keyOfPlan(plan);
-  const message = state.feedMessages.get(key) ?? makeMessage(state, plan, nowMs);
+/** @returns the message for a plan; the same object for equal plans within a tick */
+export function messageForPlan(
+  state: FeedMessageState,
+  plan: MessagePlan,
+  nowMs: number,
+): FeedMessage {
+  const key = planKey(plan);
+  const message = state.feedMessages.get(key) ?? createMessage(state, plan, nowMs);
   state.feedMessages.set(key, message);
   return message;
 }
 
-function keyOfPlan({ updates, config, ...plan }: MessagePlan): string {
+function planKey({ updates, config, ...plan }: MessagePlan): string {
   const { registered, livenessChanged, departed, balancers } = updates;
   const { areControlsChanged, areZonesChanged } = updates;
   const names = [registered, livenessChanged, departed, balancers].map((set) => [...set].join(' '));
@@ -52,7 +56,7 @@
   return JSON.stringify([plan, names, areControlsChanged, areZonesChanged, part]);
 }
 
-function makeMessage(state: FeedMessageState, plan: MessagePlan, nowMs: number): FeedMessage {
+function createMessage(state: FeedMessageState, plan: MessagePlan, nowMs: number): FeedMessage {
   const { updates, transfer, config, ...flags } = plan;
   return {
     type: 'feed',
@@ -87,10 +91,10 @@
 }
 
 function agedRecordOf(state: FeedMessageState, id: string, nowMs: number): AgedRecord[] {
-  const known = state.registry.get(id);
-  return known === undefined
+  const entry = state.registry.get(id);
+  return entry === undefined
     ? []
-    : [{ record: known.record, ageMs: silenceMs(state, known.lastHeartbeatAtMs, nowMs) }];
+    : [{ record: entry.record, ageMs: silenceMs(state, entry.lastHeartbeatAtMs, nowMs) }];
 }
 
 function silenceMs(state: FeedMessageState, lastHeartbeatAtMs: number, nowMs: number): number {
@@ -98,7 +102,7 @@
   return Math.max(0, Math.round(nowMs - Math.max(lastHeartbeatAtMs, listeningSinceMs)));
 }
 
-/** The age of a record implies its liveness, but for a back end whose address another one holds. */
+/** The age of a record implies its liveness, unless another back end has taken over its address. */
 function isLivenessImplied(
   { registry }: FeedMessageState,
   registered: ReadonlySet<string>,
@@ -112,12 +116,12 @@
   backendId: string,
   nowMs: number,
 ): LivenessChange[] {
-  const known = state.registry.get(backendId);
-  if (known === undefined) {
+  const entry = state.registry.get(backendId);
+  if (entry === undefined) {
     return [];
   }
-  const liveness = state.registry.isSuperseded(backendId) ? 'dead' : known.liveness;
-  return [{ backendId, liveness, silentMs: silenceMs(state, known.lastHeartbeatAtMs, nowMs) }];
+  const liveness = state.registry.isSuperseded(backendId) ? 'dead' : entry.liveness;
+  return [{ backendId, liveness, silentMs: silenceMs(state, entry.lastHeartbeatAtMs, nowMs) }];
 }
 
 function departureOf({ replicated }: FeedMessageState, backendId: string): Departure[] {
@@ -125,11 +129,11 @@
   return kind === undefined ? [] : [{ backendId, kind }];
 }
 
-function balancerFields({ balancers: list }: FeedMessageState, names: ReadonlySet<string>) {
+function balancerFields({ balancers: balancerList }: FeedMessageState, names: ReadonlySet<string>) {
   const balancers: BalancerInfo[] = [];
   const lostBalancers: string[] = [];
   for (const name of names) {
-    const info = list.published.get(name);
+    const info = balancerList.published.get(name);
     if (info === undefined) {
       lostBalancers.push(name);
     } else {
@@ -155,7 +159,7 @@
   return isOwn ? options.zone : balancers.zoneOfControl(address);
 }
 
-/** All of them, since they are few: a balancer applies those that are newer than what it knows. */
+/** All zones, since there are few; balancers ignore those that are not newer than their state. */
 function allZones({ replicated, readmissions }: FeedMessageState, nowMs: number): ZoneUpdate[] {
   return replicated.zones.all().map((status) => {
     const ageMs = status.isEvacuated ? undefined : readmissions.ageMs(status.zone, nowMs);
--- a/src/registered/group/feed/feed-plan.ts
+++ b/src/registered/group/feed/feed-plan.ts
@@ -1,21 +1,14 @@
 /**
- * @file What does a balancer get next: the whole state, updates, or a pulse; and how much of it in one message?
+ * @file Plans which messages a balancer is sent next: a full sync, updates, or a keepalive.
  *
- * Inputs: the subscriber with what it acknowledged and what waits for it, whether this machine is current, the
- * configuration history, the replicated state and the time, in milliseconds. Returns plans of messages, in order.
- *
- * - A balancer gets the whole state (a full sync) once after it subscribed; and once more when this machine becomes
- *   current, where it was not current at the first one. Otherwise it gets updates.
- * - No more than MAX_UNDER_WAY messages that it has not acknowledged are under way to it. What waits merges by name
- *   (pending-updates.ts), so a slow receiver gets the newest state of everything and holds up nobody.
- * - Each message is bounded in names and in changes of routes. Back ends come before routes: placement waits for both,
- *   and routes may be many.
- * - Where nothing is to be sent, a pulse says whether this machine is current: at once when that changes, otherwise
- *   every `feedPulseIntervalMs` (timing.ts).
- *
- * Without bounds a configuration of 2,710 routes is one message of 287,446 bytes, 1.15 s of a link of 2 Mbit/s, and the
- * feed is given up before it has come (docs/incidents/tv-cartago-grown-drain.md). The ways weighed are in
- * docs/design/links.md. Log lines at the balancer: `feed lost`, `feed left`, `feed not reached`.
+ * - A balancer gets a full sync after it subscribes, and another one when this machine becomes current if it was not
+ *   current during the first.
+ * - A window limits unacknowledged messages. Pending updates merge by name (pending-updates.ts), so a slow balancer
+ *   gets the newest state and delays no other.
+ * - Messages are bounded in size, since a large one on a slow link would outlast the feed timeout. Back ends are sent
+ *   before routes: placement needs both, and there may be many routes.
+ * - If nothing is due, a keepalive says whether this machine is current: at intervals, and when that changes unless the
+ *   window is full.
  */
 import { partOf, type ConfigPart, type ConfigUpdate } from '../../declared/config-update.js';
 import type { FullSyncStage } from '../group-messages.js';
@@ -28,13 +21,13 @@
 } from './pending-updates.js';
 import type { Subscriber, SubscriberPhase } from './subscribers.js';
 
-/** What a plan depends on. */
+/** The part of the group state that plans depend on. */
 export type FeedPlanState = Pick<GroupState, 'balancers' | 'configs' | 'registry' | 'replicated'>;
 
-/** What a message will say, by name; the state of each name is looked up when the message is made. */
+/** The content of a message by name; the state of each name is looked up when the message is built. */
 export interface MessagePlan {
   readonly isCurrent: boolean;
-  /** Whether the receiver lacks nothing after it. */
+  /** True if the balancer is up to date once it has applied the message. */
   readonly isComplete: boolean;
   readonly isCounted: boolean;
   readonly updates: PendingUpdates;
@@ -42,57 +35,51 @@
   readonly config?: ConfigPart;
 }
 
+/** The second one keeps the link in use while the first is acknowledged. */
+const MAX_UNACKNOWLEDGED_MESSAGES = 2;
 /**
- * Messages that may be under way to a balancer: one that it applies, and the next one behind it. Not measured by
- * itself; with one a link would rest for a round trip after each message, with more a slow link would hold older state.
- */
-const MAX_UNDER_WAY = 2;
-/**
- * Back ends or balancers in one message: some 9 KB, which 2 Mbit/s carry in 36 ms, less than the time after which a
- * silent feed is given up (timing.ts).
- */
-const MAX_NAMES = 256;
-/**
- * Departures in a full sync of back ends whose records are forgotten: four messages. All 20,000 that the group keeps
- * were 76 messages, more than a second of 2 Mbit/s before a balancer that has started is ready (docs/design/links.md).
+ * Names of each kind per message; about 9 KB, so that a link of 2 Mbit/s carries the message well within the timeout of
+ * a silent feed (timing.ts).
  */
-const MAX_OLD_DEPARTURES = 1_000;
-/** Changes of routes in one message: some 8 KB, by the same reason as MAX_NAMES. */
-const MAX_ROUTE_CHANGES = 1_000;
+const MAX_NAMES_PER_MESSAGE = 256;
+/** Departures of unregistered back ends in a full sync; sending all that the group keeps would delay a new balancer. */
+const MAX_UNREGISTERED_DEPARTURES = 1_000;
+/** About 8 KB, for the same reason as `MAX_NAMES_PER_MESSAGE`. */
+const MAX_ROUTE_CHANGES_PER_MESSAGE = 1_000;
 
 /**
- * Plans what a balancer gets now; what is planned counts as sent.
- * @param current whether this machine is current
+ * Plans the messages that a balancer is due now, and records them as sent.
+ * @param isCurrent whether this machine is current
  */
 export function planMessages(
   state: FeedPlanState,
   subscriber: Subscriber,
-  current: boolean,
+  isCurrent: boolean,
   nowMs: number,
 ): MessagePlan[] {
-  if (needsFullSync(subscriber, current)) {
-    beginFullSync(state, subscriber, current);
+  if (needsFullSync(subscriber, isCurrent)) {
+    beginFullSync(state, subscriber, isCurrent);
   }
   const plans: MessagePlan[] = [];
-  while (!isBusy(subscriber) && isBehind(state, subscriber)) {
-    plans.push(planNext(state, subscriber, current));
+  while (!isWindowFull(subscriber) && isBehind(state, subscriber)) {
+    plans.push(planNextMessage(state, subscriber, isCurrent));
     subscriber.countedSent += 1;
   }
-  if (plans.length === 0 && isPulseDue(subscriber, current, nowMs)) {
-    plans.push(planPulse(state, subscriber, current));
+  if (plans.length === 0 && isKeepaliveDue(subscriber, isCurrent, nowMs)) {
+    plans.push(planKeepalive(state, subscriber, isCurrent));
   }
   return plans;
 }
 
 /**
- * @returns true where a balancer has not yet acknowledged what was sent to it, so that nothing more should be
+ * @returns true if no more messages may be sent to a balancer until it acknowledges one
  */
-export function isBusy({ countedSent, countedApplied }: Subscriber): boolean {
-  return countedSent - countedApplied >= MAX_UNDER_WAY;
+export function isWindowFull({ countedSent, countedApplied }: Subscriber): boolean {
+  return countedSent - countedApplied >= MAX_UNACKNOWLEDGED_MESSAGES;
 }
 
 /**
- * @returns true where a balancer lacks something that this machine knows
+ * @returns true if there is anything that a balancer has not been sent yet
  */
 export function isBehind(
   { configs }: Pick<FeedPlanState, 'configs'>,
@@ -101,16 +88,16 @@
   return isFullSync(phase) || !hasNoUpdates(pendingUpdates) || configVersion < configs.version;
 }
 
-function needsFullSync({ phase }: Subscriber, current: boolean): boolean {
-  return phase === 'new' || (phase === 'provisional' && current);
+function needsFullSync({ phase }: Subscriber, isCurrent: boolean): boolean {
+  return phase === 'new' || (phase === 'provisional' && isCurrent);
 }
 
 function isFullSync(phase: SubscriberPhase): boolean {
   return phase === 'sync-current' || phase === 'sync-provisional';
 }
 
-/** All that this machine knows becomes a pending update. */
-function beginFullSync(state: FeedPlanState, subscriber: Subscriber, current: boolean): void {
+/** Makes the whole state pending. */
+function beginFullSync(state: FeedPlanState, subscriber: Subscriber, isCurrent: boolean): void {
   const { registry, balancers } = state;
   subscriber.pendingUpdates = {
     registered: new Set([...registry.all()].map(({ record }) => record.id)),
@@ -121,33 +108,37 @@
     areZonesChanged: true,
   };
   subscriber.isInFullSync = false;
-  subscriber.phase = current ? 'sync-current' : 'sync-provisional';
+  subscriber.phase = isCurrent ? 'sync-current' : 'sync-provisional';
 }
 
 /**
- * Departures of known back ends come in the order of their records, so that none is sent after its record: in between
- * the balancer would place flows on it. Of the others the newest come; a balancer that still knows an older one
- * marks it suspect at the end of the full sync.
+ * Departures of registered back ends are in the order of their records, so that none is sent after its record; the
+ * balancer would place flows on the back end in between. Of the others only the newest are sent; a balancer marks older
+ * ones that it still has suspect at the end of the full sync.
  */
 function departuresForFullSync({ registry, replicated }: FeedPlanState): string[] {
-  const ofRecords = [...registry.all()].map(({ record }) => record.id);
-  const departed = replicated.allDepartures().map(({ backendId }) => backendId);
-  const others = departed.filter((id) => registry.get(id) === undefined);
+  const registeredIds = [...registry.all()].map(({ record }) => record.id);
+  const departedIds = replicated.allDepartures().map(({ backendId }) => backendId);
+  const unregisteredIds = departedIds.filter((id) => registry.get(id) === undefined);
   return [
-    ...ofRecords.filter((id) => replicated.departureOf(id) !== undefined),
-    ...others.slice(-MAX_OLD_DEPARTURES).reverse(),
+    ...registeredIds.filter((id) => replicated.departureOf(id) !== undefined),
+    ...unregisteredIds.slice(-MAX_UNREGISTERED_DEPARTURES).reverse(),
   ];
 }
 
-function planNext(state: FeedPlanState, subscriber: Subscriber, current: boolean): MessagePlan {
-  const updates = takeUpdates(subscriber.pendingUpdates, MAX_NAMES);
-  const hasAllNames = hasNoUpdates(subscriber.pendingUpdates);
+function planNextMessage(
+  state: FeedPlanState,
+  subscriber: Subscriber,
+  isCurrent: boolean,
+): MessagePlan {
+  const updates = takeUpdates(subscriber.pendingUpdates, MAX_NAMES_PER_MESSAGE);
+  const areNamesTaken = hasNoUpdates(subscriber.pendingUpdates);
   const transfer = isFullSync(subscriber.phase)
-    ? nextFullSyncStage(subscriber, hasAllNames)
+    ? nextFullSyncStage(subscriber, areNamesTaken)
     : undefined;
-  const config = hasAllNames ? nextConfigPart(state, subscriber) : undefined;
+  const config = areNamesTaken ? nextConfigPart(state, subscriber) : undefined;
   return {
-    isCurrent: current,
+    isCurrent,
     isComplete: !isBehind(state, subscriber),
     isCounted: true,
     updates,
@@ -166,13 +157,13 @@
   return isFirst ? 'begins' : 'goes-on';
 }
 
-/** Goes on where the balancer has some of the same update already, from this machine or another one. */
+/** Resumes an update of which the balancer has received a part, from this machine or another one. */
 function nextConfigPart(state: FeedPlanState, subscriber: Subscriber): ConfigPart | undefined {
   const update = state.configs.updateFrom(subscriber.configVersion);
   if (update === undefined) {
     return undefined;
   }
-  const part = partOf(update, changesHeld(subscriber, update), MAX_ROUTE_CHANGES);
+  const part = partOf(update, changesReceived(subscriber, update), MAX_ROUTE_CHANGES_PER_MESSAGE);
   const { version, baseVersion, firstChange, changes, changeCount } = part;
   const changesSent = firstChange + changes.length;
   if (changesSent < changeCount) {
@@ -184,8 +175,8 @@
   return part;
 }
 
-/** @returns how many changes of an update the balancer has already */
-function changesHeld({ unfinished }: Subscriber, update: ConfigUpdate): number {
+/** @returns the number of changes of an update that the balancer has already received */
+function changesReceived({ unfinished }: Subscriber, update: ConfigUpdate): number {
   const isSame =
     unfinished?.version === update.version &&
     unfinished.baseVersion === update.baseVersion &&
@@ -193,14 +184,18 @@
   return isSame ? unfinished.changesTaken : 0;
 }
 
-function isPulseDue(subscriber: Subscriber, current: boolean, nowMs: number): boolean {
-  const isNewlyCurrent = current !== subscriber.wasSentCurrent && !isBusy(subscriber);
-  return isNewlyCurrent || nowMs >= subscriber.nextPulseAtMs;
+function isKeepaliveDue(subscriber: Subscriber, isCurrent: boolean, nowMs: number): boolean {
+  const hasStatusChanged = isCurrent !== subscriber.lastSentIsCurrent && !isWindowFull(subscriber);
+  return hasStatusChanged || nowMs >= subscriber.nextKeepaliveAtMs;
 }
 
-function planPulse(state: FeedPlanState, subscriber: Subscriber, current: boolean): MessagePlan {
+function planKeepalive(
+  state: FeedPlanState,
+  subscriber: Subscriber,
+  isCurrent: boolean,
+): MessagePlan {
   return {
-    isCurrent: current,
+    isCurrent,
     isComplete: !isBehind(state, subscriber),
     isCounted: false,
     updates: createPendingUpdates(),
--- a/src/registered/group/feed/load-duties.ts
+++ b/src/registered/group/feed/load-table-exchange.ts
@@ -1,13 +1,13 @@
 /**
- * @file How the tables of the load exchange travel through a control machine: the sums over its own balancers to the
- * other control machines, and to each balancer the sums over all other balancers. When a table is sent is decided in
- * load-exchange/table-throttle.ts. Messages call the answer stats `signals`.
+ * @file Exchanges load tables: sends the sums over the connected balancers to the other control machines, and to each
+ * connected balancer the sums over all other balancers. load-exchange/table-throttle.ts limits the rate. In messages,
+ * answer stats are called `signals`.
  */
 import { formatAddress } from '../../../shared/common/address.js';
 import type { LinkId } from '../../../shared/common/link-table.js';
 import { rowsToSend } from '../../load-exchange/table-throttle.js';
 import type { PackedRows } from '../../load-exchange/packed-rows.js';
-import { isBehind, isBusy } from './feed-plan.js';
+import { isBehind, isWindowFull } from './feed-plan.js';
 import type { GroupEffect } from '../group-events.js';
 import type { LoadReportMessage, PeerMessage } from '../group-messages.js';
 import type { GroupState } from '../group-state.js';
@@ -15,20 +15,20 @@
 import type { ExchangedTable } from './load-tables.js';
 import type { PublishedTable } from './subscribers.js';
 
-type Tables = Pick<GroupState, 'loads' | 'answerStats'>;
+type LoadTables = Pick<GroupState, 'loads' | 'answerStats'>;
 type LoadSumsMessage = Extract<PeerMessage, { readonly type: 'load-sums' }>;
 
-/** The tables as messages carry them; absent where the last ones still hold. */
+/** The tables in a message; a table that has not changed is absent. */
 interface TableFields {
   readonly loads?: PackedRows;
   readonly signals?: PackedRows;
 }
 
 /**
- * Applies the report of a balancer that is fed here.
+ * Applies the report of a connected balancer.
  */
 export function applyLoadReport(
-  tables: Tables,
+  tables: LoadTables,
   linkId: LinkId,
   { loads, signals }: LoadReportMessage,
 ): void {
@@ -41,27 +41,27 @@
 }
 
 /**
- * Applies the sums over the balancers of another control machine.
+ * Applies the sums of another control machine.
  */
 export function applyLoadSums(
-  tables: Tables,
+  tables: LoadTables,
   { sender, loads, signals }: LoadSumsMessage,
   nowMs: number,
 ): void {
-  const from = formatAddress(sender);
+  const senderAddress = formatAddress(sender);
   if (loads !== undefined) {
-    tables.loads.totals.applySums(from, loads, nowMs);
+    tables.loads.totals.applySums(senderAddress, loads, nowMs);
   }
   if (signals !== undefined) {
-    tables.answerStats.totals.applySums(from, signals, nowMs);
+    tables.answerStats.totals.applySums(senderAddress, signals, nowMs);
   }
 }
 
 /**
- * Sends the other control machines the sums over the balancers that are fed here.
+ * Sends the sums over the connected balancers to the other control machines.
  */
 export function shareLoadSums(
-  state: Tables & Pick<GroupState, 'consensus' | 'options'>,
+  state: LoadTables & Pick<GroupState, 'consensus' | 'options'>,
   nowMs: number,
 ): GroupEffect[] {
   state.loads.totals.removeExpiredSums(nowMs);
@@ -81,21 +81,21 @@
   }));
 }
 
-function sumsToShare({ totals, sumsOutlet }: ExchangedTable, nowMs: number) {
-  return rowsToSend(sumsOutlet, () => totals.ownSums(), nowMs);
+function sumsToShare({ totals, sumsThrottle }: ExchangedTable, nowMs: number) {
+  return rowsToSend(sumsThrottle, () => totals.ownSums(), nowMs);
 }
 
 /**
- * Sends each balancer that is fed here the sums over all others.
+ * Sends each connected balancer the sums over all other balancers.
  */
 export function publishLoads(
-  state: Tables & Pick<GroupState, 'configs' | 'consensus' | 'options' | 'subscribers'>,
+  state: LoadTables & Pick<GroupState, 'configs' | 'consensus' | 'options' | 'subscribers'>,
   nowMs: number,
 ): GroupEffect[] {
   const current = isCurrent(state, nowMs);
   const effects: GroupEffect[] = [];
   for (const [linkId, subscriber] of state.subscribers) {
-    if (subscriber.phase === 'new' || isBusy(subscriber)) {
+    if (subscriber.phase === 'new' || isWindowFull(subscriber)) {
       continue;
     }
     const fields = tableFields(
@@ -105,7 +105,7 @@
     if (fields === undefined) {
       continue;
     }
-    subscriber.nextPulseAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
+    subscriber.nextKeepaliveAtMs = nowMs + state.options.timing.feedPulseIntervalMs;
     const isComplete = !isBehind(state, subscriber);
     effects.push({
       type: 'send-feed',
@@ -116,18 +116,18 @@
   return effects;
 }
 
-/** @returns the sums over all other balancers, where they have changed and may be sent */
+/** @returns the sums over all other balancers; undefined if they are unchanged or throttled */
 function fleetSumsToPublish(
   linkId: LinkId,
   published: PublishedTable,
   { totals }: ExchangedTable,
   nowMs: number,
 ): PackedRows | undefined {
-  if (published.version === totals.version || published.outlet.isThrottled(nowMs)) {
+  if (published.version === totals.version || published.throttle.isThrottled(nowMs)) {
     return undefined;
   }
   published.version = totals.version;
-  return rowsToSend(published.outlet, () => totals.fleetSumsExcept(linkId), nowMs);
+  return rowsToSend(published.throttle, () => totals.fleetSumsExcept(linkId), nowMs);
 }
 
 function tableFields(
--- a/src/registered/group/feed/load-tables.ts
+++ b/src/registered/group/feed/load-tables.ts
@@ -1,33 +1,27 @@
 /**
- * @file A table of the load exchange on a control machine: totals over all balancers, and when the sums over the own
- * balancers are sent to the other control machines. There are two: loads, and answer stats.
+ * @file A load table on a control machine: the totals over all balancers, and the throttle for the sums that are sent
+ * to the other control machines. There is one for loads and one for answer stats.
  */
 import { createTableThrottle, type TableThrottle } from '../../load-exchange/table-throttle.js';
 import { createLoadTotals, type LoadTotals } from '../../load-exchange/load-totals.js';
 import type { RowShape } from '../../load-exchange/packed-rows.js';
 
-/** A table of numbers by back end, as control machines exchange it. */
+/** A table of numbers per back end that control machines exchange. */
 export interface ExchangedTable {
   readonly totals: LoadTotals;
-  /** When the other control machines are sent the sums of the balancers that are fed here. */
-  readonly sumsOutlet: TableThrottle;
+  /** Limits how often the sums over the connected balancers are sent to the other control machines. */
+  readonly sumsThrottle: TableThrottle;
 }
 
-/**
- * Sums that have not changed are sent to the other control machines again after this time: twice the shortest period
- * of the exchange. Not measured; it only has to be well below the lifetime.
- */
+/** Unchanged sums are sent again after this time; well below their lifetime. */
 const LOAD_SUMS_REFRESH_MS = 1_000;
-/**
- * Sums of a control machine that says nothing count for so long: two that were lost, and a pause. Not measured; too
- * short would show as zones that look idle while a control machine stands still, too long as load that is gone.
- */
+/** Two refresh intervals and a margin; back ends look idle once the sums of a control machine expire. */
 const LOAD_SUMS_LIFETIME_MS = 2_500;
 
-/** @returns a table without any report */
+/** @returns an empty table */
 export function createExchangedTable(shape: RowShape): ExchangedTable {
   return {
     totals: createLoadTotals(LOAD_SUMS_LIFETIME_MS, shape),
-    sumsOutlet: createTableThrottle(LOAD_SUMS_REFRESH_MS, shape),
+    sumsThrottle: createTableThrottle(LOAD_SUMS_REFRESH_MS, shape),
   };
 }
--- a/src/registered/group/feed/pending-updates.ts
+++ b/src/registered/group/feed/pending-updates.ts
@@ -1,39 +1,38 @@
 /**
- * @file What balancers have not been sent yet, by name only: the present state of each name is looked up when the
- * message is made. Updates of one thing thus merge for a receiver that is behind, and what waits for it is bounded by
- * the number of names.
+ * @file Updates that have not been sent to a balancer yet, by name only; the state of a name is looked up when a
+ * message is built. Repeated updates thus merge, and the number of names bounds what is pending for a slow balancer.
  */
 
-/** What has changed. */
+/** Names whose state has changed. */
 export interface PendingUpdates {
-  /** IDs of back ends that came, or whose record changed. */
+  /** IDs of back ends that were added, or whose record changed. */
   readonly registered: Set<string>;
   /** IDs of back ends whose liveness changed. */
   readonly livenessChanged: Set<string>;
-  /** IDs of back ends that leave. */
+  /** IDs of back ends that drain or have deregistered. */
   readonly departed: Set<string>;
-  /** Names of balancers that came or went. */
+  /** Names of balancers that were added, changed or removed. */
   readonly balancers: Set<string>;
   areControlsChanged: boolean;
-  /** Orders for zones. */
+  /** True if a zone was evacuated or readmitted. */
   areZonesChanged: boolean;
 }
 
-/** Updates for all balancers since the last tick. */
+/** Collects the updates for all balancers between two ticks. */
 export interface UpdateCollector {
-  /** What was added since the last tick; not to be changed. */
+  /** The updates since the last tick; callers must not change them. */
   readonly collected: PendingUpdates;
   addRegistered(backendId: string): void;
   addLivenessChange(backendId: string): void;
   addDeparture(backendId: string): void;
   addBalancer(name: string): void;
-  addControls(): void;
-  addZones(): void;
-  /** Removes and returns all. */
+  markControlsChanged(): void;
+  markZonesChanged(): void;
+  /** Removes and returns all updates. */
   take(): PendingUpdates;
 }
 
-/** @returns a collector without updates */
+/** @returns an empty collector */
 export function createUpdateCollector(): UpdateCollector {
   let collected = createPendingUpdates();
 
@@ -45,10 +44,10 @@
     addLivenessChange: (backendId) => void collected.livenessChanged.add(backendId),
     addDeparture: (backendId) => void collected.departed.add(backendId),
     addBalancer: (name) => void collected.balancers.add(name),
-    addControls: () => {
+    markControlsChanged: () => {
       collected.areControlsChanged = true;
     },
-    addZones: () => {
+    markZonesChanged: () => {
       collected.areZonesChanged = true;
     },
     take,
@@ -61,7 +60,7 @@
   }
 }
 
-/** @returns no updates */
+/** @returns an empty set of updates */
 export function createPendingUpdates(): PendingUpdates {
   return {
     registered: new Set(),
@@ -73,43 +72,43 @@
   };
 }
 
-/** @returns true where there is nothing to send */
+/** @returns true if there is nothing to send */
 export function hasNoUpdates(updates: PendingUpdates): boolean {
-  const isNothingWhole = !updates.areControlsChanged && !updates.areZonesChanged;
-  return isNothingWhole && namesIn(updates).every(({ size }) => size === 0);
+  const hasNoFlags = !updates.areControlsChanged && !updates.areZonesChanged;
+  return hasNoFlags && nameSets(updates).every(({ size }) => size === 0);
 }
 
-/** Adds updates to those that wait already. */
-export function mergeUpdates(waiting: PendingUpdates, more: PendingUpdates): void {
-  const sets = namesIn(waiting);
-  namesIn(more).forEach((names, at) => names.forEach((name) => sets[at]?.add(name)));
-  waiting.areControlsChanged ||= more.areControlsChanged;
-  waiting.areZonesChanged ||= more.areZonesChanged;
+/** Adds updates to the pending ones. */
+export function mergeUpdates(pending: PendingUpdates, added: PendingUpdates): void {
+  const pendingSets = nameSets(pending);
+  nameSets(added).forEach((names, index) => names.forEach((name) => pendingSets[index]?.add(name)));
+  pending.areControlsChanged ||= added.areControlsChanged;
+  pending.areZonesChanged ||= added.areZonesChanged;
 }
 
 /**
- * Removes and returns some updates, the oldest ones first.
- * @param maxNames at most so many names of each kind
+ * Removes and returns updates, the oldest names first.
+ * @param maxNames maximum number of names of each kind
  */
-export function takeUpdates(waiting: PendingUpdates, maxNames: number): PendingUpdates {
+export function takeUpdates(pending: PendingUpdates, maxNames: number): PendingUpdates {
   const taken = createPendingUpdates();
-  const sets = namesIn(taken);
-  namesIn(waiting).forEach((names, at) => {
+  const takenSets = nameSets(taken);
+  nameSets(pending).forEach((names, index) => {
     for (const name of names) {
-      if ((sets[at]?.size ?? maxNames) >= maxNames) {
+      if ((takenSets[index]?.size ?? maxNames) >= maxNames) {
         break;
       }
-      sets[at]?.add(name);
+      takenSets[index]?.add(name);
       names.delete(name);
     }
   });
-  taken.areControlsChanged = waiting.areControlsChanged;
-  waiting.areControlsChanged = false;
-  taken.areZonesChanged = waiting.areZonesChanged;
-  waiting.areZonesChanged = false;
+  taken.areControlsChanged = pending.areControlsChanged;
+  pending.areControlsChanged = false;
+  taken.areZonesChanged = pending.areZonesChanged;
+  pending.areZonesChanged = false;
   return taken;
 }
 
-function namesIn({ registered, livenessChanged, departed, balancers }: PendingUpdates) {
+function nameSets({ registered, livenessChanged, departed, balancers }: PendingUpdates) {
   return [registered, livenessChanged, departed, balancers];
 }
--- a/src/registered/group/feed/subscribers.ts
+++ b/src/registered/group/feed/subscribers.ts
@@ -1,7 +1,7 @@
 /**
- * @file A balancer that gets its feed from this control machine, as the machine keeps it while the link lives. Each field
- * has one module that changes it: what was sent and how far a full sync and an update are, feed-plan.ts; what was
- * acknowledged and merged, balancer-feed.ts; the published tables, load-duties.ts. Both that send set the next pulse.
+ * @file The state of a balancer that subscribed to the feed of this control machine, kept while its link is open.
+ * feed-plan.ts records what was sent, balancer-feed.ts acknowledgements and new updates, load-table-exchange.ts the
+ * published load tables.
  */
 import { ANSWER_STATS_ROWS } from '../../load-exchange/answer-stats.js';
 import { createTableThrottle, type TableThrottle } from '../../load-exchange/table-throttle.js';
@@ -9,52 +9,51 @@
 import type { BalancerInfo, SubscribeMessage, UnfinishedConfig } from '../group-messages.js';
 import { createPendingUpdates, type PendingUpdates } from './pending-updates.js';
 
-/** How much a balancer has been sent. */
+/** Progress of the full sync of a balancer. */
 export type SubscriberPhase =
-  /** Nothing. */
+  /** Nothing has been sent. */
   | 'new'
-  /** Some of the whole state, while this machine was not current. */
+  /** A full sync is in progress; it began while this machine was not current. */
   | 'sync-provisional'
-  /** Some of the whole state, while this machine was current. */
+  /** A full sync is in progress; it began while this machine was current. */
   | 'sync-current'
-  /** The whole state, while this machine was not current. */
+  /** The full sync is complete, but this machine was not current. */
   | 'provisional'
-  /** The whole state, while this machine was current, and all changes since. */
+  /** The full sync from a current machine is complete; only updates follow. */
   | 'fed';
 
-/** What a balancer was sent of one table of the load exchange. */
+/** Send state of one load table for a balancer. */
 export interface PublishedTable {
-  /** The version of the totals that it was sent last. */
+  /** Version of the totals from which the table was last computed; -1 at first. */
   version: number;
-  /** When it is sent again. */
-  readonly outlet: TableThrottle;
+  readonly throttle: TableThrottle;
 }
 
-/** A balancer that gets its feed from here. */
+/** A balancer that is connected to this control machine. */
 export interface Subscriber {
   readonly balancer: BalancerInfo;
-  /** Version of the configuration that it holds once it has applied all that was sent. */
+  /** Version of its configuration after it has applied all messages sent. */
   configVersion: number;
-  /** How much of an update it has, where that is not all. */
+  /** The config update of which it has received a part. */
   unfinished: UnfinishedConfig | undefined;
   phase: SubscriberPhase;
-  /** What it has not been sent yet. */
+  /** Updates that it has not been sent yet. */
   pendingUpdates: PendingUpdates;
-  /** True while a full sync is under way of which it has been sent some. */
+  /** True after the first and before the last message of a full sync. */
   isInFullSync: boolean;
-  /** Messages that were sent and that it acknowledges. */
+  /** Number of messages sent that require an acknowledgement. */
   countedSent: number;
-  /** How many of them it has applied. */
+  /** Number of those that it has acknowledged. */
   countedApplied: number;
-  /** True where the last message said that this machine was current. */
-  wasSentCurrent: boolean;
-  /** When it gets a message though nothing has changed, in milliseconds. */
-  nextPulseAtMs: number;
+  /** True if the last message said that this machine was current. */
+  lastSentIsCurrent: boolean;
+  /** When it is sent a keepalive, unless another message is sent before. */
+  nextKeepaliveAtMs: number;
   readonly loads: PublishedTable;
   readonly answerStats: PublishedTable;
 }
 
-/** @returns a balancer that has just subscribed and was sent nothing yet */
+/** @returns the state of a balancer that has just subscribed */
 export function createSubscriber(message: SubscribeMessage): Subscriber {
   const { balancer, configVersion, unfinished } = message;
   return {
@@ -66,14 +65,14 @@
     isInFullSync: false,
     countedSent: 0,
     countedApplied: 0,
-    wasSentCurrent: false,
-    nextPulseAtMs: Number.NEGATIVE_INFINITY,
+    lastSentIsCurrent: false,
+    nextKeepaliveAtMs: Number.NEGATIVE_INFINITY,
     loads: createPublishedTable(LOAD_ROWS),
     answerStats: createPublishedTable(ANSWER_STATS_ROWS),
   };
 }
 
-/** A link keeps the order, so a table that has not changed needs no refresh. */
+/** Links are reliable, so an unchanged table needs no refresh. */
 function createPublishedTable(shape: RowShape): PublishedTable {
-  return { version: -1, outlet: createTableThrottle(Number.POSITIVE_INFINITY, shape) };
+  return { version: -1, throttle: createTableThrottle(Number.POSITIVE_INFINITY, shape) };
 }
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -15,7 +15,12 @@
 import type { StepContext } from '../../shared/common/step.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
 import { handleDeregistration, handleHeartbeat } from './calls/backend-calls.js';
-import { addSubscriber, applyFeedTaken, feedOne, removeSubscriber } from './feed/balancer-feed.js';
+import {
+  addSubscriber,
+  applyAcknowledgement,
+  feedSubscriber,
+  removeSubscriber,
+} from './feed/balancer-feed.js';
 import { runConsensus } from './group-consensus.js';
 import type { GroupEffect, GroupEvent } from './group-events.js';
 import { askToLeave } from './members/group-formation.js';
@@ -23,7 +28,7 @@
 import { handleTick } from './group-tick.js';
 import type { RunConsensus } from './calls/leader-replies.js';
 import { startCall } from './calls/leader-requests.js';
-import { applyLoadReport } from './feed/load-duties.js';
+import { applyLoadReport } from './feed/load-table-exchange.js';
 import { handlePeerMessage } from './peer-messages.js';
 import { orderZone } from './calls/zone-order-calls.js';
 
@@ -58,7 +63,7 @@
     .with({ type: 'peer-message' }, ({ message }) => handlePeerMessage(state, message, context))
     .with({ type: 'subscribe' }, ({ linkId, message }) => {
       addSubscriber(state, linkId, message);
-      return feedOne(state, linkId, nowMs);
+      return feedSubscriber(state, linkId, nowMs);
     })
     .with({ type: 'load-report' }, ({ linkId, message }) => {
       if (state.subscribers.has(linkId)) {
@@ -67,7 +72,7 @@
       return [];
     })
     .with({ type: 'feed-taken' }, ({ linkId, message }) =>
-      applyFeedTaken(state, linkId, message.count, nowMs),
+      applyAcknowledgement(state, linkId, message.count, nowMs),
     )
     .with({ type: 'link-closed' }, ({ linkId }) => {
       removeSubscriber(state, linkId);
--- a/src/registered/group/group-tick.ts
+++ b/src/registered/group/group-tick.ts
@@ -6,7 +6,7 @@
 import type { StepContext } from '../../shared/common/step.js';
 import { nextBackendListCommand } from './backends/backend-list.js';
 import { feedSubscribers } from './feed/balancer-feed.js';
-import { forgetSilentPeers, shareBalancers } from './feed/balancer-list-duties.js';
+import { removeSilentPeers, shareBalancers } from './feed/balancer-list-exchange.js';
 import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
 import type { GroupEffect } from './group-events.js';
 import { announceWhereDue, askToLeave, firstMembershipEvent } from './members/group-formation.js';
@@ -14,7 +14,7 @@
 import { shareHeartbeats } from './backends/heartbeats.js';
 import { expireCalls } from './calls/leader-requests.js';
 import { updateLiveness } from './backends/liveness-updates.js';
-import { publishLoads, shareLoadSums } from './feed/load-duties.js';
+import { publishLoads, shareLoadSums } from './feed/load-table-exchange.js';
 import { nextMemberChange } from './members/member-changes.js';
 import { encodeGroupCommand } from './replicated-state.js';
 
@@ -33,7 +33,7 @@
   effects.push(...changeBackendList(state, context));
   effects.push(...expireCalls(state, nowMs));
   updateLiveness(state, nowMs);
-  forgetSilentPeers(state, nowMs);
+  removeSilentPeers(state, nowMs);
   effects.push(...shareHeartbeats(state));
   effects.push(...shareBalancers(state, nowMs));
   effects.push(...shareLoadSums(state, nowMs));
--- a/src/registered/group/peer-messages.ts
+++ b/src/registered/group/peer-messages.ts
@@ -4,7 +4,7 @@
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
-import { applyPeerBalancers } from './feed/balancer-list-duties.js';
+import { applyPeerBalancers } from './feed/balancer-list-exchange.js';
 import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
 import type { GroupEffect } from './group-events.js';
 import { changeForLeaver, handleAnnouncement } from './members/group-formation.js';
@@ -12,7 +12,7 @@
 import type { GroupState } from './group-state.js';
 import { applyHeartbeat } from './backends/heartbeats.js';
 import { handleForward, handleForwardReply } from './calls/leader-requests.js';
-import { applyLoadSums } from './feed/load-duties.js';
+import { applyLoadSums } from './feed/load-table-exchange.js';
 
 /**
  * Handles a message of another control machine.
--- a/src/registered/group/wire/config-codec.ts
+++ b/src/registered/group/wire/config-codec.ts
@@ -1,28 +1,27 @@
 /**
- * @file Changes of routes as they travel in a feed. Lists of targets and names of services repeat, so each is written
- * once; host and port are one number, written as the difference from the one before.
+ * @file Packs the route changes of a feed message into columns. Target lists and service names are deduplicated; host
+ * and port are combined into one number and delta-encoded.
  */
 import { packHost, unpackHost } from '../../../shared/common/address.js';
 import type { ConfigPart, RouteChange } from '../../declared/config-update.js';
 import type { ServiceWarmUp, WeightedTarget } from '../../declared/declared-config.js';
-import { DROPPED, type PackedConfig } from './packed-feed.js';
+import { NO_TARGETS, type PackedConfig } from './packed-feed.js';
 import { createNameTable } from './packed-names.js';
 
-/** Places of a port in the number of host and port. */
-const PORT_VALUES = 65_536;
+const PORT_COUNT = 65_536;
 
-/** @returns changes of routes in columns: keys as differences, equal lists of targets once */
+/** @returns route changes in columns: delta-encoded keys, deduplicated target lists */
 export function packConfig(part: ConfigPart): PackedConfig {
   const names = createNameTable();
   const lists = new Map<string, { readonly list: number[]; readonly number: number }>();
-  let before = 0;
+  let previousKey = 0;
   const keys: number[] = [];
   const listOf: number[] = [];
   for (const { host, port, targets } of part.changes) {
-    const key = Number(packHost(host)) * PORT_VALUES + port;
-    keys.push(key - before);
-    before = key;
-    listOf.push(targets === undefined ? DROPPED : listNumber(targets));
+    const key = Number(packHost(host)) * PORT_COUNT + port;
+    keys.push(key - previousKey);
+    previousKey = key;
+    listOf.push(targets === undefined ? NO_TARGETS : numberOfList(targets));
   }
   return {
     version: part.version,
@@ -37,39 +36,39 @@
     warmUps: packWarmUps(part.warmUps),
   };
 
-  function listNumber(targets: readonly WeightedTarget[]): number {
+  function numberOfList(targets: readonly WeightedTarget[]): number {
     const list = targets.flatMap(({ service, weight }) => [names.numberOf(service), weight]);
     const text = list.join(' ');
-    const known = lists.get(text) ?? { list, number: lists.size + 1 };
-    lists.set(text, known);
-    return known.number;
+    const entry = lists.get(text) ?? { list, number: lists.size + 1 };
+    lists.set(text, entry);
+    return entry.number;
   }
 }
 
-function packWarmUps(all: readonly ServiceWarmUp[]): PackedConfig['warmUps'] {
+function packWarmUps(services: readonly ServiceWarmUp[]): PackedConfig['warmUps'] {
   return {
-    names: all.map(({ service }) => service),
-    ms: all.map(({ warmUpMs }) => warmUpMs),
-    perS: all.map(({ coldRequestsPerS }) => coldRequestsPerS),
+    names: services.map(({ service }) => service),
+    ms: services.map(({ warmUpMs }) => warmUpMs),
+    perS: services.map(({ coldRequestsPerS }) => coldRequestsPerS),
   };
 }
 
-/** @returns the changes of columns that were checked to be whole */
+/** Unpacks validated columns. */
 export function unpackConfig(packed: PackedConfig): ConfigPart {
   const { version, base, idleMs, first, count, keys, names, lists, listOf, warmUps } = packed;
   const targetLists = lists.map((list) => {
     const targets: WeightedTarget[] = [];
-    for (let at = 0; at + 1 < list.length; at += 2) {
-      targets.push({ service: names[list[at] ?? 0] ?? '', weight: list[at + 1] ?? 0 });
+    for (let index = 0; index + 1 < list.length; index += 2) {
+      targets.push({ service: names[list[index] ?? 0] ?? '', weight: list[index + 1] ?? 0 });
     }
     return targets;
   });
   let key = 0;
-  const changes = keys.map((difference, at): RouteChange => {
+  const changes = keys.map((difference, row): RouteChange => {
     key += difference;
-    const port = key % PORT_VALUES;
-    const targets = targetLists[(listOf[at] ?? DROPPED) - 1];
-    return { host: unpackHost((key - port) / PORT_VALUES), port, targets };
+    const port = key % PORT_COUNT;
+    const targets = targetLists[(listOf[row] ?? NO_TARGETS) - 1];
+    return { host: unpackHost((key - port) / PORT_COUNT), port, targets };
   });
   return {
     version,
@@ -83,9 +82,9 @@
 }
 
 function unpackWarmUps({ names, ms, perS }: PackedConfig['warmUps']): ServiceWarmUp[] {
-  return names.map((service, at) => ({
+  return names.map((service, row) => ({
     service,
-    warmUpMs: ms[at] ?? 0,
-    coldRequestsPerS: perS[at] ?? 0,
+    warmUpMs: ms[row] ?? 0,
+    coldRequestsPerS: perS[row] ?? 0,
   }));
 }
--- a/src/registered/group/wire/feed-codec.ts
+++ b/src/registered/group/wire/feed-codec.ts
@@ -1,10 +1,9 @@
 /**
- * @file The form in which feeds travel: columns in place of named fields, names that repeat written once, sorted
- * numbers as differences. A full sync takes a sixth of what the messages take field by field, which decides how long a
- * link of a few megabits needs for it (docs/design/links.md).
+ * @file Packs feed messages for the wire: columns instead of named fields, deduplicated names, delta-encoded sorted
+ * numbers. This makes a full sync several times smaller, which matters on slow links.
  *
- * This module knows the names on the wire: liveness and departures travel as numbers (packed-feed.ts), a full sync
- * is `transfer`, changes of liveness are `judgements`, answer stats are `signals`.
+ * Names on the wire: the stage of a full sync is `transfer`, liveness changes are `judgements`, answer stats are
+ * `signals`. Enumerated values are sent as their indexes in the lists of packed-feed.ts.
  */
 import type { LivenessChange } from '../../registry/backend-liveness.js';
 import type { Departure } from '../../registry/backend-record.js';
@@ -27,7 +26,7 @@
 } from './packed-feed.js';
 import { packRecords, unpackRecords } from './record-codec.js';
 
-/** @returns the form in which a message travels */
+/** @returns the packed form of a message */
 export function packFeed(message: FeedMessage): PackedFeed {
   const { records, judgements, departures, balancers, lostBalancers, controls } = message;
   const { zones, config, transfer } = message;
@@ -51,7 +50,7 @@
 }
 
 /**
- * @returns the message that travelled, or undefined where the value is none; never throws
+ * @returns the unpacked message, or undefined if the value is not a valid one; never throws
  */
 export function unpackFeed(value: unknown): FeedMessage | undefined {
   const packed = parsePackedFeed(value);
@@ -94,10 +93,10 @@
   kinds,
   silentMs,
 }: NonNullable<PackedFeed['judgements']>): LivenessChange[] {
-  return ids.map((backendId, at) => ({
+  return ids.map((backendId, row) => ({
     backendId,
-    liveness: LIVENESS[kinds[at] ?? 0] ?? 'alive',
-    silentMs: silentMs[at] ?? 0,
+    liveness: LIVENESS[kinds[row] ?? 0] ?? 'alive',
+    silentMs: silentMs[row] ?? 0,
   }));
 }
 
@@ -109,8 +108,8 @@
 }
 
 function unpackDepartures({ ids, kinds }: NonNullable<PackedFeed['departures']>): Departure[] {
-  return ids.map((backendId, at) => ({
+  return ids.map((backendId, row) => ({
     backendId,
-    kind: DEPARTURES[kinds[at] ?? 0] ?? 'gone',
+    kind: DEPARTURES[kinds[row] ?? 0] ?? 'gone',
   }));
 }
--- a/src/registered/group/wire/list-codec.ts
+++ b/src/registered/group/wire/list-codec.ts
@@ -1,9 +1,9 @@
 /**
- * @file Balancers, control machines and zones as they travel in a feed.
+ * @file Packs the balancers, control machines and zones of a feed message into columns.
  */
 import type { BalancerInfo, ControlInfo, ZoneUpdate } from '../group-messages.js';
 import {
-  NOT_SEEN,
+  UNKNOWN_AGE,
   type PackedBalancers,
   type PackedControls,
   type PackedZones,
@@ -11,70 +11,70 @@
 import { addressAt, createNameTable, packAddresses } from './packed-names.js';
 
 /** @returns balancers in columns */
-export function packBalancers(all: readonly BalancerInfo[]) {
+export function packBalancers(balancers: readonly BalancerInfo[]) {
   const names = createNameTable();
-  const zones = all.map(({ zone }) => names.numberOf(zone));
+  const zones = balancers.map(({ zone }) => names.numberOf(zone));
   return {
-    ids: all.map(({ name }) => name),
+    ids: balancers.map(({ name }) => name),
     names: names.names(),
     zones,
-    addresses: packAddresses(all.map(({ peerAddress }) => peerAddress)),
+    addresses: packAddresses(balancers.map(({ peerAddress }) => peerAddress)),
   };
 }
 
-/** @returns the balancers of columns that were checked to be whole */
+/** Unpacks validated columns. */
 export function unpackBalancers({
   ids,
   names,
   zones,
   addresses: packed,
 }: PackedBalancers): BalancerInfo[] {
-  return ids.map((name, at) => ({
+  return ids.map((name, row) => ({
     name,
-    zone: names[zones[at] ?? 0] ?? '',
-    peerAddress: addressAt(packed, at),
+    zone: names[zones[row] ?? 0] ?? '',
+    peerAddress: addressAt(packed, row),
   }));
 }
 
 /** @returns control machines in columns; an empty name stands for an unknown zone */
-export function packControls(all: readonly ControlInfo[]) {
+export function packControls(controls: readonly ControlInfo[]) {
   const names = createNameTable();
-  const zones = all.map(({ zone }) => names.numberOf(zone ?? ''));
-  const linkAddresses = all.map(({ linkAddress }) => linkAddress);
+  const zones = controls.map(({ zone }) => names.numberOf(zone ?? ''));
+  const linkAddresses = controls.map(({ linkAddress }) => linkAddress);
   return { names: names.names(), zones, addresses: packAddresses(linkAddresses) };
 }
 
-/** @returns the control machines of columns that were checked to be whole */
+/** Unpacks validated columns; a control machine with an empty zone name gets no zone. */
 export function unpackControls({ names, zones, addresses: packed }: PackedControls) {
-  return zones.map((number, at): ControlInfo => {
+  return zones.map((number, row): ControlInfo => {
     const zone = names[number] ?? '';
-    return { linkAddress: addressAt(packed, at), ...(zone !== '' && { zone }) };
+    return { linkAddress: addressAt(packed, row), ...(zone !== '' && { zone }) };
   });
 }
 
-/** @returns zones in columns */
-export function packZones(all: readonly ZoneUpdate[]): PackedZones {
+/** @returns zones in columns; `UNKNOWN_AGE` stands for a missing readmission time */
+export function packZones(zones: readonly ZoneUpdate[]): PackedZones {
   return {
-    names: all.map(({ zone }) => zone),
-    areEvacuated: all.map(({ isEvacuated }) => isEvacuated),
-    orders: all.map(({ orders }) => orders),
-    readmittedAgo: all.map(({ readmittedAgoMs }) => readmittedAgoMs ?? NOT_SEEN),
+    names: zones.map(({ zone }) => zone),
+    areEvacuated: zones.map(({ isEvacuated }) => isEvacuated),
+    orders: zones.map(({ orders }) => orders),
+    readmittedAgo: zones.map(({ readmittedAgoMs }) => readmittedAgoMs ?? UNKNOWN_AGE),
   };
 }
 
-/** @returns the zones of columns that were checked to be whole */
+/** Unpacks validated columns. */
 export function unpackZones({
   names,
   areEvacuated,
   orders,
   readmittedAgo,
 }: PackedZones): ZoneUpdate[] {
-  return names.map((zone, at) => {
-    const agoMs = readmittedAgo[at] ?? NOT_SEEN;
+  return names.map((zone, row) => {
+    const agoMs = readmittedAgo[row] ?? UNKNOWN_AGE;
     return {
       zone,
-      isEvacuated: areEvacuated[at] ?? false,
-      orders: orders[at] ?? 0,
+      isEvacuated: areEvacuated[row] ?? false,
+      orders: orders[row] ?? 0,
       ...(agoMs >= 0 && { readmittedAgoMs: agoMs }),
     };
   });
--- a/src/registered/group/wire/packed-feed.ts
+++ b/src/registered/group/wire/packed-feed.ts
@@ -1,6 +1,6 @@
 /**
- * @file The schema of a feed as it travels, in columns, and the check that these fit each other. Nothing of a message
- * is used before. The fields are the names on the wire; feed-codec.ts translates them.
+ * @file The schema of packed feed messages, and the check that their columns are consistent. The fields have their
+ * names on the wire; feed-codec.ts translates them.
  */
 import * as z from 'zod/mini';
 import {
@@ -14,19 +14,19 @@
 import type { DepartureKind } from '../../registry/backend-record.js';
 import type { FullSyncStage } from '../group-messages.js';
 
-/** Room for the largest fleet in one message, against faulty senders. */
+/** Rejects oversized messages of faulty senders. */
 const MAX_ITEMS = 50_000;
-/** Bytes of the number from which the token of a back end is made. */
+/** Size of an instance number, from which the token of a back end is derived. */
 export const INSTANCE_BYTES = 8;
-/** Stands for a route that is dropped, in the column of target lists. */
-export const DROPPED = 0;
-/** Stands for a readmission that the sender has not seen. */
-export const NOT_SEEN = -1;
-/** Liveness by its number on the wire. */
+/** Marks a removed route in the column of target lists. */
+export const NO_TARGETS = 0;
+/** Marks a zone whose readmission the sender has not seen. */
+export const UNKNOWN_AGE = -1;
+/** Liveness by its index on the wire. */
 export const LIVENESS: readonly Liveness[] = ['alive', 'suspect', 'dead'];
-/** Kinds of departures by their numbers on the wire. */
+/** Kinds of departures by their indexes on the wire. */
 export const DEPARTURES: readonly DepartureKind[] = ['draining', 'gone'];
-/** Stages of a full sync by their numbers on the wire. */
+/** Stages of a full sync by their indexes on the wire. */
 export const FULL_SYNC_STAGES: readonly FullSyncStage[] = ['begins', 'goes-on', 'ends', 'whole'];
 
 const numbers = z.array(z.int()).check(z.maxLength(MAX_ITEMS));
@@ -54,14 +54,14 @@
   idleMs: z.number().check(z.nonnegative()),
   first: index,
   count: index,
-  /** Host and port as one number each, but for the first as the difference from the one before. */
+  /** Host and port as one number per route; each but the first is the difference from the previous one. */
   keys: numbers,
   names: texts,
-  /** Lists of targets: a service and a weight by turns. */
+  /** Target lists; each alternates between indexes into `names` and weights. */
   lists: z.array(z.array(z.number().check(z.nonnegative()))),
-  /** Which list a route has, from 1; `DROPPED` for none. */
+  /** Per route the number of its target list, from 1; `NO_TARGETS` for a removed route. */
   listOf: indexes,
-  /** Services whose back ends are cold after their start, by columns. */
+  /** Services with a slow start, in columns. */
   warmUps: z.object({
     names: texts,
     ms: z.array(z.number().check(z.nonnegative())),
@@ -72,7 +72,7 @@
   names: texts,
   areEvacuated: z.array(z.boolean()).check(z.maxLength(MAX_ITEMS)),
   orders: indexes,
-  /** Milliseconds since each was readmitted; `NOT_SEEN` where that was not seen. */
+  /** Milliseconds since each readmission; `UNKNOWN_AGE` if the sender has not seen it. */
   readmittedAgo: numbers,
 });
 const livenessChanges = z.object({ ids: texts, kinds: indexes, silentMs: indexes });
@@ -96,7 +96,7 @@
   signals: z.optional(packedRowsSchema(ANSWER_STATS_ROWS)),
 });
 
-/** A feed message as it travels. */
+/** A feed message in its wire form. */
 export type PackedFeed = z.infer<typeof packedFeed>;
 /** Back ends in columns. */
 export type PackedRecords = z.infer<typeof packedRecords>;
@@ -108,70 +108,73 @@
 export type PackedControls = z.infer<typeof packedControls>;
 /** Zones in columns. */
 export type PackedZones = z.infer<typeof packedZones>;
-/** Changes of routes in columns. */
+/** Route changes in columns. */
 export type PackedConfig = z.infer<typeof packedConfig>;
 
 /**
- * @returns the packed message that a value is, or undefined where it is none; never throws
+ * @returns the value as a packed message, or undefined if it is not a valid one; never throws
  */
 export function parsePackedFeed(value: unknown): PackedFeed | undefined {
   const parsed = packedFeed.safeParse(value);
-  return parsed.success && hasEqualColumns(parsed.data) ? parsed.data : undefined;
+  return parsed.success && hasConsistentColumns(parsed.data) ? parsed.data : undefined;
 }
 
-/** The columns of a table must be equally long, and refer only to entries that exist. */
-function hasEqualColumns(feed: PackedFeed): boolean {
+/** The columns of a table must have equal lengths, and their indexes must be in range. */
+function hasConsistentColumns(feed: PackedFeed): boolean {
   const { records, balancers, controls, config, zones } = feed;
   return [
-    records === undefined || isWholeRecords(records),
+    records === undefined || areRecordsConsistent(records),
     balancers === undefined ||
-      (isWholeAddresses(balancers.addresses, balancers.ids.length) &&
-        isColumn(balancers.zones, balancers.ids.length, balancers.names.length)),
+      (areAddressesConsistent(balancers.addresses, balancers.ids.length) &&
+        isIndexColumn(balancers.zones, balancers.ids.length, balancers.names.length)),
     controls === undefined ||
-      (isWholeAddresses(controls.addresses, controls.zones.length) &&
-        isColumn(controls.zones, controls.zones.length, controls.names.length)),
-    config === undefined || isWholeConfig(config),
+      (areAddressesConsistent(controls.addresses, controls.zones.length) &&
+        isIndexColumn(controls.zones, controls.zones.length, controls.names.length)),
+    config === undefined || isConfigConsistent(config),
     zones === undefined ||
       [zones.areEvacuated, zones.orders, zones.readmittedAgo].every(
         (column) => column.length === zones.names.length,
       ),
     feed.judgements === undefined ||
-      (isColumn(feed.judgements.kinds, feed.judgements.ids.length, LIVENESS.length) &&
+      (isIndexColumn(feed.judgements.kinds, feed.judgements.ids.length, LIVENESS.length) &&
         feed.judgements.silentMs.length === feed.judgements.ids.length),
     feed.departures === undefined ||
-      isColumn(feed.departures.kinds, feed.departures.ids.length, DEPARTURES.length),
+      isIndexColumn(feed.departures.kinds, feed.departures.ids.length, DEPARTURES.length),
     feed.transfer === undefined || feed.transfer < FULL_SYNC_STAGES.length,
   ].every(Boolean);
 }
 
-function isWholeRecords(packed: PackedRecords): boolean {
+function areRecordsConsistent(packed: PackedRecords): boolean {
   const { ids, names, instances, services, zones } = packed;
   const { length } = ids;
   return (
     instances.length === length * INSTANCE_BYTES &&
-    isColumn(services, length, names.length) &&
-    isColumn(zones, length, names.length) &&
-    isWholeAddresses(packed.addresses, length) &&
+    isIndexColumn(services, length, names.length) &&
+    isIndexColumn(zones, length, names.length) &&
+    areAddressesConsistent(packed.addresses, length) &&
     [packed.capacities, packed.warmUps, packed.sequences, packed.ages].every(
       (column) => column.length === length,
     )
   );
 }
 
-function isWholeConfig({ listOf, keys, lists, warmUps }: PackedConfig): boolean {
+function isConfigConsistent({ listOf, keys, lists, warmUps }: PackedConfig): boolean {
   const { names, ms, perS } = warmUps;
   return (
-    isColumn(listOf, keys.length, lists.length + 1) &&
+    isIndexColumn(listOf, keys.length, lists.length + 1) &&
     ms.length === names.length &&
     perS.length === names.length
   );
 }
 
-function isWholeAddresses({ hosts, hostOf, ports }: PackedAddresses, length: number): boolean {
-  return ports.length === length && isColumn(hostOf, length, hosts.length);
+function areAddressesConsistent(
+  { hosts, hostOf, ports }: PackedAddresses,
+  length: number,
+): boolean {
+  return ports.length === length && isIndexColumn(hostOf, length, hosts.length);
 }
 
-/** @returns true where a column has an entry for each row, and each entry names one of `count` things */
-function isColumn(column: readonly number[], length: number, count: number): boolean {
+/** @returns true if a column has `length` entries, each an index below `count` */
+function isIndexColumn(column: readonly number[], length: number, count: number): boolean {
   return column.length === length && column.every((entry) => entry < count);
 }
--- a/src/registered/group/wire/packed-rows-schema.ts
+++ b/src/registered/group/wire/packed-rows-schema.ts
@@ -1,14 +1,14 @@
 /**
- * @file The schema of a table of the load exchange in a message.
+ * @file The schema of load tables in messages.
  */
 import * as z from 'zod/mini';
 import { indexSchema } from '../../../shared/consensus/message-schemas.js';
 import type { RowShape } from '../../load-exchange/packed-rows.js';
 
-/** Room for 20,000 back ends, against faulty senders. */
+/** Rejects oversized tables of faulty senders. */
 const MAX_ROWS = 20_000;
 
-/** @returns the schema of a flat list of rows, none of which is cut short */
+/** @returns the schema of a flat list of complete rows */
 export function packedRowsSchema({ numbers }: RowShape) {
   return z.array(indexSchema).check(
     z.maxLength(MAX_ROWS * numbers),
--- a/test/registered/group/backend-list.test.ts
+++ b/test/registered/group/backend-list.test.ts
@@ -1,14 +1,14 @@
-/** @file The list of back ends outlives a restart of the whole group, without a heartbeat. */
+/** @file The replicated list of back ends survives a restart of all processes, before any heartbeat arrives. */
 import t from 'tap';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
-const SEEDS = 5;
+const SEED_COUNT = 5;
 
-t.test('balancers know all back ends within a second of a restart of everything', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed += 1) {
-    // Heartbeats so far apart that none comes in time.
+t.test('balancers have all back ends within a second of a full restart', async (t) => {
+  for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
+    // Longer than the time between the restart and the check.
     const options = { ...smallIngressWorld, heartbeatIntervalMs: 5_500 };
     const world = new IngressWorld(seed, options);
     world.start();
@@ -19,20 +19,20 @@
     world.controls.forEach((control) => control.start(false));
     world.balancers.forEach((balancer) => balancer.start());
     await world.run(1_000);
-    const known = world.balancers.map(({ process }) => process?.state.backends.size);
-    t.same(known, [6, 6, 6, 6], `seed ${seed}`);
+    const backendCounts = world.balancers.map(({ process }) => process?.state.backends.size);
+    t.same(backendCounts, [6, 6, 6, 6], `seed ${seed}`);
   }
 });
 
-t.test('a back end that deregistered is dropped from the list', async (t) => {
+t.test('a back end that deregisters is removed from the list', async (t) => {
   const world = new IngressWorld(1, smallIngressWorld);
   world.start();
   await world.run(FORMATION_MS);
-  const [leaving] = world.backends;
-  leaving?.leave(false, () => undefined);
+  const [departing] = world.backends;
+  departing?.leave(false, () => undefined);
   await world.run(1_000);
   for (const { process } of world.controls) {
-    t.equal(process?.state.replicated.hasBackend(leaving?.identity.id ?? ''), false);
+    t.equal(process?.state.replicated.hasBackend(departing?.identity.id ?? ''), false);
     t.equal([...(process?.state.replicated.allBackends() ?? [])].length, 5);
   }
 });
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -1,16 +1,16 @@
-/** @file What a control machine tells balancers: the whole once, then only what changes. */
+/** @file Feeds to balancers: a full sync, then bounded updates; load sums and answer stats. */
 import t from 'tap';
 import type { LinkId } from '../../../src/shared/common/link-table.js';
 import type { DeclaredConfig } from '../../../src/registered/declared/declared-config.js';
 import { publishZoneChange } from '../../../src/registered/group/applied-entries.js';
 import {
   addSubscriber,
-  feedOne,
+  feedSubscriber,
   feedSubscribers,
-  applyFeedTaken,
+  applyAcknowledgement,
   removeSubscriber,
 } from '../../../src/registered/group/feed/balancer-feed.js';
-import { forgetSilentPeers } from '../../../src/registered/group/feed/balancer-list-duties.js';
+import { removeSilentPeers } from '../../../src/registered/group/feed/balancer-list-exchange.js';
 import type { GroupEffect } from '../../../src/registered/group/group-events.js';
 import type {
   FeedMessage,
@@ -25,7 +25,7 @@
   shareLoadSums,
   applyLoadReport,
   applyLoadSums,
-} from '../../../src/registered/group/feed/load-duties.js';
+} from '../../../src/registered/group/feed/load-table-exchange.js';
 import {
   eachAnswerStats,
   packAnswerStats,
@@ -40,20 +40,21 @@
 import { recordOf } from '../decisions/backend-records.js';
 
 const FORMATION_MS = 6_000;
-const LONG_MS = 3_000;
-const EXCHANGE_MS = 600;
-const DEPARTURES_OF_WEEKS = 19_000;
-const BACKENDS = 600;
-/** Three for the back ends, and no more than a few for what left before. */
-const MOST_MESSAGES = 8;
-const [FIRST, SECOND] = [9_001, 9_002].map((id) => id as LinkId) as [LinkId, LinkId];
+/** Without contact for this long, back ends are suspect and a control machine is not current. */
+const SILENCE_MS = 3_000;
+const EXCHANGE_PERIOD_MS = 600;
+const OLD_DEPARTURE_COUNT = 19_000;
+const BACKEND_COUNT = 600;
+/** Three for the registered back ends, the rest for old departures. */
+const MAX_MESSAGES = 8;
+const [FIRST_LINK, SECOND_LINK] = [9_001, 9_002].map((id) => id as LinkId) as [LinkId, LinkId];
 
 interface FormedGroup {
   readonly state: GroupState;
   readonly nowMs: number;
 }
 
-/** A follower of a group that has formed, with all back ends known and no balancer but those of a test. */
+/** A follower of a formed group, with all back ends registered and without subscribers. */
 async function formedGroup(): Promise<FormedGroup> {
   const world = new IngressWorld(1, smallIngressWorld);
   world.start();
@@ -75,7 +76,7 @@
 
 function subscribe({ state, nowMs }: FormedGroup, linkId: LinkId, name: string): GroupEffect[] {
   addSubscriber(state, linkId, subscription(name));
-  return feedOne(state, linkId, nowMs);
+  return feedSubscriber(state, linkId, nowMs);
 }
 
 function messagesTo(linkId: LinkId, effects: readonly GroupEffect[]): FeedMessage[] {
@@ -84,17 +85,17 @@
   );
 }
 
-/** Feeds balancers that have taken all that they were sent. */
-function feedWilling(state: GroupState, nowMs: number): GroupEffect[] {
+/** Acknowledges all messages sent so far, then feeds all balancers. */
+function acknowledgeAndFeed(state: GroupState, nowMs: number): GroupEffect[] {
   for (const subscriber of state.subscribers.values()) {
     subscriber.countedApplied = subscriber.countedSent;
   }
   return feedSubscribers(state, nowMs);
 }
 
-t.test('a newcomer gets the whole state at once', async (t) => {
+t.test('a new subscriber gets a full sync at once', async (t) => {
   const group = await formedGroup();
-  const [message] = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
+  const [message] = messagesTo(FIRST_LINK, subscribe(group, FIRST_LINK, 'first'));
   t.equal(message?.transfer, 'whole');
   t.equal(message?.isCurrent, true);
   t.equal(message?.records?.length, smallIngressWorld.backendCount);
@@ -103,21 +104,21 @@
   t.equal(message?.isComplete, true);
 });
 
-t.test('a heartbeat that says nothing new is not passed on, a silence is told once', async (t) => {
+t.test('an unchanged heartbeat is not forwarded, and a silence is sent once', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  subscribe(group, FIRST, 'first');
-  feedWilling(state, nowMs);
-  const [known] = [...state.registry.all()];
-  if (known === undefined) {
+  subscribe(group, FIRST_LINK, 'first');
+  acknowledgeAndFeed(state, nowMs);
+  const [entry] = [...state.registry.all()];
+  if (entry === undefined) {
     throw new Error('No back end.');
   }
-  const record = { ...known.record, sequence: known.record.sequence + 1 };
+  const record = { ...entry.record, sequence: entry.record.sequence + 1 };
   t.ok(applyHeartbeat(state, { record, ageMs: 0 }, nowMs));
-  t.same(messagesTo(FIRST, feedWilling(state, nowMs)), []);
+  t.same(messagesTo(FIRST_LINK, acknowledgeAndFeed(state, nowMs)), []);
 
-  // The other back ends fall silent; the machine goes on hearing its leader.
-  const laterMs = nowMs + LONG_MS;
+  // The other back ends fall silent while the leader stays in contact.
+  const laterMs = nowMs + SILENCE_MS;
   state.consensus.leaderContactAtMs = laterMs;
   applyHeartbeat(
     state,
@@ -125,81 +126,90 @@
     laterMs,
   );
   updateLiveness(state, laterMs);
-  const [told] = messagesTo(FIRST, feedWilling(state, laterMs));
-  t.equal(told?.records, undefined);
-  t.equal(told?.judgements?.length, smallIngressWorld.backendCount - 1);
-  t.same(new Set(told?.judgements?.map(({ liveness }) => liveness)), new Set(['suspect']));
+  const [update] = messagesTo(FIRST_LINK, acknowledgeAndFeed(state, laterMs));
+  t.equal(update?.records, undefined);
+  t.equal(update?.judgements?.length, smallIngressWorld.backendCount - 1);
+  t.same(new Set(update?.judgements?.map(({ liveness }) => liveness)), new Set(['suspect']));
   updateLiveness(state, laterMs);
-  t.same(messagesTo(FIRST, feedWilling(state, laterMs)), []);
+  t.same(messagesTo(FIRST_LINK, acknowledgeAndFeed(state, laterMs)), []);
 });
 
-t.test('a departure never comes after its record, however many there were before', async (t) => {
+t.test('a departure is never sent after its record, even with many old departures', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  const depart = (backendId: string) =>
+  const recordDeparture = (backendId: string) =>
     state.replicated.apply({
       type: 'note-departure',
       departure: { backendId, kind: 'draining' },
     });
-  for (let number = 0; number < DEPARTURES_OF_WEEKS; number += 1) {
-    depart(`left-${number}`);
+  for (let number = 0; number < OLD_DEPARTURE_COUNT; number += 1) {
+    recordDeparture(`departed-${number}`);
   }
-  const [known] = [...state.registry.all()];
-  if (known === undefined) {
+  const [entry] = [...state.registry.all()];
+  if (entry === undefined) {
     throw new Error('No back end.');
   }
-  for (let number = 0; number < BACKENDS; number += 1) {
-    const id = `here-${number}`;
+  for (let number = 0; number < BACKEND_COUNT; number += 1) {
+    const id = `registered-${number}`;
     const address = { host: '10.8.0.1', port: number + 1 };
-    applyHeartbeat(state, { record: { ...known.record, id, address }, ageMs: 0 }, nowMs);
+    applyHeartbeat(state, { record: { ...entry.record, id, address }, ageMs: 0 }, nowMs);
   }
-  const leaving = Array.from({ length: BACKENDS / 2 }, (_, index) => `here-${2 * index + 1}`);
-  leaving.forEach(depart);
-  const messages = subscribeUntilTold(group, FIRST);
-  const messageOf = (names: (message: FeedMessage) => string[] | undefined, id: string) =>
-    messages.findIndex((message) => names(message)?.includes(id) === true);
-  for (const id of leaving) {
-    const record = messageOf(({ records }) => records?.map((aged) => aged.record.id), id);
-    const departure = messageOf(
+  const departedIds = Array.from(
+    { length: BACKEND_COUNT / 2 },
+    (_, index) => `registered-${2 * index + 1}`,
+  );
+  departedIds.forEach(recordDeparture);
+  const messages = subscribeAndSync(group, FIRST_LINK);
+  const indexOfMessage = (idsIn: (message: FeedMessage) => string[] | undefined, id: string) =>
+    messages.findIndex((message) => idsIn(message)?.includes(id) === true);
+  for (const id of departedIds) {
+    const recordIndex = indexOfMessage(({ records }) => records?.map((aged) => aged.record.id), id);
+    const departureIndex = indexOfMessage(
       ({ departures }) => departures?.map(({ backendId }) => backendId),
       id,
     );
-    t.ok(departure >= 0 && departure <= record, `${id}: message ${departure}, record ${record}`);
+    t.ok(
+      departureIndex >= 0 && departureIndex <= recordIndex,
+      `${id}: message ${departureIndex}, record ${recordIndex}`,
+    );
   }
-  t.ok(messages.length <= MOST_MESSAGES, `${messages.length} messages`);
+  t.ok(messages.length <= MAX_MESSAGES, `${messages.length} messages`);
 });
 
-/** @returns all messages of a transfer to a balancer that takes each at once */
-function subscribeUntilTold(group: FormedGroup, linkId: LinkId): FeedMessage[] {
+/** @returns all messages of a full sync to a balancer that acknowledges each at once */
+function subscribeAndSync(group: FormedGroup, linkId: LinkId): FeedMessage[] {
   const { state, nowMs } = group;
   const messages = messagesTo(linkId, subscribe(group, linkId, 'first'));
   const subscriber = state.subscribers.get(linkId);
   while (messages.at(-1)?.isComplete === false && subscriber !== undefined) {
     messages.push(
-      ...messagesTo(linkId, applyFeedTaken(state, linkId, subscriber.countedSent, nowMs)),
+      ...messagesTo(linkId, applyAcknowledgement(state, linkId, subscriber.countedSent, nowMs)),
     );
   }
   return messages;
 }
 
-t.test('whoever was fed while the machine was not current gets the whole again', async (t) => {
+t.test('a full sync is repeated once the machine becomes current', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  const cutOffMs = nowMs + LONG_MS;
+  const cutOffMs = nowMs + SILENCE_MS;
   t.notOk(isCurrent(state, cutOffMs));
-  const [first] = messagesTo(FIRST, subscribe({ state, nowMs: cutOffMs }, FIRST, 'first'));
+  const [first] = messagesTo(
+    FIRST_LINK,
+    subscribe({ state, nowMs: cutOffMs }, FIRST_LINK, 'first'),
+  );
   t.equal(first?.isCurrent, false);
   state.consensus.leaderContactAtMs = cutOffMs;
-  const [second] = messagesTo(FIRST, feedWilling(state, cutOffMs));
+  const [second] = messagesTo(FIRST_LINK, acknowledgeAndFeed(state, cutOffMs));
   t.equal(second?.transfer, 'whole');
   t.equal(second?.isCurrent, true);
-  const [third] = messagesTo(FIRST, feedWilling(state, cutOffMs + 1_000));
+  const [third] = messagesTo(FIRST_LINK, acknowledgeAndFeed(state, cutOffMs + 1_000));
   t.equal(third?.transfer, undefined, 'only once');
 });
 
-t.test('silence while the machine was cut off is not held against back ends', async (t) => {
+t.test('back ends do not become suspect for silence while the machine was cut off', async (t) => {
   const { state, nowMs } = await formedGroup();
-  const cutOffMs = nowMs + LONG_MS;
+  const cutOffMs = nowMs + SILENCE_MS;
   updateLiveness(state, cutOffMs);
   state.consensus.leaderContactAtMs = cutOffMs;
   updateLiveness(state, cutOffMs);
@@ -211,56 +221,56 @@
   t.equal(
     state.updates.collected.livenessChanged.size,
     smallIngressWorld.backendCount,
-    'but later silence is',
+    'later silence counts',
   );
 });
 
-t.test('balancers hear of those that come and go, not of all', async (t) => {
+t.test('only added and removed balancers are sent, not the whole list', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  subscribe(group, FIRST, 'first');
-  feedWilling(state, nowMs);
-  subscribe(group, SECOND, 'second');
-  const [came] = messagesTo(FIRST, feedWilling(state, nowMs));
+  subscribe(group, FIRST_LINK, 'first');
+  acknowledgeAndFeed(state, nowMs);
+  subscribe(group, SECOND_LINK, 'second');
+  const [afterSubscription] = messagesTo(FIRST_LINK, acknowledgeAndFeed(state, nowMs));
   t.same(
-    came?.balancers?.map(({ name }) => name),
+    afterSubscription?.balancers?.map(({ name }) => name),
     ['second'],
   );
-  removeSubscriber(state, SECOND);
-  const [went] = messagesTo(FIRST, feedWilling(state, nowMs));
-  t.same(went?.lostBalancers, ['second']);
-  t.equal(went?.balancers, undefined);
+  removeSubscriber(state, SECOND_LINK);
+  const [afterRemoval] = messagesTo(FIRST_LINK, acknowledgeAndFeed(state, nowMs));
+  t.same(afterRemoval?.lostBalancers, ['second']);
+  t.equal(afterRemoval?.balancers, undefined);
 });
 
-t.test('each balancer is told the load of the others, once and not too often', async (t) => {
+t.test('each balancer gets throttled load sums of the others', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  subscribe(group, FIRST, 'first');
-  subscribe(group, SECOND, 'second');
-  state.loads.totals.applyReport(FIRST, [7, 1]);
-  state.loads.totals.applyReport(SECOND, [7, 2]);
+  subscribe(group, FIRST_LINK, 'first');
+  subscribe(group, SECOND_LINK, 'second');
+  state.loads.totals.applyReport(FIRST_LINK, [7, 1]);
+  state.loads.totals.applyReport(SECOND_LINK, [7, 2]);
   const effects = publishLoads(state, nowMs);
   t.same(
-    messagesTo(FIRST, effects).map(({ loads }) => loads),
+    messagesTo(FIRST_LINK, effects).map(({ loads }) => loads),
     [[7, 2]],
   );
   t.same(
-    messagesTo(SECOND, effects).map(({ loads }) => loads),
+    messagesTo(SECOND_LINK, effects).map(({ loads }) => loads),
     [[7, 1]],
   );
-  t.same(publishLoads(state, nowMs), [], 'nothing has changed');
-  state.loads.totals.applyReport(SECOND, [7, 3]);
-  t.same(publishLoads(state, nowMs + 1), [], 'too soon');
-  t.equal(messagesTo(FIRST, publishLoads(state, nowMs + 500)).length, 1);
+  t.same(publishLoads(state, nowMs), [], 'unchanged');
+  state.loads.totals.applyReport(SECOND_LINK, [7, 3]);
+  t.same(publishLoads(state, nowMs + 1), [], 'throttled');
+  t.equal(messagesTo(FIRST_LINK, publishLoads(state, nowMs + 500)).length, 1);
 });
 
-t.test('the other control machines get sums, again after a second without a change', async (t) => {
+t.test('unchanged sums are sent to the other control machines again after a second', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  subscribe(group, FIRST, 'first');
-  state.loads.totals.applyReport(FIRST, [7, 1]);
+  subscribe(group, FIRST_LINK, 'first');
+  state.loads.totals.applyReport(FIRST_LINK, [7, 1]);
   const others = smallIngressWorld.controlCount - 1;
-  const startMs = nowMs + LONG_MS;
+  const startMs = nowMs + SILENCE_MS;
   t.equal(shareLoadSums(state, startMs).length, others);
   t.equal(shareLoadSums(state, startMs + 500).length, 0);
   t.equal(shareLoadSums(state, startMs + 1_000).length, others);
@@ -269,10 +279,10 @@
 function configWith(version: number, routeCount: number): DeclaredConfig {
   return {
     version,
-    routes: Array.from({ length: routeCount }, (_, at) => ({
-      name: `route-${at}`,
+    routes: Array.from({ length: routeCount }, (_, index) => ({
+      name: `route-${index}`,
       host: '198.18.0.1',
-      port: 1_000 + at,
+      port: 1_000 + index,
       targets: [{ service: 'alpha', weight: 1 }],
       kind: 'repeatable',
       timeoutMs: 1_000,
@@ -282,25 +292,31 @@
   };
 }
 
-t.test('a balancer that takes nothing is sent two messages and no more', async (t) => {
+t.test('without acknowledgements a balancer gets two messages, then keepalives', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
   state.configs.apply(configWith(100, 5_000));
-  const sent = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
+  const sent = messagesTo(FIRST_LINK, subscribe(group, FIRST_LINK, 'first'));
   t.equal(sent.length, 2);
   t.ok(sent.every(({ isComplete }) => !isComplete));
-  t.same(messagesTo(FIRST, feedSubscribers(state, nowMs + LONG_MS)).length, 1, 'but a pulse');
-  const [third] = messagesTo(FIRST, applyFeedTaken(state, FIRST, 1, nowMs));
+  t.same(
+    messagesTo(FIRST_LINK, feedSubscribers(state, nowMs + SILENCE_MS)).length,
+    1,
+    'a keepalive',
+  );
+  const [third] = messagesTo(FIRST_LINK, applyAcknowledgement(state, FIRST_LINK, 1, nowMs));
   t.equal(third?.config?.firstChange, 2_000);
 });
 
-t.test('a large configuration comes in bounded parts, each change once', async (t) => {
+t.test('a large configuration is sent in bounded parts, each change once', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
   state.configs.apply(configWith(100, 4_500));
-  const sent = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
-  for (let taken = 1; taken <= 10; taken += 1) {
-    sent.push(...messagesTo(FIRST, applyFeedTaken(state, FIRST, taken, nowMs)));
+  const sent = messagesTo(FIRST_LINK, subscribe(group, FIRST_LINK, 'first'));
+  for (let acknowledged = 1; acknowledged <= 10; acknowledged += 1) {
+    sent.push(
+      ...messagesTo(FIRST_LINK, applyAcknowledgement(state, FIRST_LINK, acknowledged, nowMs)),
+    );
   }
   const ports = sent.flatMap(({ config }) => config?.changes.map(({ port }) => port) ?? []);
   t.equal(ports.length, 4_500);
@@ -313,121 +329,130 @@
   );
 });
 
-t.test('whoever got some of a configuration goes on from there with another machine', async (t) => {
+t.test('a partly received update resumes from another control machine', async (t) => {
   const { state, nowMs } = await formedGroup();
   state.configs.apply(configWith(100, 1_500));
   const unfinished = { version: 100, baseVersion: 0, changesTaken: 1_000 };
-  addSubscriber(state, FIRST, { ...subscription('first'), unfinished });
-  const [first] = messagesTo(FIRST, feedOne(state, FIRST, nowMs));
+  addSubscriber(state, FIRST_LINK, { ...subscription('first'), unfinished });
+  const [first] = messagesTo(FIRST_LINK, feedSubscriber(state, FIRST_LINK, nowMs));
   t.equal(first?.config?.firstChange, 1_000);
   t.equal(first?.config?.changes.length, 500);
-  addSubscriber(state, SECOND, {
+  addSubscriber(state, SECOND_LINK, {
     ...subscription('second'),
     unfinished: { ...unfinished, version: 99 },
   });
-  const [other] = messagesTo(SECOND, feedOne(state, SECOND, nowMs));
-  t.equal(other?.config?.firstChange, 0, 'of another version it is worth nothing');
+  const [other] = messagesTo(SECOND_LINK, feedSubscriber(state, SECOND_LINK, nowMs));
+  t.equal(other?.config?.firstChange, 0, 'not for another version');
 });
 
-t.test('a balancer that is behind gets the newest configuration, not those between', async (t) => {
+t.test('a slow balancer gets the newest configuration without intermediate versions', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
   state.configs.apply(configWith(100, 10));
-  subscribe(group, FIRST, 'first');
-  const held = state.subscribers.get(FIRST);
-  if (held === undefined) {
+  subscribe(group, FIRST_LINK, 'first');
+  const subscriber = state.subscribers.get(FIRST_LINK);
+  if (subscriber === undefined) {
     throw new Error('No subscriber.');
   }
-  held.countedSent += 1;
+  subscriber.countedSent += 1;
   for (let version = 101; version <= 120; version += 1) {
     state.configs.apply(configWith(version, version - 90));
     t.same(
-      messagesTo(FIRST, feedSubscribers(state, nowMs)).filter(({ config }) => config !== undefined),
+      messagesTo(FIRST_LINK, feedSubscribers(state, nowMs)).filter(
+        ({ config }) => config !== undefined,
+      ),
       [],
-      'nothing while it takes nothing',
+      'nothing while the window is full',
     );
   }
-  const [message] = messagesTo(FIRST, applyFeedTaken(state, FIRST, 2, nowMs));
+  const [message] = messagesTo(FIRST_LINK, applyAcknowledgement(state, FIRST_LINK, 2, nowMs));
   t.equal(message?.config?.version, 120);
   t.equal(message?.config?.baseVersion, 100);
-  t.equal(message?.config?.changes.length, 20, 'only what changed');
+  t.equal(message?.config?.changes.length, 20, 'only the changes');
   t.equal(message?.isComplete, true);
 });
 
-t.test('news for a balancer that is behind merge, and hold up nobody else', async (t) => {
+t.test('updates for a slow balancer merge and do not delay other balancers', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  subscribe(group, FIRST, 'first');
-  subscribe(group, SECOND, 'second');
-  feedWilling(state, nowMs);
-  const slow = state.subscribers.get(FIRST);
-  const quick = state.subscribers.get(SECOND);
-  const [known] = [...state.registry.all()];
-  if (slow === undefined || quick === undefined || known === undefined) {
+  subscribe(group, FIRST_LINK, 'first');
+  subscribe(group, SECOND_LINK, 'second');
+  acknowledgeAndFeed(state, nowMs);
+  const slow = state.subscribers.get(FIRST_LINK);
+  const fast = state.subscribers.get(SECOND_LINK);
+  const [entry] = [...state.registry.all()];
+  if (slow === undefined || fast === undefined || entry === undefined) {
     throw new Error('No subscriber or back end.');
   }
   for (let change = 1; change <= 5; change += 1) {
-    const { sequence, capacity } = known.record;
+    const { sequence, capacity } = entry.record;
     const record = {
-      ...known.record,
+      ...entry.record,
       sequence: sequence + change,
       capacity: capacity + change,
     };
     applyHeartbeat(state, { record, ageMs: 0 }, nowMs);
-    quick.countedApplied = quick.countedSent;
+    fast.countedApplied = fast.countedSent;
     slow.countedSent = slow.countedApplied + 2;
     const effects = feedSubscribers(state, nowMs);
-    t.equal(messagesTo(SECOND, effects)[0]?.records?.[0]?.record.sequence, sequence + change);
-    t.same(messagesTo(FIRST, effects), []);
+    t.equal(messagesTo(SECOND_LINK, effects)[0]?.records?.[0]?.record.sequence, sequence + change);
+    t.same(messagesTo(FIRST_LINK, effects), []);
   }
-  const [told] = messagesTo(FIRST, applyFeedTaken(state, FIRST, slow.countedSent, nowMs));
-  t.equal(told?.records?.length, 1);
-  t.equal(told?.records?.[0]?.record.sequence, known.record.sequence + 5);
+  const [update] = messagesTo(
+    FIRST_LINK,
+    applyAcknowledgement(state, FIRST_LINK, slow.countedSent, nowMs),
+  );
+  t.equal(update?.records?.length, 1);
+  t.equal(update?.records?.[0]?.record.sequence, entry.record.sequence + 5);
 });
 
-t.test('balancers that lack the same get one message', async (t) => {
+t.test('balancers with the same pending updates share one message', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  subscribe(group, FIRST, 'first');
-  subscribe(group, SECOND, 'second');
-  feedWilling(state, nowMs);
-  const [known] = [...state.registry.all()];
-  if (known === undefined) {
+  subscribe(group, FIRST_LINK, 'first');
+  subscribe(group, SECOND_LINK, 'second');
+  acknowledgeAndFeed(state, nowMs);
+  const [entry] = [...state.registry.all()];
+  if (entry === undefined) {
     throw new Error('No back end.');
   }
-  const record = { ...known.record, sequence: known.record.sequence + 1, capacity: 7 };
+  const record = { ...entry.record, sequence: entry.record.sequence + 1, capacity: 7 };
   applyHeartbeat(state, { record, ageMs: 0 }, nowMs);
-  const effects = feedWilling(state, nowMs);
-  t.equal(messagesTo(FIRST, effects)[0], messagesTo(SECOND, effects)[0], 'the same object');
+  const effects = acknowledgeAndFeed(state, nowMs);
+  t.equal(
+    messagesTo(FIRST_LINK, effects)[0],
+    messagesTo(SECOND_LINK, effects)[0],
+    'the same object',
+  );
 });
 
 t.test(
-  'control machines are named with their zones, without it once they are silent',
+  'control machines are sent with their zones, without them once they are silent',
   async (t) => {
     const group = await formedGroup();
     const { state, nowMs } = group;
-    const zones = (message: FeedMessage | undefined) =>
+    const zonesIn = (message: FeedMessage | undefined) =>
       message?.controls?.flatMap(({ zone }) => zone ?? []) ?? [];
-    const [first] = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
-    t.equal(zones(first).length, smallIngressWorld.controlCount);
+    const [first] = messagesTo(FIRST_LINK, subscribe(group, FIRST_LINK, 'first'));
+    t.equal(zonesIn(first).length, smallIngressWorld.controlCount);
     const laterMs = nowMs + 5_000;
-    forgetSilentPeers(state, laterMs);
-    applyFeedTaken(state, FIRST, 9, laterMs);
-    const [second] = messagesTo(FIRST, feedSubscribers(state, laterMs));
-    t.same(zones(second), [state.options.zone], 'only its own');
+    removeSilentPeers(state, laterMs);
+    applyAcknowledgement(state, FIRST_LINK, 9, laterMs);
+    const [second] = messagesTo(FIRST_LINK, feedSubscribers(state, laterMs));
+    t.same(zonesIn(second), [state.options.zone], 'only the local zone');
   },
 );
 
-t.test('a newcomer hears first which zones are evacuated, and places nothing before', async (t) => {
+t.test('a full sync begins with the evacuated zones, before any placement', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
   state.replicated.zones.apply({ zone: 'zone-a', kind: 'evacuate', afterOrders: 0 });
-  for (let number = 1; number <= BACKENDS; number += 1) {
+  for (let number = 1; number <= BACKEND_COUNT; number += 1) {
     const record = recordOf(number, { id: `many-${number}` });
     applyHeartbeat(state, { record, ageMs: 0 }, nowMs);
   }
-  const [first] = messagesTo(FIRST, subscribe(group, FIRST, 'first'));
-  t.equal(first?.transfer, 'begins', 'more is to come');
+  const [first] = messagesTo(FIRST_LINK, subscribe(group, FIRST_LINK, 'first'));
+  t.equal(first?.transfer, 'begins', 'not the only message');
   t.match(first?.zones, [{ zone: 'zone-a', isEvacuated: true, orders: 1 }]);
   const balancer = createIngressState({
     name: 'first',
@@ -443,60 +468,57 @@
     applyFeedMessage(balancer, first, nowMs);
   }
   t.ok(balancer.zones.isEvacuated('zone-a'));
-  t.equal(balancer.feedStatus.firstCurrentAtMs, undefined, 'it does not place yet');
+  t.equal(balancer.feedStatus.firstCurrentAtMs, undefined, 'no placement yet');
 });
 
-t.test('an order for a zone is told to all with the next tick', async (t) => {
+t.test('an order for a zone is sent to all balancers with the next tick', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
-  subscribe(group, FIRST, 'first');
-  feedWilling(state, nowMs);
+  subscribe(group, FIRST_LINK, 'first');
+  acknowledgeAndFeed(state, nowMs);
   const order = { zone: 'zone-b', kind: 'evacuate', afterOrders: 0 } as const;
   state.replicated.zones.apply(order);
   publishZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
-  const [told] = messagesTo(FIRST, feedWilling(state, nowMs));
-  t.match(told?.zones, [{ zone: 'zone-b', isEvacuated: true, orders: 1 }]);
+  const [evacuated] = messagesTo(FIRST_LINK, acknowledgeAndFeed(state, nowMs));
+  t.match(evacuated?.zones, [{ zone: 'zone-b', isEvacuated: true, orders: 1 }]);
   state.replicated.zones.apply({ ...order, kind: 'readmit', afterOrders: 1 });
   publishZoneChange(state, state.replicated.zones.statusOf('zone-b'), nowMs);
-  const [again] = messagesTo(FIRST, feedWilling(state, nowMs + 30));
-  t.match(again?.zones, [{ isEvacuated: false, orders: 2, readmittedAgoMs: 30 }]);
+  const [readmitted] = messagesTo(FIRST_LINK, acknowledgeAndFeed(state, nowMs + 30));
+  t.match(readmitted?.zones, [{ isEvacuated: false, orders: 2, readmittedAgoMs: 30 }]);
 });
 
-t.test(
-  'what back ends show at one balancer reaches the others, and the other machines',
-  async (t) => {
-    const group = await formedGroup();
-    const { state, nowMs } = group;
-    subscribe(group, FIRST, 'first');
-    subscribe(group, SECOND, 'second');
-    feedWilling(state, nowMs);
-    const token = 77;
-    const told: AnswerStats = { stalled: 1, answered: 2.5, answerMs: 75, short: 0.5 };
-    const signals = packAnswerStats([[token, told]]);
-    applyLoadReport(state, FIRST, { type: 'load-report', loads: [token, 1], signals });
-    state.subscribers.forEach((subscriber) => {
-      subscriber.countedApplied = subscriber.countedSent;
-    });
-    const effects = publishLoads(state, nowMs);
-    const [toFirst] = messagesTo(FIRST, effects);
-    const [toSecond] = messagesTo(SECOND, effects);
-    t.same(toFirst?.signals ?? [], [], 'its own are not told back');
-    t.same(toSecond?.signals, signals);
-    const [shared] = shareLoadSums(state, nowMs);
-    t.match(shared, { message: { type: 'load-sums', signals } });
+t.test('answer stats of one balancer reach the other balancers and control machines', async (t) => {
+  const group = await formedGroup();
+  const { state, nowMs } = group;
+  subscribe(group, FIRST_LINK, 'first');
+  subscribe(group, SECOND_LINK, 'second');
+  acknowledgeAndFeed(state, nowMs);
+  const token = 77;
+  const stats: AnswerStats = { stalled: 1, answered: 2.5, answerMs: 75, short: 0.5 };
+  const signals = packAnswerStats([[token, stats]]);
+  applyLoadReport(state, FIRST_LINK, { type: 'load-report', loads: [token, 1], signals });
+  state.subscribers.forEach((subscriber) => {
+    subscriber.countedApplied = subscriber.countedSent;
+  });
+  const effects = publishLoads(state, nowMs);
+  const [toFirst] = messagesTo(FIRST_LINK, effects);
+  const [toSecond] = messagesTo(SECOND_LINK, effects);
+  t.same(toFirst?.signals ?? [], [], 'not its own stats');
+  t.same(toSecond?.signals, signals);
+  const [shared] = shareLoadSums(state, nowMs);
+  t.match(shared, { message: { type: 'load-sums', signals } });
 
-    const sender = { host: '10.8.0.1', port: 7_700 };
-    applyLoadSums(state, { type: 'load-sums', sender, loads: [], signals }, nowMs);
-    const laterMs = nowMs + EXCHANGE_MS;
-    const [both] = messagesTo(SECOND, publishLoads(state, laterMs));
-    const summed: Record<number, AnswerStats> = {};
-    eachAnswerStats(both?.signals ?? [], (of, one) => {
-      summed[of] = one;
-    });
-    t.same(summed[token], { stalled: 2, answered: 5, answerMs: 150, short: 1 });
+  const sender = { host: '10.8.0.1', port: 7_700 };
+  applyLoadSums(state, { type: 'load-sums', sender, loads: [], signals }, nowMs);
+  const laterMs = nowMs + EXCHANGE_PERIOD_MS;
+  const [summedMessage] = messagesTo(SECOND_LINK, publishLoads(state, laterMs));
+  const summed: Record<number, AnswerStats> = {};
+  eachAnswerStats(summedMessage?.signals ?? [], (backendToken, values) => {
+    summed[backendToken] = values;
+  });
+  t.same(summed[token], { stalled: 2, answered: 5, answerMs: 150, short: 1 });
 
-    removeSubscriber(state, FIRST);
-    const [left] = messagesTo(SECOND, publishLoads(state, laterMs + EXCHANGE_MS));
-    t.same(left?.signals, signals, 'what a balancer told ends with its link');
-  },
-);
+  removeSubscriber(state, FIRST_LINK);
+  const [afterRemoval] = messagesTo(SECOND_LINK, publishLoads(state, laterMs + EXCHANGE_PERIOD_MS));
+  t.same(afterRemoval?.signals, signals, 'the stats of a balancer end with its link');
+});
--- a/test/registered/group/config-history.test.ts
+++ b/test/registered/group/config-history.test.ts
@@ -1,4 +1,4 @@
-/** @file A balancer that applies updates, from whatever it holds, ends with the configuration that holds. */
+/** @file Updates from any earlier version lead to the current configuration. */
 import fc from 'fast-check';
 import t from 'tap';
 import {
@@ -14,7 +14,7 @@
 const PORTS = 12;
 const HOST = 0xc6120001;
 
-/** Services of the ports from 0 on; an empty text for no route. */
+/** The service of each port, from 0 on; an empty string if there is no route. */
 type Services = readonly string[];
 
 function configOf(version: number, services: Services): DeclaredConfig {
@@ -48,16 +48,16 @@
   maxLength: PORTS,
 });
 
-t.test('from any version held, one update leads to the newest', async (t) => {
+t.test('one update leads from any version to the newest', async (t) => {
   fc.assert(
-    fc.property(fc.array(services, { minLength: 2, maxLength: 8 }), fc.nat(), (all, pick) => {
+    fc.property(fc.array(services, { minLength: 2, maxLength: 8 }), fc.nat(), (configs, pick) => {
       const history = createConfigHistory(undefined);
-      const heldAt = pick % all.length;
+      const baseIndex = pick % configs.length;
       const table = new RouteTable();
-      all.forEach((config, at) => {
-        history.apply(configOf(10 * (at + 1), config));
-        if (at === heldAt) {
-          table.applyUpdate(fullUpdate(configOf(10 * (at + 1), config)));
+      configs.forEach((config, index) => {
+        history.apply(configOf(10 * (index + 1), config));
+        if (index === baseIndex) {
+          table.applyUpdate(fullUpdate(configOf(10 * (index + 1), config)));
         }
       });
       const update = history.updateFrom(table.config?.version ?? 0);
@@ -65,7 +65,7 @@
         return false;
       }
       return (
-        JSON.stringify(servicesOf(table)) === JSON.stringify(all.at(-1)) &&
+        JSON.stringify(servicesOf(table)) === JSON.stringify(configs.at(-1)) &&
         table.config?.version === history.version
       );
     }),
@@ -74,7 +74,7 @@
   t.pass();
 });
 
-t.test('only what changed is told, and nothing to whoever holds the newest', async (t) => {
+t.test('an update has only the changes, and none is needed for the newest version', async (t) => {
   const history = createConfigHistory(configOf(1, ['alpha', 'alpha', 'beta']));
   history.apply(configOf(2, ['alpha', 'beta', 'beta']));
   history.apply(configOf(5, ['alpha', 'beta', '', 'alpha']));
@@ -88,22 +88,22 @@
     [2, 3],
   );
   t.equal(history.updateFrom(5), undefined);
-  t.equal(history.updateFrom(6), undefined, 'nor to one that holds a newer one');
-  t.equal(history.updateFrom(4)?.baseVersion, 0, 'all to one that holds what is not known');
+  t.equal(history.updateFrom(6), undefined, 'none for a newer version');
+  t.equal(history.updateFrom(4)?.baseVersion, 0, 'a full update for an unknown version');
 });
 
-t.test('a change of times alone changes no route', async (t) => {
-  const before = configOf(1, ['alpha']);
-  const update = updateBetween(before, { ...before, version: 2, idleTimeoutMs: 9_000 });
+t.test('a change of timeouts alone changes no route', async (t) => {
+  const previous = configOf(1, ['alpha']);
+  const update = updateBetween(previous, { ...previous, version: 2, idleTimeoutMs: 9_000 });
   t.same(update.changes, []);
   const table = new RouteTable();
-  table.applyUpdate(fullUpdate(before));
+  table.applyUpdate(fullUpdate(previous));
   t.equal(table.applyUpdate(update), 'applied');
   t.same(table.config, { version: 2, idleTimeoutMs: 9_000, warmUps: new Map() });
   t.same(partOf(update, 0, 10).changeCount, 0);
 });
 
-t.test('what is kept is bounded, and the whole is told instead', async (t) => {
+t.test('the history is bounded, and older versions get a full update', async (t) => {
   const history = createConfigHistory(configOf(1, ['alpha']));
   for (let version = 2; version <= 400; version += 1) {
     history.apply(configOf(version, [version % 2 === 0 ? 'beta' : 'alpha']));
@@ -113,32 +113,30 @@
 });
 
 /*
- * A balancer that got a part of an update from one control machine asks another one for the rest, and names only versions
- * and how many changes it has. A machine that took over a snapshot has skipped versions: where a route changed and changed
- * back in between, the update of a machine that saw every version had one change more, the rest was cut off one change
- * too late, and the balancer stayed without a route of the version that it called in force.
+ * A balancer resumes an update from another control machine by the number of changes received. Machines that skipped
+ * versions, after a snapshot, must list the same changes, or the balancer misses a route.
  */
 t.test('machines that skipped different versions make the same update', async (t) => {
   const versions = fc.array(services, { minLength: 3, maxLength: 6 });
   const skipped = fc.array(fc.boolean(), { minLength: 6, maxLength: 6 });
   fc.assert(
-    fc.property(versions, skipped, (all, areSkipped) => {
-      const every = createConfigHistory(undefined);
-      const some = createConfigHistory(undefined);
-      all.forEach((config, at) => {
-        every.apply(configOf(at + 1, config));
-        if (at === 0 || at === all.length - 1 || areSkipped[at] !== true) {
-          some.apply(configOf(at + 1, config));
+    fc.property(versions, skipped, (configs, areSkipped) => {
+      const complete = createConfigHistory(undefined);
+      const withGaps = createConfigHistory(undefined);
+      configs.forEach((config, index) => {
+        complete.apply(configOf(index + 1, config));
+        if (index === 0 || index === configs.length - 1 || areSkipped[index] !== true) {
+          withGaps.apply(configOf(index + 1, config));
         }
       });
-      return JSON.stringify(every.updateFrom(1)) === JSON.stringify(some.updateFrom(1));
+      return JSON.stringify(complete.updateFrom(1)) === JSON.stringify(withGaps.updateFrom(1));
     }),
     { seed: 7, numRuns: 2_000 },
   );
   t.pass();
 });
 
-t.test('the rest of another list of changes does not complete an update', async (t) => {
+t.test('parts of different lists of changes do not form an update', async (t) => {
   const first = configOf(1, ['alpha', 'alpha', 'alpha', 'alpha']);
   const update = updateBetween(first, configOf(3, ['beta', 'beta', 'beta', 'beta']));
   const longer = { ...update, changes: [...update.changes, ...update.changes.slice(-1)] };
--- a/test/registered/group/feed-codec.test.ts
+++ b/test/registered/group/feed-codec.test.ts
@@ -1,4 +1,4 @@
-/** @file Feeds travel in columns: what comes out is what went in, in far fewer bytes. */
+/** @file Packing of feed messages: lossless, compact, and safe against invalid input. */
 import fc from 'fast-check';
 import { Packr } from 'msgpackr';
 import t from 'tap';
@@ -6,7 +6,7 @@
 import type { AgedRecord, FeedMessage } from '../../../src/registered/group/group-messages.js';
 
 const packr = new Packr({ useRecords: false });
-const FLAGS = { type: 'feed', isCurrent: true, isComplete: false, isCounted: true } as const;
+const HEADER = { type: 'feed', isCurrent: true, isComplete: false, isCounted: true } as const;
 
 function recordOf(number: number): AgedRecord {
   const instanceNumber = (number * 7_919).toString(16).padStart(16, '0');
@@ -25,25 +25,25 @@
   };
 }
 
-const routeChanges = Array.from({ length: 1_766 }, (_, at) => ({
-  host: `198.18.${at >> 8}.${at & 255}`,
-  port: 443 + (at % 3),
+const routeChanges = Array.from({ length: 1_766 }, (_, index) => ({
+  host: `198.18.${index >> 8}.${index & 255}`,
+  port: 443 + (index % 3),
   targets: [
     { service: 'authd', weight: 90 },
-    { service: 'settled', weight: at % 2 },
+    { service: 'settled', weight: index % 2 },
   ],
 }));
 
-const whole: FeedMessage = {
-  ...FLAGS,
+const fullSync: FeedMessage = {
+  ...HEADER,
   transfer: 'begins',
-  records: Array.from({ length: 205 }, (_, at) => recordOf(at + 1)),
+  records: Array.from({ length: 205 }, (_, index) => recordOf(index + 1)),
   judgements: [{ backendId: 'i-1', liveness: 'suspect', silentMs: 3_100 }],
   departures: [{ backendId: 'i-2', kind: 'draining' }],
-  balancers: Array.from({ length: 195 }, (_, at) => ({
-    name: `front-hall-${at % 5}-${at}`,
-    zone: `zone-${at % 5}`,
-    peerAddress: { host: `10.1.0.${at}`, port: 7_720 },
+  balancers: Array.from({ length: 195 }, (_, index) => ({
+    name: `front-hall-${index % 5}-${index}`,
+    zone: `zone-${index % 5}`,
+    peerAddress: { host: `10.1.0.${index}`, port: 7_720 },
   })),
   lostBalancers: ['front-gone'],
   controls: [
@@ -67,38 +67,41 @@
   signals: [7, 1, 25, 310, 0, 9, 0, 3, 40, 12],
 };
 
-function travel(message: FeedMessage): FeedMessage | undefined {
+function roundTrip(message: FeedMessage): FeedMessage | undefined {
   return unpackFeed(packr.unpack(packr.pack(packFeed(message))));
 }
 
-t.test('a feed comes out as it went in', async (t) => {
-  t.same(travel(whole), whole);
-  t.same(travel({ ...FLAGS, isComplete: true }), { ...FLAGS, isComplete: true });
-  const drop = { host: '198.18.0.1', port: 443, targets: undefined };
-  const { config } = whole;
-  const dropping: FeedMessage = {
-    ...FLAGS,
-    ...(config && { config: { ...config, changes: [drop] } }),
+t.test('packing and unpacking keeps a message unchanged', async (t) => {
+  t.same(roundTrip(fullSync), fullSync);
+  t.same(roundTrip({ ...HEADER, isComplete: true }), { ...HEADER, isComplete: true });
+  const removal = { host: '198.18.0.1', port: 443, targets: undefined };
+  const { config } = fullSync;
+  const withRemoval: FeedMessage = {
+    ...HEADER,
+    ...(config && { config: { ...config, changes: [removal] } }),
   };
-  t.same(travel(dropping), dropping);
+  t.same(roundTrip(withRemoval), withRemoval);
 });
 
-t.test('a whole state takes a sixth of its named fields', async (t) => {
-  const named = packr.pack(whole).length;
-  const packed = packr.pack(packFeed(whole)).length;
-  t.comment(`${named} bytes named, ${packed} packed`);
-  t.ok(packed * 6 < named, `${packed} of ${named}`);
+t.test('a packed full sync takes less than a sixth of its size with named fields', async (t) => {
+  const namedBytes = packr.pack(fullSync).length;
+  const packedBytes = packr.pack(packFeed(fullSync)).length;
+  t.comment(`${namedBytes} bytes with named fields, ${packedBytes} packed`);
+  t.ok(packedBytes * 6 < namedBytes, `${packedBytes} of ${namedBytes}`);
   const bytesOf = (message: FeedMessage) => packr.pack(packFeed(message)).length;
-  const { config, ...others } = whole;
-  const perRoute = (bytesOf({ ...FLAGS, ...(config && { config }) }) - bytesOf(FLAGS)) / 1_766;
-  t.comment(`${perRoute.toFixed(1)} bytes a route, ${bytesOf(others)} bytes of all else`);
-  t.ok(perRoute < 12, `${perRoute} bytes a route`);
+  const { config, ...others } = fullSync;
+  const bytesPerRoute =
+    (bytesOf({ ...HEADER, ...(config && { config }) }) - bytesOf(HEADER)) / 1_766;
+  t.comment(
+    `${bytesPerRoute.toFixed(1)} bytes per route, ${bytesOf(others)} bytes without the configuration`,
+  );
+  t.ok(bytesPerRoute < 12, `${bytesPerRoute} bytes per route`);
 });
 
-t.test('columns of unlike length, or that name what is not there, are refused', async (t) => {
-  const packed = packFeed(whole);
+t.test('columns of different lengths or with indexes out of range are rejected', async (t) => {
+  const packed = packFeed(fullSync);
   const { records, config, balancers } = packed;
-  const broken = [
+  const invalid = [
     { ...packed, records: { ...records, ages: [] } },
     { ...packed, records: { ...records, services: records?.services.map(() => 99) } },
     { ...packed, records: { ...records, instances: Buffer.alloc(8) } },
@@ -109,13 +112,13 @@
     { ...packed, isComplete: undefined },
   ];
   t.same(
-    broken.map((value) => unpackFeed(value)),
-    broken.map(() => undefined),
+    invalid.map((value) => unpackFeed(value)),
+    invalid.map(() => undefined),
   );
 });
 
-t.test('no value makes it throw', async (t) => {
-  const packed = packFeed(whole);
+t.test('unpacking never throws', async (t) => {
+  const packed = packFeed(fullSync);
   const keys = Object.keys(packed);
   const values = fc
     .tuple(fc.constantFrom(...keys), fc.anything())
