--- a/src/registered/group/wire/packed-rows-schema.ts
+++ b/src/registered/group/wire/packed-rows-schema.ts
@@ -12,6 +12,6 @@
 export function packedRowsSchema({ numbers }: RowShape) {
   return z.array(indexSchema).check(
     z.maxLength(MAX_ROWS * numbers),
-    z.refine((packed) => packed.length % numbers === 0, 'An entry is cut short.'),
+    z.refine((packed) => packed.length % numbers === 0, 'A row is incomplete.'),
   );
 }
