--- a/src/proof/soak/virtual-soak.ts
+++ b/src/proof/soak/virtual-soak.ts
@@ -129,7 +129,7 @@
   forMs: number,
 ): void {
   const { process } = balancer;
-  process?.leave();
+  process?.beginStop();
   world.clock.after(BALANCER_STOP_MS, () => {
     if (balancer.process === process) {
       balancer.kill();
--- a/src/registered/daemon/call-listener.ts
+++ b/src/registered/daemon/call-listener.ts
@@ -1,9 +1,9 @@
 /**
- * @file Calls of back ends and operators to a control machine, over HTTP. Which request means which call is left to an
- * adapter: the product's own names (`declared-api.ts`), or those of a platform.
+ * @file HTTP listener for calls of back ends and operators to a control machine. An adapter maps requests to
+ * calls: `declared-api.ts`, or the API of a platform.
  *
- * What a caller gets back: 200 with JSON; the status of the error kind (`shared/common/error-kinds.ts`) with
- * `{"error": {kind, message}}`; and with 503 a `Retry-After`, since the same call may succeed at another machine or later.
+ * Responses are JSON: 200 with the result, or the status of the error kind (`shared/common/error-kinds.ts`) with
+ * `{"error": {kind, message}}`. A 503 carries `Retry-After`, since a retry may succeed here or at another machine.
  */
 import type {
   IncomingMessage,
@@ -15,65 +15,56 @@
 import type { GroupReply } from '../group/group-events.js';
 import type { GroupCall } from './group-process.js';
 
-/** The reply to an HTTP request. */
+/** Response to an HTTP request. */
 export interface HttpReply {
   readonly status: number;
   /** JSON text. */
   readonly body: string;
 }
 
-/** The call that an HTTP request asks for, or its reply where there is nothing to call. */
+/** The call that an HTTP request maps to, or an immediate reply. */
 export type TranslatedCall =
   | { readonly type: 'call'; readonly call: GroupCall }
   | {
       readonly type: 'reply';
       readonly reply: HttpReply;
-      /** Why what a back end sent was refused, in one word of few; undefined for other calls. */
+      /** Reason for refusing a request of a back end, from a small fixed set; undefined for other requests. */
       readonly refusal?: string | undefined;
     };
 
-/** Takes note of something of a back end that was refused. */
-export type RecordRefusal = (refusal: RefusedEntry) => void;
+/** Records a refused request of a back end. */
+export type RecordRefusal = (refusal: RefusedRequest) => void;
 
-/** Something of a back end that was refused. */
-export interface RefusedEntry {
-  /** One word of few, for counts. */
+/** A request of a back end that was refused. */
+export interface RefusedRequest {
+  /** From a small fixed set; a label of the metric. */
   readonly reason: string;
   readonly path: string;
 }
 
-/** Brings a call into the group. */
+/** Performs a call in the group. */
 export type PerformCall = (call: GroupCall) => Promise<GroupReply>;
 
-/** Finds the call that a request asks for; never throws. */
+/** Maps a request to a call; never throws. */
 export type TranslateCall = (request: CallRequest) => TranslatedCall;
 
-/** What a translation looks at. */
+/** The parts of an HTTP request that a translation reads. */
 export interface CallRequest {
   readonly method: string;
-  /** Path without its query. */
+  /** Path without the query string. */
   readonly path: string;
   readonly body: string;
-  /** The token of an `Authorization: Bearer` header; empty without one. */
+  /** Token of the `Authorization: Bearer` header; empty without one. */
   readonly bearerToken: string;
 }
 
-/**
- * The largest call is a whole configuration. Not measured how large one gets; a refusal `The body is too large.` of a
- * configuration would show it too small. It bounds the memory of one call.
- */
+/** Bounds the memory of one call; the largest calls carry a whole configuration. */
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
-/**
- * Tells callers when to try again, in whole seconds, the unit of the header. Where no leader is known, a new one is elected
- * within some 0.7 s (`group/timing.ts`), so a second later the call can be decided. Not measured; 503 answers that
- * repeat at the same caller would show it too short.
- */
+/** Whole seconds, as the header requires; longer than an election. */
 const RETRY_AFTER_S = 1;
 const UNAVAILABLE_STATUS = 503;
 
-/**
- * @returns the listener of the HTTP server
- */
+/** @returns the request listener for the HTTP server */
 export function createCallListener(
   translate: TranslateCall,
   perform: PerformCall,
@@ -81,14 +72,14 @@
 ): RequestListener {
   return (request, response) => {
     answerRequest(request, response).catch(() => {
-      // Nearly always a caller that went away while its body was read, often under load: without a line, and the reply
-      // reaches nobody. A fault of ours in a call shows as status 500 at the caller.
+      // Usually a client that disconnected while its body was read, so nothing is logged. An internal error still
+      // reaches the caller as status 500.
       respond(response, errorReply('internal', 'The call failed.'));
     });
   };
 
   async function answerRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const body = await readText(request);
+    const body = await readBody(request);
     if (body === undefined) {
       respond(response, errorReply('invalid-command', 'The body is too large.'));
       return;
@@ -109,43 +100,37 @@
   }
 }
 
-/**
- * @returns the reply that the table of errors gives for a kind
- */
+/** @returns the response with the HTTP status of an error kind */
 function errorReply(kind: ErrorKind, message: string): HttpReply {
   const error = amberliftError(kind, message);
   return { status: answerFor(kind).httpStatus, body: JSON.stringify({ error }) };
 }
 
 /**
- * @param refusal why something of a back end is refused, in one word of few; undefined for other calls
- * @returns a refusal in place of a call
+ * @param refusal reason for refusing a request of a back end, from a small fixed set; undefined for other requests
+ * @returns an error reply in place of a call
  */
 export function refusedCall(kind: ErrorKind, message: string, refusal?: string): TranslatedCall {
   return { type: 'reply', reply: errorReply(kind, message), refusal };
 }
 
-/**
- * @returns a path part with its percent signs resolved, or undefined where it is empty, too long or broken
- */
+/** @returns the percent-decoded path segment, or undefined if it is empty, too long or malformed */
 export function decodePathPart(text: string, maxLength: number): string | undefined {
   try {
     const part = decodeURIComponent(text);
     return part.length > 0 && part.length <= maxLength ? part : undefined;
   } catch {
-    // Percent signs that stand for no character: the caller of this function refuses the call with a reason of its own.
+    // Malformed percent-encoding: the caller refuses the request with its own reason.
     return undefined;
   }
 }
 
-/**
- * @returns the value of JSON text, or undefined where it is none
- */
+/** @returns the parsed value, or undefined if the text is not valid JSON */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
   } catch {
-    // No schema accepts `undefined`, so the call is refused, with the reason that its schema gives.
+    // No schema accepts undefined, so validation rejects it.
     return undefined;
   }
 }
@@ -185,8 +170,8 @@
   response.end(body);
 }
 
-/** @returns the body, or undefined where it is too long */
-async function readText(request: IncomingMessage): Promise<string | undefined> {
+/** @returns the body, or undefined if it exceeds the size limit */
+async function readBody(request: IncomingMessage): Promise<string | undefined> {
   const chunks: Buffer[] = [];
   let length = 0;
   for await (const chunk of request) {
--- a/src/registered/daemon/decision-log.ts
+++ b/src/registered/daemon/decision-log.ts
@@ -1,25 +1,20 @@
 /**
- * @file One line for each decision: the prefix of the part, the name of the decision, and its inputs as
- * `name=value`. Key and value were chosen over JSON since they cost less to write and read as sentences.
- * Each line ends with the time since the process started, on a clock that never jumps.
+ * @file Log lines of decisions: the prefix of the component, the name of the decision and its inputs as
+ * `name=value`. Each line ends with the process uptime (`upMs`), which is monotonic.
  */
 import { loggerFor, type Logger, type LogPart } from '../../shared/common/logger.js';
 
-/** The inputs of a decision. */
+/** Inputs of a decision; those that are undefined are omitted. */
 export type DecisionFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 const loggers = new Map<LogPart, Logger>();
 
-/**
- * Writes the line of a decision.
- */
+/** Writes the log line of a decision. */
 export function logDecision(part: LogPart, name: string, fields: DecisionFields): void {
   logLine(part, name, formatFields(fields));
 }
 
-/**
- * Writes the line of a decision whose fields are text already.
- */
+/** Writes the log line of a decision whose fields are already formatted. */
 export function logLine(part: LogPart, name: string, fieldsText: string): void {
   const logger = loggers.get(part) ?? makeLogger(part);
   logger.info(`${name} ${fieldsText} upMs=${Math.round(performance.now())}`);
@@ -31,9 +26,7 @@
   return logger;
 }
 
-/**
- * @returns fields as `name=value`, those without a value left out
- */
+/** @returns the fields as `name=value`, separated by spaces; undefined fields are omitted */
 export function formatFields(fields: DecisionFields): string {
   return Object.entries(fields)
     .filter(([, value]) => value !== undefined)
--- a/src/registered/daemon/declared-api.ts
+++ b/src/registered/daemon/declared-api.ts
@@ -1,12 +1,12 @@
 /**
- * @file The product's own calls to a control machine of a group, over HTTP with JSON bodies:
+ * @file HTTP API of a control machine, with JSON bodies:
  *
- * - `PUT /v1/backends/ID` is a heartbeat, `DELETE /v1/backends/ID` the departure of a back end that has ended. Both may say
- *   when the back end started (`startedAtMs`), so that it may start again under its ID.
- * - `PUT /v1/config` declares a whole configuration, `GET /v1/config` reads the one that holds. Both need
- *   `Authorization: Bearer TOKEN` where the settings give a token.
- * - `PUT /v1/zones/ZONE/evacuation` evacuates a zone, `DELETE` readmits it, `GET /v1/zones` lists the state of each zone and
- *   what works there; with the same token.
+ * - `PUT /v1/backends/ID` is a heartbeat, `DELETE /v1/backends/ID` a deregistration. Both accept the start time of
+ *   the back end (`startedAtMs`), so that it can restart under the same ID.
+ * - `PUT /v1/config` declares a whole configuration, `GET /v1/config` reads the current one.
+ * - `PUT /v1/zones/ZONE/evacuation` evacuates a zone, `DELETE` readmits it, `GET /v1/zones` lists all zones.
+ *
+ * If an operator token is set, calls on configurations and zones require `Authorization: Bearer TOKEN`.
  */
 import * as z from 'zod/mini';
 import { parseDeclaredConfig } from '../declared/parse-config.js';
@@ -42,21 +42,21 @@
   service: nameField,
   address: z.string().check(z.refine((text) => backendAddress(text) !== undefined)),
   zone: nameField,
-  /** Names the back end in datagrams; 16 hexadecimal digits. */
+  /** Identifies the back end in datagrams; 16 hexadecimal digits. */
   instance: z.string().check(z.regex(INSTANCE_PATTERN)),
   capacity: z._default(capacityField, 1),
   warmUpLeftMs: z._default(warmUpField, 0),
   sequence: sequenceField,
   isDraining: z._default(z.boolean(), false),
-  /** When it started, where it may start again under its ID; a later start is another one. */
+  /** Distinguishes restarts of a back end under the same ID. */
   startedAtMs: z.optional(startTimeField),
 });
-/** The body of a departure, where there is one: the start that ends. */
+/** Optional body of a deregistration. */
 const departureSchema = z.strictObject({ startedAtMs: z.optional(startTimeField) });
 
 /**
- * @param operatorToken without it anybody may declare and read
- * @returns the translation of requests into calls
+ * @param operatorToken required for calls of operators; undefined disables the check
+ * @returns the mapping of requests to calls
  */
 export function createDeclaredApi(operatorToken: string | undefined): TranslateCall {
   return translate;
--- a/src/registered/daemon/event-counts.ts
+++ b/src/registered/daemon/event-counts.ts
@@ -1,11 +1,11 @@
 /**
- * @file Counts of events by name, which metrics read.
+ * @file Event counters by name, read by metrics.
  */
 
-/** Events so far, by name. */
+/** Number of events by name. */
 export type EventCounts = Map<string, number>;
 
-/** Counts one more event of a name. */
+/** Increments the counter of an event. */
 export function countEvent(counts: EventCounts, name: string): void {
   counts.set(name, (counts.get(name) ?? 0) + 1);
 }
--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -1,9 +1,7 @@
 /**
- * @file The link of a balancer to the control machine that feeds it. Which control machine that is, and when it is given up
- * or tried again, is decided by `decisions/feed-source.ts`; what a message changes by `ingress/feed-step.ts`. This module
- * carries both out: it opens and closes the link, acknowledges messages, reports loads, and logs what changed.
- *
- * Owns the link and what was counted on it. Relies on frame links that close by themselves when the other end is silent.
+ * @file Maintains the link of a balancer to the control machine that feeds it: opens and closes it as
+ * `decisions/feed-source.ts` decides, applies messages by `ingress/feed-step.ts`, acknowledges them and reports loads.
+ * Relies on links that close themselves when the peer is silent.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { NO_VERSION } from '../declared/config-update.js';
@@ -17,67 +15,67 @@
 import type { DecisionFields } from './decision-log.js';
 import type { RequestLog } from './request-log.js';
 
-/** A link to the control machine that feeds this balancer. */
+/** Link to the control machine that feeds this balancer. */
 export interface ControlLink {
-  /** @returns the size of the message in bytes; 0 where it was not sent */
+  /** @returns the size of the message in bytes; 0 if it was not sent */
   send(message: BalancerLinkMessage): number;
   close(): void;
 }
 
-/** What happens on such a link. */
+/** Callbacks of a control link. */
 export interface ControlLinkHandlers {
-  /** @returns false where the message does not belong there; the link is closed then */
+  /** @returns false for an unexpected message; the link is then closed */
   onMessage(message: unknown, link: ControlLink): boolean;
-  /** Some of a message has come, and more is to come. */
+  /** Called when part of a message has arrived. */
   onProgress(link: ControlLink): void;
   onClose(link: ControlLink, reason: string): void;
 }
 
-/** What the follower needs. */
+/** Options and dependencies of a feed follower. */
 export interface FeedFollowerOptions {
-  /** What the feed changes. */
+  /** Updated by the feed. */
   readonly state: IngressState;
-  /** UDP address at which other balancers reach this one. */
+  /** UDP address of this balancer for other balancers. */
   readonly peerAddress: Address;
   /** Link addresses of control machines. */
   readonly controlSeeds: readonly Address[];
   readonly nowMs: () => number;
   after(delayMs: number, run: () => void): void;
   connectControl(to: Address, handlers: ControlLinkHandlers): ControlLink;
-  /** Counts bytes that went over the machine's link. */
+  /** Charges sent bytes to the rate limit of the machine's link. */
   charge(bytes: number): void;
-  /** Writes the line of a decision that changed what this balancer believes. */
+  /** Logs a decision that changed the state of this balancer. */
   readonly logDecision: (name: string, fields: DecisionFields) => void;
-  /** Writes lines that may be many. */
+  /** Rate-limited log. */
   readonly packetLog: RequestLog;
 }
 
-/** Keeps a balancer fed. */
+/** Keeps a balancer connected to a control machine. */
 export interface FeedFollower {
-  /** Does what is due: opens or gives up the link, reports loads. */
+  /** Opens or closes the link if due, and reports loads. */
   tick(nowMs: number): void;
-  /** Replaces the control machines that are looked for first. */
+  /** Replaces the seeds. */
   updateSeeds(seeds: readonly Address[]): void;
 }
 
-/** A link with what was counted on it. */
-interface FollowedLink {
+/** An open link and its state. */
+interface FeedLink {
   readonly link: ControlLink;
   readonly to: Address;
   readonly reporter: LoadReporter;
-  /** Messages that were acknowledged. */
+  /** Number of acknowledged messages. */
   acknowledged: number;
 }
 
-/** @returns a follower without any link */
+/** @returns a follower without a link; `tick` opens it */
 export function createFeedFollower(options: FeedFollowerOptions): FeedFollower {
   const { state, peerAddress, packetLog } = options;
   const { name, zone, feed } = state.options;
-  const seeker = { seeds: options.controlSeeds, zone, spread: hashText(name) };
-  const source = new FeedSource(seeker, feed);
-  let followed: FollowedLink | undefined;
-  /** True where an update did not fit what is held: the next link begins with a full sync. */
-  let isConfigDoubted = false;
+  const sourceOptions = { seeds: options.controlSeeds, zone, spread: hashText(name) };
+  const source = new FeedSource(sourceOptions, feed);
+  let feedLink: FeedLink | undefined;
+  /** True after an update whose base version is not held here: the next link requests the whole configuration. */
+  let needsFullConfig = false;
 
   return {
     tick,
@@ -85,15 +83,15 @@
   };
 
   function tick(nowMs: number): void {
-    follow(nowMs);
+    updateLink(nowMs);
     reportLoads(nowMs);
   }
 
-  function follow(nowMs: number): void {
+  function updateLink(nowMs: number): void {
     const action = source.nextAction(nowMs);
     if (action.type === 'close') {
       packetLog.log('feed left', { why: action.why });
-      followed?.link.close();
+      feedLink?.link.close();
     } else if (action.type === 'connect') {
       subscribe(action.address);
     }
@@ -101,14 +99,14 @@
 
   function subscribe(to: Address): void {
     const link = options.connectControl(to, { onMessage, onProgress, onClose });
-    followed = { link, to, reporter: createLoadReporter(state), acknowledged: 0 };
-    options.charge(link.send(subscription(state, peerAddress, isConfigDoubted)));
-    isConfigDoubted = false;
+    feedLink = { link, to, reporter: createLoadReporter(state), acknowledged: 0 };
+    options.charge(link.send(subscription(state, peerAddress, needsFullConfig)));
+    needsFullConfig = false;
   }
 
   function onMessage(value: unknown, from: ControlLink): boolean {
     const message = unpackFeed(value);
-    if (message === undefined || followed?.link !== from) {
+    if (message === undefined || feedLink?.link !== from) {
       return false;
     }
     const nowMs = options.nowMs();
@@ -118,57 +116,57 @@
     }
     const isFit = applyMessage(message, nowMs);
     if (message.isCounted) {
-      followed.acknowledged += 1;
-      options.charge(from.send({ type: 'feed-taken', count: followed.acknowledged }));
+      feedLink.acknowledged += 1;
+      options.charge(from.send({ type: 'feed-taken', count: feedLink.acknowledged }));
     }
     return isFit;
   }
 
-  /** @returns false where the control machine must begin anew, on a new link */
+  /** @returns false if the link must be closed and the feed restarted */
   function applyMessage(message: FeedMessage, nowMs: number): boolean {
     const isFit = applyAndLog(options, message, nowMs);
     if (!isFit) {
-      isConfigDoubted = true;
+      needsFullConfig = true;
     }
     return isFit;
   }
 
   function onProgress(from: ControlLink): void {
-    if (followed?.link === from) {
+    if (feedLink?.link === from) {
       source.recordProgress(options.nowMs());
     }
   }
 
   function onClose(closed: ControlLink, reason: string): void {
-    if (followed?.link !== closed) {
+    if (feedLink?.link !== closed) {
       return;
     }
-    const { to } = followed;
-    followed = undefined;
+    const { to } = feedLink;
+    feedLink = undefined;
     logClosed(options, source.recordClosed(options.nowMs()), to, reason);
-    options.after(FEED_RETRY_DELAY_MS, () => follow(options.nowMs()));
+    options.after(FEED_RETRY_DELAY_MS, () => updateLink(options.nowMs()));
   }
 
-  /** Reports to the control machine what passes here. */
+  /** Sends a load report if one is due. */
   function reportLoads(nowMs: number): void {
-    const report = followed?.reporter.due(nowMs);
-    if (followed !== undefined && report !== undefined) {
-      options.charge(followed.link.send(report));
+    const report = feedLink?.reporter.due(nowMs);
+    if (feedLink !== undefined && report !== undefined) {
+      options.charge(feedLink.link.send(report));
     }
   }
 }
 
-/** @returns how long ago a control machine last said that its feed is current, in milliseconds; undefined for never */
+/** @returns time since a control machine last reported that its feed is current, in milliseconds; undefined before that */
 export function feedAgeMs({ feedStatus }: IngressState, nowMs: number): number | undefined {
   const { currentAtMs } = feedStatus;
   return currentAtMs === undefined ? undefined : Math.round(nowMs - currentAtMs);
 }
 
-/** The first message of a link. */
+/** @returns the first message of a link */
 function subscription(
   state: IngressState,
   peerAddress: Address,
-  isConfigDoubted: boolean,
+  needsFullConfig: boolean,
 ): BalancerLinkMessage {
   const { name, zone } = state.options;
   const { unfinished } = state.assembly;
@@ -176,12 +174,12 @@
   return {
     type: 'subscribe',
     balancer: { name, zone, peerAddress },
-    configVersion: isConfigDoubted ? NO_VERSION : heldVersion,
+    configVersion: needsFullConfig ? NO_VERSION : heldVersion,
     ...(unfinished && { unfinished }),
   };
 }
 
-/** @returns false where the message does not follow what is held here */
+/** @returns false if the update does not apply to the configuration held here */
 function applyAndLog(
   { state, logDecision }: FeedFollowerOptions,
   message: FeedMessage,
@@ -202,7 +200,7 @@
   return outcome.type !== 'unfit';
 }
 
-/** Control machines that can't be reached are tried many times a second: those lines have a budget. */
+/** Failed connection attempts are frequent, so their lines are rate-limited. */
 function logClosed(
   { state, logDecision, packetLog, nowMs }: FeedFollowerOptions,
   hadFeed: boolean,
--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -1,15 +1,9 @@
 /**
- * @file When is a TCP link given up?
+ * @file TCP links that carry frames, with keep-alives. A link is closed if nothing is received for
+ * `silentAfterMs`, if the connection is not established within `connectTimeoutMs`, or on an unexpected message; TCP
+ * alone would notice a network partition only after minutes.
  *
- * Inputs: when bytes last came and were last sent (ms on the monotonic clock), bytes that wait to be sent, and the times of
- * `group/timing.ts`.
- *
- * Each end sends a pulse when it has sent nothing for a while, and closes a link that has brought nothing for
- * `silentAfterMs`, that does not stand within `connectTimeoutMs`, or that brings what doesn't belong there. A cut of the
- * network says nothing, and without this a link would hang for minutes. A message for a link on which too much waits is
- * dropped: the protocols above send again.
- *
- * Owns all links of a process, dialed and accepted, and the timer of their pulses. Who dials again, and when, is decided by
+ * Messages are dropped while too many bytes are queued: the protocols above retransmit. Reconnecting is left to
  * `shared/common/dialed-links.ts` and `decisions/feed-source.ts`.
  */
 import { once } from 'node:events';
@@ -18,90 +12,85 @@
 import { encodeFrame, FrameDecoder, pulseFrame } from '../../shared/common/frame-codec.js';
 import type { Timing } from '../group/timing.js';
 
-/** Times and bounds of links. */
+/** Timeouts and limits of links. */
 export interface FrameLinkOptions {
-  /** Time between two pulses, in milliseconds. */
+  /** Interval of keep-alives, in milliseconds. */
   readonly pulseIntervalMs: number;
-  /** A link that brings nothing for so long is closed, in milliseconds. */
+  /** A link on which nothing is received for this time is closed, in milliseconds. */
   readonly silentAfterMs: number;
-  /** A connection that does not stand after so long is given up, in milliseconds. */
+  /** Time limit for establishing a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
-  /** What waits to be sent beyond this is dropped, in bytes. */
+  /** Messages are dropped while more bytes than this are queued. */
   readonly maxUnsentBytes: number;
 }
 
-/**
- * Feeds never come near it: bounded messages leave some 20 KB under way to each balancer (docs/design/links.md). Not measured otherwise; memory that grows with the number of
- * links whose other end reads nothing would show it too large.
- */
+/** Bounds the memory per link whose peer does not read; far above the unacknowledged bytes of a feed. */
 const MAX_UNSENT_BYTES = 4 * 1024 * 1024;
 
-/**
- * @returns the options of links with these times
- */
+/** @returns the link options for a timing */
 export function frameLinkOptions({ links }: Timing): FrameLinkOptions {
   return { ...links, maxUnsentBytes: MAX_UNSENT_BYTES };
 }
 
-/** One end of a link. */
+/** Local end of a link. */
 export interface FrameLink {
   /**
-   * Sends a message; drops it where too much waits already.
-   * @returns how many bytes it takes; 0 where it was dropped
+   * Sends a message; drops it if too many bytes are queued.
+   * @returns the size of the frame in bytes; 0 if it was dropped
    */
   send(message: object): number;
-  /** Sends a message that is encoded already; the same in all else. */
+  /** Like `send`, for a message that is already encoded. */
   sendFrame(frame: Buffer): number;
   close(): void;
 }
 
-/** What the owner of links is called back with. */
+/** Callbacks of a link. */
 export interface FrameLinkHandlers {
-  /** @returns false where the message is not one that belongs here; the link is closed then */
+  /** @returns false for an unexpected message; the link is then closed */
   onMessage(message: unknown, link: FrameLink): boolean;
-  /** Some of a message has come, and more is to come. */
+  /** Called when part of a message has arrived. */
   onProgress?(link: FrameLink): void;
   onClose(link: FrameLink, reason: string): void;
 }
 
 interface OpenLink extends FrameLink {
   readonly socket: Socket;
-  /** Closes the link; `onClose` gets the reason. */
-  giveUp(reason: string): void;
+  /** Closes the link; `onClose` receives the reason. */
+  abort(reason: string): void;
   receivedAtMs: number;
   sentAtMs: number;
 }
 
-/** All links of a process, with one timer for their pulses. */
+/** All links of a process, dialed and accepted, with one timer for keep-alives and timeouts. */
 export class FrameLinks {
   private readonly links = new Set<OpenLink>();
   private readonly servers = new Set<Server>();
   private readonly timer: NodeJS.Timeout;
-  /** Links that were closed since they brought what did not belong there. */
+  /** Number of links closed because of a malformed frame or an unexpected message. */
   malformedLinks = 0;
 
   /**
-   * @param dial opens a connection; tests give one that never stands
+   * @param dial opens a connection; replaced in tests
    */
   constructor(
     private readonly options: FrameLinkOptions,
     private readonly dial: (to: Address) => Socket = ({ port, host }) => connect(port, host),
   ) {
-    this.timer = setInterval(() => this.keepAlive(), options.pulseIntervalMs);
+    this.timer = setInterval(() => this.checkLinks(), options.pulseIntervalMs);
     this.timer.unref();
   }
 
   /**
-   * Connects to a process. A machine that is off says nothing, and the system tries again only after a
-   * second or more, so a connection that does not stand soon is given up.
-   * @returns the link at once; messages sent before the connection stands are queued
+   * Connects to a process. The connect timeout is needed since an unreachable host does not answer, and the kernel
+   * retransmits the SYN only after a second.
+   * @returns the link; messages sent before the connection is established are queued
    */
   connect(to: Address, handlers: FrameLinkHandlers): FrameLink {
     const socket = this.dial(to);
     const { connectTimeoutMs } = this.options;
     const link = this.wrap(socket, handlers);
     const giveUp = setTimeout(
-      () => link.giveUp(`No connection within ${connectTimeoutMs} ms.`),
+      () => link.abort(`No connection within ${connectTimeoutMs} ms.`),
       connectTimeoutMs,
     );
     socket.once('connect', () => clearTimeout(giveUp));
@@ -111,21 +100,21 @@
 
   /**
    * Listens for links.
-   * @returns the address; rejects where it can't be bound
+   * @returns the bound address; rejects if it can't be bound
    */
   async listen(address: Address, handlers: FrameLinkHandlers): Promise<Address> {
     const server = createServer((socket) => this.wrap(socket, handlers));
     server.listen(address.port, address.host);
     await once(server, 'listening');
-    // After this only accepting can fail, as without descriptors: the caller dials again, and a line for each try of each
-    // caller would be a flood.
+    // From here on only accept can fail, for example without file descriptors. Peers retry, and logging each attempt would
+    // flood the log.
     server.on('error', () => undefined);
     this.servers.add(server);
     const { port } = server.address() as AddressInfo;
     return { host: address.host, port };
   }
 
-  /** Closes everything. */
+  /** Closes all links and servers. */
   close(): void {
     clearInterval(this.timer);
     this.servers.forEach((server) => server.close());
@@ -142,8 +131,8 @@
       sentAtMs: now,
       send: (message) => this.sendFrame(link, encodeFrame(message)),
       sendFrame: (frame) => this.sendFrame(link, frame),
-      close: () => link.giveUp('Closed here.'),
-      giveUp: (cause) => {
+      close: () => link.abort('Closed here.'),
+      abort: (cause) => {
         reason = cause;
         socket.destroy();
       },
@@ -170,20 +159,20 @@
     link.receivedAtMs = performance.now();
     const decoded = decoder.push(chunk);
     if (decoded.type === 'malformed') {
-      this.refuse(link, decoded.reason);
+      this.closeMalformed(link, decoded.reason);
       return;
     }
-    const isFit = decoded.messages.every((message) => handlers.onMessage(message, link));
-    if (!isFit) {
-      this.refuse(link, 'A message does not belong here.');
+    const areAccepted = decoded.messages.every((message) => handlers.onMessage(message, link));
+    if (!areAccepted) {
+      this.closeMalformed(link, 'A message does not belong here.');
     } else if (decoder.isInsideFrame) {
       handlers.onProgress?.(link);
     }
   }
 
-  private refuse(link: OpenLink, reason: string): void {
+  private closeMalformed(link: OpenLink, reason: string): void {
     this.malformedLinks += 1;
-    link.giveUp(reason);
+    link.abort(reason);
   }
 
   private sendFrame(link: OpenLink, frame: Buffer): number {
@@ -199,11 +188,11 @@
     return frame.length;
   }
 
-  private keepAlive(): void {
+  private checkLinks(): void {
     const now = performance.now();
     for (const link of this.links) {
       if (now - link.receivedAtMs > this.options.silentAfterMs) {
-        link.giveUp(`Nothing came for ${this.options.silentAfterMs} ms.`);
+        link.abort(`Nothing came for ${this.options.silentAfterMs} ms.`);
       } else if (now - link.sentAtMs >= this.options.pulseIntervalMs / 2 && link.socket.writable) {
         link.sentAtMs = now;
         link.socket.write(pulseFrame);
--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -1,7 +1,6 @@
 /**
- * @file The daemon of a control machine of a group: owns its disk, its links (dialed ones to other control machines,
- * accepted ones from these and from balancers) and its timer, around the process that decides (`group-process.ts`). Calls
- * of back ends and operators come in through `call`.
+ * @file Daemon of a control machine: owns the disk, the links (dialed to other control machines, accepted from
+ * these and from balancers) and the timer around `group-process.ts`.
  */
 import { randomInt } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -19,32 +18,26 @@
 import { isBalancerLinkMessage, type FeedMessage } from '../group/group-messages.js';
 import { parseControlInbound } from '../group/message-schemas.js';
 import type { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
-import type { RefusedEntry } from './call-listener.js';
+import type { RefusedRequest } from './call-listener.js';
 import { logDecision, logLine } from './decision-log.js';
 import { countEvent } from './event-counts.js';
 import { openGroupDisk, persistToDisk } from './group-disk.js';
 import { frameLinkOptions, FrameLinks, type FrameLink } from './frame-links.js';
-import { GroupProcess, type GroupCall, type GroupSurroundings } from './group-process.js';
+import { GroupProcess, type GroupCall, type GroupEnvironment } from './group-process.js';
 import { createRequestLog } from './request-log.js';
 import { systemContextSource } from '../../shared/daemon/system-context.js';
 
-/** Of the order of a heartbeat interval of the group (`group/timing.ts`: 38 to 150 ms). Not measured. */
+/** About a heartbeat interval of the group (`group/timing.ts`). */
 const TICK_INTERVAL_MS = 50;
-/**
- * A link to another control machine that could not be opened is tried again after this time, without backing off: there are
- * few, and an election waits for them. Not measured.
- */
-const RETRY_LINK_AFTER_MS = 50;
-/**
- * Time for the messages that hand leadership over to leave, in milliseconds: some round trips and a synced write. Not
- * measured; an election after each planned stop of a leader would show it too short.
- */
+/** Without backoff: control machines are few, and an election may wait for the link. */
+const LINK_RETRY_DELAY_MS = 50;
+/** Time for the leadership transfer: a few round trips and a synced write. */
 const STOP_DELAY_MS = 250;
 
-/** Lines on refused entries: enough to see who sends them, and few beside those of decisions. Not measured. */
-const REFUSAL_BUDGET = { linesPerSecond: 5, bytesPerSecond: 1_024 } as const;
-/** Characters of a path in such a line; the names of back ends have 100 at most. */
-const MAX_LOGGED_PATH = 150;
+/** Log budget for refused requests of back ends. */
+const REFUSAL_LOG_BUDGET = { linesPerSecond: 5, bytesPerSecond: 1_024 } as const;
+/** Characters of a logged path; names of back ends have at most 100. */
+const MAX_LOGGED_PATH_LENGTH = 150;
 
 /** A running control machine. */
 export class GroupDaemon {
@@ -52,17 +45,17 @@
   private readonly feedLinks = createLinkTable<FrameLink>();
   private readonly peers = createDialedLinks<FrameLink>({
     nowMs: () => performance.now(),
-    // Nothing but pulses comes back on a link that was dialed.
+    // Dialed links carry only keep-alives in return.
     dial: (to, onClose) => this.links.connect(to, { onMessage: () => false, onClose }),
-    firstRetryDelayMs: RETRY_LINK_AFTER_MS,
-    maxRetryDelayMs: RETRY_LINK_AFTER_MS,
+    firstRetryDelayMs: LINK_RETRY_DELAY_MS,
+    maxRetryDelayMs: LINK_RETRY_DELAY_MS,
   });
   private readonly refusalLog = createRequestLog({
     nowMs: () => performance.now(),
     write: (name, fieldsText) => logLine('control', name, fieldsText),
-    budget: REFUSAL_BUDGET,
+    budget: REFUSAL_LOG_BUDGET,
   });
-  /** Read by metrics. */
+  /** Exposed for metrics. */
   readonly group: GroupProcess;
   private timer: NodeJS.Timeout | undefined;
 
@@ -70,7 +63,7 @@
     this.links = new FrameLinks(frameLinkOptions(options.timing));
     const contexts = systemContextSource();
     const frameOf = createFeedEncoder();
-    const surroundings: GroupSurroundings = {
+    const environment: GroupEnvironment = {
       context: () => contexts.now(),
       sendToPeer: (to, message) => this.peers.send(to, message),
       sendFeed: (linkId, message) => this.feedLinks.find(linkId)?.sendFrame(frameOf(message)),
@@ -79,13 +72,13 @@
     };
     const start = startNumberOf(randomInt(START_BOUND));
     const state = createGroupState(options, storage.recovered, start);
-    this.group = new GroupProcess(state, surroundings);
+    this.group = new GroupProcess(state, environment);
   }
 
   /**
-   * Opens the disk, waiting where it is full or does not answer, and starts.
-   * @param listenAddress where to listen for links, where that is not the address that others use
-   * @returns the daemon, or `storage-failed` where the disk is damaged
+   * Opens the disk, with retries, and starts the daemon.
+   * @param listenAddress address to bind, if it differs from the advertised link address
+   * @returns the daemon, or `storage-failed` if the disk is damaged
    */
   static async start(
     options: GroupOptions,
@@ -100,23 +93,23 @@
     return created;
   }
 
-  /** Brings a call of a client into the group; resolves within the request deadline. */
+  /** Performs a call of a client; resolves within the request deadline. */
   call(call: GroupCall): Promise<GroupReply> {
     return new Promise((resolve) => this.group.call(call, resolve));
   }
 
-  /** Counts something of a back end that an adapter refused, and writes its line. */
-  recordRefusal({ reason, path }: RefusedEntry): void {
+  /** Counts and logs a request of a back end that an adapter refused. */
+  recordRefusal({ reason, path }: RefusedRequest): void {
     countEvent(this.group.counts, `entry refused:${reason}`);
-    this.refusalLog.log('entry refused', { reason, path: path.slice(0, MAX_LOGGED_PATH) });
+    this.refusalLog.log('entry refused', { reason, path: path.slice(0, MAX_LOGGED_PATH_LENGTH) });
   }
 
-  /** Replaces the seeds, by which this machine finds the group. */
+  /** Replaces the seeds, through which this machine finds the group. */
   updateSeeds(seeds: readonly Address[]): void {
     this.group.state.announcements.setSeeds(seeds);
   }
 
-  /** Hands leadership over and stops. */
+  /** Transfers leadership and stops. */
   async stop(): Promise<void> {
     this.group.stop();
     await sleep(STOP_DELAY_MS);
@@ -128,7 +121,7 @@
   private async run(listenAddress: Address): Promise<void> {
     await this.links.listen(listenAddress, {
       onMessage: (message, link) => this.receive(message, link),
-      onClose: (link) => this.forgetLink(link),
+      onClose: (link) => this.handleClose(link),
     });
     this.timer = setInterval(() => this.tick(), TICK_INTERVAL_MS);
     this.group.tick();
@@ -153,7 +146,7 @@
     return true;
   }
 
-  private forgetLink(link: FrameLink): void {
+  private handleClose(link: FrameLink): void {
     const linkId = this.feedLinks.remove(link);
     if (linkId !== undefined) {
       this.group.closeLink(linkId);
@@ -161,7 +154,7 @@
   }
 }
 
-/** Messages that go to several balancers are one object, whose bytes are made once. */
+/** Encodes a message that is sent to several balancers only once. */
 function createFeedEncoder(): (message: FeedMessage) => Buffer {
   const frames = new WeakMap<FeedMessage, Buffer>();
   return (message) => {
--- a/src/registered/daemon/group-disk.ts
+++ b/src/registered/daemon/group-disk.ts
@@ -1,9 +1,6 @@
 /**
- * @file What happens when the disk of a control machine of a group refuses, or is slow?
- *
- * Inputs: the outcome of each try, and how long a write takes in milliseconds. A disk that can't be opened and a write that
- * fails are tried again, since a full disk is freed by somebody else, and a restart would lose what is under way: each
- * try to open is logged, and each write that took long once it lasts.
+ * @file Disk of a control machine. Failed opens and writes are retried, since a full disk may be freed and a restart
+ * would lose the calls in progress. Failed attempts to open and slow writes are logged.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Result } from 'neverthrow';
@@ -16,29 +13,26 @@
 import type { GroupOptions } from '../group/group-options.js';
 import { firstStorageId, isFirstMember } from '../group/members/member-identity.js';
 
+/** Delay before a failed open or write is retried. */
+const RETRY_DELAY_MS = 200;
 /**
- * A write that failed, or a disk that can't be opened, is tried again after this time. Not measured; a group that takes
- * long to go on once its disks are freed would show it too long.
- */
-const RETRY_WRITE_AFTER_MS = 200;
-/**
- * A disk that is damaged or can't be written for a minute (so many times `RETRY_WRITE_AFTER_MS`) ends the start; a folder
- * that can't even be opened is tried without end. Not measured.
+ * The start fails if the storage is still damaged or not writable after this many attempts (one minute). A folder that
+ * can't be opened is retried without limit.
  */
 const MAX_OPEN_ATTEMPTS = 300;
-/** A write that takes longer is logged: it is most of an election timeout (`group/timing.ts`). Not measured. */
+/** Slower writes are logged: they take most of an election timeout (`group/timing.ts`). */
 const SLOW_WRITE_MS = 500;
 
 /**
- * Opens the disk of a control machine, waiting where it is full or does not answer.
- * @returns the storage, or `storage-failed` where the disk is damaged
+ * Opens the disk of a control machine; retries while it is full or not available.
+ * @returns the storage, or `storage-failed` if the disk is damaged
  */
 export async function openGroupDisk(
   options: GroupOptions,
   dataFolder: string,
 ): Promise<Result<ConsensusStorage, AmberliftError>> {
   const { linkAddress, seeds, isFirstStart } = options;
-  const pause = () => sleep(RETRY_WRITE_AFTER_MS);
+  const pause = () => sleep(RETRY_DELAY_MS);
   const makeStorageId = isFirstMember(linkAddress, seeds, isFirstStart)
     ? () => firstStorageId(linkAddress)
     : undefined;
@@ -63,7 +57,8 @@
 }
 
 /**
- * Writes to the disk; resolves once the write lasts and never rejects, since the storage tries until then.
+ * Writes to the disk and logs slow writes. Resolves once the write is durable; never rejects, since the storage
+ * retries.
  */
 export async function persistToDisk(
   storage: ConsensusStorage,
--- a/src/registered/daemon/group-process.ts
+++ b/src/registered/daemon/group-process.ts
@@ -1,9 +1,6 @@
 /**
- * @file A control machine of a group without its sockets and its disk: it hands events to the group step
- * (`group/group-step.ts`) and carries out its effects through surroundings that are real in the daemon and virtual in the
- * simulator.
- *
- * Owns the calls that wait for their reply, by request ID, and the counts of replies. The state belongs to the step.
+ * @file A control machine without sockets and disk: passes events to `group/group-step.ts` and performs the
+ * resulting effects in an environment that is real in the daemon and virtual in the simulator.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
@@ -18,53 +15,53 @@
 
 type DistributiveOmit<T, K extends PropertyKey> = T extends unknown ? Omit<T, K> : never;
 
-/** A call of a client without the number by which it is answered. */
+/** A call of a client, without its request ID. */
 export type GroupCall = DistributiveOmit<
   Extract<GroupEvent, { readonly requestId: RequestId }>,
   'requestId'
 >;
 
-/** What a control machine needs of the world. */
-export interface GroupSurroundings {
+/** Clock, network, disk and log of a control machine. */
+export interface GroupEnvironment {
   context(): StepContext;
   sendToPeer(to: Address, message: PeerMessage): void;
   sendFeed(linkId: LinkId, message: FeedMessage): void;
-  /** Resolves once the write lasts; never rejects. */
+  /** Resolves once the write is durable; never rejects. */
   persist(effect: PersistEffect): Promise<void>;
-  /** Writes the line of a decision. */
+  /** Writes the log line of a decision. */
   logDecision(name: string, fields: DecisionFields): void;
 }
 
-/** Is called back with latencies, for metrics. */
+/** Receives latencies, for metrics. */
 export interface GroupObserver {
-  /** A call got its reply after `latencyMs`. */
+  /** Called when a call is answered. */
   onReplied(call: GroupCall['type'], latencyMs: number): void;
-  /** A synced write took `latencyMs`. */
+  /** Called when a synced write is complete. */
   onPersisted(latencyMs: number): void;
 }
 
 /** A control machine of a group. */
 export class GroupProcess {
-  private readonly calls = new Map<RequestId, (reply: GroupReply) => void>();
+  private readonly pendingCalls = new Map<RequestId, (reply: GroupReply) => void>();
   private nextRequestId: RequestId = 1;
-  /** Calls by kind and reply. */
+  /** Number of calls by kind and reply. */
   readonly counts: EventCounts = new Map();
-  /** Set once somebody asks for metrics. */
+  /** Set on the first scrape of metrics. */
   observer: GroupObserver | undefined;
 
   constructor(
-    /** Read by tests and the simulator's checks. */
+    /** Exposed for metrics, tests and the checks of the simulator. */
     readonly state: GroupState,
-    private readonly surroundings: GroupSurroundings,
+    private readonly environment: GroupEnvironment,
   ) {}
 
-  /** Brings a call of a client into the group; `onReply` is called within the request deadline. */
+  /** Performs a call of a client; `onReply` is called within the request deadline. */
   call(call: GroupCall, onReply: (reply: GroupReply) => void): void {
     const requestId = this.nextRequestId;
     this.nextRequestId += 1;
-    const startedAtMs = this.surroundings.context().nowMs;
-    this.calls.set(requestId, (reply) => {
-      this.recordReply(call.type, reply.type, this.surroundings.context().nowMs - startedAtMs);
+    const startedAtMs = this.environment.context().nowMs;
+    this.pendingCalls.set(requestId, (reply) => {
+      this.recordReply(call.type, reply.type, this.environment.context().nowMs - startedAtMs);
       onReply(reply);
     });
     this.step({ ...call, requestId });
@@ -74,7 +71,7 @@
     this.step({ type: 'peer-message', message });
   }
 
-  /** Handles a message of a balancer: it wants the feed on its link, acknowledges it, or reports its load. */
+  /** Handles a message of a balancer: a subscription to the feed, an acknowledgement or a load report. */
   handleBalancerMessage(linkId: LinkId, message: BalancerLinkMessage): void {
     switch (message.type) {
       case 'subscribe':
@@ -97,7 +94,7 @@
     this.step({ type: 'tick' });
   }
 
-  /** Hands leadership over. */
+  /** Transfers leadership. */
   stop(): void {
     this.step({ type: 'stop' });
   }
@@ -108,32 +105,32 @@
   }
 
   private persist(effect: PersistEffect): void {
-    const startedAtMs = this.surroundings.context().nowMs;
-    void this.surroundings.persist(effect).then(() => {
-      this.observer?.onPersisted(this.surroundings.context().nowMs - startedAtMs);
+    const startedAtMs = this.environment.context().nowMs;
+    void this.environment.persist(effect).then(() => {
+      this.observer?.onPersisted(this.environment.context().nowMs - startedAtMs);
       this.step({ type: 'persisted', writeId: effect.writeId });
     });
   }
 
   private step(event: GroupEvent): void {
-    const effects = groupStep(this.state, event, this.surroundings.context());
+    const effects = groupStep(this.state, event, this.environment.context());
     effects.forEach((effect) => this.perform(effect));
   }
 
   private perform(effect: GroupEffect): void {
     switch (effect.type) {
       case 'send-peer':
-        this.surroundings.sendToPeer(effect.to, effect.message);
+        this.environment.sendToPeer(effect.to, effect.message);
         return;
       case 'send-feed':
-        this.surroundings.sendFeed(effect.linkId, effect.message);
+        this.environment.sendFeed(effect.linkId, effect.message);
         return;
       case 'reply':
-        this.calls.get(effect.requestId)?.(effect.reply);
-        this.calls.delete(effect.requestId);
+        this.pendingCalls.get(effect.requestId)?.(effect.reply);
+        this.pendingCalls.delete(effect.requestId);
         return;
       case 'decision':
-        this.surroundings.logDecision(effect.name, effect.fields);
+        this.environment.logDecision(effect.name, effect.fields);
         return;
       case 'persist':
       case 'persist-snapshot':
--- a/src/registered/daemon/ingress-daemon.ts
+++ b/src/registered/daemon/ingress-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * @file The daemon of a balancer: owns its two UDP sockets (packets of clients, messages of other balancers), its links to
- * control machines and its timer, around the process that decides (`ingress-process.ts`).
+ * @file Daemon of a balancer: owns the UDP sockets (packets of clients, messages of other balancers), the links to
+ * control machines and the timer around `ingress-process.ts`.
  */
 import { Packr } from 'msgpackr';
 import type { Address } from '../../shared/common/address.js';
@@ -17,32 +17,27 @@
 import { createRequestLog, defaultLineBudget } from './request-log.js';
 import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
-/** What a daemon needs besides: the addresses that it binds, and the times of its links. */
+/** Options of a balancer process, with the packet address to bind and the timing of links. */
 export interface IngressDaemonOptions extends IngressProcessOptions {
-  /** UDP, for packets of clients. */
+  /** UDP address for packets of clients. */
   readonly packetAddress: Address;
   readonly timing: Timing;
 }
 
-/** Well below the shortest time that a tick decides on (`group/timing.ts`). Not measured. */
+/** Well below the shortest timeout that is checked on ticks (`group/timing.ts`). */
 const TICK_INTERVAL_MS = 100;
-/**
- * A balancer that stops goes on until no packet came for so long: longer than a client waits between two copies of an open
- * (200 and 400 ms), so that a flow that was on its way here is not lost. Not measured; `dropped` lines of other
- * balancers for opens right after a stop would show it too short.
- */
-const QUIET_BEFORE_STOP_MS = 700;
-/** How often a balancer that stops looks whether it has been quiet for long enough. */
-const POLL_STOP_MS = 50;
+/** Longer than the retransmission timeouts of an open at clients (200 and 400 ms), so that no open is lost. */
+const MIN_QUIET_BEFORE_STOP_MS = 700;
+const STOP_POLL_INTERVAL_MS = 50;
 
 const packr = new Packr({ useRecords: false });
 
 /** A running balancer. */
 export class IngressDaemon {
   private readonly links: FrameLinks;
-  /** Read by metrics. */
+  /** Exposed for metrics. */
   readonly process: IngressProcess;
-  private packets: UdpSocket | undefined;
+  private packetSocket: UdpSocket | undefined;
   private peerSocket: UdpSocket | undefined;
   private timer: NodeJS.Timeout | undefined;
 
@@ -50,7 +45,7 @@
     this.links = new FrameLinks(frameLinkOptions(options.timing));
     this.process = createIngressProcess(options, codec, {
       nowMs: () => performance.now(),
-      sendPacket: (datagram, to) => this.packets?.send(datagram, to),
+      sendPacket: (datagram, to) => this.packetSocket?.send(datagram, to),
       sendToBalancer: (to, message) => this.sendToBalancer(to, message),
       connectControl: (to, handlers) => this.links.connect(to, handlers),
       after: (delayMs, run) => setTimeout(run, delayMs),
@@ -63,7 +58,7 @@
     });
   }
 
-  /** Binds the sockets; rejects where one can't be bound. */
+  /** Binds the sockets and starts; rejects if a socket can't be bound. */
   static async start(options: IngressDaemonOptions, codec: PacketCodec): Promise<IngressDaemon> {
     const daemon = new IngressDaemon(options, codec);
     daemon.peerSocket = await bindUdp(options.peerAddress, (datagram) => {
@@ -72,7 +67,7 @@
         daemon.process.handleBalancerMessage(message);
       }
     });
-    daemon.packets = await bindUdp(options.packetAddress, (datagram) =>
+    daemon.packetSocket = await bindUdp(options.packetAddress, (datagram) =>
       daemon.process.handlePacket(datagram),
     );
     daemon.timer = setInterval(() => daemon.process.tick(), TICK_INTERVAL_MS);
@@ -86,36 +81,36 @@
     return datagram.length;
   }
 
-  /** True where new flows may be sent here. */
+  /** True while this balancer accepts new flows. */
   get isReady(): boolean {
     return this.process.isReady;
   }
 
-  /** Replaces the control machines that are looked for first. */
+  /** Replaces the seeds. */
   updateSeeds(seeds: readonly Address[]): void {
     this.process.updateSeeds(seeds);
   }
 
   /**
-   * Leaves: not ready from now on, forwards until no packets come any more, then stops.
-   * @param withinMs the longest time this may take
+   * Stops gracefully: reports not ready, keeps forwarding until packets have ceased, then closes all sockets.
+   * @param timeoutMs upper limit for the wait
    */
-  async stop(withinMs: number): Promise<void> {
-    this.process.leave();
+  async stop(timeoutMs: number): Promise<void> {
+    this.process.beginStop();
     const startedAtMs = performance.now();
     await new Promise<void>((resolve) => {
       const poll = setInterval(() => {
         const nowMs = performance.now();
         const quietSinceMs = Math.max(this.process.lastPacketAtMs, startedAtMs);
-        if (nowMs - quietSinceMs > QUIET_BEFORE_STOP_MS || nowMs - startedAtMs > withinMs) {
+        if (nowMs - quietSinceMs > MIN_QUIET_BEFORE_STOP_MS || nowMs - startedAtMs > timeoutMs) {
           clearInterval(poll);
           resolve();
         }
-      }, POLL_STOP_MS);
+      }, STOP_POLL_INTERVAL_MS);
     });
     clearInterval(this.timer);
     this.links.close();
-    await Promise.all([this.packets?.close(), this.peerSocket?.close()]);
+    await Promise.all([this.packetSocket?.close(), this.peerSocket?.close()]);
   }
 }
 
@@ -123,8 +118,8 @@
   try {
     return parseBalancerMessage(packr.unpack(datagram));
   } catch {
-    // Anybody may send to the port: bytes that are no MessagePack are dropped like a message of an unknown form, without a
-    // line, since a flood of them must not become a flood of lines.
+    // Untrusted input: datagrams that are not valid MessagePack are dropped without a log line, so that they can't flood the
+    // log.
     return undefined;
   }
 }
--- a/src/registered/daemon/ingress-log.ts
+++ b/src/registered/daemon/ingress-log.ts
@@ -1,9 +1,6 @@
 /**
- * @file The log lines of a balancer, each with the inputs of the decision that it is about. `docs/OPERATIONS.md` leads
- * from these lines to the rules.
- *
- * Lines on packets go through a budget (`request-log.ts`), since they may be as many as packets; lines on what this
- * balancer believes are few and written at once.
+ * @file Log lines of a balancer, each with the inputs of its decision. Lines on single packets are rate-limited
+ * (`request-log.ts`); lines on changes of state are always written.
  */
 import { unpackHost } from '../../shared/common/address.js';
 import type { KnownBackend } from '../ingress/known-backend.js';
@@ -17,40 +14,40 @@
 import { feedAgeMs } from './feed-follower.js';
 import type { RequestLog } from './request-log.js';
 
-/** Where lines go. */
+/** Options and dependencies of the log. */
 export interface IngressLogOptions {
   readonly state: IngressState;
   nowMs(): number;
-  /** Writes the line of a decision that changed what this balancer believes. */
+  /** Logs a decision that changed the state of this balancer. */
   logDecision(name: string, fields: DecisionFields): void;
   readonly packetLog: RequestLog;
 }
 
-/** What becomes of a packet that is not forwarded. */
+/** Outcome of a packet that is not forwarded. */
 export type Refusal = 'reset' | 'dropped';
 
-/** Writes the lines of one balancer. */
+/** Writes the log lines of one balancer. */
 export interface IngressLog {
   /** An open was sent to a back end. */
   placed(packet: PacketView, backend: KnownBackend, foundBy: FoundBy): void;
-  /** A request with an ID begins in a packet of an established flow: ties the ID to the flow. */
+  /** A request with an ID begins in an established flow; the line relates the ID to the flow. */
   request(requestId: string, packet: PacketView, backend: KnownBackend): void;
   /** A packet was not forwarded. */
   refused(refusal: Refusal, reason: DropReason, packet: PacketView): void;
-  /** A packet that waited for the link was not sent. */
+  /** A packet queued for the link was dropped. */
   notSent(reason: SchedulerDrop, flow: string): void;
-  /** The set of evacuated zones is another one than at the call before. */
+  /** Logs the evacuated zones if they changed since the last call. */
   changedZones(nowMs: number): void;
-  /** Back ends were ejected since the call before. */
+  /** Logs back ends that were ejected since the last call. */
   ejections(): void;
-  /** The liveness of a back end is another one. */
+  /** The liveness of a back end has changed. */
   changedLiveness(transition: LivenessTransition, nowMs: number): void;
 }
 
-/** Loads are logged with two digits behind the point. */
-const LOAD_DIGITS = 100;
+/** Loads are logged with two decimal places. */
+const LOAD_SCALE = 100;
 
-/** @returns the log of a balancer that has written nothing */
+/** @returns the log of one balancer */
 export function createIngressLog(options: IngressLogOptions): IngressLog {
   const { state, packetLog } = options;
   let loggedZonesVersion = 0;
@@ -65,11 +62,11 @@
       how: foundBy.type,
       ...(foundBy.type === 'chosen' && {
         service: foundBy.service,
-        load: Math.round(foundBy.load * LOAD_DIGITS) / LOAD_DIGITS,
+        load: Math.round(foundBy.load * LOAD_SCALE) / LOAD_SCALE,
       }),
       backend: backend.id,
       liveness: LIVENESS_LABELS[backend.registration.liveness],
-      ...knowledgeOf(state, options.nowMs()),
+      ...stateFieldsOf(state, options.nowMs()),
     });
   }
 
@@ -84,7 +81,7 @@
   }
 
   function refused(refusal: Refusal, reason: DropReason, packet: PacketView): void {
-    if (!isWorthALine(reason, packet)) {
+    if (!isLogged(reason, packet)) {
       return;
     }
     packetLog.log(refusal, {
@@ -93,7 +90,7 @@
       seq: packet.sequence,
       copy: packet.isOpen ? packet.copyNumber : undefined,
       token: packet.token,
-      ...knowledgeOf(state, options.nowMs()),
+      ...stateFieldsOf(state, options.nowMs()),
     });
   }
 
@@ -136,8 +133,8 @@
   }
 }
 
-/** What a decision on a packet goes by besides the packet: old knowledge explains many a wrong one. */
-function knowledgeOf(state: IngressState, nowMs: number): DecisionFields {
+/** State behind a decision on a packet; stale state explains many wrong decisions. */
+function stateFieldsOf(state: IngressState, nowMs: number): DecisionFields {
   return {
     config: state.routes.config?.version,
     evacuated: state.zones.describeEvacuated(nowMs),
@@ -145,8 +142,8 @@
   };
 }
 
-/** Refused opens cost a client its try; of established flows only those with a back end that is gone are of use. */
-function isWorthALine(reason: DropReason, { isOpen }: PacketView): boolean {
+/** Refused opens are always logged; packets of established flows only if their back end is unknown, dead or restarted. */
+function isLogged(reason: DropReason, { isOpen }: PacketView): boolean {
   return (
     isOpen ||
     reason === 'unknown-token' ||
@@ -155,7 +152,7 @@
   );
 }
 
-/** @returns the two ends of a flow */
+/** @returns source and destination of a flow as `HOST:PORT>HOST:PORT` */
 function describeFlow(packet: PacketView): string {
   const source = `${unpackHost(packet.sourceHost)}:${packet.sourcePort}`;
   return `${source}>${unpackHost(packet.destinationHost)}:${packet.destinationPort}`;
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -1,16 +1,7 @@
 /**
- * @file A balancer without its sockets: wires the parts of one balancer together. Its surroundings are real in the
- * daemon and virtual in the simulator, and the packet format comes in as a codec.
- *
- * | part | does | rules |
- * | --- | --- | --- |
- * | `packet-handler.ts` | packets of clients, opens that are held | `ingress/packet-step.ts` |
- * | `feed-follower.ts` | the feed of a control machine | `decisions/feed-source.ts`, `ingress/feed-step.ts` |
- * | `zone-gossip.ts` | orders for zones while cut off from control | |
- * | `paced-sender.ts` | packets that wait for the link | `egress/packet-scheduler.ts` |
- * | `ingress-log.ts` | log lines | |
- *
- * All parts share one `IngressState`; each writes only what its rules write.
+ * @file A balancer without sockets: connects the packet handler, feed follower, zone gossip, paced sender and log of
+ * one balancer, which share one `IngressState`. The environment is real in the daemon and virtual in the simulator; a
+ * codec defines the packet format.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { BalancerMessage } from '../group/message-schemas.js';
@@ -31,88 +22,88 @@
 import type { RequestLog } from './request-log.js';
 import { createZoneGossip, type ZoneGossip } from './zone-gossip.js';
 
-/** What a balancer needs of the world. */
-export interface IngressSurroundings {
+/** Clock, network and log of a balancer. */
+export interface IngressEnvironment {
   nowMs(): number;
   sendPacket(datagram: Uint8Array, to: Address): void;
   /** @returns the size of the message in bytes */
   sendToBalancer(to: Address, message: BalancerMessage): number;
   connectControl(to: Address, handlers: ControlLinkHandlers): ControlLink;
   after(delayMs: number, run: () => void): void;
-  /** Writes the line of a decision that changed what this balancer believes. */
+  /** Logs a decision that changed the state of this balancer. */
   logDecision(name: string, fields: DecisionFields): void;
-  /** Writes the lines of decisions on packets. */
+  /** Rate-limited log of decisions on packets. */
   readonly packetLog: RequestLog;
 }
 
-/** Who a balancer is, and whom it asks. */
+/** Options of a balancer process. */
 export interface IngressProcessOptions {
   readonly ingress: IngressOptions;
-  /** UDP, towards other balancers. */
+  /** UDP address of this balancer for other balancers. */
   readonly peerAddress: Address;
   /** Link addresses of control machines. */
   readonly controlSeeds: readonly Address[];
-  /** What the machine's own link carries, in bytes a millisecond; undefined where it is not known. */
+  /** Rate of the machine's network link in bytes per millisecond; undefined disables pacing. */
   readonly linkBytesPerMs: number | undefined;
 }
 
-/** A balancer. */
+/** A balancer without sockets. */
 export interface IngressProcess {
-  /** Read by metrics, tests and the simulator's checks. */
+  /** Exposed for metrics, tests and the checks of the simulator. */
   readonly state: IngressState;
-  /** Packets by what became of them. */
+  /** Number of packets by outcome. */
   readonly counts: EventCounts;
-  /** Sends all packets; read by metrics. */
+  /** Exposed for metrics. */
   readonly sender: PacedSender;
-  /** True where new flows may be sent here. */
+  /** True while this balancer accepts new flows. */
   readonly isReady: boolean;
-  /** When the last packet of a client came, in milliseconds. */
+  /** Arrival time of the last packet of a client, in milliseconds. */
   readonly lastPacketAtMs: number;
   /** Handles a datagram of a client. */
   handlePacket(datagram: Uint8Array): void;
   /** Handles a message of another balancer. */
   handleBalancerMessage(message: BalancerMessage): void;
-  /** Replaces the control machines that are looked for first. */
+  /** Replaces the seeds. */
   updateSeeds(seeds: readonly Address[]): void;
-  /** Not ready from now on; packets are forwarded as before. */
-  leave(): void;
-  /** Does what is due; called every 100 ms or so. */
+  /** Reports not ready from now on; packets are still forwarded. */
+  beginStop(): void;
+  /** Runs periodic work; called about every 100 ms. */
   tick(): void;
 }
 
-/** Liveness and memories of back ends are looked through so often. */
+/** Interval at which the liveness of back ends is checked and old state is removed. */
 const SWEEP_INTERVAL_MS = 1_000;
 
-/** @returns a balancer that knows nothing and is not ready */
+/** @returns a balancer without configuration; not ready until its feed has arrived */
 export function createIngressProcess(
   options: IngressProcessOptions,
   codec: PacketCodec,
-  surroundings: IngressSurroundings,
+  environment: IngressEnvironment,
 ): IngressProcess {
   const { peerAddress } = options;
-  const { packetLog } = surroundings;
-  const nowMs = () => surroundings.nowMs();
-  const after = (delayMs: number, run: () => void) => surroundings.after(delayMs, run);
+  const { packetLog } = environment;
+  const nowMs = () => environment.nowMs();
+  const after = (delayMs: number, run: () => void) => environment.after(delayMs, run);
   const counts: EventCounts = new Map();
   const state = createIngressState(options.ingress, () => sender.queuedBytes === 0);
   const log = createIngressLog({
     state,
     nowMs,
-    logDecision: (name, fields) => surroundings.logDecision(name, fields),
+    logDecision: (name, fields) => environment.logDecision(name, fields),
     packetLog,
   });
-  const sender = createSender(options.linkBytesPerMs, surroundings, counts, log);
+  const sender = createSender(options.linkBytesPerMs, environment, counts, log);
   const sendToBalancer = (to: Address, message: BalancerMessage) =>
-    sender.charge(surroundings.sendToBalancer(to, message));
+    sender.charge(environment.sendToBalancer(to, message));
   const feed = createFeedFollower({
     state,
     peerAddress,
     controlSeeds: options.controlSeeds,
     nowMs,
     after,
-    connectControl: (to, handlers) => surroundings.connectControl(to, handlers),
+    connectControl: (to, handlers) => environment.connectControl(to, handlers),
     charge: (bytes) => sender.charge(bytes),
-    logDecision: (name, fields) => surroundings.logDecision(name, fields),
+    logDecision: (name, fields) => environment.logDecision(name, fields),
     packetLog,
   });
   const zones = createZoneGossip({ state, replyTo: peerAddress, nowMs, sendToBalancer });
@@ -142,7 +133,7 @@
     handlePacket: (datagram) => packets.handlePacket(datagram),
     handleBalancerMessage: (message) => handleBalancerMessage(message, zones, packets),
     updateSeeds: (seeds) => feed.updateSeeds(seeds),
-    leave: () => state.beginStop(),
+    beginStop: () => state.beginStop(),
     tick,
   };
 
@@ -161,18 +152,18 @@
   }
 }
 
-/** Packets that the sender drops are counted and logged like those that a rule drops. */
+/** Creates the sender; its drops are counted and logged like other dropped packets. */
 function createSender(
   rateBytesPerMs: number | undefined,
-  surroundings: IngressSurroundings,
+  environment: IngressEnvironment,
   counts: EventCounts,
   log: IngressLog,
 ): PacedSender {
   return createPacedSender({
     rateBytesPerMs,
-    nowMs: () => surroundings.nowMs(),
-    after: (delayMs, run) => surroundings.after(delayMs, run),
-    send: (datagram, to) => surroundings.sendPacket(datagram, to),
+    nowMs: () => environment.nowMs(),
+    after: (delayMs, run) => environment.after(delayMs, run),
+    send: (datagram, to) => environment.sendPacket(datagram, to),
     onDropped: (reason, { flow }) => {
       countEvent(counts, `dropped:${reason}`);
       log.notSent(reason, flow);
--- a/src/registered/daemon/metrics/group-metrics.ts
+++ b/src/registered/daemon/metrics/group-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * @file The metrics of a control machine of a group.
+ * @file Metrics of a control machine of a group.
  */
 import { collectDefaultMetrics, Histogram, Registry } from 'prom-client';
 import { votersOf } from '../../../shared/consensus/membership.js';
@@ -16,16 +16,16 @@
 const MS_PER_SECOND = 1_000;
 const LATENCY_BUCKETS_S = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5];
 
-/** What is served, and what must be observed for it. */
+/** Metrics of a control machine, and the observer that feeds its histograms. */
 export interface GroupMetrics {
   readonly source: MetricsSource;
-  /** Records latencies from now on. */
+  /** Records latencies; to be installed in the process. */
   readonly observer: GroupObserver;
 }
 
 /**
- * @param nowMs the clock of the steps
- * @returns what a control machine serves
+ * @param nowMs the clock of the process
+ * @returns the metrics and health of a control machine
  */
 export function groupMetrics(process: GroupProcess, nowMs: () => number): GroupMetrics {
   const registry = new Registry();
@@ -47,21 +47,23 @@
 
 function registerConsensus(registry: Registry, state: GroupState, nowMs: () => number): void {
   const { consensus } = state;
-  const value = (name: string, help: string, read: () => number) =>
+  const registerMetric = (name: string, help: string, read: () => number) =>
     registerValue(registry, `amberlift_group_${name}`, help, read);
-  value('term', 'Term of this machine.', () => consensus.term);
-  value('is_leader', '1 at the leader.', () => Number(consensus.role.name === 'leader'));
-  value('is_current', '1 where this machine leads a quorum or heard its leader lately.', () =>
-    Number(isCurrent(state, nowMs())),
+  registerMetric('term', 'Term of this machine.', () => consensus.term);
+  registerMetric('is_leader', '1 at the leader.', () => Number(consensus.role.name === 'leader'));
+  registerMetric(
+    'is_current',
+    '1 where this machine leads a quorum or heard its leader lately.',
+    () => Number(isCurrent(state, nowMs())),
   );
-  value('commit_index', 'Highest index known as committed.', () => consensus.commitIndex);
-  value('log_entries', 'Entries behind the last snapshot.', () => {
+  registerMetric('commit_index', 'Highest index known as committed.', () => consensus.commitIndex);
+  registerMetric('log_entries', 'Entries behind the last snapshot.', () => {
     return consensus.log.last.index - (consensus.snapshot?.index ?? 0);
   });
-  value('voters', 'Voters of the group as this machine knows it.', () => {
+  registerMetric('voters', 'Voters of the group as this machine knows it.', () => {
     return votersOf(currentMembership(consensus)).length;
   });
-  value(
+  registerMetric(
     'leader_contact_age_seconds',
     'Time since the leader was heard; at the leader, the longest time since a voter was.',
     () => {
@@ -80,15 +82,31 @@
 }
 
 function registerState(registry: Registry, { state, counts }: GroupProcess): void {
-  const value = (name: string, help: string, read: () => number) =>
+  const registerMetric = (name: string, help: string, read: () => number) =>
     registerValue(registry, `amberlift_group_${name}`, help, read);
-  value('config_version', 'Version of the configuration that holds here.', () => {
+  registerMetric('config_version', 'Version of the configuration that holds here.', () => {
     return state.configs.version;
   });
-  value('registered_backends', 'Back ends whose heartbeats are known.', () => state.registry.size);
-  value('departures', 'Departures that are kept.', () => state.replicated.allDepartures().length);
-  value('fed_balancers', 'Balancers that get their feed here.', () => state.subscribers.size);
-  value('waiting_calls', 'Calls that wait for their answer.', () => state.calls.waitingCount);
+  registerMetric(
+    'registered_backends',
+    'Back ends whose heartbeats are known.',
+    () => state.registry.size,
+  );
+  registerMetric(
+    'departures',
+    'Departures that are kept.',
+    () => state.replicated.allDepartures().length,
+  );
+  registerMetric(
+    'fed_balancers',
+    'Balancers that get their feed here.',
+    () => state.subscribers.size,
+  );
+  registerMetric(
+    'waiting_calls',
+    'Calls that wait for their answer.',
+    () => state.calls.waitingCount,
+  );
   registerLabelledValues(
     registry,
     'amberlift_group_calls_total',
--- a/src/registered/daemon/metrics/ingress-metrics.ts
+++ b/src/registered/daemon/metrics/ingress-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * @file The metrics of a balancer that forwards by 32-bit tokens.
+ * @file Metrics of a balancer that forwards by 32-bit tokens.
  */
 import { collectDefaultMetrics, Registry } from 'prom-client';
 import { fleetAnswerStats } from '../../decisions/fleet-answer-stats.js';
@@ -18,8 +18,8 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * @param nowMs the clock of the balancer's steps
- * @returns what a balancer serves
+ * @param nowMs the clock of the process
+ * @returns the metrics and health of a balancer
  */
 export function ingressMetrics(process: IngressProcess, nowMs: () => number): MetricsSource {
   const registry = new Registry();
@@ -36,18 +36,18 @@
 }
 
 function registerPackets(registry: Registry, { counts }: IngressProcess): void {
-  const counted = (prefix: string): LabelledValue[] =>
+  const countsWithPrefix = (prefix: string): LabelledValue[] =>
     [...counts]
       .filter(([name]) => name.startsWith(prefix))
       .map(([name, value]) => ({ label: name.slice(prefix.length), value }));
-  const value = (name: string, help: string, read: () => number) =>
+  const registerMetric = (name: string, help: string, read: () => number) =>
     registerValue(registry, `amberlift_ingress_${name}`, help, read);
-  value(
+  registerMetric(
     'forwarded_packets_total',
     'Packets sent to back ends.',
     () => counts.get('forwarded') ?? 0,
   );
-  value('malformed_packets_total', 'Datagrams that are no packet.', () => {
+  registerMetric('malformed_packets_total', 'Datagrams that are no packet.', () => {
     return counts.get('malformed') ?? 0;
   });
   registerLabelledValues(
@@ -55,21 +55,21 @@
     'amberlift_ingress_opens_total',
     'Opens sent to back ends, by how the back end was found.',
     'how',
-    () => counted('opened:'),
+    () => countsWithPrefix('opened:'),
   );
   registerLabelledValues(
     registry,
     'amberlift_ingress_resets_total',
     'Opens refused by a reset, by reason.',
     'reason',
-    () => counted('reset:'),
+    () => countsWithPrefix('reset:'),
   );
   registerLabelledValues(
     registry,
     'amberlift_ingress_dropped_packets_total',
     'Packets dropped, by reason; unknown-token is a token miss.',
     'reason',
-    () => counted('dropped:'),
+    () => countsWithPrefix('dropped:'),
   );
 }
 
@@ -107,24 +107,24 @@
   );
 }
 
-/** What placement goes by, as this balancer and all others together see it. */
+/** Inputs of placement, summed over all balancers. */
 function registerAnswers(registry: Registry, { state }: IngressProcess, nowMs: () => number): void {
-  const ofBackends = (name: string, help: string, read: (stats: AnswerStats) => number) =>
+  const registerPerBackend = (name: string, help: string, read: (stats: AnswerStats) => number) =>
     registerLabelledValues(registry, `amberlift_ingress_backend_${name}`, help, 'backend', () =>
       [...state.backends.all()].map((backend) => ({
         label: backend.id,
         value: read(fleetAnswerStats(backend, nowMs())),
       })),
     );
-  ofBackends('answer_ms', 'Mean time of the answers of the last seconds.', (stats) =>
+  registerPerBackend('answer_ms', 'Mean time of the answers of the last seconds.', (stats) =>
     stats.answered > 0 ? stats.answerMs / stats.answered : 0,
   );
-  ofBackends(
+  registerPerBackend(
     'short_answers',
     'Answers of the last seconds that were far shorter than usual.',
     ({ short }) => short,
   );
-  ofBackends(
+  registerPerBackend(
     'stalled_flows',
     'Flows whose clients repeat what nobody takes.',
     ({ stalled }) => stalled,
@@ -147,13 +147,13 @@
   { state }: IngressProcess,
   nowMs: () => number,
 ): void {
-  const value = (name: string, help: string, read: () => number) =>
+  const registerMetric = (name: string, help: string, read: () => number) =>
     registerValue(registry, `amberlift_ingress_${name}`, help, read);
-  value('config_version', 'Version of the configuration in force here.', () => {
+  registerMetric('config_version', 'Version of the configuration in force here.', () => {
     return state.routes.config?.version ?? 0;
   });
-  value('routes', 'Routes in force here.', () => state.routes.size);
-  value(
+  registerMetric('routes', 'Routes in force here.', () => state.routes.size);
+  registerMetric(
     'feed_age_seconds',
     'Time since a control machine said that what it tells is current.',
     () => {
@@ -161,13 +161,13 @@
       return currentAtMs === undefined ? -1 : (nowMs() - currentAtMs) / MS_PER_SECOND;
     },
   );
-  value('knows_current', '1 where what is known here was current a moment ago.', () =>
+  registerMetric('knows_current', '1 where what is known here was current a moment ago.', () =>
     Number(knowsCurrent(state, nowMs())),
   );
-  value('known_balancers', 'Other balancers that are known here.', () => state.peers.size);
+  registerMetric('known_balancers', 'Other balancers that are known here.', () => state.peers.size);
 }
 
-/** Drops of packets that waited for the link are among the dropped packets, by their reasons. */
+/** Drops by the sender are part of `dropped_packets_total`. */
 function registerSending(registry: Registry, { sender }: IngressProcess): void {
   registerValue(
     registry,
--- a/src/registered/daemon/metrics/late-metrics.ts
+++ b/src/registered/daemon/metrics/lazy-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * @file The metrics of processes that load them only once somebody asks.
+ * @file Metrics listeners that load the metrics modules on the first scrape.
  */
 import type { RequestListener } from 'node:http';
 import type { GroupDaemon } from '../group-daemon.js';
@@ -8,7 +8,7 @@
 
 const nowMs = () => performance.now();
 
-/** @returns the listener for the metrics of a balancer */
+/** @returns the metrics listener of a balancer */
 export function ingressMetricsListener({ process }: IngressDaemon): RequestListener {
   return createMetricsListener(async () => {
     const { ingressMetrics } = await import('./ingress-metrics.js');
@@ -16,7 +16,7 @@
   });
 }
 
-/** @returns the listener for the metrics of a control machine */
+/** @returns the metrics listener of a control machine */
 export function groupMetricsListener({ group }: GroupDaemon): RequestListener {
   return createMetricsListener(async () => {
     const { groupMetrics } = await import('./group-metrics.js');
--- a/src/registered/daemon/open-sharing.ts
+++ b/src/registered/daemon/open-sharing.ts
@@ -1,13 +1,8 @@
 /**
- * @file Was the open of a flow placed by another balancer, and where?
- *
- * Copies of one open may reach different balancers, and all must go to the back end of the first. The balancer that
- * places an open publishes the placement to the holders of its key, which all balancers choose alike
- * (`ingress/peer-table.ts`). One that gets a copy which it does not know holds it for a moment and asks them: what they
- * know decides; where none answers in time the open is placed here; where another balancer asked first
- * (`decisions/open-claims.ts`) the copy is dropped, since that one places it.
- *
- * Owns the opens that are held. The memory of placements is `IngressState.opens`.
+ * @file Shares placements of opens between balancers, since copies of one open may reach different balancers and must
+ * all go to the same back end. A balancer publishes each placement to the holders of its key (`ingress/peer-table.ts`)
+ * and asks them about an unknown copy. Without an answer in time the open is placed here; if another balancer claimed
+ * it first (`decisions/open-claims.ts`) the copy is dropped.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { OpenMessage } from '../group/message-schemas.js';
@@ -16,63 +11,56 @@
 import type { FlowKey, PacketView } from '../ingress/packet-view.js';
 import { ASKED_HOLDERS, NOTIFIED_HOLDERS } from '../ingress/peer-table.js';
 
-/** An open that waits for the answer of the holders. */
+/** An open that is held until the holders answer. */
 export interface HeldOpen {
   readonly datagram: Uint8Array;
   readonly packet: PacketView;
 }
 
-/** What the owner of the packets does for the sharing. */
+/** Dependencies and callbacks of the sharing. */
 export interface OpenSharingOptions {
   readonly state: IngressState;
-  /** Where other balancers answer. */
+  /** Peer address of this balancer. */
   readonly replyTo: Address;
   nowMs(): number;
   after(delayMs: number, run: () => void): void;
   sendToBalancer(to: Address, message: OpenMessage): void;
-  /** No holder knows of the open: it is to be placed. */
+  /** No holder has a placement: the open is to be placed here. */
   onUnknown(held: HeldOpen): void;
-  /** Another balancer asked first and is about to place it: it is not placed here. */
+  /** Another balancer has claimed the open and places it. */
   onClaimed(held: HeldOpen): void;
-  /** A holder knows to which back end the open went. */
+  /** A holder has a placement; `token` identifies its back end. */
   onFound(held: HeldOpen, key: FlowKey, token: number): void;
 }
 
-/** Shares the memory of opens with other balancers. */
+/** Shares placements of opens with other balancers. */
 export interface OpenSharing {
-  /** Lets the holders know where an open was placed. */
+  /** Sends a placement to the holders of its key. */
   publishPlacement(key: FlowKey, token: number): void;
   /**
-   * Holds an open and asks the holders. One that is held already, or for which there is no room, is dropped: its
-   * client sends another copy.
+   * Holds an open and asks the holders. It is dropped if a copy is already held or the limit is reached: the client
+   * retransmits.
    */
   askHolders(key: FlowKey, held: HeldOpen): void;
   /** Handles a message of another balancer. */
   handleMessage(message: OpenMessage): void;
 }
 
+/** A round trip between zones plus processing delay; well below the retransmission timeout of clients (200 ms). */
+const HOLDER_TIMEOUT_MS = 30;
 /**
- * How long holders may take to answer, in milliseconds: a round trip between zones (a few ms) and a busy turn at both ends,
- * well below the 200 ms between two copies. Not measured; flows that are reset by a second back end would show it too
- * short, opens by copies that take long too long.
+ * If the timer fires later than this, for example after the process was paused, the holders are asked again: the claim
+ * may have expired. Half of its lifetime leaves time for the answer.
  */
-const ASK_MS = 30;
-/**
- * A balancer whose wait took longer, in milliseconds, since it had no processor meanwhile, asks again: its claim may be
- * over, and another balancer may be placing the open. Half of a claim, so that the answer still comes within it.
- */
-const LATE_MS = CLAIM_LIFETIME_MS / 2;
-/**
- * Opens that are held at the same time; each holds a datagram and its view. At 30 ms each this is room for more
- * than 300,000 unknown copies a second. Not measured; it bounds memory under a flood of opens.
- */
-const MAX_HELD = 10_000;
+const MAX_WAIT_MS = CLAIM_LIFETIME_MS / 2;
+/** Bounds the memory under a flood of opens. */
+const MAX_HELD_OPENS = 10_000;
 
 interface WaitingOpen extends HeldOpen {
   readonly askedAtMs: number;
 }
 
-/** @returns the sharing of a balancer that holds nothing yet */
+/** @returns the sharing of one balancer, without held opens */
 export function createOpenSharing(options: OpenSharingOptions): OpenSharing {
   const { state, replyTo } = options;
   const held = new Map<FlowKey, WaitingOpen>();
@@ -85,7 +73,7 @@
   }
 
   function askHolders(key: FlowKey, open: HeldOpen): void {
-    if (held.has(key) || held.size >= MAX_HELD) {
+    if (held.has(key) || held.size >= MAX_HELD_OPENS) {
       return;
     }
     const askedAtMs = options.nowMs();
@@ -95,11 +83,11 @@
     }
     held.set(key, { ...open, askedAtMs });
     sendToHolders(key, ASKED_HOLDERS, { type: 'find-open', key, replyTo });
-    options.after(ASK_MS, () => release(key, endWait));
+    options.after(HOLDER_TIMEOUT_MS, () => release(key, handleTimeout));
   }
 
-  function endWait(waiting: WaitingOpen, key: FlowKey): void {
-    if (options.nowMs() - waiting.askedAtMs > LATE_MS) {
+  function handleTimeout(waiting: WaitingOpen, key: FlowKey): void {
+    if (options.nowMs() - waiting.askedAtMs > MAX_WAIT_MS) {
       askHolders(key, waiting);
     } else {
       options.onUnknown(waiting);
@@ -123,14 +111,14 @@
     }
   }
 
-  /** Another balancer has placed an open; one that asked about it shortly before must not place it as well. */
+  /** Records a placement of another balancer and forwards it to the claimant, which must not place the open as well. */
   function applyPlacement(key: FlowKey, token: number): void {
     const nowMs = options.nowMs();
     state.opens.remember(key, token, nowMs);
     release(key, (waiting) => options.onFound(waiting, key, token));
-    const asker = claims.claimantOf(key, nowMs);
-    if (asker !== undefined && formatAddress(asker) !== formatAddress(replyTo)) {
-      options.sendToBalancer(asker, { type: 'open-found', key, token });
+    const claimant = claims.claimantOf(key, nowMs);
+    if (claimant !== undefined && formatAddress(claimant) !== formatAddress(replyTo)) {
+      options.sendToBalancer(claimant, { type: 'open-found', key, token });
     }
   }
 
@@ -144,7 +132,7 @@
     }
   }
 
-  /** Ends the wait of an open; what comes after that, an answer or the end of the time, finds none. */
+  /** Removes a held open and runs a callback on it; does nothing if it was already released. */
   function release(key: FlowKey, run: (waiting: WaitingOpen, key: FlowKey) => void): void {
     const waiting = held.get(key);
     if (waiting !== undefined) {
--- a/src/registered/daemon/paced-sender.ts
+++ b/src/registered/daemon/paced-sender.ts
@@ -1,46 +1,44 @@
 /**
- * @file Sends datagrams no faster than the link of the machine carries them: the timer and the socket around
- * `egress/packet-scheduler.ts`, which decides. Without a rate everything is sent at once.
- *
- * Owns the datagrams that wait, by reference, and the counts of how long they waited.
+ * @file Paces datagrams to the rate of the machine's network link: the timer and the socket around
+ * `egress/packet-scheduler.ts`. Without a rate, datagrams are sent immediately.
  */
 import type { Address } from '../../shared/common/address.js';
 import {
   createPacketScheduler,
   type PacketLabel,
-  type Released,
+  type ReleasedPacket,
   type SchedulerDrop,
 } from '../egress/packet-scheduler.js';
 
-/** What a sender needs of the world. */
+/** Options and dependencies of a sender. */
 export interface PacedSenderOptions {
-  /** What the link carries, in bytes a millisecond; undefined for no pacing. */
+  /** Rate of the link in bytes per millisecond; undefined disables pacing. */
   readonly rateBytesPerMs: number | undefined;
   nowMs(): number;
   after(delayMs: number, run: () => void): void;
   send(datagram: Uint8Array, to: Address): void;
-  /** A packet was not sent. */
+  /** Called for each packet that is dropped. */
   onDropped(reason: SchedulerDrop, label: PacketLabel): void;
 }
 
-/** What a sender has done so far, for metrics. */
+/** Counters of a sender, for metrics. */
 export interface PacedSenderCounts {
-  /** Packets that waited, by the upper bound of their waiting time in milliseconds. */
+  /** Number of queued packets by the upper bound of their queueing delay in milliseconds. */
   readonly waitedMs: ReadonlyMap<number, number>;
-  /** Packets that took the place of a waiting copy. */
+  /** Number of packets that were merged with a queued or just sent copy. */
   merged: number;
 }
 
-/** Sends datagrams at the rate of a link. */
+/** Sends datagrams at the rate of the link. */
 export interface PacedSender {
   /**
-   * Sends a datagram now or later; it is kept by reference until then.
-   * @param label names the packet, called only where it has to wait
+   * Sends or queues a datagram. It is kept by reference and must not be modified.
+   * @param label called only if the packet can't be sent immediately
    */
   send(datagram: Uint8Array, to: Address, label: () => PacketLabel): void;
-  /** Counts bytes that went over the link by another socket. */
+  /** Charges bytes that another socket sent over the link. */
   charge(bytes: number): void;
-  /** Bytes that wait. */
+  /** Bytes in the queue. */
   readonly queuedBytes: number;
   readonly counts: PacedSenderCounts;
 }
@@ -51,10 +49,10 @@
   readonly label: PacketLabel;
 }
 
-/** Upper bounds of the histogram of waiting times, in milliseconds; labels of `amberlift_ingress_waited_packets_total`. */
+/** Upper bounds of the histogram of queueing delays; labels of `amberlift_ingress_waited_packets_total`. */
 const WAIT_BOUNDS_MS = [5, 20, 50, 100, 200, 400, 800, 1_600] as const;
 
-/** @returns a sender with nothing waiting */
+/** @returns a sender with an empty queue */
 export function createPacedSender(options: PacedSenderOptions): PacedSender {
   const { rateBytesPerMs } = options;
   return rateBytesPerMs === undefined
@@ -113,12 +111,12 @@
     isTimerSet = true;
     options.after(waitMs, () => {
       isTimerSet = false;
-      scheduler.release(options.nowMs()).forEach(carryOut);
+      scheduler.release(options.nowMs()).forEach(handleReleased);
       setTimer();
     });
   }
 
-  function carryOut(released: Released<() => Datagram>): void {
+  function handleReleased(released: ReleasedPacket<() => Datagram>): void {
     const { bytes, to, label } = released.payload();
     if (released.type === 'dropped') {
       options.onDropped(released.reason, label);
--- a/src/registered/daemon/packet-handler.ts
+++ b/src/registered/daemon/packet-handler.ts
@@ -1,8 +1,6 @@
 /**
- * @file Carries out what was decided on each packet of a client: forwards it, resets its flow, drops it, or holds an open
- * while other balancers are asked. What is decided stands in `src/registered/ingress/packet-step.ts`.
- *
- * Owns the opens that are held (`open-sharing.ts`). Every outcome is counted, and those of use to a reader are logged.
+ * @file Executes the decision of `ingress/packet-step.ts` on each packet of a client: forwards it, resets its flow,
+ * drops it, or holds an open while other balancers are asked (`open-sharing.ts`). Every outcome is counted.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { PacketLabel } from '../egress/packet-scheduler.js';
@@ -19,15 +17,15 @@
 import { createOpenSharing } from './open-sharing.js';
 import type { PacedSender } from './paced-sender.js';
 
-/** What handling packets needs. */
+/** Options and dependencies of a packet handler. */
 export interface PacketHandlerOptions {
   readonly state: IngressState;
   readonly codec: PacketCodec;
   readonly sender: PacedSender;
-  /** Packets by what became of them; written here. */
+  /** Number of packets by outcome; updated by the handler. */
   readonly counts: EventCounts;
   readonly log: IngressLog;
-  /** Where other balancers reach this one. */
+  /** UDP address of this balancer for other balancers. */
   readonly peerAddress: Address;
   nowMs(): number;
   after(delayMs: number, run: () => void): void;
@@ -36,9 +34,9 @@
 
 /** Handles the packets of one balancer. */
 export interface PacketHandler {
-  /** When the last packet of a client came, in milliseconds; 0 before the first. */
+  /** Arrival time of the last packet of a client, in milliseconds; 0 before the first. */
   readonly lastPacketAtMs: number;
-  /** Handles a datagram of a client; one that is no packet is counted and dropped. */
+  /** Handles a datagram of a client; a malformed one is counted and dropped. */
   handlePacket(datagram: Uint8Array): void;
   /** Handles a message of another balancer about an open. */
   handleOpenMessage(message: OpenMessage): void;
@@ -46,7 +44,7 @@
 
 type ForwardDecision = Extract<PacketDecision, { readonly type: 'forward' }>;
 
-/** @returns a handler that holds no open */
+/** @returns the packet handler of one balancer */
 export function createPacketHandler(options: PacketHandlerOptions): PacketHandler {
   const { state, codec, counts, log } = options;
   const opens = createOpenSharing({
@@ -93,7 +91,7 @@
         refuse('dropped', decision.reason, packet);
         return;
       case 'ask-peers':
-        // The socket may use the bytes of a datagram again.
+        // Copied, since the socket may reuse the buffer.
         opens.askHolders(decision.key, { datagram: Uint8Array.from(datagram), packet });
         return;
     }
@@ -136,7 +134,7 @@
   }
 }
 
-/** Names a packet that has to wait; a retransmission carries the same bytes of its stream again. */
+/** Labels a packet for the scheduler; retransmissions are recognized by the same range of the stream. */
 function labelOf(packet: PacketView): PacketLabel {
   const { sequence, dataLength } = packet;
   const content = dataLength > 0 ? `${sequence}+${dataLength}` : undefined;
--- a/src/registered/daemon/ready-listener.ts
+++ b/src/registered/daemon/ready-listener.ts
@@ -1,6 +1,5 @@
 /**
- * @file Whether new flows may be sent to a balancer, over HTTP: 200 while they may, 503 while it starts or stops.
- * Routers that ask find a balancer that is not ready before it refuses a flow.
+ * @file HTTP readiness check of a balancer: 200 while it accepts new flows, 503 while it starts or stops.
  */
 import type { RequestListener } from 'node:http';
 
@@ -9,7 +8,7 @@
 
 /**
  * @param isReady called for each request
- * @returns the listener of the HTTP server
+ * @returns the request listener for the HTTP server
  */
 export function createReadyListener(isReady: () => boolean): RequestListener {
   return (_request, response) => {
--- a/src/registered/daemon/reload-signal.ts
+++ b/src/registered/daemon/reload-signal.ts
@@ -1,29 +1,26 @@
 /**
- * @file SIGHUP, which asks a daemon to read its settings again. It may come while the process still starts, and a
- * signal without a listener ends a process. A program therefore imports this module before all others: the
- * listener stands from then on, and what came too early is done once the daemon can.
+ * @file SIGHUP, which makes a daemon reload its settings. Without a listener the signal would terminate the process,
+ * so a program imports this module before all others; a signal during startup is handled once the daemon is ready.
  */
 import { atProcessStart } from './start-snapshot.js';
 
 type Handler = () => void;
 
 let reload: Handler | undefined;
-let isWanted = false;
+let isPending = false;
 
 atProcessStart(() => {
   process.on('SIGHUP', () => {
-    isWanted = reload === undefined;
+    isPending = reload === undefined;
     reload?.();
   });
 });
 
-/**
- * Calls back on each SIGHUP, and at once where one came before.
- */
+/** Registers the handler of SIGHUP; calls it immediately if a signal is pending. */
 export function onReloadSignal(handler: Handler): void {
   reload = handler;
-  if (isWanted) {
-    isWanted = false;
+  if (isPending) {
+    isPending = false;
     handler();
   }
 }
--- a/src/registered/daemon/request-log.ts
+++ b/src/registered/daemon/request-log.ts
@@ -1,52 +1,43 @@
 /**
- * @file May a line on a single packet or request be written?
- *
- * Inputs: the kind of the line, its size, and how many lines and characters of that kind were written in the last second. A
- * flood of requests must not become a flood of lines, so each kind has a budget; what exceeds it is counted, and one line
- * `skipped kind=... lines=...` says how many.
+ * @file Rate-limited log for lines on single packets or requests, so that a flood of requests can't flood the log. Each
+ * kind of line has a budget per second; a line `skipped kind=... lines=...` reports the number that exceeded it.
  */
 import { formatFields, type DecisionFields } from './decision-log.js';
 
-/** The budget of each kind of line. */
+/** Budget of each kind of line. */
 export interface LineBudget {
   readonly linesPerSecond: number;
   readonly bytesPerSecond: number;
 }
 
-/** What the log needs of the world. */
+/** Options and dependencies of the log. */
 export interface RequestLogOptions {
   nowMs(): number;
-  /** Writes a line: the name of the decision and its fields as text. */
+  /** Writes a line with the name of the decision and its formatted fields. */
   write(name: string, fieldsText: string): void;
   readonly budget: LineBudget;
 }
 
-/** Writes the lines of decisions on packets and requests. */
+/** Rate-limited log of decisions on packets and requests. */
 export interface RequestLog {
   log(name: string, fields: DecisionFields): void;
-  /** Says how many lines were left out in windows that are over; called on each tick of the process. */
+  /** Reports the skipped lines of windows that have ended; called on each tick. */
   flush(): void;
 }
 
-/**
- * Enough for every flow of a balancer at today's load, and for a few at any load. What a line costs is not measured;
- * `skipped` lines on an ordinary day would show it too small.
- */
+/** Budget of a balancer; enough to log every flow under ordinary load. */
 export const defaultLineBudget: LineBudget = { linesPerSecond: 150, bytesPerSecond: 32 * 1024 };
 
-/** The budget is one a second, so a window is one. */
 const WINDOW_MS = 1_000;
 
 interface Window {
-  readonly sinceMs: number;
+  readonly startedAtMs: number;
   lines: number;
   bytes: number;
   skipped: number;
 }
 
-/**
- * @returns a log with nothing in it
- */
+/** @returns a log with unused budgets */
 export function createRequestLog(options: RequestLogOptions): RequestLog {
   const { budget } = options;
   const windows = new Map<string, Window>();
@@ -57,9 +48,9 @@
     const nowMs = options.nowMs();
     const text = formatFields(fields);
     const window = windowOf(name, nowMs);
-    const isWithin =
+    const isWithinBudget =
       window.lines < budget.linesPerSecond && window.bytes + text.length <= budget.bytesPerSecond;
-    if (!isWithin) {
+    if (!isWithinBudget) {
       window.skipped += 1;
       return;
     }
@@ -71,21 +62,21 @@
   function flush(): void {
     const nowMs = options.nowMs();
     for (const [name, window] of windows) {
-      if (nowMs - window.sinceMs >= WINDOW_MS) {
+      if (nowMs - window.startedAtMs >= WINDOW_MS) {
         close(name, window);
       }
     }
   }
 
   function windowOf(name: string, nowMs: number): Window {
-    const known = windows.get(name);
-    if (known !== undefined && nowMs - known.sinceMs < WINDOW_MS) {
-      return known;
+    const current = windows.get(name);
+    if (current !== undefined && nowMs - current.startedAtMs < WINDOW_MS) {
+      return current;
     }
-    if (known !== undefined) {
-      close(name, known);
+    if (current !== undefined) {
+      close(name, current);
     }
-    const window: Window = { sinceMs: nowMs, lines: 0, bytes: 0, skipped: 0 };
+    const window: Window = { startedAtMs: nowMs, lines: 0, bytes: 0, skipped: 0 };
     windows.set(name, window);
     return window;
   }
--- a/src/registered/egress/byte-budget.ts
+++ b/src/registered/egress/byte-budget.ts
@@ -1,55 +1,49 @@
 /**
- * @file May a packet leave now?
- *
- * Inputs: the rate of the link in bytes a millisecond, and what has left so far in bytes. A token bucket: credit grows at the
- * rate up to a burst, and a packet may leave while there is any. Its bytes may exceed the credit and are owed then, so
- * that a packet is never split and the rate holds on average.
+ * @file Token bucket for the rate of a link, in bytes. A packet may leave while there is any credit; the credit may
+ * become negative, so that the rate holds on average.
  */
 
-/** The credit of one link. */
+/** Token bucket of one link. */
 export interface ByteBudget {
-  /** @returns true where a packet may leave now; its bytes may exceed what is left, and are owed then */
-  isOpen(nowMs: number): boolean;
-  /** Subtracts bytes, also below zero. */
+  /** @returns true if a packet may leave now, even if it is larger than the credit */
+  hasCredit(nowMs: number): boolean;
+  /** Subtracts bytes; the credit may become negative. */
   spend(bytes: number, nowMs: number): void;
-  /** @returns time until so many bytes have been earned, in milliseconds; at most a burst */
+  /** @returns time in milliseconds until the credit reaches the given bytes, or a full burst if that is less */
   waitMs(bytes: number, nowMs: number): number;
 }
 
-/**
- * What may leave at once, in bytes: four full packets, so that there is one timer for some four packets and no queue on the
- * way fills (docs/design/links.md). Not measured against other sizes.
- */
+/** Four full packets: one timer per four packets, without filling queues on the path. */
 const BURST_BYTES = 5_000;
 
 /**
- * @param rateBytesPerMs what is earned
- * @returns a budget that holds a whole burst
+ * @param rateBytesPerMs refill rate
+ * @returns a full bucket
  */
 export function createByteBudget(rateBytesPerMs: number): ByteBudget {
   let creditBytes = BURST_BYTES;
-  let creditAtMs = 0;
+  let refilledAtMs = 0;
 
-  return { isOpen, spend, waitMs };
+  return { hasCredit, spend, waitMs };
 
-  function isOpen(nowMs: number): boolean {
-    earn(nowMs);
+  function hasCredit(nowMs: number): boolean {
+    refill(nowMs);
     return creditBytes > 0;
   }
 
   function spend(bytes: number, nowMs: number): void {
-    earn(nowMs);
+    refill(nowMs);
     creditBytes -= bytes;
   }
 
   function waitMs(bytes: number, nowMs: number): number {
-    earn(nowMs);
+    refill(nowMs);
     const neededBytes = Math.min(BURST_BYTES, bytes);
     return Math.max(1, Math.ceil((neededBytes - creditBytes) / rateBytesPerMs));
   }
 
-  function earn(nowMs: number): void {
-    creditBytes = Math.min(BURST_BYTES, creditBytes + (nowMs - creditAtMs) * rateBytesPerMs);
-    creditAtMs = nowMs;
+  function refill(nowMs: number): void {
+    creditBytes = Math.min(BURST_BYTES, creditBytes + (nowMs - refilledAtMs) * rateBytesPerMs);
+    refilledAtMs = nowMs;
   }
 }
--- a/src/registered/egress/flow-queues.ts
+++ b/src/registered/egress/flow-queues.ts
@@ -1,84 +1,66 @@
 /**
- * @file Which packet that waits for a link leaves next?
- *
- * Inputs: the flow, size in bytes, place in its stream and time of arrival of each packet, and what the link has lately
- * carried of each flow, in bytes.
- *
- * There is a queue for each flow. The flow that the link has served least comes next, and one packet in four is the one
- * that came first, so that none starves. Within a flow packets leave in the order of its stream. Those of a burst come
- * in any order; what leaves ahead of an earlier one is not acknowledged, and its sender repeats all of it.
- *
- * The reason are links that several uploads share, of which one takes a fifth of a second and more: a request of one
- * packet leaves at once, short uploads end before long ones, and a long one keeps a quarter of the link. Least attained
- * service is best for the mean where sizes vary much and are not known (Nuyens and Wierman, 2008). With
- * uploads of 10 to 240 KB over 80 balancers, most with links of 1.5 megabits a second: 93 of 1,618 came late, none failed
- * and one in a hundred took 2.9 s; with equal turns in the order of coming 159, 18 and 5.2 s. Of 5,460 small
- * requests 73 and 174 came late.
+ * @file Per-flow queues with least-attained-service scheduling (Nuyens and Wierman, 2008): the flow with the fewest
+ * bytes sent goes next, so that short requests finish before long uploads. Every fourth packet is the oldest one
+ * instead, so that no flow starves. Within a flow, packets leave in stream order, since data after a
+ * gap is not acknowledged and gets retransmitted.
  */
 
-/** A packet that waits. */
+/** A queued packet. */
 export interface WaitingPacket<Payload> {
   readonly payload: Payload;
   readonly bytes: number;
-  /** Names the flow that it belongs to. */
+  /** Key of the flow. */
   readonly flow: string;
-  /**
-   * Names what the packet carries within its flow: a retransmission carries the same. Undefined where each
-   * packet is of its own.
-   */
+  /** Identifies the content within the flow, equal for retransmissions; undefined if they can't be recognized. */
   readonly content: string | undefined;
-  /** Where the packet stands in the stream of its flow, 32 bits; undefined for behind what waits. */
+  /** 32-bit position in the stream of the flow; undefined to append the packet. */
   readonly position?: number | undefined;
   readonly sinceMs: number;
 }
 
-/** Queues by flow. */
+/** Packet queues by flow. */
 export interface FlowQueues<Payload> {
-  /** Bytes of all packets that wait. */
+  /** Queued bytes of all flows. */
   readonly bytes: number;
-  /** @returns true where packets of a flow wait */
+  /** @returns true if packets of a flow are queued */
   has(flow: string): boolean;
-  /** @returns the bytes of a flow that wait */
+  /** @returns the queued bytes of a flow */
   bytesOf(flow: string): number;
-  /** @returns the bytes of the flow that has the most of them waiting */
-  mostBytes(): number;
+  /** @returns the queued bytes of the flow with the most queued bytes */
+  maxFlowBytes(): number;
   add(packet: WaitingPacket<Payload>): void;
   /**
-   * Puts a packet in the place of one of its flow that carries the same.
-   * @returns false where none waits
+   * Replaces a queued packet of the same flow and content.
+   * @returns false if there is none
    */
   replace(packet: WaitingPacket<Payload>): boolean;
-  /** Removes the packet whose turn it is. @returns it; undefined where none waits */
+  /** Removes the next packet. @returns it; undefined if the queues are empty */
   takeNext(nowMs: number): WaitingPacket<Payload> | undefined;
 }
 
 interface FlowQueue<Payload> {
   readonly packets: WaitingPacket<Payload>[];
-  /** In which order the packets came, or the first copies of them. */
+  /** Arrival numbers of the packets, or of the first copies that they replaced; ascending. */
   readonly arrivals: number[];
   bytes: number;
 }
 
+/** Every fourth packet is the oldest one, so that long uploads keep a quarter of the link. */
+const OLDEST_FIRST_INTERVAL = 4;
 /**
- * One packet in so many is the one that came first: a quarter of the link goes to what has waited longest. Not measured
- * against other shares; long uploads that fail while short ones are on time would show it too rare.
- */
-const TURN_EVERY = 4;
-/**
- * What the link has done for a flow that rested this long is forgotten: it carries another request, since a sender that
- * still wanted the last one would have repeated it within 1.6 s. Otherwise a long connection would be placed behind
- * all others for all that it ever sent.
+ * A flow that was idle for longer counts as new: it carries another request, since senders retransmit within 1.6 s.
+ * Otherwise long-lived connections would always come last.
  */
-const REST_MS = 2_000;
-/** What the link has done for a flow is forgotten once so many flows have waited since. Bounds memory; not measured. */
+const IDLE_RESET_MS = 2_000;
+/** Bounds the memory; the flow that was served longest ago is evicted. */
 const MAX_SERVED_FLOWS = 1_000;
 
-/** @returns queues without any packet */
+/** @returns empty queues */
 export function createFlowQueues<Payload>(): FlowQueues<Payload> {
   const queues = new Map<string, FlowQueue<Payload>>();
   const served = createServedBytes();
   let arrivalCount = 0;
-  let turnCount = 0;
+  let takenCount = 0;
   let bytes = 0;
 
   return {
@@ -87,7 +69,7 @@
     },
     has: (flow) => queues.has(flow),
     bytesOf: (flow) => queues.get(flow)?.bytes ?? 0,
-    mostBytes: () => Math.max(0, ...[...queues.values()].map((queue) => queue.bytes)),
+    maxFlowBytes: () => Math.max(0, ...[...queues.values()].map((queue) => queue.bytes)),
     add,
     replace,
     takeNext,
@@ -97,7 +79,7 @@
     const queue = queues.get(packet.flow) ?? { packets: [], arrivals: [], bytes: 0 };
     queues.set(packet.flow, queue);
     arrivalCount += 1;
-    queue.packets.splice(placeOf(packet, queue.packets), 0, packet);
+    queue.packets.splice(insertionIndexOf(packet, queue.packets), 0, packet);
     queue.arrivals.push(arrivalCount);
     queue.bytes += packet.bytes;
     bytes += packet.bytes;
@@ -105,44 +87,44 @@
 
   function replace(packet: WaitingPacket<Payload>): boolean {
     const queue = queues.get(packet.flow);
-    const at = queue?.packets.findIndex(({ content }) => content === packet.content) ?? -1;
-    const before = queue?.packets[at];
-    if (queue === undefined || before === undefined || packet.content === undefined) {
+    const index = queue?.packets.findIndex(({ content }) => content === packet.content) ?? -1;
+    const previous = queue?.packets[index];
+    if (queue === undefined || previous === undefined || packet.content === undefined) {
       return false;
     }
-    queue.packets[at] = packet;
-    queue.bytes += packet.bytes - before.bytes;
-    bytes += packet.bytes - before.bytes;
+    queue.packets[index] = packet;
+    queue.bytes += packet.bytes - previous.bytes;
+    bytes += packet.bytes - previous.bytes;
     return true;
   }
 
   function takeNext(nowMs: number): WaitingPacket<Payload> | undefined {
-    turnCount += 1;
-    const flow = turnCount % TURN_EVERY === 0 ? longestWaiting() : leastServed(nowMs);
+    takenCount += 1;
+    const flow = takenCount % OLDEST_FIRST_INTERVAL === 0 ? oldestFlow() : leastServedFlow(nowMs);
     return flow === undefined ? undefined : takeFrom(flow, nowMs);
   }
 
-  function longestWaiting(): string | undefined {
-    return flowWithLeast((_flow, { arrivals }) => arrivals[0] ?? Number.POSITIVE_INFINITY);
+  function oldestFlow(): string | undefined {
+    return flowWithMinimum((_flow, { arrivals }) => arrivals[0] ?? Number.POSITIVE_INFINITY);
   }
 
-  function leastServed(nowMs: number): string | undefined {
-    return flowWithLeast((flow) => served.bytesOf(flow, nowMs));
+  function leastServedFlow(nowMs: number): string | undefined {
+    return flowWithMinimum((flow) => served.bytesOf(flow, nowMs));
   }
 
-  function flowWithLeast(
+  function flowWithMinimum(
     valueOf: (flow: string, queue: FlowQueue<Payload>) => number,
   ): string | undefined {
-    let best: string | undefined;
-    let least = Number.POSITIVE_INFINITY;
+    let minFlow: string | undefined;
+    let minimum = Number.POSITIVE_INFINITY;
     for (const [flow, queue] of queues) {
       const value = valueOf(flow, queue);
-      if (value < least) {
-        best = flow;
-        least = value;
+      if (value < minimum) {
+        minFlow = flow;
+        minimum = value;
       }
     }
-    return best;
+    return minFlow;
   }
 
   function takeFrom(flow: string, nowMs: number): WaitingPacket<Payload> | undefined {
@@ -162,42 +144,42 @@
   }
 }
 
-/** Where a packet goes among those of its flow: before all that stand further in the stream. */
-function placeOf<Payload>(
+/** @returns the index before all packets of the flow with a later position */
+function insertionIndexOf<Payload>(
   { position }: WaitingPacket<Payload>,
   packets: readonly WaitingPacket<Payload>[],
 ): number {
-  let place = packets.length;
-  while (place > 0 && isBefore(position, packets[place - 1]?.position)) {
-    place -= 1;
+  let index = packets.length;
+  while (index > 0 && isBefore(position, packets[index - 1]?.position)) {
+    index -= 1;
   }
-  return place;
+  return index;
 }
 
 function isBefore(one: number | undefined, other: number | undefined): boolean {
   return one !== undefined && other !== undefined && ((one - other) | 0) < 0;
 }
 
-/** What the link has lately carried of each flow that had to wait. */
+/** Bytes recently sent by flow, for flows that were queued. */
 interface ServedBytes {
   bytesOf(flow: string, nowMs: number): number;
   record(flow: string, bytes: number, nowMs: number): void;
 }
 
-interface Served {
+interface ServedEntry {
   readonly bytes: number;
   readonly atMs: number;
 }
 
 function createServedBytes(): ServedBytes {
-  // The flow that was served last at the end.
-  const byFlow = new Map<string, Served>();
+  // Ordered by the time of the last service, oldest first.
+  const byFlow = new Map<string, ServedEntry>();
 
   return { bytesOf, record };
 
   function bytesOf(flow: string, nowMs: number): number {
     const served = byFlow.get(flow);
-    return served === undefined || nowMs - served.atMs > REST_MS ? 0 : served.bytes;
+    return served === undefined || nowMs - served.atMs > IDLE_RESET_MS ? 0 : served.bytes;
   }
 
   function record(flow: string, bytes: number, nowMs: number): void {
--- a/src/registered/egress/sent-copies.ts
+++ b/src/registered/egress/sent-copies.ts
@@ -1,44 +1,40 @@
 /**
- * @file Has the same packet just left?
- *
- * Inputs: flow and content of a packet, and when packets that had to wait left, in milliseconds. While packets wait, a copy
- * of one that has just left is not sent: its receiver has it, and the client repeats it since an earlier one of the
- * stream still waits. Of 4,600 full packets at the three
- * fullest of 80 balancers, with links of 1.5 megabits a second, 2,716 were such copies. A packet that was lost behind the
- * link is sent again with a later copy.
+ * @file Suppresses copies of packets that were just sent from the queue. Clients retransmit a whole window while an
+ * earlier packet is still queued, and the receiver already has these. A packet lost after the link is repaired by a
+ * later copy.
  */
 import { createPeriodMap } from '../../shared/common/period-map.js';
 import type { WaitingPacket } from './flow-queues.js';
 
-/** The packets that left lately. */
+/** Packets sent recently. */
 export interface SentCopies {
   record(packet: WaitingPacket<unknown>, nowMs: number): void;
   has(packet: WaitingPacket<unknown>, nowMs: number): boolean;
 }
 
-/** In milliseconds. Clients repeat after 200 ms and 400 ms after that: the first copy is held back, the second is not. */
-const COPY_AFTER_MS = 300;
-/** Packets are remembered up to this number in that time: 50 megabits a second of full ones. */
-const MAX_REMEMBERED = 1_500;
+/** Clients retransmit after 200 ms and again 400 ms later: suppresses the first copy, not the second. */
+const SUPPRESSION_PERIOD_MS = 300;
+/** Per period; full packets at about 50 Mbit/s. */
+const MAX_ENTRIES = 1_500;
 
-/** @returns a memory of nothing */
+/** @returns an empty record */
 export function createSentCopies(): SentCopies {
-  const leftAtMs = createPeriodMap<string, number>({
-    periodMs: COPY_AFTER_MS,
-    maxEntries: MAX_REMEMBERED,
+  const sentAtMs = createPeriodMap<string, number>({
+    periodMs: SUPPRESSION_PERIOD_MS,
+    maxEntries: MAX_ENTRIES,
   });
 
   return { record, has };
 
   function record({ flow, content }: WaitingPacket<unknown>, nowMs: number): void {
     if (content !== undefined) {
-      leftAtMs.set(keyOf(flow, content), nowMs, nowMs);
+      sentAtMs.set(keyOf(flow, content), nowMs, nowMs);
     }
   }
 
   function has({ flow, content }: WaitingPacket<unknown>, nowMs: number): boolean {
-    const atMs = content === undefined ? undefined : leftAtMs.get(keyOf(flow, content), nowMs);
-    return atMs !== undefined && nowMs - atMs < COPY_AFTER_MS;
+    const atMs = content === undefined ? undefined : sentAtMs.get(keyOf(flow, content), nowMs);
+    return atMs !== undefined && nowMs - atMs < SUPPRESSION_PERIOD_MS;
   }
 }
 
--- a/src/tools/cli/group.ts
+++ b/src/tools/cli/group.ts
@@ -7,7 +7,7 @@
 import { GroupDaemon } from '../../registered/daemon/group-daemon.js';
 import { groupDurability } from '../../registered/daemon/group-durability.js';
 import { listenHttp } from '../../shared/daemon/http-server.js';
-import { groupMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
+import { groupMetricsListener } from '../../registered/daemon/metrics/lazy-metrics.js';
 import type { DeclaredConfig } from '../../registered/declared/declared-config.js';
 import { timingFor } from '../../registered/group/timing.js';
 import { groupSettingsSchema } from '../../registered/settings/token-settings.js';
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -6,7 +6,7 @@
 import { IngressDaemon } from '../../registered/daemon/ingress-daemon.js';
 import { createReadyListener } from '../../registered/daemon/ready-listener.js';
 import { listenHttp } from '../../shared/daemon/http-server.js';
-import { ingressMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
+import { ingressMetricsListener } from '../../registered/daemon/metrics/lazy-metrics.js';
 import { timingFor } from '../../registered/group/timing.js';
 import { countedFlowsFor } from '../../registered/ingress/counted-flows.js';
 import { tokenPacketCodec } from '../../registered/ingress/token-packet.js';
--- a/test/registered/daemon/declared-api.test.ts
+++ b/test/registered/daemon/declared-api.test.ts
@@ -1,11 +1,11 @@
-/** @file The product's own calls: each becomes a call of the group or a clear answer. */
+/** @file The HTTP API maps each request to a call of the group or to an error response. */
 import fc from 'fast-check';
 import t from 'tap';
 import type { TranslatedCall } from '../../../src/registered/daemon/call-listener.js';
 import { createDeclaredApi } from '../../../src/registered/daemon/declared-api.js';
 
 const TOKEN = 'operator-token';
-const BEAT = {
+const HEARTBEAT = {
   service: 'alpha',
   address: '10.0.0.9:8080',
   zone: 'zone-a',
@@ -24,27 +24,27 @@
   return translated.type === 'reply' ? translated.reply.status : 0;
 }
 
-t.test('a heartbeat with its defaults', async (t) => {
-  t.match(call('PUT', '/v1/backends/b-1', BEAT), {
+t.test('a heartbeat is completed with defaults', async (t) => {
+  t.match(call('PUT', '/v1/backends/b-1', HEARTBEAT), {
     type: 'call',
     call: {
       type: 'heartbeat',
       isDraining: false,
-      record: { id: 'b-1', instanceNumber: BEAT.instance, capacity: 1, warmUpLeftMs: 0 },
+      record: { id: 'b-1', instanceNumber: HEARTBEAT.instance, capacity: 1, warmUpLeftMs: 0 },
     },
   });
-  t.match(call('PUT', '/v1/backends/b-1', { ...BEAT, isDraining: true }), {
+  t.match(call('PUT', '/v1/backends/b-1', { ...HEARTBEAT, isDraining: true }), {
     call: { isDraining: true },
   });
 });
 
-t.test('the last word of a back end', async (t) => {
+t.test('a deregistration of a back end', async (t) => {
   t.match(call('DELETE', '/v1/backends/b%201', ''), {
     call: { type: 'deregister', backendId: 'b 1' },
   });
 });
 
-t.test('a configuration is kept in whole, with its defaults', async (t) => {
+t.test('a configuration is passed on whole, with defaults', async (t) => {
   t.match(call('PUT', '/v1/config', CONFIG), {
     call: {
       type: 'declare-config',
@@ -62,22 +62,22 @@
   t.match(call('GET', '/v1/config', ''), { call: { type: 'read-config' } });
 });
 
-t.test('what is no call is told so', async (t) => {
+t.test('invalid requests get an error status', async (t) => {
   t.equal(statusOf(call('GET', '/v1/backends/b-1', '')), 404);
-  t.equal(statusOf(call('PUT', '/v1/backends/', BEAT)), 400);
-  t.equal(statusOf(call('PUT', '/v1/backends/%E0', BEAT)), 400);
-  t.equal(statusOf(call('PUT', '/v1/backends/b-1', { ...BEAT, instance: 'xyz' })), 400);
-  t.equal(statusOf(call('PUT', '/v1/backends/b-1', { ...BEAT, sequence: -1 })), 400);
+  t.equal(statusOf(call('PUT', '/v1/backends/', HEARTBEAT)), 400);
+  t.equal(statusOf(call('PUT', '/v1/backends/%E0', HEARTBEAT)), 400);
+  t.equal(statusOf(call('PUT', '/v1/backends/b-1', { ...HEARTBEAT, instance: 'xyz' })), 400);
+  t.equal(statusOf(call('PUT', '/v1/backends/b-1', { ...HEARTBEAT, sequence: -1 })), 400);
   t.equal(statusOf(call('PUT', '/v1/config', '{"version":1')), 400);
   t.equal(statusOf(call('PUT', '/v1/config', { ...CONFIG, version: 0 })), 400);
   t.equal(statusOf(call('POST', '/v1/config', CONFIG)), 404);
   t.equal(statusOf(call('GET', '/', '')), 404);
 });
 
-t.test('only who has the token declares and reads', async (t) => {
+t.test('configurations require the operator token', async (t) => {
   t.equal(statusOf(call('PUT', '/v1/config', CONFIG, '')), 401);
   t.equal(statusOf(call('GET', '/v1/config', '', 'another')), 401);
-  t.equal(call('PUT', '/v1/backends/b-1', BEAT, '').type, 'call', 'back ends need none');
+  t.equal(call('PUT', '/v1/backends/b-1', HEARTBEAT, '').type, 'call', 'heartbeats need no token');
   const open = createDeclaredApi(undefined);
   t.equal(open({ method: 'GET', path: '/v1/config', body: '', bearerToken: '' }).type, 'call');
 });
--- a/test/registered/daemon/frame-links.test.ts
+++ b/test/registered/daemon/frame-links.test.ts
@@ -1,4 +1,4 @@
-/** @file Links notice by themselves that the other end is gone or never was there. */
+/** @file Links are closed when the connection is not established in time or an unexpected message arrives. */
 import { once } from 'node:events';
 import { Socket } from 'node:net';
 import t from 'tap';
@@ -6,30 +6,30 @@
 import { widestTiming } from '../../../src/registered/group/timing.js';
 
 const OPTIONS = frameLinkOptions(widestTiming);
-const ANYWHERE = { host: '127.0.0.1', port: 0 };
+const ANY_PORT = { host: '127.0.0.1', port: 0 };
 
 t.test(
-  'a connection that never stands is given up, however long a link may be silent',
+  'a connection that is never established times out, whatever the limit for silence',
   async (t) => {
-    const patient = { ...OPTIONS, silentAfterMs: Number.POSITIVE_INFINITY };
-    const links = new FrameLinks(patient, () => new Socket());
+    const options = { ...OPTIONS, silentAfterMs: Number.POSITIVE_INFINITY };
+    const links = new FrameLinks(options, () => new Socket());
     t.teardown(() => links.close());
     await new Promise<void>((resolve) => {
-      links.connect(ANYWHERE, { onMessage: () => true, onClose: () => resolve() });
+      links.connect(ANY_PORT, { onMessage: () => true, onClose: () => resolve() });
     });
     t.pass();
   },
 );
 
 t.test(
-  'a message goes over, and a link that brings something else is closed and counted',
+  'a message is delivered, and an unexpected one closes the link and is counted',
   async (t) => {
     const links = new FrameLinks(OPTIONS);
     t.teardown(() => links.close());
-    const taken: unknown[] = [];
-    const address = await links.listen(ANYWHERE, {
+    const received: unknown[] = [];
+    const address = await links.listen(ANY_PORT, {
       onMessage: (message) => {
-        taken.push(message);
+        received.push(message);
         return !Array.isArray(message);
       },
       onClose: () => undefined,
@@ -40,7 +40,7 @@
     link.send({ type: 'hello' });
     link.send(['text']);
     await ended;
-    t.same(taken, [{ type: 'hello' }, ['text']]);
+    t.same(received, [{ type: 'hello' }, ['text']]);
     t.equal(links.malformedLinks, 1);
   },
 );
--- a/test/registered/daemon/token-deployment.test.ts
+++ b/test/registered/daemon/token-deployment.test.ts
@@ -1,6 +1,6 @@
 /**
- * @file A deployment without any platform, as processes: three control machines and a balancer by their own
- * settings, calls and packets. Noise on every port ends nothing.
+ * @file End-to-end test of a deployment without a platform: three control machines and a balancer run as processes.
+ * Random bytes on any port must not terminate a process.
  */
 import { execFile, spawn, type ChildProcess } from 'node:child_process';
 import { createSocket, type Socket } from 'node:dgram';
@@ -34,7 +34,7 @@
 const NOISE_LINKS = 100;
 const NOISE_DATAGRAMS = 200;
 
-/** Ports that were free a moment ago. */
+/** @returns addresses with ports that were free a moment ago */
 async function freeAddresses(count: number): Promise<Address[]> {
   const servers = Array.from({ length: count }, () => createServer().listen(0, HOST));
   await Promise.all(servers.map((server) => once(server, 'listening')));
@@ -60,7 +60,7 @@
   });
 }
 
-/** @returns what `amberlift ctl --json` prints */
+/** @returns the output of `amberlift ctl --json` */
 async function runCtl(controls: readonly Address[], ...words: string[]): Promise<unknown> {
   const flags = controls.flatMap((control) => ['--control', textOf(control)]);
   const args = ['bin/amberlift.js', 'ctl', ...flags, '--token', TOKEN, '--json', ...words];
@@ -80,8 +80,8 @@
   return { socket, address: { host: HOST, port: socket.address().port } };
 }
 
-/** Sends a packet until something comes, as clients do: datagrams may be lost. */
-async function answerTo(
+/** Retransmits a packet until a datagram arrives, since datagrams may be lost. */
+async function sendUntilAnswered(
   from: Socket,
   to: Address,
   packet: TokenPacket,
@@ -116,7 +116,7 @@
   socket.close();
 }
 
-t.test('a flow is opened through a deployment of its own', async (t) => {
+t.test('a flow is opened through a deployment without a platform', async (t) => {
   const folder = await mkdtemp(join(tmpdir(), 'amberlift-token-'));
   const addresses = await freeAddresses(2 * CONTROL_COUNT + 5);
   const linkAddresses = addresses.slice(0, CONTROL_COUNT);
@@ -132,7 +132,7 @@
     ingressMetrics === undefined ||
     groupMetrics === undefined
   ) {
-    throw new Error('Too few ports.');
+    throw new Error('too few free ports');
   }
   const seeds = linkAddresses.map(textOf);
   const controls = linkAddresses.map((linkAddress, index) =>
@@ -156,8 +156,8 @@
     metricsAddress: textOf(ingressMetrics),
   });
   const processes = [...controls, balancer];
-  let ended = 0;
-  processes.forEach((process_) => process_.on('exit', () => (ended += 1)));
+  let exitCount = 0;
+  processes.forEach((process_) => process_.on('exit', () => (exitCount += 1)));
   t.teardown(async () => {
     processes.forEach((process_) => process_.kill('SIGKILL'));
     await rm(folder, { recursive: true, force: true });
@@ -198,7 +198,7 @@
     backend.socket.close();
     caller.socket.close();
   });
-  const beat = await sendJson({
+  const heartbeat = await sendJson({
     to: callAddresses[1] ?? packetAddress,
     method: 'PUT',
     path: '/v1/backends/backend-1',
@@ -211,7 +211,7 @@
     },
     timeoutMs: 2_000,
   });
-  t.equal(beat._unsafeUnwrap().status, 200, 'the heartbeat is taken');
+  t.equal(heartbeat._unsafeUnwrap().status, 200, 'the heartbeat is accepted');
 
   const open = sealPacket({
     kind: 'open',
@@ -225,31 +225,39 @@
     acknowledged: 0,
     dataLength: 0,
   });
-  const atBackend = await answerTo(caller.socket, packetAddress, open, backend.socket);
+  const atBackend = await sendUntilAnswered(caller.socket, packetAddress, open, backend.socket);
   const opened = decodeForBackend(atBackend);
   t.match(opened, { instance: INSTANCE, packet: { kind: 'open', from: caller.address } });
-  t.not(opened?.packet.token, 0, 'it carries the token of its back end');
+  t.not(opened?.packet.token, 0, 'the packet carries the token of the back end');
 
   await sendNoise(linkAddresses[0] ?? packetAddress, [packetAddress, peerAddress]);
-  t.equal(ended, 0, 'no process ended by noise');
+  t.equal(exitCount, 0, 'no process exited because of random bytes');
 
   const data = sealPacket({ ...open, kind: 'data', token: opened?.packet.token ?? 0 });
-  const next = decodeForBackend(await answerTo(caller.socket, packetAddress, data, backend.socket));
-  t.match(next, { instance: INSTANCE, packet: { kind: 'data' } }, 'the token leads on');
+  const next = decodeForBackend(
+    await sendUntilAnswered(caller.socket, packetAddress, data, backend.socket),
+  );
+  t.match(
+    next,
+    { instance: INSTANCE, packet: { kind: 'data' } },
+    'the token selects the same back end',
+  );
 
-  const lost = sealPacket({ ...open, to: { host: '198.18.0.1', port: 444 }, sequence: 2 });
-  const answer = decodePacket(await answerTo(caller.socket, packetAddress, lost, caller.socket));
-  t.match(answer, { kind: 'reset', to: caller.address }, 'no route: a reset at once');
+  const unroutable = sealPacket({ ...open, to: { host: '198.18.0.1', port: 444 }, sequence: 2 });
+  const answer = decodePacket(
+    await sendUntilAnswered(caller.socket, packetAddress, unroutable, caller.socket),
+  );
+  t.match(answer, { kind: 'reset', to: caller.address }, 'an open without a route is reset');
 
-  const ofIngress = await metricsAt(ingressMetrics);
-  t.match(ofIngress, 'amberlift_ingress_config_version 2');
-  t.match(ofIngress, /amberlift_ingress_opens_total\{how="chosen"\} [1-9]/);
-  t.match(ofIngress, /amberlift_ingress_resets_total\{reason="no-route"\} [1-9]/);
-  t.match(ofIngress, 'amberlift_ingress_backends{state="heard"} 1');
-  const ofGroup = await metricsAt(groupMetrics);
-  t.match(ofGroup, 'amberlift_group_config_version 2');
-  t.match(ofGroup, 'amberlift_group_voters 3');
-  t.match(ofGroup, 'amberlift_group_is_current 1');
+  const ingressText = await metricsAt(ingressMetrics);
+  t.match(ingressText, 'amberlift_ingress_config_version 2');
+  t.match(ingressText, /amberlift_ingress_opens_total\{how="chosen"\} [1-9]/);
+  t.match(ingressText, /amberlift_ingress_resets_total\{reason="no-route"\} [1-9]/);
+  t.match(ingressText, 'amberlift_ingress_backends{state="heard"} 1');
+  const groupText = await metricsAt(groupMetrics);
+  t.match(groupText, 'amberlift_group_config_version 2');
+  t.match(groupText, 'amberlift_group_voters 3');
+  t.match(groupText, 'amberlift_group_is_current 1');
 
   t.match(await runCtl(callAddresses, 'evacuate', 'zone-a'), { zone: 'zone-a', fits: false });
   t.match(await runCtl(callAddresses, 'show', 'zones'), {
@@ -260,5 +268,5 @@
 
   balancer.kill('SIGTERM');
   const [code] = (await once(balancer, 'exit')) as [number];
-  t.equal(code, 0, 'a planned stop ends well');
+  t.equal(code, 0, 'SIGTERM ends the balancer with exit code 0');
 });
--- a/test/registered/egress/packet-scheduler.test.ts
+++ b/test/registered/egress/packet-scheduler.test.ts
@@ -1,4 +1,4 @@
-/** @file When packets leave towards a link of known rate, in which order, and which are dropped. */
+/** @file The scheduler keeps to the rate of the link, orders packets fairly, and drops only when full or late. */
 import fc from 'fast-check';
 import t from 'tap';
 import {
@@ -6,19 +6,19 @@
   type PacketLabel,
 } from '../../../src/registered/egress/packet-scheduler.js';
 
-/** 2 megabits a second. */
-const RATE = 250;
-const FULL = 1_239;
-const SHORT = 60;
+/** 2 Mbit/s. */
+const RATE_BYTES_PER_MS = 250;
+const FULL_BYTES = 1_239;
+const SHORT_BYTES = 60;
 
 interface Sent {
   readonly name: string;
   readonly atMs: number;
 }
 
-/** Drives a scheduler as the sender does: a packet leaves at once, or when the timer says. */
-function drive() {
-  const scheduler = createPacketScheduler<string>({ rateBytesPerMs: RATE });
+/** Drives a scheduler like the paced sender: packets leave immediately or on the timer. */
+function createDriver() {
+  const scheduler = createPacketScheduler<string>({ rateBytesPerMs: RATE_BYTES_PER_MS });
   const sent: Sent[] = [];
   const dropped: string[] = [];
   let nowMs = 0;
@@ -52,83 +52,86 @@
   }
 }
 
-t.test('what comes at once leaves no faster than the link carries', async (t) => {
-  const { offer, runUntil, sent, scheduler } = drive();
+t.test('a burst leaves at the rate of the link', async (t) => {
+  const { offer, runUntil, sent, scheduler } = createDriver();
   const count = 40;
-  for (let at = 0; at < count; at += 1) {
-    offer(`p${at}`, FULL, 'upload', `${at}`);
+  for (let index = 0; index < count; index += 1) {
+    offer(`p${index}`, FULL_BYTES, 'upload', `${index}`);
   }
   runUntil(1_000);
   t.equal(sent.length, count);
-  const burstBytes = 5_000 + FULL;
+  const burstBytes = 5_000 + FULL_BYTES;
   for (const { atMs } of sent) {
-    const bytes = sent.filter((other) => other.atMs <= atMs).length * FULL;
-    t.ok(bytes <= burstBytes + RATE * atMs, `${bytes} bytes after ${atMs} ms`);
+    const bytes = sent.filter((other) => other.atMs <= atMs).length * FULL_BYTES;
+    t.ok(bytes <= burstBytes + RATE_BYTES_PER_MS * atMs, `${bytes} bytes after ${atMs} ms`);
   }
   const lastMs = sent.at(-1)?.atMs ?? 0;
-  t.ok(lastMs < (count * FULL) / RATE / 0.9, `no slower either: ${lastMs} ms`);
+  t.ok(
+    lastMs < (count * FULL_BYTES) / RATE_BYTES_PER_MS / 0.9,
+    `not slower than the rate: ${lastMs} ms`,
+  );
   t.equal(scheduler.waitMs(2_000), undefined, 'no timer while idle');
 });
 
-t.test('opens and acknowledgements go before bulk', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 30; at += 1) {
-    offer(`bulk${at}`, FULL, 'upload', `${at}`);
+t.test('short packets go before bulk data', async (t) => {
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 30; index += 1) {
+    offer(`bulk${index}`, FULL_BYTES, 'upload', `${index}`);
   }
-  t.equal(offer('open', SHORT, 'other'), 'queued');
+  t.equal(offer('open', SHORT_BYTES, 'other'), 'queued');
   runUntil(60);
   const names = sent.map(({ name }) => name);
   t.ok(names.includes('open'), names.join(' '));
   t.notOk(names.includes('bulk20'));
 });
 
-t.test('packets of one flow keep their order, short ones too', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 10; at += 1) {
-    offer(`p${at}`, FULL, 'upload', `${at}`);
+t.test('packets of one flow keep their order, including short ones', async (t) => {
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 10; index += 1) {
+    offer(`p${index}`, FULL_BYTES, 'upload', `${index}`);
   }
-  offer('last', SHORT, 'upload', 'last');
+  offer('last', SHORT_BYTES, 'upload', 'last');
   runUntil(500);
   t.equal(sent.at(-1)?.name, 'last');
 });
 
-t.test('one upload does not hold another', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 60; at += 1) {
-    offer(`long${at}`, FULL, 'long', `${at}`);
+t.test('a long upload does not delay a short one', async (t) => {
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 60; index += 1) {
+    offer(`long${index}`, FULL_BYTES, 'long', `${index}`);
   }
-  for (let at = 0; at < 5; at += 1) {
-    offer(`brief${at}`, FULL, 'brief', `${at}`);
+  for (let index = 0; index < 5; index += 1) {
+    offer(`brief${index}`, FULL_BYTES, 'brief', `${index}`);
   }
   runUntil(500);
   const doneMs = sent.find(({ name }) => name === 'brief4')?.atMs ?? Infinity;
-  // Half of the link gives 52 ms, and packets leave in bursts of 20 ms; in turn of coming it would be 280 ms.
+  // Half of the link gives 52 ms, and packets leave in bursts of 20 ms; first come, first served would take 280 ms.
   t.ok(doneMs < 100, `five packets beside sixty took ${doneMs} ms`);
 });
 
 t.test('flows share by bytes, not by packets', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 60; at += 1) {
-    offer(`large${at}`, FULL, 'large', `${at}`);
-    offer(`small${at}`, FULL / 3, 'small', `${at}`);
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 60; index += 1) {
+    offer(`large${index}`, FULL_BYTES, 'large', `${index}`);
+    offer(`small${index}`, FULL_BYTES / 3, 'small', `${index}`);
   }
   runUntil(100);
   const bytesOf = (start: string) =>
     sent.filter(({ name }) => name.startsWith(start)).length *
-    (start === 'large' ? FULL : FULL / 3);
+    (start === 'large' ? FULL_BYTES : FULL_BYTES / 3);
   const ratio = bytesOf('large') / bytesOf('small');
   t.ok(ratio > 0.7 && ratio < 1.5, `${ratio}`);
 });
 
-t.test('a retransmission takes the place of what still waits', async (t) => {
-  const { offer, runUntil, sent, scheduler } = drive();
-  for (let at = 0; at < 20; at += 1) {
-    offer(`p${at}`, FULL, 'upload', `${at}`);
+t.test('a retransmission replaces the queued copy', async (t) => {
+  const { offer, runUntil, sent, scheduler } = createDriver();
+  for (let index = 0; index < 20; index += 1) {
+    offer(`p${index}`, FULL_BYTES, 'upload', `${index}`);
   }
-  const before = scheduler.queuedBytes;
-  t.equal(offer('p15 again', FULL, 'upload', '15'), 'merged');
-  t.equal(scheduler.queuedBytes, before);
-  t.equal(offer('p15 of another', FULL, 'other', '15'), 'queued', 'another flow is another packet');
+  const bytesBefore = scheduler.queuedBytes;
+  t.equal(offer('p15 again', FULL_BYTES, 'upload', '15'), 'merged');
+  t.equal(scheduler.queuedBytes, bytesBefore);
+  t.equal(offer('p15 of another', FULL_BYTES, 'other', '15'), 'queued', 'not merged across flows');
   runUntil(500);
   const names = sent.map(({ name }) => name);
   t.notOk(names.includes('p15'));
@@ -136,21 +139,21 @@
 });
 
 t.test('a full queue drops from the flow that fills it', async (t) => {
-  const { offer } = drive();
+  const { offer } = createDriver();
   let outcome = '';
-  for (let at = 0; outcome !== 'queue-full' && at < 1_000; at += 1) {
-    outcome = offer(`p${at}`, FULL, 'greedy', `${at}`);
+  for (let index = 0; outcome !== 'queue-full' && index < 1_000; index += 1) {
+    outcome = offer(`p${index}`, FULL_BYTES, 'greedy', `${index}`);
   }
   t.equal(outcome, 'queue-full');
-  t.equal(offer('modest', FULL, 'modest', '1'), 'queued');
-  t.equal(offer('open', SHORT, 'opening'), 'queued');
+  t.equal(offer('modest', FULL_BYTES, 'modest', '1'), 'queued');
+  t.equal(offer('open', SHORT_BYTES, 'opening'), 'queued');
 });
 
-t.test('what waited while the process stood still is dropped', async (t) => {
-  const scheduler = createPacketScheduler<string>({ rateBytesPerMs: RATE });
+t.test('packets that became too old while the process was paused are dropped', async (t) => {
+  const scheduler = createPacketScheduler<string>({ rateBytesPerMs: RATE_BYTES_PER_MS });
   const label = (): PacketLabel => ({ flow: 'upload', content: undefined });
-  for (let at = 0; at < 10; at += 1) {
-    scheduler.offer(`p${at}`, FULL, label, 0);
+  for (let index = 0; index < 10; index += 1) {
+    scheduler.offer(`p${index}`, FULL_BYTES, label, 0);
   }
   const released = scheduler.release(4_000);
   t.ok(released.length > 0);
@@ -158,15 +161,15 @@
   t.equal(scheduler.queuedBytes, 0);
 });
 
-t.test('bytes that other sockets send are counted', async (t) => {
-  const one = createPacketScheduler<string>({ rateBytesPerMs: RATE });
+t.test('bytes sent by other sockets are charged', async (t) => {
+  const scheduler = createPacketScheduler<string>({ rateBytesPerMs: RATE_BYTES_PER_MS });
   const label = (): PacketLabel => ({ flow: 'upload', content: undefined });
-  one.charge(25_000, 0);
-  t.equal(one.offer('p', FULL, label, 0).type, 'queued');
-  t.ok((one.waitMs(0) ?? 0) > 80, `${one.waitMs(0)}`);
+  scheduler.charge(25_000, 0);
+  t.equal(scheduler.offer('p', FULL_BYTES, label, 0).type, 'queued');
+  t.ok((scheduler.waitMs(0) ?? 0) > 80, `${scheduler.waitMs(0)}`);
 });
 
-t.test('whatever comes, bytes stay within the rate and nothing is lost from sight', async () => {
+t.test('for any input, bytes stay within the rate and every packet is accounted for', async () => {
   const packets = fc.array(
     fc.record({
       flow: fc.constantFrom('a', 'b', 'c'),
@@ -177,76 +180,80 @@
   );
   fc.assert(
     fc.property(packets, (list) => {
-      const { offer, runUntil, sent, dropped, scheduler } = drive();
+      const { offer, runUntil, sent, dropped, scheduler } = createDriver();
       let nowMs = 0;
-      let refused = 0;
-      list.forEach(({ flow, bytes, gapMs }, at) => {
+      let refusedCount = 0;
+      list.forEach(({ flow, bytes, gapMs }, index) => {
         nowMs += gapMs;
         runUntil(nowMs);
-        refused += Number(offer(`${at}`, bytes, flow, `${at}`) === 'queue-full');
+        refusedCount += Number(offer(`${index}`, bytes, flow, `${index}`) === 'queue-full');
       });
       runUntil(nowMs + 5_000);
-      const isAllSeen = sent.length + dropped.length + refused === list.length;
+      const isAllAccountedFor = sent.length + dropped.length + refusedCount === list.length;
       const totalBytes = sent.reduce((sum, { name }) => sum + (list[Number(name)]?.bytes ?? 0), 0);
       const lastMs = sent.at(-1)?.atMs ?? 0;
-      return isAllSeen && scheduler.queuedBytes === 0 && totalBytes <= RATE * lastMs + 6_300;
+      return (
+        isAllAccountedFor &&
+        scheduler.queuedBytes === 0 &&
+        totalBytes <= RATE_BYTES_PER_MS * lastMs + 6_300
+      );
     }),
     { seed: 7, numRuns: 200 },
   );
 });
 
-t.test('a request of one packet and a short upload end before a long one', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 120; at += 1) {
-    offer(`long${at}`, FULL, 'long', `${at}`);
+t.test('a request of one packet and a short upload finish before a long one', async (t) => {
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 120; index += 1) {
+    offer(`long${index}`, FULL_BYTES, 'long', `${index}`);
   }
   runUntil(100);
-  for (let at = 0; at < 12; at += 1) {
-    offer(`short${at}`, FULL, 'short', `${at}`);
+  for (let index = 0; index < 12; index += 1) {
+    offer(`short${index}`, FULL_BYTES, 'short', `${index}`);
   }
   offer('request', 900, 'request', '0');
   runUntil(1_000);
   const doneMs = (name: string) => sent.find((packet) => packet.name === name)?.atMs ?? Infinity;
   t.ok(doneMs('request') < 130, `one packet after ${doneMs('request') - 100} ms`);
-  // Alone it takes 60 ms; in equal turns it would take 120.
+  // Alone it takes 60 ms; with round robin it would take 120 ms.
   t.ok(doneMs('short11') - 100 < 100, `twelve packets after ${doneMs('short11') - 100} ms`);
-  const meanwhile = sent.filter(
+  const longMeanwhile = sent.filter(
     ({ name, atMs }) => name.startsWith('long') && atMs > 100 && atMs <= doneMs('short11'),
   );
-  t.ok(meanwhile.length >= 3, `the long one goes on: ${meanwhile.length} packets`);
+  t.ok(longMeanwhile.length >= 3, `the long upload continues: ${longMeanwhile.length} packets`);
 });
 
-t.test('new flows that alone would fill the link do not starve an old one', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 60; at += 1) {
-    offer(`old${at}`, FULL, 'old', `${at}`);
+t.test('new flows that would fill the link do not starve an old one', async (t) => {
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 60; index += 1) {
+    offer(`old${index}`, FULL_BYTES, 'old', `${index}`);
   }
   for (let nowMs = 0; nowMs < 1_000; nowMs += 10) {
     runUntil(nowMs);
-    offer(`new${nowMs}`, FULL, `new${nowMs}`, '0');
-    offer(`also${nowMs}`, FULL, `new${nowMs}`, '1');
+    offer(`new${nowMs}`, FULL_BYTES, `new${nowMs}`, '0');
+    offer(`also${nowMs}`, FULL_BYTES, `new${nowMs}`, '1');
   }
   const times = sent.filter(({ name }) => name.startsWith('old')).map(({ atMs }) => atMs);
-  const gaps = times.slice(1).map((atMs, at) => atMs - (times[at] ?? 0));
+  const gaps = times.slice(1).map((atMs, index) => atMs - (times[index] ?? 0));
   t.ok(Math.max(...gaps) < 200, `at most ${Math.max(...gaps)} ms between two of its packets`);
-  t.ok((times.at(-1) ?? 0) > 900, `until ${times.at(-1)}`);
+  t.ok((times.at(-1) ?? 0) > 900, `last packet at ${times.at(-1)} ms`);
 });
 
-t.test('the windows of fourteen uploads at once wait without a loss', async (t) => {
-  const { offer, runUntil, sent, dropped } = drive();
+t.test('the windows of fourteen concurrent uploads are queued without loss', async (t) => {
+  const { offer, runUntil, sent, dropped } = createDriver();
   for (let flow = 0; flow < 14; flow += 1) {
-    for (let at = 0; at < 16; at += 1) {
-      t.not(offer(`${flow}/${at}`, FULL, `flow${flow}`, `${at}`), 'queue-full');
+    for (let index = 0; index < 16; index += 1) {
+      t.not(offer(`${flow}/${index}`, FULL_BYTES, `flow${flow}`, `${index}`), 'queue-full');
     }
   }
-  // Clients repeat what is not acknowledged after 200, 600 and 1,400 ms; copies take the places of what waits.
+  // Clients retransmit after 200, 600 and 1,400 ms; copies replace queued packets.
   for (const atMs of [200, 600]) {
     runUntil(atMs);
-    const left = new Set(sent.map(({ name }) => name));
+    const sentNames = new Set(sent.map(({ name }) => name));
     for (let flow = 0; flow < 14; flow += 1) {
-      for (let at = 0; at < 16; at += 1) {
-        if (!left.has(`${flow}/${at}`)) {
-          t.equal(offer(`${flow}/${at}`, FULL, `flow${flow}`, `${at}`), 'merged');
+      for (let index = 0; index < 16; index += 1) {
+        if (!sentNames.has(`${flow}/${index}`)) {
+          t.equal(offer(`${flow}/${index}`, FULL_BYTES, `flow${flow}`, `${index}`), 'merged');
         }
       }
     }
@@ -256,54 +263,58 @@
   t.same(dropped, []);
 });
 
-t.test('a burst that came in any order leaves in the order of its stream', async (t) => {
-  const scheduler = createPacketScheduler<number>({ rateBytesPerMs: RATE });
+t.test('a reordered burst leaves in stream order', async (t) => {
+  const scheduler = createPacketScheduler<number>({ rateBytesPerMs: RATE_BYTES_PER_MS });
   const order = [3, 9, 0, 7, 1, 15, 4, 8, 2, 14, 6, 5, 13, 10, 12, 11];
-  // The stream passes the end of its 32 bits.
-  const positionOf = (at: number) => (0xffffffff - 5 * FULL + at * FULL) >>> 0;
+  // The position wraps around at 32 bits.
+  const positionOf = (index: number) => (0xffffffff - 5 * FULL_BYTES + index * FULL_BYTES) >>> 0;
   scheduler.charge(50_000, 0);
-  for (const at of order) {
-    const label = () => ({ flow: 'upload', content: `${at}`, position: positionOf(at) });
-    t.equal(scheduler.offer(at, FULL, label, 0).type, 'queued');
+  for (const index of order) {
+    const label = () => ({ flow: 'upload', content: `${index}`, position: positionOf(index) });
+    t.equal(scheduler.offer(index, FULL_BYTES, label, 0).type, 'queued');
   }
-  const left: number[] = [];
+  const sentOrder: number[] = [];
   for (let nowMs = 0; nowMs < 1_000; nowMs += 10) {
-    left.push(...scheduler.release(nowMs).map(({ payload }) => payload));
+    sentOrder.push(...scheduler.release(nowMs).map(({ payload }) => payload));
   }
   t.same(
-    left,
+    sentOrder,
     [...order].sort((one, other) => one - other),
   );
 });
 
-t.test('while packets wait, a copy of one that has just left is not sent again', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 40; at += 1) {
-    offer(`p${at}`, FULL, 'upload', `${at}`);
+t.test('while packets are queued, a copy of one that was just sent is suppressed', async (t) => {
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 40; index += 1) {
+    offer(`p${index}`, FULL_BYTES, 'upload', `${index}`);
   }
   runUntil(100);
   const names = sent.map(({ name }) => name);
-  t.ok(names.includes('p10') && !names.includes('p39'), 'some have left');
-  t.equal(offer('p10 again', FULL, 'upload', '10'), 'merged');
+  t.ok(names.includes('p10') && !names.includes('p39'), 'some packets have been sent');
+  t.equal(offer('p10 again', FULL_BYTES, 'upload', '10'), 'merged');
   runUntil(150);
-  for (let at = 40; at < 130; at += 1) {
-    offer(`p${at}`, FULL, 'other', `${at}`);
+  for (let index = 40; index < 130; index += 1) {
+    offer(`p${index}`, FULL_BYTES, 'other', `${index}`);
   }
   runUntil(420);
-  t.equal(offer('p10 at last', FULL, 'upload', '10'), 'queued', 'it may have been lost');
+  t.equal(
+    offer('p10 at last', FULL_BYTES, 'upload', '10'),
+    'queued',
+    'a later copy is sent, since the first may be lost',
+  );
 });
 
-t.test('a connection is not held for what it was served long ago', async (t) => {
-  const { offer, runUntil, sent } = drive();
-  for (let at = 0; at < 60; at += 1) {
-    offer(`old${at}`, 900, 'connection', `${at}`);
+t.test('an idle connection is not penalized for bytes sent long ago', async (t) => {
+  const { offer, runUntil, sent } = createDriver();
+  for (let index = 0; index < 60; index += 1) {
+    offer(`old${index}`, 900, 'connection', `${index}`);
   }
   runUntil(60_000);
-  for (let at = 0; at < 30; at += 1) {
-    offer(`upload${at}`, FULL, 'upload', `${at}`);
+  for (let index = 0; index < 30; index += 1) {
+    offer(`upload${index}`, FULL_BYTES, 'upload', `${index}`);
   }
   offer('request', 900, 'connection', '60');
   runUntil(61_000);
   const position = sent.findIndex(({ name }) => name === 'request') - 60;
-  t.ok(position < 10, `${position} packets of an upload before a single request`);
+  t.ok(position < 10, `${position} packets of the upload before the request`);
 });
--- a/test/registered/group/forwarded-calls.test.ts
+++ b/test/registered/group/forwarded-calls.test.ts
@@ -3,7 +3,7 @@
 import { seededRandom } from '../../../src/shared/common/random.js';
 import {
   GroupProcess,
-  type GroupSurroundings,
+  type GroupEnvironment,
 } from '../../../src/registered/daemon/group-process.js';
 import type { GroupReply } from '../../../src/registered/group/group-events.js';
 import type { PeerMessage } from '../../../src/registered/group/group-messages.js';
@@ -28,7 +28,7 @@
 }
 
 /** Surroundings that keep what is sent to other control machines. */
-function surroundings(sent: PeerMessage[], nowMs: () => number): GroupSurroundings {
+function createEnvironment(sent: PeerMessage[], nowMs: () => number): GroupEnvironment {
   const random = seededRandom(SEED);
   return {
     context: () => ({ nowMs: nowMs(), random }),
@@ -53,7 +53,7 @@
   const before: PeerMessage[] = [];
   const first = new GroupProcess(
     state,
-    surroundings(before, () => atMs),
+    createEnvironment(before, () => atMs),
   );
   first.call({ type: 'deregister', backendId: 'backend-1' }, () => undefined);
   const lateId = forwardIdOf(before);
@@ -64,7 +64,7 @@
   const after: PeerMessage[] = [];
   const second = new GroupProcess(
     state,
-    surroundings(after, () => atMs),
+    createEnvironment(after, () => atMs),
   );
   const replies: GroupReply[] = [];
   const document = { version: 1_000, text: '{}' };
--- a/test/registered/ingress/calm-world.test.ts
+++ b/test/registered/ingress/calm-world.test.ts
@@ -35,7 +35,7 @@
     }
     await world.run(4_000);
     for (const balancer of world.balancers) {
-      balancer.process?.leave();
+      balancer.process?.beginStop();
       await world.run(2_000);
       balancer.kill();
       balancer.start();
