--- a/src/registered/daemon/call-listener.ts
+++ b/src/registered/daemon/call-listener.ts
@@ -74,14 +74,14 @@
     answerRequest(request, response).catch(() => {
       // Usually a client that disconnected while its body was read, so nothing is logged. An internal error still
       // reaches the caller as status 500.
-      respond(response, errorReply('internal', 'The call failed.'));
+      respond(response, errorReply('internal', 'Internal error while processing the request'));
     });
   };
 
   async function answerRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request);
     if (body === undefined) {
-      respond(response, errorReply('invalid-command', 'The body is too large.'));
+      respond(response, errorReply('invalid-command', 'Request body is too large'));
       return;
     }
     const callRequest = callRequestOf(request, body);
@@ -147,12 +147,12 @@
       return { status: 200, body: '{}' };
     case 'config':
       return reply.document === undefined
-        ? errorReply('not-found', 'There is no configuration yet.')
+        ? errorReply('not-found', 'No configuration has been declared yet')
         : { status: 200, body: reply.document.text };
     case 'zones':
       return { status: 200, body: JSON.stringify({ zones: reply.zones }) };
     case 'unknown-zone':
-      return errorReply('not-found', `The deployment has no zone ${reply.zone}.`);
+      return errorReply('not-found', `Unknown zone ${reply.zone}`);
     case 'unavailable':
       return errorReply('no-quorum', reply.reason);
   }
--- a/src/registered/daemon/declared-api.ts
+++ b/src/registered/daemon/declared-api.ts
@@ -68,10 +68,10 @@
       return name === undefined ? refusedName() : backendCall(method, name, body);
     }
     if (path !== CONFIG_PATH && !path.startsWith(ZONES_PATH)) {
-      return refusedCall('not-found', 'There is no such call.');
+      return refusedCall('not-found', 'Unknown endpoint');
     }
     if (operatorToken !== undefined && request.bearerToken !== operatorToken) {
-      return refusedCall('unauthorized', 'The bearer token is not the operator token.');
+      return refusedCall('unauthorized', 'Missing or invalid operator token');
     }
     return path === CONFIG_PATH ? configCall(method, body) : zoneCall(method, path);
   }
@@ -83,7 +83,7 @@
   }
   const zone = decodePathPart(EVACUATION_PATTERN.exec(path)?.[1] ?? '', MAX_NAME_LENGTH);
   if (zone === undefined) {
-    return refusedCall('not-found', 'There is no such call.');
+    return refusedCall('not-found', 'Unknown endpoint');
   }
   switch (method) {
     case 'PUT':
@@ -91,7 +91,7 @@
     case 'DELETE':
       return { type: 'call', call: { type: 'order-zone', zone, kind: 'readmit' } };
     default:
-      return refusedCall('not-found', 'Allowed are PUT and DELETE.');
+      return refusedCall('not-found', 'Method not supported; use PUT or DELETE');
   }
 }
 
@@ -102,7 +102,7 @@
     case 'DELETE':
       return departureCall(name, body);
     default:
-      return refusedCall('not-found', 'Allowed are PUT and DELETE.');
+      return refusedCall('not-found', 'Method not supported; use PUT or DELETE');
   }
 }
 
@@ -124,7 +124,7 @@
   const { service, zone, instance, capacity, warmUpLeftMs, sequence, isDraining } = parsed.data;
   const address = backendAddress(parsed.data.address);
   if (address === undefined) {
-    return refusedCall('invalid-command', 'The address is not valid.', 'address');
+    return refusedCall('invalid-command', 'Invalid backend address', 'address');
   }
   const id = startIdOf({ backend: name, startedAtMs: parsed.data.startedAtMs });
   const record = { id, instanceNumber: instance, service, address, zone };
@@ -151,6 +151,6 @@
         ({ message }) => refusedCall('invalid-command', message),
       );
     default:
-      return refusedCall('not-found', 'Allowed are GET and PUT.');
+      return refusedCall('not-found', 'Method not supported; use GET or PUT');
   }
 }
--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -90,7 +90,7 @@
     const { connectTimeoutMs } = this.options;
     const link = this.wrap(socket, handlers);
     const giveUp = setTimeout(
-      () => link.abort(`No connection within ${connectTimeoutMs} ms.`),
+      () => link.abort(`connection not established within ${connectTimeoutMs} ms`),
       connectTimeoutMs,
     );
     socket.once('connect', () => clearTimeout(giveUp));
@@ -124,14 +124,14 @@
   private wrap(socket: Socket, handlers: FrameLinkHandlers): OpenLink {
     const now = performance.now();
     const decoder = new FrameDecoder();
-    let reason = 'The other end closed the link.';
+    let reason = 'closed by peer';
     const link: OpenLink = {
       socket,
       receivedAtMs: now,
       sentAtMs: now,
       send: (message) => this.sendFrame(link, encodeFrame(message)),
       sendFrame: (frame) => this.sendFrame(link, frame),
-      close: () => link.abort('Closed here.'),
+      close: () => link.abort('closed locally'),
       abort: (cause) => {
         reason = cause;
         socket.destroy();
@@ -164,7 +164,7 @@
     }
     const areAccepted = decoded.messages.every((message) => handlers.onMessage(message, link));
     if (!areAccepted) {
-      this.closeMalformed(link, 'A message does not belong here.');
+      this.closeMalformed(link, 'unexpected message');
     } else if (decoder.isInsideFrame) {
       handlers.onProgress?.(link);
     }
@@ -192,7 +192,7 @@
     const now = performance.now();
     for (const link of this.links) {
       if (now - link.receivedAtMs > this.options.silentAfterMs) {
-        link.abort(`Nothing came for ${this.options.silentAfterMs} ms.`);
+        link.abort(`no data received for ${this.options.silentAfterMs} ms`);
       } else if (now - link.sentAtMs >= this.options.pulseIntervalMs / 2 && link.socket.writable) {
         link.sentAtMs = now;
         link.socket.write(pulseFrame);
--- a/src/registered/daemon/heartbeat-fields.ts
+++ b/src/registered/daemon/heartbeat-fields.ts
@@ -42,7 +42,7 @@
 
 /** @returns the refusal of a request whose path has no valid name of a back end */
 export function refusedName(): TranslatedCall {
-  return refusedCall('invalid-command', 'The ID is not valid.', 'id');
+  return refusedCall('invalid-command', 'Invalid backend ID', 'id');
 }
 
 /** @returns the refusal of a body that failed validation; its reason is the first invalid field of the schema */
