--- a/test/registered/group/forwarded-calls.test.ts
+++ b/test/registered/group/forwarded-calls.test.ts
@@ -3,7 +3,7 @@
 import { seededRandom } from '../../../src/shared/common/random.js';
 import {
   GroupProcess,
-  type GroupSurroundings,
+  type GroupEnvironment,
 } from '../../../src/registered/daemon/group-process.js';
 import type { GroupReply } from '../../../src/registered/group/group-events.js';
 import type { PeerMessage } from '../../../src/registered/group/group-messages.js';
@@ -27,8 +27,8 @@
   return { state, nowMs: world.clock.nowMs };
 }
 
-/** Surroundings that record the messages to other control machines. */
-function surroundings(sent: PeerMessage[], nowMs: () => number): GroupSurroundings {
+/** Environment that records the messages to other control machines. */
+function createEnvironment(sent: PeerMessage[], nowMs: () => number): GroupEnvironment {
   const random = seededRandom(SEED);
   return {
     context: () => ({ nowMs: nowMs(), random }),
@@ -53,7 +53,7 @@
   const sentByFirst: PeerMessage[] = [];
   const first = new GroupProcess(
     state,
-    surroundings(sentByFirst, () => atMs),
+    createEnvironment(sentByFirst, () => atMs),
   );
   first.call({ type: 'deregister', backendId: 'backend-1' }, () => undefined);
   const lateId = forwardIdOf(sentByFirst);
@@ -64,7 +64,7 @@
   const sentBySecond: PeerMessage[] = [];
   const second = new GroupProcess(
     state,
-    surroundings(sentBySecond, () => atMs),
+    createEnvironment(sentBySecond, () => atMs),
   );
   const replies: GroupReply[] = [];
   const document = { version: 1_000, text: '{}' };
