--- a/src/managed/control/address-fence.ts
+++ b/src/managed/control/address-fence.ts
@@ -5,7 +5,7 @@
  *
  * Input: the fenced log index (`dissemination/lease-authority.ts`). An address is free 12 to 13 s after its removal,
  * which follows from the lease of 10 s, its margin and the delay of the floor (docs/design/dissemination.md). Owns no
- * constant. The leader proposes `release-addresses` (`leader-duties.ts`); until then commands get `conflict` with
+ * constant. The leader proposes `release-addresses` (`leader-commands.ts`); until then commands get `conflict` with
  * "left a service".
  */
 import type { ClusterState, QuarantinedAddress } from './cluster-state.js';
--- a/src/managed/control/cluster-join.ts
+++ b/src/managed/control/cluster-join.ts
@@ -1,10 +1,9 @@
 /**
- * @file How does a control machine with an empty disk come to a cluster? It announces itself to the peers of its
- * settings. A machine that belongs to a cluster shows it to the administrators, who may add it. Where all peers
- * answer that they have no cluster either, the first of them by node ID begins one with all of them.
+ * @file Joins a control machine with an empty disk to a cluster. It announces itself to its configured peers; members
+ * of a cluster list it for an administrator to add. If no machine has a cluster, the lowest node ID bootstraps one.
  *
- * Owns `JoinState`. Times are in milliseconds on this machine's clock. `AnnouncedMachine` is also shown as JSON by
- * `GET /v1/members`, so its field names are part of that interface.
+ * Owns `JoinState`. Times are in milliseconds on this machine's clock. `GET /v1/members` returns `AnnouncedMachine` as
+ * JSON, so its field names are part of the HTTP API.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
@@ -17,52 +16,45 @@
 } from '../../shared/consensus/membership.js';
 import type { PeerEnvelope, Announcement } from './peer-messages.js';
 
-/**
- * Time between two announcements, in milliseconds. A machine with an empty disk joined in 0.63 s
- * (docs/design/consensus.md).
- */
 const ANNOUNCE_INTERVAL_MS = 300;
-/**
- * How long an announcement counts, in milliseconds. Not measured; too short if a waiting machine comes and goes in
- * the list.
- */
+/** Longer than several announcement intervals, so that a lost message does not remove a machine from the list. */
 const ANNOUNCEMENT_LIFETIME_MS = 5_000;
 
-/** A peer of the settings. */
+/** A configured peer. */
 export interface PeerAddress {
   readonly nodeId: NodeId;
   readonly linkAddress: Address;
 }
 
-/** A machine that announced itself. */
+/** The latest announcement of a machine. */
 export interface AnnouncedMachine {
   readonly nodeId: NodeId;
   readonly storageId: string;
   readonly linkAddress: Address;
   readonly operatorAddress: Address;
   readonly clusterId: string | undefined;
-  /** When it last answered an announcement of this machine with its present disk; undefined where it never did. */
+  /** Time of its last answer to this machine's announcement; undefined if none came since its storage ID changed. */
   readonly answeredUsAtMs: number | undefined;
-  /** When its last announcement came. */
+  /** Time at which its last announcement was received. */
   readonly heardAtMs: number;
 }
 
-/** What a machine knows of itself and of machines outside the membership. */
+/** State of a machine that announces itself, and the announcements of other machines. */
 export interface JoinState {
   readonly linkAddress: Address;
   readonly operatorAddress: Address;
-  /** The other machines of the first membership. */
+  /** The other machines of the initial membership. */
   readonly peers: readonly PeerAddress[];
   readonly announced: Map<NodeId, AnnouncedMachine>;
-  /** Link addresses for answers to machines outside the membership. */
+  /** Link addresses of consensus message senders, used if the membership has no address for them. */
   readonly replyAddresses: Map<NodeId, Address>;
   nextAnnounceAtMs: number;
-  /** Why a peer refused this machine, for logs and `show`. */
+  /** Reason of the last refusal by a peer, for logs and the status. */
   refusal: string | undefined;
 }
 
 /**
- * Records an announcement.
+ * Records an announcement, and whether it answers one of this machine.
  */
 export function applyAnnouncement(
   join: JoinState,
@@ -72,21 +64,23 @@
   nowMs: number,
 ): void {
   const { from, to, clusterId } = envelope;
-  const known = join.announced.get(from.nodeId);
-  const earlier = known?.storageId === from.storageId ? known.answeredUsAtMs : undefined;
-  const answersUs = to.storageId === consensus.storageId;
+  const previous = join.announced.get(from.nodeId);
+  const previousAnswerAtMs =
+    previous?.storageId === from.storageId ? previous.answeredUsAtMs : undefined;
+  const isAnswerToUs = to.storageId === consensus.storageId;
   join.announced.set(from.nodeId, {
     ...from,
     linkAddress: envelope.replyTo,
     operatorAddress: announcement.operatorAddress,
     clusterId,
-    answeredUsAtMs: answersUs ? nowMs : earlier,
+    answeredUsAtMs: isAnswerToUs ? nowMs : previousAnswerAtMs,
     heardAtMs: nowMs,
   });
 }
 
 /**
- * @returns true where it is time to announce: a machine that no membership names goes on announcing
+ * Schedules the next announcement if one is due. A machine announces itself until the membership contains its disk.
+ * @returns true if an announcement is due now
  */
 export function isAnnouncementDue(
   join: JoinState,
@@ -103,7 +97,8 @@
 }
 
 /**
- * @returns the event that begins a cluster, where this machine is the one to do so
+ * @returns the event that bootstraps a cluster, or undefined unless this machine has no cluster and the lowest node ID,
+ *   and every peer recently answered that it has no cluster
  */
 export function bootstrapEvent(
   join: JoinState,
@@ -115,7 +110,7 @@
   if (clusterId !== undefined || !isFirst) {
     return undefined;
   }
-  const peers = join.peers.map((peer) => blankPeer(join, peer.nodeId, nowMs));
+  const peers = join.peers.map((peer) => peerWithoutCluster(join, peer.nodeId, nowMs));
   const { linkAddress, operatorAddress } = join;
   const members = [{ nodeId, storageId, linkAddress, operatorAddress }, ...peers];
   if (!members.every((member) => member !== undefined)) {
@@ -125,8 +120,8 @@
   return { type: 'bootstrap', clusterId: storageId, membership: sortedMembership(voters) };
 }
 
-/** Only an answer to this machine's own announcement proves that the peer has no cluster now. */
-function blankPeer(
+/** Requires a recent answer to this machine's announcement: other announcements may be outdated. */
+function peerWithoutCluster(
   join: JoinState,
   nodeId: NodeId,
   nowMs: number,
@@ -144,9 +139,9 @@
 }
 
 /**
- * @returns machines that announced themselves within the last seconds and belong to no cluster, for operators to add
+ * @returns machines that recently announced themselves, have no cluster and are not members, for operators to add
  */
-export function machinesToAdd(
+export function joinCandidates(
   join: JoinState,
   consensus: ConsensusState,
   nowMs: number,
--- a/src/managed/control/consensus-driver.ts
+++ b/src/managed/control/consensus-driver.ts
@@ -1,10 +1,8 @@
 /**
- * @file Runs the consensus step of a control machine and performs its effects: committed entries are applied and
- * published, requests get their outcome, snapshots are made. Owns `pendingProposals`, the requests that wait for an
- * entry.
+ * @file Runs the consensus step of a control machine and handles its effects: applies and publishes committed entries,
+ * replies to requests and takes snapshots. Owns `pendingProposals`.
  *
- * When is a request given up? Its proposal is refused at once where this machine doesn't lead, and with the kind of
- * the loss as soon as leadership is lost; it never waits on a machine that can't commit it.
+ * Proposals fail immediately on a machine that is not the leader, and pending ones fail when leadership is lost.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
@@ -27,26 +25,26 @@
   type ControlState,
   type RequestId,
 } from './control-state.js';
-import { sendToPeer } from './peer-gate.js';
+import { sendToPeer } from './peer-admission.js';
 
-/** Proposal ID of the leader's own commands, for which nobody waits. */
-const OWN_PROPOSAL = 0;
+/** Proposal ID of the leader's system commands, which need no reply. */
+const INTERNAL_PROPOSAL_ID = 0;
 
 /**
- * Proposes an entry for the log.
- * @param requestId whom to send the outcome; the leader's own commands have none
+ * Proposes a command for the log, with the current time unless the entry has one.
+ * @param requestId request to reply to; omitted for system commands
  */
 export function propose(
   state: ControlState,
   entry: CommandEntry,
   context: StepContext,
-  requestId: RequestId = OWN_PROPOSAL,
+  requestId: RequestId = INTERNAL_PROPOSAL_ID,
 ): ControlEffect[] {
   const data = encodeCommandEntry({ ...entry, atMs: entry.atMs ?? entryTimeMs(state) });
   return runConsensus(state, { type: 'propose', proposalId: requestId, data }, context);
 }
 
-/** The leader's time of day, but never earlier than an entry that was applied before. */
+/** Wall-clock time, but not earlier than that of the last applied entry. */
 function entryTimeMs(state: ControlState): number | undefined {
   return state.wallTimeMs === undefined
     ? undefined
@@ -54,8 +52,8 @@
 }
 
 /**
- * Runs the consensus step and performs its effects on the state here.
- * @returns the effects that are left for the daemon, in order
+ * Runs the consensus step and applies its effects to the state.
+ * @returns the remaining effects for the daemon, in order
  */
 export function runConsensus(
   state: ControlState,
@@ -69,9 +67,12 @@
 
 function handleConsensusEffect(state: ControlState, effect: ConsensusEffect): ControlEffect[] {
   return match(effect)
-    .with({ type: 'persist' }, { type: 'persist-snapshot' }, { type: 'role-changed' }, (same) => [
-      same,
-    ])
+    .with(
+      { type: 'persist' },
+      { type: 'persist-snapshot' },
+      { type: 'role-changed' },
+      (daemonEffect) => [daemonEffect],
+    )
     .with({ type: 'consensus-send' }, ({ to, message }) => sendToPeer(state, to, message))
     .with({ type: 'committed' }, ({ entries }) =>
       entries.flatMap((entry): ControlEffect[] => {
@@ -84,12 +85,12 @@
       return [];
     })
     .with({ type: 'proposal-appended' }, ({ proposalId, index, term }) => {
-      const requestId = proposalId === OWN_PROPOSAL ? undefined : proposalId;
+      const requestId = proposalId === INTERNAL_PROPOSAL_ID ? undefined : proposalId;
       state.pendingProposals.set(index, { term, requestId });
       return [];
     })
     .with({ type: 'proposal-refused' }, ({ proposalId, kind, reason }) =>
-      replyTo(proposalId, refusedOutcome(state, kind, reason)),
+      operatorReply(proposalId, refusedOutcome(state, kind, reason)),
     )
     .with({ type: 'read-ready' }, ({ readId }): ControlEffect[] =>
       applyConfirmation(state.leaseAuthority, readId)
@@ -99,7 +100,7 @@
     .with({ type: 'read-refused' }, ({ readId, kind }) =>
       readId < 0 ? [] : refuseQuery(state, readId, kind),
     )
-    .with({ type: 'leadership-lost' }, ({ kind }) => refusePending(state, kind))
+    .with({ type: 'leadership-lost' }, ({ kind }) => refusePendingProposals(state, kind))
     .exhaustive();
 }
 
@@ -114,22 +115,22 @@
   if (pending?.requestId === undefined || pending.term !== term) {
     return [];
   }
-  return replyTo(pending.requestId, outcome);
+  return operatorReply(pending.requestId, outcome);
 }
 
-/** What was proposed may still be committed; the same command ID sent again gives the outcome. */
-function refusePending(state: ControlState, kind: RefusalKind): ControlEffect[] {
-  const waiting = [...state.pendingProposals.values()];
+/** A refused proposal may still be committed; clients retry with the same command ID to get its outcome. */
+function refusePendingProposals(state: ControlState, kind: RefusalKind): ControlEffect[] {
+  const proposals = [...state.pendingProposals.values()];
   state.pendingProposals.clear();
-  const outcome = refusedOutcome(state, kind, refusalText(kind));
-  return waiting.flatMap(({ requestId }) =>
-    requestId === undefined ? [] : replyTo(requestId, outcome),
+  const outcome = refusedOutcome(state, kind, refusalMessage(kind));
+  return proposals.flatMap(({ requestId }) =>
+    requestId === undefined ? [] : operatorReply(requestId, outcome),
   );
 }
 
 function refuseQuery(state: ControlState, requestId: RequestId, kind: RefusalKind) {
   const leader = leaderOperatorAddress(state);
-  const error: AmberliftError = amberliftError(kind, refusalText(kind));
+  const error: AmberliftError = amberliftError(kind, refusalMessage(kind));
   const reply: ControlEffect = {
     type: 'query-reply',
     requestId,
@@ -140,7 +141,7 @@
 }
 
 /**
- * @returns a refusal, with the leader's operator address where another machine is known to lead
+ * @returns a refusal, with the operator address of the leader if another machine is known to be the leader
  */
 export function refusedOutcome(
   state: ControlState,
@@ -156,16 +157,16 @@
 }
 
 /**
- * @returns the effect that sends the outcome of a request; none for the leader's own commands
+ * @returns the effect that sends the outcome of a request; none for system commands
  */
-export function replyTo(requestId: RequestId, outcome: CommandOutcome): ControlEffect[] {
-  return requestId === OWN_PROPOSAL ? [] : [{ type: 'operator-reply', requestId, outcome }];
+export function operatorReply(requestId: RequestId, outcome: CommandOutcome): ControlEffect[] {
+  return requestId === INTERNAL_PROPOSAL_ID ? [] : [{ type: 'operator-reply', requestId, outcome }];
 }
 
 /**
- * @returns the text of a refusal of the consensus, for operators
+ * @returns the error message shown to operators for a refusal by the consensus step
  */
-export function refusalText(kind: RefusalKind): string {
+export function refusalMessage(kind: RefusalKind): string {
   return match(kind)
     .with('not-leader', () => 'This control machine does not lead.')
     .with('no-quorum', () => 'This control machine reaches no quorum.')
@@ -176,8 +177,11 @@
 
 function snapshotIfDue(state: ControlState, context: StepContext): ControlEffect[] {
   const { consensus, cluster } = state;
-  const since = cluster.index - (consensus.snapshot?.index ?? 0);
-  if (since < state.snapshotIntervalEntries || cluster.index > consensus.commitIndex) {
+  const entriesSinceSnapshot = cluster.index - (consensus.snapshot?.index ?? 0);
+  if (
+    entriesSinceSnapshot < state.snapshotIntervalEntries ||
+    cluster.index > consensus.commitIndex
+  ) {
     return [];
   }
   const data = encodeClusterState(cluster);
--- a/src/managed/control/control-events.ts
+++ b/src/managed/control/control-events.ts
@@ -1,5 +1,5 @@
 /**
- * @file The events of a control machine's step and the effects that it returns.
+ * @file Events and effects of a control machine's step function.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { NodeId } from '../../shared/consensus/membership.js';
@@ -11,18 +11,18 @@
 import type { RequestId } from './control-state.js';
 import type { PeerEnvelope } from './peer-messages.js';
 
-/** A change of the control machines themselves, by node ID. */
+/** A change to the control group's membership. */
 export interface MemberCommand {
-  /** `add-member` takes in a machine that announced itself, as a learner. */
+  /** `add-member` adds a machine that announced itself, as a learner. */
   readonly type: 'add-member' | 'promote-member' | 'remove-member';
   readonly nodeId: NodeId;
 }
 
-/** An event of a control machine's step. */
+/** An input of a control machine's step function. */
 export type ControlEvent =
-  /** A command for the log; without request ID it is the system's own. */
+  /** A command for the log; a system command if there is no request ID. */
   | { readonly type: 'propose'; readonly requestId?: RequestId; readonly entry: CommandEntry }
-  /** A query, which must not be answered from an outdated state. */
+  /** A linearizable read, answered with `query-reply`. */
   | { readonly type: 'query'; readonly requestId: RequestId }
   | {
       readonly type: 'change-members';
@@ -37,18 +37,18 @@
       readonly message: BalancerToControlMessage;
     }
   | { readonly type: 'link-closed'; readonly linkId: LinkId }
-  /** A planned stop is near: leadership is handed over. */
+  /** A planned shutdown: transfers leadership. */
   | { readonly type: 'stop' }
-  /** Comes every 20 ms. */
+  /** Sent every 20 ms. */
   | {
       readonly type: 'tick';
       /** Unix time in milliseconds. */
       readonly wallTimeMs: number;
-      /** 16 random bytes from a cryptographic source, for a token key. */
+      /** 16 cryptographically random bytes, for a token key. */
       readonly freshSecret: Uint8Array;
     };
 
-/** An effect of a control machine's step, for the daemon to perform in order. */
+/** An output of a control machine's step function, performed by the daemon in order. */
 export type ControlEffect =
   | LinkSendEffect
   | PersistEffect
@@ -62,12 +62,12 @@
       readonly requestId: RequestId;
       readonly outcome: CommandOutcome;
     }
-  /** A query may be answered from the state now, or why it may not. */
+  /** The query may be answered from the current state, or is refused with `error`. */
   | {
       readonly type: 'query-reply';
       readonly requestId: RequestId;
       readonly error?: AmberliftError;
       readonly leader?: Address;
     }
-  /** Role, term or known leader changed; for logs. */
+  /** The role, term or leader changed; logged by the daemon. */
   | { readonly type: 'role-changed' };
--- a/src/managed/control/control-state.ts
+++ b/src/managed/control/control-state.ts
@@ -1,8 +1,8 @@
 /**
- * @file The state of a control machine: its part in the consensus, the replicated state, and the requests that wait.
- * Each part is changed by one module: `cluster` by `apply-command.ts`, `publisher` by `dissemination/publisher.ts`,
- * `leaseAuthority` by `dissemination/lease-authority.ts`, `consensus` by the consensus step, `join` by
- * `cluster-join.ts`, `pendingProposals` by `consensus-driver.ts`.
+ * @file State of a control machine: consensus, replicated state and pending requests. Each part has one owner that
+ * modifies it: `cluster` `apply-command.ts`, `publisher` `dissemination/publisher.ts`, `leaseAuthority`
+ * `dissemination/lease-authority.ts`, `consensus` the consensus step, `join` `cluster-join.ts`, `pendingProposals`
+ * `consensus-driver.ts`.
  */
 import type { Address } from '../../shared/common/address.js';
 import {
@@ -33,19 +33,16 @@
 import type { FirstOperator } from './first-commands.js';
 import { clusterProof } from './peer-messages.js';
 
-/**
- * Entries after which a snapshot is made. A snapshot of 9,000 back ends is 2.99 MB and a change 253 bytes of the log
- * (docs/design/consensus.md); the interval itself is not measured. Too long if a restart replays for long.
- */
+/** Bounds the number of entries that a restart replays. */
 const SNAPSHOT_INTERVAL_ENTRIES = 2_000;
 
-/** Names a request of an operator while this process runs. */
+/** Identifies an operator request within this process. */
 export type RequestId = number;
 
-/** What a proposal in the log waits for. */
+/** A proposal whose log entry is not committed yet. */
 interface PendingProposal {
   readonly term: number;
-  /** Undefined for the leader's own commands. */
+  /** Undefined for system commands. */
   readonly requestId: RequestId | undefined;
 }
 
@@ -54,40 +51,41 @@
   readonly cluster: ClusterState;
   readonly publisher: PublisherState;
   readonly leaseAuthority: LeaseAuthority;
-  /** Messages over links; counted by the daemon where it sends and receives them. */
+  /** Counters of link messages, updated by the daemon. */
   readonly traffic: Traffic;
   readonly consensus: ConsensusState;
   readonly join: JoinState;
+  /** Digest of the cluster key, see `clusterProof`. */
   readonly proof: string;
-  /** By index of the log entry. */
+  /** Keyed by log index. */
   readonly pendingProposals: Map<number, PendingProposal>;
-  /** The operators of a new cluster. */
+  /** Operators that the leader adds to a new cluster. */
   readonly firstOperators: readonly FirstOperator[];
   readonly snapshotIntervalEntries: number;
   /** Unix time in milliseconds of the last tick; undefined before the first. */
   wallTimeMs: number | undefined;
 }
 
-/** Options of a control machine. */
+/** Options of `createControlState`. */
 export interface ControlOptions {
   readonly nodeId: NodeId;
   readonly clusterKey: string;
-  /** TCP address of its links, as peers reach it. */
+  /** TCP address for links, reachable by peers. */
   readonly linkAddress: Address;
-  /** HTTP address of its operator interface, as operators reach it. */
+  /** HTTP address of the operator API, reachable by operators. */
   readonly operatorAddress: Address;
-  /** The other machines of the cluster's first membership; empty for a machine that stands alone. */
+  /** The other machines of the initial membership; empty for a single-node cluster. */
   readonly peers: readonly PeerAddress[];
-  /** The operators of a new cluster; without effect in one that has operators. */
+  /** Operators to add to a new cluster; ignored if the cluster already has operators. */
   readonly operators?: readonly FirstOperator[];
   readonly recovered: RecoveredState;
   readonly consensus?: Partial<ConsensusOptions>;
-  /** Entries after which a snapshot is made. Default 2,000. */
+  /** Number of entries after which a snapshot is taken. Default 2,000. */
   readonly snapshotIntervalEntries?: number;
 }
 
 /**
- * @returns the state of a control machine that starts, with all that is known to be committed applied
+ * @returns the initial state of a control machine, with the recovered snapshot and committed entries applied
  */
 export function createControlState(options: ControlOptions): ControlState {
   const { nodeId, clusterKey, linkAddress, operatorAddress, peers, recovered } = options;
@@ -127,7 +125,6 @@
   return state;
 }
 
-/** The result of applying an entry. */
 interface EntryResult {
   readonly outcome: CommandOutcome;
   readonly sends: readonly LinkSendEffect[];
@@ -153,7 +150,7 @@
 }
 
 /**
- * Replaces the replicated state by a snapshot's.
+ * Replaces the replicated state with the one in a snapshot.
  */
 export function restoreState(state: ControlState, data: Uint8Array): void {
   Object.assign(state.cluster, decodeClusterState(data));
@@ -161,27 +158,27 @@
 }
 
 /**
- * @returns true while this machine believes that it leads
+ * @returns true if this machine considers itself the leader; a newer leader may already exist
  */
 export function isLeader(state: ControlState): boolean {
   return state.consensus.role.name === 'leader';
 }
 
 /**
- * @returns the operator address of the leader, where another machine leads and is known
+ * @returns the operator address of the leader; undefined if it is this machine or unknown
  */
 export function leaderOperatorAddress(state: ControlState): Address | undefined {
-  return otherLeader(state)?.operatorAddress;
+  return remoteLeader(state)?.operatorAddress;
 }
 
 /**
- * @returns the link address of the leader, where another machine leads and is known
+ * @returns the link address of the leader; undefined if it is this machine or unknown
  */
 export function leaderLinkAddress(state: ControlState): Address | undefined {
-  return otherLeader(state)?.linkAddress;
+  return remoteLeader(state)?.linkAddress;
 }
 
-function otherLeader(state: ControlState): Member | undefined {
+function remoteLeader(state: ControlState): Member | undefined {
   const { leaderId, nodeId } = state.consensus;
   return leaderId === undefined || leaderId === nodeId
     ? undefined
--- a/src/managed/control/control-status.ts
+++ b/src/managed/control/control-status.ts
@@ -1,5 +1,5 @@
 /**
- * @file What a control machine knows of its cluster, for operators and tests.
+ * @file Status of the cluster as seen by one control machine, for operators and tests.
  */
 import {
   currentMembership,
@@ -8,18 +8,18 @@
 } from '../../shared/consensus/consensus-state.js';
 import type { Member, NodeId } from '../../shared/consensus/membership.js';
 import { balancerReports } from '../dissemination/publisher.js';
-import { machinesToAdd, type AnnouncedMachine } from './cluster-join.js';
+import { joinCandidates, type AnnouncedMachine } from './cluster-join.js';
 import type { ControlState } from './control-state.js';
 
-/** A member, with what the leader knows of it. */
+/** A member with its replication progress. */
 interface MemberStatus extends Member {
-  /** Highest index known to be on its disk; only at the leader. */
+  /** Highest log index known to be persisted on the member; only on the leader. */
   readonly matchIndex?: number;
-  /** Time since its last message, in milliseconds; only at the leader. */
+  /** Time since its last message, in milliseconds; only on the leader. */
   readonly silentMs?: number;
 }
 
-/** The cluster as one machine knows it; only the leader's knowledge is current. */
+/** The cluster as seen by one machine; may be outdated unless this machine is the leader. */
 export interface ControlStatus {
   readonly nodeId: NodeId;
   readonly storageId: string;
@@ -30,22 +30,22 @@
   readonly leaderId: NodeId | undefined;
   readonly commitIndex: number;
   readonly members: readonly MemberStatus[];
-  /** Machines with an empty disk that ask to be added. */
+  /** Machines without a cluster that announced themselves recently. */
   readonly waiting: readonly AnnouncedMachine[];
-  /** Why a peer refused this machine. */
+  /** Reason of the last refusal by a peer. */
   readonly refusal: string | undefined;
-  /** Balancers that report to this machine, with the index that each has in force. */
   readonly balancers: readonly ReportingBalancer[];
 }
 
-/** A balancer that reports to a control machine. */
+/** A balancer that reports to this machine. */
 interface ReportingBalancer {
   readonly balancerId: string;
+  /** Log index of the configuration that is in force on the balancer. */
   readonly index: number;
 }
 
 /**
- * @returns the cluster as this machine knows it
+ * @returns the status of the cluster as seen by this machine
  */
 export function controlStatus(state: ControlState, nowMs: number): ControlStatus {
   const { consensus, join } = state;
@@ -63,7 +63,7 @@
     members: currentMembership(consensus).members.map((member) =>
       memberStatus(consensus, member, nowMs),
     ),
-    waiting: machinesToAdd(join, consensus, nowMs),
+    waiting: joinCandidates(join, consensus, nowMs),
     refusal: join.refusal,
     balancers: balancerReports(state.publisher).map(({ balancerId, index }) => ({
       balancerId,
--- a/src/managed/control/control-step.ts
+++ b/src/managed/control/control-step.ts
@@ -1,11 +1,7 @@
 /**
- * @file The decision step of a control machine. Commands of operators go through the consensus log, are applied once
- * they are committed, and are published to balancers; queries are answered only after a quorum has confirmed that
- * this machine leads.
- *
- * This module dispatches: proposals and consensus stand in `consensus-driver.ts`, other control machines in
- * `peer-envelopes.ts` and `member-changes.ts`, the leader's own work in `leadership.ts`, balancers in
- * `dissemination/publisher.ts`. Deterministic; time and randomness come with the event and the context.
+ * @file Step function of a control machine; dispatches events to the modules that handle them. Operator commands are
+ * applied and published to balancers once committed; queries are answered after a quorum confirms the leadership.
+ * Deterministic: time and randomness come from the event and the context.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
@@ -17,7 +13,7 @@
 import type { ControlEffect, ControlEvent } from './control-events.js';
 import type { ControlState } from './control-state.js';
 import { propose, runConsensus } from './consensus-driver.js';
-import { confirmLeadership, proposeDuties, type ClockReading } from './leadership.js';
+import { confirmLeadership, proposeLeaderCommands, type TickInput } from './leadership.js';
 import { changeMembers } from './member-changes.js';
 import { announce, handleEnvelope } from './peer-envelopes.js';
 
@@ -32,7 +28,7 @@
 
 /**
  * Handles one event.
- * @returns the effects, in order
+ * @returns the effects for the daemon, in order
  */
 export function controlStep(
   state: ControlState,
@@ -48,8 +44,8 @@
       changeMembers(state, requestId, command, context),
     )
     .with({ type: 'peer-message' }, ({ envelope }) => handleEnvelope(state, envelope, context))
-    .with({ type: 'persisted' }, { type: 'persist-failed' }, (ended) =>
-      runConsensus(state, ended, context),
+    .with({ type: 'persisted' }, { type: 'persist-failed' }, (persistResult) =>
+      runConsensus(state, persistResult, context),
     )
     .with({ type: 'link-message' }, ({ linkId, message }) =>
       handleSubscriberMessage(
@@ -71,10 +67,10 @@
     .exhaustive();
 }
 
-function tick(state: ControlState, clock: ClockReading, context: StepContext): ControlEffect[] {
+function tick(state: ControlState, tickInput: TickInput, context: StepContext): ControlEffect[] {
   const { join, consensus } = state;
   const effects: ControlEffect[] = [];
-  state.wallTimeMs = clock.wallTimeMs;
+  state.wallTimeMs = tickInput.wallTimeMs;
   const bootstrap = bootstrapEvent(join, consensus, context.nowMs);
   if (bootstrap !== undefined) {
     effects.push(...runConsensus(state, bootstrap, context));
@@ -87,6 +83,6 @@
   }
   effects.push(...runConsensus(state, { type: 'tick' }, context));
   effects.push(...confirmLeadership(state, context));
-  effects.push(...proposeDuties(state, clock, context));
+  effects.push(...proposeLeaderCommands(state, tickInput, context));
   return effects;
 }
--- a/src/managed/control/leader-duties.ts
+++ b/src/managed/control/leader-commands.ts
@@ -1,10 +1,6 @@
 /**
- * @file What does the leader propose on its own? Planned changes that are due, the next step of the key rotation, and
- * the release of addresses whose removal is fenced. Each entry may be proposed again without harm, so a leader that
- * is not sure whether one was committed proposes it again.
- *
- * Inputs: the replicated state, Unix time in milliseconds on the leader's clock, and how far the configuration has
- * come (`dissemination/publisher.ts`).
+ * @file System commands that the leader proposes: due planned changes, key rotation steps, and the release of addresses
+ * whose removal is fenced. Proposing a command twice is safe, so a new leader may repeat one whose outcome is unknown.
  */
 import { match } from 'ts-pattern';
 import { releasableAddresses } from './address-fence.js';
@@ -18,15 +14,15 @@
 } from './key-rotation.js';
 import { duePlannedChanges } from './plan-commands.js';
 
-/** What the leader's duties depend on, besides the replicated state. */
-interface DutyContext {
+/** Inputs besides the replicated state. */
+interface LeaderCommandContext {
   /** Unix time in milliseconds on the leader's clock. */
   readonly nowMs: number;
-  /** Every balancer has this log index in force. */
+  /** Log index that is in force on every reporting balancer. */
   readonly inForceIndex: number;
-  /** Every balancer has this log index in force, or is past its lease. */
+  /** Log index that is in force on every balancer with an unexpired lease. */
   readonly fencedIndex: number;
-  /** 16 random bytes from a cryptographic source, in case a key is added. */
+  /** 16 cryptographically random bytes, used if a token key is added. */
   readonly freshSecret: Uint8Array;
   readonly keyRotation?: KeyRotationOptions;
 }
@@ -34,7 +30,7 @@
 /**
  * @returns the entries to propose now
  */
-export function leaderDuties(state: ClusterState, context: DutyContext): CommandEntry[] {
+export function leaderCommands(state: ClusterState, context: LeaderCommandContext): CommandEntry[] {
   const commands: SystemCommand[] = duePlannedChanges(state, context.nowMs).map(
     ({ operator, planId }) => ({ type: 'run-planned-change', operator, planId }),
   );
--- a/src/managed/control/leadership.ts
+++ b/src/managed/control/leadership.ts
@@ -1,8 +1,7 @@
 /**
- * @file What a control machine does while it leads, at each tick: it lets a quorum confirm its leadership
- * (`dissemination/lease-authority.ts`), and proposes the first commands of a new cluster (`first-commands.ts`) and
- * its duties (`leader-duties.ts`). It proposes nothing before an entry of its own term is committed, since it doesn't
- * know until then all that was committed earlier, and nothing while an earlier round is still pending.
+ * @file Periodic work of the leader: confirms its leadership with a quorum, and proposes the initial commands of a new
+ * cluster and recurring system commands. Before an entry of its term is committed, a leader proposes nothing, since it
+ * may not have applied all entries that earlier leaders committed.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { leaseAuthorityTick } from '../dissemination/lease-authority.js';
@@ -11,18 +10,18 @@
 import type { ControlEffect } from './control-events.js';
 import { leaderLinkAddress, type ControlState } from './control-state.js';
 import { firstCommands } from './first-commands.js';
-import { leaderDuties } from './leader-duties.js';
+import { leaderCommands } from './leader-commands.js';
 
-/** What a tick brings from outside. */
-export interface ClockReading {
+/** Time and randomness that a tick event provides. */
+export interface TickInput {
   /** Unix time in milliseconds. */
   readonly wallTimeMs: number;
-  /** 16 random bytes from a cryptographic source, for a token key. */
+  /** 16 cryptographically random bytes, for a token key. */
   readonly freshSecret: Uint8Array;
 }
 
 /**
- * Lets a quorum confirm at intervals that this machine leads; leases are granted from that.
+ * Starts a quorum round that confirms the leadership, if one is due. Leases are granted on this basis.
  */
 export function confirmLeadership(state: ControlState, context: StepContext): ControlEffect[] {
   const { consensus, publisher } = state;
@@ -39,30 +38,30 @@
 }
 
 /**
- * Proposes the leader's own commands, one round of them at a time.
+ * Proposes the system commands that are due, unless earlier ones are pending.
  */
-export function proposeDuties(
+export function proposeLeaderCommands(
   state: ControlState,
-  clock: ClockReading,
+  tickInput: TickInput,
   context: StepContext,
 ): ControlEffect[] {
   const { role, commitIndex } = state.consensus;
-  const isBusy = [...state.pendingProposals.values()].some(
+  const hasPendingCommands = [...state.pendingProposals.values()].some(
     ({ requestId }) => requestId === undefined,
   );
-  if (role.name !== 'leader' || commitIndex < role.termStartIndex || isBusy) {
+  if (role.name !== 'leader' || commitIndex < role.termStartIndex || hasPendingCommands) {
     return [];
   }
-  const { wallTimeMs: nowMs, freshSecret } = clock;
-  const first = firstCommands(state.cluster, {
+  const { wallTimeMs: nowMs, freshSecret } = tickInput;
+  const initial = firstCommands(state.cluster, {
     operators: state.firstOperators,
     freshSecret,
     nowMs,
   });
-  const duties = leaderDuties(state.cluster, {
+  const recurring = leaderCommands(state.cluster, {
     nowMs,
     freshSecret,
     ...disseminationStatus(state.publisher, state.leaseAuthority, context.nowMs),
   });
-  return [...first, ...duties].flatMap((entry) => propose(state, entry, context));
+  return [...initial, ...recurring].flatMap((entry) => propose(state, entry, context));
 }
--- a/src/managed/control/member-changes.ts
+++ b/src/managed/control/member-changes.ts
@@ -1,21 +1,20 @@
 /**
- * @file Changes of the control machines themselves, by order of an administrator: adding a machine that announced
- * itself (as a learner), promoting a learner to a voter, removing a member. Whether the consensus allows a change is
- * its own decision.
+ * @file Membership changes requested by an administrator: adding an announced machine as a learner, promoting a learner
+ * to voter, and removing a member. The consensus step decides whether a change is allowed.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { amberliftError } from '../../shared/common/error-kinds.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
 import type { MemberChange } from '../../shared/consensus/membership.js';
-import { machinesToAdd } from './cluster-join.js';
-import { refusalText, refusedOutcome, replyTo, runConsensus } from './consensus-driver.js';
+import { joinCandidates } from './cluster-join.js';
+import { refusalMessage, refusedOutcome, operatorReply, runConsensus } from './consensus-driver.js';
 import type { ControlEffect, MemberCommand } from './control-events.js';
 import { isLeader, type ControlState, type RequestId } from './control-state.js';
 
 /**
- * Proposes a change of the control machines.
- * @returns the effects of the proposal, or the refusal: `not-leader`, or `not-found` for a machine that has not
- *   announced itself within the last seconds
+ * Proposes a membership change.
+ * @returns the effects of the proposal, or a refusal: `not-leader`, or `not-found` if the machine to add has not
+ *   announced itself recently
  */
 export function changeMembers(
   state: ControlState,
@@ -24,7 +23,10 @@
   context: StepContext,
 ): ControlEffect[] {
   if (!isLeader(state)) {
-    return replyTo(requestId, refusedOutcome(state, 'not-leader', refusalText('not-leader')));
+    return operatorReply(
+      requestId,
+      refusedOutcome(state, 'not-leader', refusalMessage('not-leader')),
+    );
   }
   const change = memberChange(state, command, context.nowMs);
   if (change === undefined) {
@@ -44,7 +46,7 @@
   if (type !== 'add-member') {
     return { type, nodeId };
   }
-  const machine = machinesToAdd(state.join, state.consensus, nowMs).find(
+  const machine = joinCandidates(state.join, state.consensus, nowMs).find(
     (candidate) => candidate.nodeId === nodeId,
   );
   if (machine === undefined) {
--- a/src/managed/control/peer-gate.ts
+++ b/src/managed/control/peer-admission.ts
@@ -1,8 +1,7 @@
 /**
- * @file Is a consensus message of another control machine accepted? Only with the same cluster key, of the same
- * cluster, and for this machine with its present disk; a machine without a cluster joins the sender's where the
- * message names its disk. Another key, cluster or disk is refused with the reason `wrong-cluster`, which the refused
- * machine logs as `A peer refuses this machine`. Also builds the envelopes that this machine sends.
+ * @file Decides whether to accept consensus messages from other control machines, and builds the envelopes of outgoing
+ * messages. A message with a different cluster key, cluster ID or receiver storage ID is refused as `wrong-cluster`. A
+ * machine without a cluster joins the sender's cluster if the message names its storage ID.
  */
 import type { Address } from '../../shared/common/address.js';
 import { findMember, type NodeId } from '../../shared/consensus/membership.js';
@@ -11,13 +10,12 @@
 import type { ControlState } from './control-state.js';
 import type { PeerEnvelope, PeerMessage, PeerRefusal } from './peer-messages.js';
 
-/** The decision on a message. */
-type GateDecision = 'accept' | 'join-cluster' | 'ignore' | PeerRefusal;
+type AdmissionDecision = 'accept' | 'join-cluster' | 'ignore' | PeerRefusal;
 
 /**
- * Decides on a message of the consensus protocol.
+ * Decides whether a message is processed, ignored or answered with a refusal.
  */
-export function decideAtGate(state: ControlState, envelope: PeerEnvelope): GateDecision {
+export function checkAdmission(state: ControlState, envelope: PeerEnvelope): AdmissionDecision {
   const { consensus, proof } = state;
   const { clusterId, to } = envelope;
   if (envelope.proof !== proof) {
@@ -41,8 +39,8 @@
   return { type: 'peer-refusal', kind: 'wrong-cluster', reason };
 }
 
-/** Requests name the disk that they are meant for; replies don't. */
-const ADDRESSED_TO_DISK: readonly PeerMessage['type'][] = [
+/** Requests name the storage ID of the receiver; responses do not. */
+const TYPES_WITH_STORAGE_ID: readonly PeerMessage['type'][] = [
   'pre-vote-request',
   'vote-request',
   'append-request',
@@ -51,8 +49,7 @@
 ];
 
 /**
- * @returns the effect that sends a message of the consensus protocol; none where the receiver's
- *   address is not known
+ * @returns the effect that sends a consensus message to a peer; none if the peer's address is unknown
  */
 export function sendToPeer(
   state: ControlState,
@@ -61,16 +58,18 @@
 ): ControlEffect[] {
   const { consensus, join } = state;
   const member = findMember(currentMembership(consensus), nodeId);
-  const configured = join.peers.find((peer) => peer.nodeId === nodeId)?.linkAddress;
-  const address = member?.linkAddress ?? join.replyAddresses.get(nodeId) ?? configured;
-  const storageId = ADDRESSED_TO_DISK.includes(message.type) ? member?.storageId : undefined;
-  return address === undefined ? [] : [peerSend(state, address, { nodeId, storageId }, message)];
+  const configuredAddress = join.peers.find((peer) => peer.nodeId === nodeId)?.linkAddress;
+  const address = member?.linkAddress ?? join.replyAddresses.get(nodeId) ?? configuredAddress;
+  const storageId = TYPES_WITH_STORAGE_ID.includes(message.type) ? member?.storageId : undefined;
+  return address === undefined
+    ? []
+    : [sendToAddress(state, address, { nodeId, storageId }, message)];
 }
 
 /**
  * @returns the effect that sends a message to an address
  */
-export function peerSend(
+export function sendToAddress(
   state: ControlState,
   address: Address,
   to: PeerEnvelope['to'],
--- a/src/managed/control/peer-envelopes.ts
+++ b/src/managed/control/peer-envelopes.ts
@@ -1,18 +1,18 @@
 /**
- * @file Messages of other control machines. Announcements are recorded (`cluster-join.ts`); messages of the consensus
- * pass the gate (`peer-gate.ts`) first. A refusal of a peer is kept for the log.
+ * @file Handles messages from other control machines. Announcements are recorded (`cluster-join.ts`), consensus messages
+ * are processed if `peer-admission.ts` accepts them, and refusals are kept for the log and the status.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { applyAnnouncement } from './cluster-join.js';
 import { runConsensus } from './consensus-driver.js';
 import type { ControlEffect } from './control-events.js';
 import type { ControlState } from './control-state.js';
-import { decideAtGate, peerSend } from './peer-gate.js';
+import { checkAdmission, sendToAddress } from './peer-admission.js';
 import type { PeerEnvelope } from './peer-messages.js';
 
 /**
- * Handles a message of another control machine.
- * @returns the answer to an announcement, a refusal, or the effects of the consensus
+ * Handles a message from another control machine.
+ * @returns the answer to an announcement, a refusal, or the effects of the consensus step
  */
 export function handleEnvelope(
   state: ControlState,
@@ -28,14 +28,14 @@
     applyAnnouncement(state.join, state.consensus, envelope, message, context.nowMs);
     return message.wantsAnswer ? [announce(state, replyTo, from, false)] : [];
   }
-  const decision = decideAtGate(state, envelope);
+  const decision = checkAdmission(state, envelope);
   if (decision === 'ignore' || message.type === 'announcement') {
     return decision === 'ignore' || typeof decision === 'string'
       ? []
-      : [peerSend(state, replyTo, from, decision)];
+      : [sendToAddress(state, replyTo, from, decision)];
   }
   if (typeof decision === 'object') {
-    return [peerSend(state, replyTo, from, decision)];
+    return [sendToAddress(state, replyTo, from, decision)];
   }
   state.join.replyAddresses.set(from.nodeId, replyTo);
   const joining =
@@ -49,7 +49,7 @@
 }
 
 /**
- * @param wantsAnswer false in the answer to an announcement
+ * @param wantsAnswer false if this is itself an answer
  * @returns the effect that announces this machine to another one
  */
 export function announce(
@@ -59,5 +59,5 @@
   wantsAnswer: boolean,
 ): ControlEffect {
   const { operatorAddress } = state.join;
-  return peerSend(state, address, to, { type: 'announcement', operatorAddress, wantsAnswer });
+  return sendToAddress(state, address, to, { type: 'announcement', operatorAddress, wantsAnswer });
 }
--- a/src/managed/control/peer-messages.ts
+++ b/src/managed/control/peer-messages.ts
@@ -1,21 +1,21 @@
 /**
- * @file What control machines send each other: consensus messages and announcements, in an envelope
- * that names cluster, sender and receiver.
+ * @file Messages between control machines: consensus messages, announcements and refusals, in an envelope that names
+ * the cluster, the sender and the receiver.
  */
 import { createHash } from 'node:crypto';
 import type { Address } from '../../shared/common/address.js';
 import type { ConsensusMessage, Sender } from '../../shared/consensus/messages.js';
 import type { NodeId } from '../../shared/consensus/membership.js';
 
-/** Announces a machine that may have no cluster yet. */
+/** Announces a machine that is not a member of a cluster, or answers such an announcement. */
 export interface Announcement {
   readonly type: 'announcement';
   readonly operatorAddress: Address;
-  /** False in the answer to an announcement. */
+  /** False if this is itself an answer. */
   readonly wantsAnswer: boolean;
 }
 
-/** Why the sender refuses messages of the receiver. */
+/** Sent in reply to a message that was refused. */
 export interface PeerRefusal {
   readonly type: 'peer-refusal';
   readonly kind: 'wrong-cluster';
@@ -28,27 +28,27 @@
 /** A message between control machines. */
 export interface PeerEnvelope {
   readonly type: 'peer';
-  /** Shows that the sender has the cluster key, see `clusterProof`. */
+  /** Digest of the sender's cluster key, see `clusterProof`. */
   readonly proof: string;
-  /** Absent while the sender belongs to no cluster. */
+  /** Absent if the sender belongs to no cluster. */
   readonly clusterId?: string | undefined;
   readonly from: Sender;
-  /** TCP address of the sender's links. */
+  /** TCP address for links to the sender. */
   readonly replyTo: Address;
   readonly to: {
     readonly nodeId: NodeId;
-    /** The disk that is meant; absent where it is not known. */
+    /** Storage ID that the receiver must have; absent in responses and if it is unknown. */
     readonly storageId?: string | undefined;
   };
   readonly message: PeerMessage;
 }
 
-/** Hexadecimal digits of the proof: 64 bits of the hash. */
-const PROOF_LENGTH = 16;
+/** 64 bits of the hash. */
+const PROOF_HEX_DIGITS = 16;
 
 /**
- * @returns a digest of the cluster key, by which a peer with another key is detected
+ * @returns a digest of the cluster key, to detect peers with a different key
  */
 export function clusterProof(clusterKey: string): string {
-  return createHash('sha256').update(`peer:${clusterKey}`).digest('hex').slice(0, PROOF_LENGTH);
+  return createHash('sha256').update(`peer:${clusterKey}`).digest('hex').slice(0, PROOF_HEX_DIGITS);
 }
--- a/src/managed/control/views/answer-query.ts
+++ b/src/managed/control/views/answer-query.ts
@@ -1,6 +1,6 @@
 /**
- * @file Answers the queries of an operator from the replicated state. What belongs to another
- * operator is not found, in the same words as what does not exist.
+ * @file Answers operator queries from the replicated state. Entities of other operators give the same `not-found`
+ * error as entities that do not exist, so that an operator cannot learn about them.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
@@ -22,7 +22,6 @@
 import { laggingBalancers, summarizeInForce } from './in-force.js';
 import type { BackendView, QueryResult, RollingChangeView } from './view-types.js';
 
-/** An answer, or why there is none. */
 type QueryOutcome = Result<QueryResult, AmberliftError>;
 
 /**
@@ -87,7 +86,7 @@
   });
 }
 
-/** Accepted changes that some balancer lacks, oldest first. */
+/** Accepted changes that are not in force on every balancer, oldest first. */
 function rollingChanges({ owner, inForce }: ViewSource): RollingChangeView[] {
   return owner.auditLog.flatMap((entry) => {
     const revision = acceptedRevision(entry);
@@ -109,7 +108,7 @@
     planned: [...owner.plans.values()]
       .filter(({ change }) => 'backendId' in change && change.backendId === backendId)
       .map(viewPlan),
-    history: owner.auditLog.filter((entry) => concerns(entry, backendId)).map(viewAuditEntry),
+    history: owner.auditLog.filter((entry) => isAboutBackend(entry, backendId)).map(viewAuditEntry),
   }));
 }
 
@@ -117,7 +116,7 @@
   const entry = owner.auditLog.find((line) => line.commandId === commandId);
   const outcome = owner.commandRecords.get(commandId)?.outcome ?? entry?.outcome;
   if (outcome === undefined) {
-    return err(unknownCommand(owner, commandId));
+    return err(commandNotFound(owner, commandId));
   }
   const run = owner.auditLog.find((line) => line.commandId === `${commandId}/run`);
   const revision = outcome.accepted ? (outcome.revision ?? 0) : 0;
@@ -131,8 +130,8 @@
   });
 }
 
-/** Whether a command was applied is unknown once its record has been dropped, and known until then. */
-function unknownCommand(owner: OwnerState, commandId: string): AmberliftError {
+/** The outcome of a command is unknown once its record has expired. */
+function commandNotFound(owner: OwnerState, commandId: string): AmberliftError {
   const issuedAtMs = commandIssueTimeMs(commandId);
   return issuedAtMs !== undefined && issuedAtMs <= owner.expiredUpToMs
     ? amberliftError('command-expired', `Command ${commandId} is too old; its outcome is not kept.`)
@@ -143,7 +142,7 @@
   return outcome.accepted ? (outcome.revision ?? 0) : 0;
 }
 
-function concerns({ command, outcome }: AuditEntry, backendId: number): boolean {
+function isAboutBackend({ command, outcome }: AuditEntry, backendId: number): boolean {
   const named = (command as { readonly backendId?: unknown }).backendId === backendId;
   return named || (outcome.accepted && outcome.backendId === backendId);
 }
--- a/src/managed/control/views/backend-load.ts
+++ b/src/managed/control/views/backend-load.ts
@@ -1,25 +1,24 @@
 /**
- * @file The load of back ends as shown to operators. Balancers don't report load to control machines, so the daemon
- * shows it as unknown (`unknownLoad`).
+ * @file Load of back ends, as shown to operators. Balancers do not report load to control machines yet, so the daemon
+ * uses `unknownLoad`.
  */
 
-/** The load of one back end. */
+/** Load of one back end, summed over the reporting balancers. */
 export interface BackendLoad {
-  /** Established flows that balancers forwarded to it. */
+  /** Established flows to the back end. */
   readonly connections: number;
-  /** Requests in progress, by the back end's last report; may lag. */
+  /** Requests in progress according to the back end's last report. */
   readonly busySlots?: number | undefined;
-  /** How many balancers the figures come from. */
   readonly reportingBalancers: number;
 }
 
-/** The load of back ends and of the shared balancers, as far as it is known. */
+/** Reported load of back ends and balancers. */
 export interface LoadView {
-  /** By back end ID; absent where nothing was reported. */
+  /** Keyed by back end ID; absent if not reported. */
   readonly backends: ReadonlyMap<number, BackendLoad>;
-  /** Established flows over all services of all partners; undefined where not reported. */
+  /** Established flows of all services of all operators; undefined if not reported. */
   readonly totalConnections: number | undefined;
 }
 
-/** The view while balancers report no load. */
+/** No reported load. */
 export const unknownLoad: LoadView = { backends: new Map(), totalConnections: undefined };
--- a/src/managed/control/views/entity-views.ts
+++ b/src/managed/control/views/entity-views.ts
@@ -1,5 +1,5 @@
 /**
- * @file Views of single services, back ends, planned changes and lines of the audit log.
+ * @file Builds the views of services, back ends, planned changes and audit log entries.
  */
 import { formatCommand } from '../../language/format-command.js';
 import type { AuditEntry, ClusterState, OwnerState, PlannedChange } from '../cluster-state.js';
@@ -15,32 +15,32 @@
   VisibleOutcome,
 } from './view-types.js';
 
-/** All that a view is made from. */
+/** Data from which views are built. */
 export interface ViewSource {
   readonly state: ClusterState;
-  /** The operator who asks. */
+  /** State of the operator that sent the query. */
   readonly owner: OwnerState;
   readonly inForce: InForceView;
   readonly load: LoadView;
 }
 
 /**
- * @returns the operator's services, in the order of definition
+ * @returns the operator's services, in order of definition
  */
 export function ownedServices({ state, owner }: ViewSource): Service[] {
   const ids = state.lookup.serviceIdsByOwner.get(owner.name) ?? [];
-  return present([...ids].map((id) => state.routing.services.get(id)));
+  return withoutUndefined([...ids].map((id) => state.routing.services.get(id)));
 }
 
 /**
- * @returns the back ends of a service, in the order of addition
+ * @returns the back ends of a service, in order of addition
  */
 export function backendsOf({ state }: ViewSource, service: Service): Backend[] {
   const ids = state.lookup.backendIdsByService.get(service.id) ?? [];
-  return present([...ids].map((id) => state.routing.backends.get(id)));
+  return withoutUndefined([...ids].map((id) => state.routing.backends.get(id)));
 }
 
-/** Shows a service. */
+/** Builds the view of a service. */
 export function viewService(source: ViewSource, service: Service): ServiceView {
   const { id, name, address, policy, limits, version } = service;
   return {
@@ -55,7 +55,7 @@
   };
 }
 
-/** Shows a back end. */
+/** Builds the view of a back end, with its load if reported. */
 export function viewBackend(source: ViewSource, service: Service, backend: Backend): BackendView {
   const { id, address, healthAddress, zone, adminState } = backend;
   const load = source.load.backends.get(id);
@@ -70,12 +70,12 @@
   };
 }
 
-/** Shows a planned change. */
+/** Builds the view of a planned change. */
 export function viewPlan({ id, atMs, change, commandId }: PlannedChange): PlanView {
   return { id, atMs, statement: formatCommand(change), commandId };
 }
 
-/** Shows a line of the audit log. */
+/** Builds the view of an audit log entry. */
 export function viewAuditEntry(entry: AuditEntry): AuditView {
   const { number, atMs, commandId, command, outcome } = entry;
   return {
@@ -88,7 +88,7 @@
 }
 
 /**
- * @returns the outcome without the log index, which counts all operators' commands
+ * @returns the outcome without the log index, which would reveal the commands of other operators
  */
 export function visibleOutcome(outcome: CommandOutcome): VisibleOutcome {
   if (!outcome.accepted) {
@@ -98,12 +98,12 @@
   return { accepted: true, revision, version, serviceId, backendId, planId };
 }
 
-/** What was sent may be no command of an operator; it is then shown unchanged. */
+/** Formats an operator command as a statement; anything else is shown as JSON. */
 function describeCommand(command: unknown): string {
   const parsed = operatorCommandSchema.safeParse(command);
   return parsed.success ? formatCommand(parsed.data) : JSON.stringify(command);
 }
 
-function present<Item>(items: readonly (Item | undefined)[]): Item[] {
+function withoutUndefined<Item>(items: readonly (Item | undefined)[]): Item[] {
   return items.filter((item) => item !== undefined);
 }
--- a/src/managed/control/views/in-force.ts
+++ b/src/managed/control/views/in-force.ts
@@ -1,47 +1,47 @@
 /**
- * @file What is in force on the balancers, as one operator may see it: counted in the operator's own revisions, so
- * that it reveals nothing of another operator's changes.
+ * @file Rollout status of an operator's changes. Expressed in the operator's own revisions instead of log indexes, which
+ * would reveal the changes of other operators.
  */
 import { revisionAt, serviceVersionAt } from '../audit.js';
 import type { OwnerState } from '../cluster-state.js';
 import type { Service } from '../routing-config.js';
 
-/** What one balancer has in force. */
+/** The configuration that is in force on one balancer. */
 export interface BalancerInForce {
   readonly balancerId: string;
   readonly zone: string;
-  /** Log index of the configuration that is in force there. */
+  /** Log index of the configuration. */
   readonly index: number;
 }
 
-/** What is known of all balancers; given by the dissemination. */
+/** The configurations in force on all balancers, as reported to the publisher. */
 export interface InForceView {
   readonly balancers: readonly BalancerInForce[];
-  /** False while there may be balancers that have not reported, such as just after an election. */
+  /** False if some balancers may not have reported yet, such as just after an election. */
   readonly isComplete: boolean;
 }
 
-/** A balancer that lacks changes of the operator. */
+/** A balancer on which some changes of the operator are not in force. */
 export interface LaggingBalancer {
   readonly balancerId: string;
   readonly zone: string;
-  /** The operator's revision that is in force there. */
+  /** The operator's revision that is in force on the balancer. */
   readonly revision: number;
 }
 
-/** How far the operator's changes are in force. */
+/** Rollout status of an operator's changes. */
 export interface InForceSummary {
   readonly committedRevision: number;
-  /** In force on every balancer. */
+  /** Highest revision that is in force on every balancer. */
   readonly revisionInForceEverywhere: number;
-  /** False while there may be balancers that have not reported; what is in force may then be less. */
+  /** False if some balancers may not have reported yet; the actual revision in force may then be lower. */
   readonly isComplete: boolean;
   readonly balancerCount: number;
   readonly lagging: readonly LaggingBalancer[];
 }
 
 /**
- * @returns how far the operator's changes are in force
+ * @returns the rollout status of the operator's changes
  */
 export function summarizeInForce(owner: OwnerState, view: InForceView): InForceSummary {
   const lagging = laggingBalancers(owner, owner.revision, view);
@@ -55,7 +55,7 @@
 }
 
 /**
- * @returns the balancers on which the operator's revision is not in force, by name
+ * @returns the balancers on which the operator's revision is not in force, sorted by ID
  */
 export function laggingBalancers(
   owner: OwnerState,
@@ -73,7 +73,7 @@
 }
 
 /**
- * @returns the version of the service that is in force on every balancer; 0 before its definition
+ * @returns the highest version of the service that is in force on every balancer; 0 if the definition is not
  */
 export function versionInForceEverywhere(
   owner: OwnerState,
--- a/src/managed/control/views/view-types.ts
+++ b/src/managed/control/views/view-types.ts
@@ -1,6 +1,6 @@
 /**
- * @file Answers to queries. None holds a log index or anything else that counts the commands of
- * another operator.
+ * @file Types of query answers. They contain no log index or other counter that would reveal the commands of other
+ * operators.
  */
 import type { Address } from '../../../shared/common/address.js';
 import type { AmberliftError } from '../../../shared/common/error-kinds.js';
@@ -8,10 +8,10 @@
 import type { BackendLoad } from './backend-load.js';
 import type { InForceSummary, LaggingBalancer } from './in-force.js';
 
-/** An accepted command as its operator sees it. */
+/** Outcome of an accepted command, as shown to its operator. */
 export interface VisibleAcceptedOutcome {
   readonly accepted: true;
-  /** Counts the accepted commands of this operator alone. */
+  /** Number of accepted commands of this operator. */
   readonly revision: number;
   /** Version of the service after the change. */
   readonly version?: number | undefined;
@@ -20,48 +20,48 @@
   readonly planId?: number | undefined;
 }
 
-/** The outcome of a command as its operator sees it. */
+/** Outcome of a command, as shown to its operator. */
 export type VisibleOutcome =
   VisibleAcceptedOutcome | { readonly accepted: false; readonly error: AmberliftError };
 
-/** A service. */
+/** A service, as shown to its operator. */
 export interface ServiceView {
   readonly id: number;
   readonly name: string;
   readonly address: Address;
   readonly policy: PlacementPolicyName;
   readonly limits: ServiceLimits;
-  /** The version that is committed. */
+  /** Committed version. */
   readonly version: number;
-  /** The version that is in force on every balancer; 0 before the definition is. */
+  /** Version that is in force on every balancer; 0 if the definition is not. */
   readonly versionInForceEverywhere: number;
   readonly backendCount: number;
 }
 
-/** A back end. */
+/** A back end, as shown to its operator. */
 export interface BackendView {
   readonly id: number;
-  /** Name of its service. */
+  /** Service name. */
   readonly service: string;
   readonly address: Address;
   readonly healthAddress: Address;
   readonly zone: string;
   readonly adminState: BackendAdminState;
-  /** Absent where no balancer has reported it. */
+  /** Absent if no balancer has reported it. */
   readonly load?: BackendLoad | undefined;
 }
 
-/** A planned change. */
+/** A planned change, as shown to its operator. */
 export interface PlanView {
   readonly id: number;
   /** Unix time in milliseconds. */
   readonly atMs: number;
-  /** The change as a statement. */
+  /** The change in the command language. */
   readonly statement: string;
   readonly commandId: string;
 }
 
-/** An accepted change that is not in force everywhere. */
+/** An accepted change that is not in force on every balancer. */
 export interface RollingChangeView {
   readonly revision: number;
   readonly commandId: string;
@@ -69,7 +69,7 @@
   readonly lagging: readonly LaggingBalancer[];
 }
 
-/** A line of the audit log. */
+/** An entry of the audit log. */
 export interface AuditView {
   readonly number: number;
   /** Unix time in milliseconds. */
@@ -79,7 +79,7 @@
   readonly outcome: VisibleOutcome;
 }
 
-/** The answer to a query; `type` is that of the query. */
+/** The answer to the query with the same `type`. */
 export type QueryResult =
   | { readonly type: 'services'; readonly services: readonly ServiceView[] }
   | {
@@ -98,7 +98,7 @@
   | {
       readonly type: 'capacity';
       readonly balancerCount: number;
-      /** Established flows over all services of all partners; absent where not reported. */
+      /** Established flows of all services of all operators; absent if not reported. */
       readonly totalConnections?: number | undefined;
     }
   | { readonly type: 'audit'; readonly entries: readonly AuditView[] }
@@ -108,17 +108,17 @@
       readonly service: ServiceView;
       /** Planned changes of this back end. */
       readonly planned: readonly PlanView[];
-      /** Kept lines of the audit log on this back end, oldest first. */
+      /** Retained audit log entries about this back end, oldest first. */
       readonly history: readonly AuditView[];
     }
   | {
       readonly type: 'explain-command';
       readonly commandId: string;
       readonly outcome: VisibleOutcome;
-      /** The line of the audit log, while it is kept. */
+      /** The audit log entry, if it is still retained. */
       readonly entry?: AuditView | undefined;
-      /** What came of the planned change that the command planned, once it was executed. */
+      /** The execution of the planned change that the command created, if it has run. */
       readonly run?: AuditView | undefined;
-      /** Balancers on which it is not in force. */
+      /** Balancers on which the command is not in force. */
       readonly lagging: readonly LaggingBalancer[];
     };
--- a/test/managed/control/control-world.ts
+++ b/test/managed/control/control-world.ts
@@ -1,4 +1,4 @@
-/** @file A cluster state that tests send entries to, with two operators and no log. */
+/** @file Applies commands directly to a cluster state with two operators, without a consensus log. */
 import { applyCommand, type AppliedEntry } from '../../../src/managed/control/apply-command.js';
 import {
   emptyClusterState,
@@ -15,7 +15,6 @@
   type SystemCommand,
 } from '../../../src/managed/control/commands.js';
 
-/** Sends entries to a cluster state. */
 export class ControlWorld {
   readonly state: ClusterState = emptyClusterState();
   nowMs = Date.UTC(2026, 11, 2);
@@ -41,7 +40,7 @@
     return this.send(SYSTEM_OPERATOR, `system-${this.state.index}`, command);
   }
 
-  /** Sends a command under a new ID; fails where it is refused. */
+  /** Sends a command with a new ID; throws if it is refused. */
   accepted(operator: string, command: Command): AcceptedOutcome {
     this.nextId += 1;
     const { outcome } = this.send(operator, `id-${this.nextId}`, command);
@@ -75,7 +74,6 @@
   }
 }
 
-/** The command that adds a back end at an address. */
 export function addCommand(service: string, address: { host: string; port: number }): Command {
   return { type: 'add-backend', service, address, healthAddress: address, zone: 'zone-a' };
 }
--- a/test/managed/control/non-interference.test.ts
+++ b/test/managed/control/non-interference.test.ts
@@ -1,6 +1,6 @@
 /**
- * @file Isolation of two partners: whatever one of them sends, the other is told the same, in outcomes,
- * IDs, versions, errors and answers to queries.
+ * @file Isolation of operators: outcomes, IDs, versions, errors and query answers of one operator must not depend on
+ * the commands of another.
  */
 import fc from 'fast-check';
 import t from 'tap';
@@ -13,7 +13,7 @@
 
 const OBSERVED = 'tarjeta';
 const OTHER = 'hara';
-/** Few names, addresses and IDs, so that the two partners often name the same. */
+/** Few names, addresses and IDs, so that both operators often use the same ones. */
 const service = fc.constantFrom('authd', 'board-api');
 const address = fc.record({
   host: fc.constantFrom('127.1.0.1', '127.1.0.2', '127.2.0.1', '127.2.0.2'),
@@ -69,15 +69,15 @@
   },
 ) as fc.Arbitrary<OperatorCommand>;
 
-interface Sent {
+interface SentCommand {
   readonly operator: string;
   readonly commandId: string;
   readonly command: Command;
-  /** Balancers take over the configuration before this command. */
+  /** If true, the balancer that lags applies the latest configuration before this command. */
   readonly balancersCatchUp: boolean;
 }
 
-const sent: fc.Arbitrary<Sent> = fc.record({
+const sent: fc.Arbitrary<SentCommand> = fc.record({
   operator: fc.constantFrom(OBSERVED, OTHER),
   commandId: fc.integer({ min: 1, max: 12 }).map((number) => `id-${number}`),
   command,
@@ -98,8 +98,8 @@
   ...[1, 5].map((number) => ({ type: 'explain-command' as const, commandId: `id-${number}` })),
 ];
 
-/** Both begin with a service that has a back end, under equal names and command IDs. */
-const prelude: readonly Sent[] = [
+/** Gives both operators a service with a back end, under equal names and command IDs. */
+const setupCommands: readonly SentCommand[] = [
   { operator: OBSERVED, host: '127.1.0.9' },
   { operator: OTHER, host: '127.2.0.9' },
 ].flatMap(({ operator, host }) => {
@@ -117,13 +117,13 @@
   ];
 });
 
-/** All that the observed operator is told while the commands are sent; one text a step. */
-function told(commands: readonly Sent[], withOther: boolean): string[] {
+/** Runs the commands and returns all outcomes and query answers of the observed operator. */
+function observedAnswers(commands: readonly SentCommand[], withOther: boolean): string[] {
   const world = new ControlWorld();
   const texts: string[] = [];
   let inForceIndex = 0;
   for (const { operator, commandId, command: sentCommand, balancersCatchUp } of [
-    ...prelude,
+    ...setupCommands,
     ...commands,
   ]) {
     world.nowMs += 1_000;
@@ -170,25 +170,32 @@
       );
 }
 
-t.test('what an operator is told does not depend on what another sends', async (t) => {
-  const isTheSame = (commands: readonly Sent[]) =>
-    JSON.stringify(told(commands, true)) === JSON.stringify(told(commands, false));
-  const property = fc.property(fc.array(sent, { minLength: 1, maxLength: 40 }), isTheSame);
-  t.doesNotThrow(() => fc.assert(property, { seed: 11, numRuns: 60 }));
-});
+t.test(
+  'outcomes and query answers of an operator do not depend on the commands of another',
+  async (t) => {
+    const isUnaffected = (commands: readonly SentCommand[]) =>
+      JSON.stringify(observedAnswers(commands, true)) ===
+      JSON.stringify(observedAnswers(commands, false));
+    const property = fc.property(fc.array(sent, { minLength: 1, maxLength: 40 }), isUnaffected);
+    t.doesNotThrow(() => fc.assert(property, { seed: 11, numRuns: 60 }));
+  },
+);
 
-t.test('the commands of that property are often accepted, on both sides', async (t) => {
+t.test('the generated commands are often accepted, for both operators', async (t) => {
   const accepted = { [OBSERVED]: 0, [OTHER]: 0 };
   for (const commands of fc.sample(fc.array(sent, { minLength: 40, maxLength: 40 }), {
     seed: 11,
     numRuns: 50,
   })) {
     const world = new ControlWorld();
-    for (const { operator, commandId, command: sentCommand } of [...prelude, ...commands]) {
+    for (const { operator, commandId, command: sentCommand } of [...setupCommands, ...commands]) {
       const { outcome } = world.send(operator, commandId, sentCommand);
       accepted[operator as keyof typeof accepted] += outcome.accepted ? 1 : 0;
     }
   }
-  t.ok(accepted[OBSERVED] > 50, `${accepted[OBSERVED]} of the observed operator's were accepted`);
-  t.ok(accepted[OTHER] > 50, `${accepted[OTHER]} of the other's were accepted`);
+  t.ok(
+    accepted[OBSERVED] > 50,
+    `${accepted[OBSERVED]} commands of the observed operator were accepted`,
+  );
+  t.ok(accepted[OTHER] > 50, `${accepted[OTHER]} commands of the other operator were accepted`);
 });
--- a/test/managed/control/single-control.ts
+++ b/test/managed/control/single-control.ts
@@ -1,4 +1,4 @@
-/** @file A control machine that stands alone, whose disk is as fast as its memory. */
+/** @file Runs the step function of a single-node control cluster, with instantaneous disk writes. */
 import { seededRandom } from '../../../src/shared/common/random.js';
 import {
   SYSTEM_OPERATOR,
@@ -11,10 +11,9 @@
 
 const TICK_MS = 20;
 
-/** Runs the whole step of one machine. */
 export class SingleControl {
   nowMs = 0;
-  /** Takes what is sent to balancers. */
+  /** Receives the messages sent to balancers. */
   onLinkSend: (effect: LinkSendEffect) => void = () => undefined;
   readonly state = createControlState({
     nodeId: 'control-1',
--- a/test/managed/control/views.test.ts
+++ b/test/managed/control/views.test.ts
@@ -1,4 +1,4 @@
-/** @file What operators are shown: only their own, with what is committed told apart from in force. */
+/** @file Query answers: operators see only their own entities, and committed is distinguished from in force. */
 import t from 'tap';
 import type { OperatorQuery } from '../../../src/managed/control/queries.js';
 import { answerQuery } from '../../../src/managed/control/views/answer-query.js';
@@ -46,12 +46,12 @@
 });
 
 t.test(
-  "another operator's service and back end are answered as ones that don't exist",
+  'entities of another operator give the same answers as entities that do not exist',
   async (t) => {
-    const withForeign = new ControlWorld();
-    withForeign.define('tarjeta', 'authd', '127.1.0.1');
-    const backendId = withForeign.add('tarjeta', 'authd', '127.1.0.9');
-    const without = new ControlWorld();
+    const populated = new ControlWorld();
+    populated.define('tarjeta', 'authd', '127.1.0.1');
+    const backendId = populated.add('tarjeta', 'authd', '127.1.0.9');
+    const empty = new ControlWorld();
     const queries: OperatorQuery[] = [
       { type: 'service', service: 'authd' },
       { type: 'backends', service: 'authd' },
@@ -59,40 +59,43 @@
       { type: 'explain-command', commandId: 'id-2' },
     ];
     for (const query of queries) {
-      const answers = [withForeign, without].map((world) => ask(world, 'hara', query));
+      const answers = [populated, empty].map((world) => ask(world, 'hara', query));
       t.match(answers[0], { error: { kind: 'not-found' } });
       t.equal(JSON.stringify(answers[0]), JSON.stringify(answers[1]), query.type);
     }
   },
 );
 
-t.test('what is committed is told apart from what is in force, with those that lag', async (t) => {
-  const world = new ControlWorld();
-  world.define('tarjeta', 'authd', '127.1.0.1');
-  const definedIndex = world.state.index;
-  world.add('tarjeta', 'authd', '127.1.0.9');
-  const inForce = balancersAt(world.state.index, definedIndex);
-  t.match(ask(world, 'tarjeta', { type: 'in-force' }, inForce)._unsafeUnwrap(), {
-    committedRevision: 2,
-    revisionInForceEverywhere: 1,
-    balancerCount: 2,
-    lagging: [{ balancerId: 'b2', revision: 1 }],
-  });
-  t.match(ask(world, 'tarjeta', { type: 'service', service: 'authd' }, inForce)._unsafeUnwrap(), {
-    service: { version: 2, versionInForceEverywhere: 1 },
-  });
-  t.match(ask(world, 'tarjeta', { type: 'changes' }, inForce)._unsafeUnwrap(), {
-    rollingOut: [
-      { revision: 2, statement: /^add backend to authd/, lagging: [{ balancerId: 'b2' }] },
-    ],
-  });
-  const none = balancersAt(0);
-  t.match(ask(world, 'tarjeta', { type: 'services' }, none)._unsafeUnwrap(), {
-    services: [{ version: 2, versionInForceEverywhere: 0 }],
-  });
-});
+t.test(
+  'the committed revision is distinguished from the one in force, and lagging balancers are listed',
+  async (t) => {
+    const world = new ControlWorld();
+    world.define('tarjeta', 'authd', '127.1.0.1');
+    const definedIndex = world.state.index;
+    world.add('tarjeta', 'authd', '127.1.0.9');
+    const inForce = balancersAt(world.state.index, definedIndex);
+    t.match(ask(world, 'tarjeta', { type: 'in-force' }, inForce)._unsafeUnwrap(), {
+      committedRevision: 2,
+      revisionInForceEverywhere: 1,
+      balancerCount: 2,
+      lagging: [{ balancerId: 'b2', revision: 1 }],
+    });
+    t.match(ask(world, 'tarjeta', { type: 'service', service: 'authd' }, inForce)._unsafeUnwrap(), {
+      service: { version: 2, versionInForceEverywhere: 1 },
+    });
+    t.match(ask(world, 'tarjeta', { type: 'changes' }, inForce)._unsafeUnwrap(), {
+      rollingOut: [
+        { revision: 2, statement: /^add backend to authd/, lagging: [{ balancerId: 'b2' }] },
+      ],
+    });
+    const none = balancersAt(0);
+    t.match(ask(world, 'tarjeta', { type: 'services' }, none)._unsafeUnwrap(), {
+      services: [{ version: 2, versionInForceEverywhere: 0 }],
+    });
+  },
+);
 
-t.test("a balancer that lacks only another operator's changes does not lag", async (t) => {
+t.test("a balancer that lacks only another operator's changes is not lagging", async (t) => {
   const world = new ControlWorld();
   world.define('tarjeta', 'authd', '127.1.0.1');
   const inForce = balancersAt(world.state.index);
@@ -101,13 +104,13 @@
   t.match(shown, { committedRevision: 1, revisionInForceEverywhere: 1, lagging: [] });
 });
 
-t.test('the load of a back end is shown where it was reported, and absent where not', async (t) => {
+t.test('the load of a back end is shown if it was reported, and absent otherwise', async (t) => {
   const world = new ControlWorld();
   world.define('tarjeta', 'authd', '127.1.0.1');
-  const known = world.add('tarjeta', 'authd', '127.1.0.8');
+  const reportedBackendId = world.add('tarjeta', 'authd', '127.1.0.8');
   world.add('tarjeta', 'authd', '127.1.0.9');
   const load = {
-    backends: new Map([[known, { connections: 7, reportingBalancers: 2 }]]),
+    backends: new Map([[reportedBackendId, { connections: 7, reportingBalancers: 2 }]]),
     totalConnections: 9,
   };
   const shown = ask(world, 'tarjeta', { type: 'backends' }, noBalancers, load)._unsafeUnwrap();
@@ -120,32 +123,29 @@
   });
 });
 
-t.test(
-  'planned changes are shown until they are executed, then with what came of them',
-  async (t) => {
-    const world = new ControlWorld();
-    world.define('tarjeta', 'authd', '127.1.0.1');
-    const backendId = world.add('tarjeta', 'authd', '127.1.0.9');
-    const change = { type: 'drain-backend' as const, backendId };
-    const { planId = 0 } = world.accepted('tarjeta', {
-      type: 'plan-change',
-      when: { inMs: 60_000 },
-      change,
-    });
-    const commandId = world.state.owners.get('tarjeta')?.plans.get(planId)?.commandId ?? '';
-    const atMs = world.nowMs + 60_000;
-    const planned = [{ id: planId, atMs, statement: `drain backend ${backendId}` }];
-    t.match(ask(world, 'tarjeta', { type: 'changes' })._unsafeUnwrap(), { planned });
-    t.match(ask(world, 'tarjeta', { type: 'explain-backend', backendId })._unsafeUnwrap(), {
-      planned,
-      backend: { adminState: 'active' },
-    });
-    world.nowMs = atMs;
-    world.system({ type: 'run-planned-change', operator: 'tarjeta', planId });
-    t.match(ask(world, 'tarjeta', { type: 'changes' })._unsafeUnwrap(), { planned: [] });
-    t.match(ask(world, 'tarjeta', { type: 'explain-command', commandId })._unsafeUnwrap(), {
-      outcome: { accepted: true, planId },
-      run: { atMs, outcome: { accepted: true, backendId } },
-    });
-  },
-);
+t.test('planned changes are listed until they run, then shown with their outcome', async (t) => {
+  const world = new ControlWorld();
+  world.define('tarjeta', 'authd', '127.1.0.1');
+  const backendId = world.add('tarjeta', 'authd', '127.1.0.9');
+  const change = { type: 'drain-backend' as const, backendId };
+  const { planId = 0 } = world.accepted('tarjeta', {
+    type: 'plan-change',
+    when: { inMs: 60_000 },
+    change,
+  });
+  const commandId = world.state.owners.get('tarjeta')?.plans.get(planId)?.commandId ?? '';
+  const atMs = world.nowMs + 60_000;
+  const planned = [{ id: planId, atMs, statement: `drain backend ${backendId}` }];
+  t.match(ask(world, 'tarjeta', { type: 'changes' })._unsafeUnwrap(), { planned });
+  t.match(ask(world, 'tarjeta', { type: 'explain-backend', backendId })._unsafeUnwrap(), {
+    planned,
+    backend: { adminState: 'active' },
+  });
+  world.nowMs = atMs;
+  world.system({ type: 'run-planned-change', operator: 'tarjeta', planId });
+  t.match(ask(world, 'tarjeta', { type: 'changes' })._unsafeUnwrap(), { planned: [] });
+  t.match(ask(world, 'tarjeta', { type: 'explain-command', commandId })._unsafeUnwrap(), {
+    outcome: { accepted: true, planId },
+    run: { atMs, outcome: { accepted: true, backendId } },
+  });
+});
