--- a/src/managed/control/consensus-driver.ts
+++ b/src/managed/control/consensus-driver.ts
@@ -168,10 +168,10 @@
  */
 export function refusalMessage(kind: RefusalKind): string {
   return match(kind)
-    .with('not-leader', () => 'This control machine does not lead.')
-    .with('no-quorum', () => 'This control machine reaches no quorum.')
-    .with('storage-failed', () => 'This control machine can not write its disk.')
-    .with('conflict', 'not-found', () => 'The change does not apply.')
+    .with('not-leader', () => 'This machine is not the leader.')
+    .with('no-quorum', () => 'This machine cannot reach a quorum.')
+    .with('storage-failed', () => 'This machine cannot write its log.')
+    .with('conflict', 'not-found', () => 'The change cannot be applied.')
     .exhaustive();
 }
 
--- a/src/managed/control/member-changes.ts
+++ b/src/managed/control/member-changes.ts
@@ -30,7 +30,10 @@
   }
   const change = memberChange(state, command, context.nowMs);
   if (change === undefined) {
-    const error = amberliftError('not-found', `No machine ${command.nodeId} asks to be added.`);
+    const error = amberliftError(
+      'not-found',
+      `Machine ${command.nodeId} has not announced itself recently.`,
+    );
     return [{ type: 'operator-reply', requestId, outcome: { accepted: false, error } }];
   }
   const event: ConsensusEvent = { type: 'change-membership', proposalId: requestId, change };
--- a/src/managed/control/peer-admission.ts
+++ b/src/managed/control/peer-admission.ts
@@ -19,13 +19,15 @@
   const { consensus, proof } = state;
   const { clusterId, to } = envelope;
   if (envelope.proof !== proof) {
-    return refusal('The cluster key is another one.');
+    return refusal('The cluster key does not match.');
   }
   if (clusterId === undefined || to.nodeId !== consensus.nodeId) {
     return 'ignore';
   }
   if (to.storageId !== undefined && to.storageId !== consensus.storageId) {
-    return refusal(`${to.nodeId} has another disk than the one meant; it must be added anew.`);
+    return refusal(
+      `${to.nodeId} has a different disk from the one addressed; it must be added again.`,
+    );
   }
   if (consensus.clusterId === undefined) {
     return to.storageId === undefined ? 'ignore' : 'join-cluster';
--- a/src/managed/control/views/answer-query.ts
+++ b/src/managed/control/views/answer-query.ts
@@ -134,8 +134,11 @@
 function commandNotFound(owner: OwnerState, commandId: string): AmberliftError {
   const issuedAtMs = commandIssueTimeMs(commandId);
   return issuedAtMs !== undefined && issuedAtMs <= owner.expiredUpToMs
-    ? amberliftError('command-expired', `Command ${commandId} is too old; its outcome is not kept.`)
-    : amberliftError('not-found', `You have sent no command ${commandId}.`);
+    ? amberliftError(
+        'command-expired',
+        `Command ${commandId} is too old; its outcome is no longer stored.`,
+      )
+    : amberliftError('not-found', `You have not sent command ${commandId}.`);
 }
 
 function acceptedRevision({ outcome }: AuditEntry): number {
