--- a/src/managed/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * @file The balancer daemon: sockets, links, probes and timers around the balancer's decision step.
+ * @file The balancer daemon: runs the balancer's state machine with its sockets, links, probes and timers.
  */
 import { match } from 'ts-pattern';
 import type { Address } from '../../shared/common/address.js';
@@ -19,30 +19,30 @@
 import { systemContextSource } from '../../shared/daemon/system-context.js';
 import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
-/** Time between two ticks of the decision step, in milliseconds. */
+/** Interval of the tick events of the state machine. */
 const TICK_INTERVAL_MS = 20;
-const MILLISECONDS_PER_SECOND = 1_000;
-/** Time between two looks at whether opens are still pending at a planned stop, in milliseconds. */
+const MS_PER_SECOND = 1_000;
+/** How often a graceful stop checks for pending opens. */
 const STOP_POLL_INTERVAL_MS = 50;
 
 /** A running balancer daemon. */
 interface BalancerDaemon {
   readonly frontAddress: Address;
   readonly gossipAddress: Address;
-  /** The state; to be read only. */
+  /** For reading only. */
   readonly state: BalancerState;
-  /** Stops: no new opens, then forwards on for the grace time, then ends. */
+  /** Rejects new opens, forwards established flows for the grace period, then closes. */
   stop(graceMs: number): Promise<void>;
 }
 
 /**
  * Starts a balancer daemon.
- * @returns the daemon; rejects where an address can't be bound
+ * @returns the daemon; rejects if an address can't be bound
  */
 export async function startBalancerDaemon(settings: Settings): Promise<BalancerDaemon> {
   const { balancer, nodeId, zone, clusterKey } = settings;
-  const holder: { edge?: BalancerEdge } = {};
-  const peers = await PeerSockets.bind(settings, () => holder.edge);
+  const holder: { runtime?: BalancerRuntime } = {};
+  const peers = await PeerSockets.bind(settings, () => holder.runtime);
   const state = createBalancerState({
     ...balancer,
     balancerId: nodeId,
@@ -50,13 +50,13 @@
     clusterKey,
     gossip: {
       ...peers.addresses,
-      incarnation: Math.floor(Date.now() / MILLISECONDS_PER_SECOND),
+      incarnation: Math.floor(Date.now() / MS_PER_SECOND),
       seeds: balancer.seeds,
     },
   });
-  const edge = new BalancerEdge(state, peers);
-  holder.edge = edge;
-  const frontAddress = await edge.bind(balancer.frontAddress, balancer.backAddress);
+  const runtime = new BalancerRuntime(state, peers);
+  holder.runtime = runtime;
+  const frontAddress = await runtime.bindSockets(balancer.frontAddress, balancer.backAddress);
   const logger = loggerFor('balancer');
   logger.info(`Balancer ${nodeId} is ready on port ${frontAddress.port}.`);
   return {
@@ -64,18 +64,18 @@
     gossipAddress: gossipAddress(peers.addresses),
     state,
     stop: async (graceMs) => {
-      edge.step({ type: 'stop' });
+      runtime.step({ type: 'stop' });
       logger.info(`Balancer ${nodeId} takes no new flows.`);
-      await finishPendingOpens(state, graceMs);
-      await edge.close();
+      await waitForPendingOpens(state, graceMs);
+      await runtime.close();
       logger.info(`Balancer ${nodeId} has stopped.`);
     },
   };
 }
 
-/** Input and output of a balancer. */
-class BalancerEdge {
-  private readonly contexts = systemContextSource();
+/** Feeds socket, link and timer events to the state machine and performs the effects that it returns. */
+class BalancerRuntime {
+  private readonly contextSource = systemContextSource();
   private readonly healthLogger = loggerFor('health');
   private fabricSocket: UdpSocket | undefined;
   private backendSocket: UdpSocket | undefined;
@@ -90,7 +90,7 @@
 
   /** Runs one step and performs its effects. */
   step(event: BalancerEvent): void {
-    for (const effect of balancerStep(this.state, event, this.contexts.now())) {
+    for (const effect of balancerStep(this.state, event, this.contextSource.now())) {
       this.perform(effect);
     }
     if (this.state.backendChanges.length > 0) {
@@ -102,11 +102,11 @@
     countTraffic(this.state.traffic, direction, kind, bytes);
   }
 
-  async bind(front: Address, back: Address): Promise<Address> {
-    this.fabricSocket = await bindUdp(front, (datagram, replyTo) =>
+  async bindSockets(frontAddress: Address, backAddress: Address): Promise<Address> {
+    this.fabricSocket = await bindUdp(frontAddress, (datagram, replyTo) =>
       this.step({ type: 'client-datagram', datagram, replyTo }),
     );
-    this.backendSocket = await bindUdp(back, (datagram) =>
+    this.backendSocket = await bindUdp(backAddress, (datagram) =>
       this.step({ type: 'backend-datagram', datagram }),
     );
     this.timer = setInterval(() => this.step({ type: 'tick' }), TICK_INTERVAL_MS);
@@ -132,7 +132,7 @@
   }
 
   private perform(effect: BalancerEffect): void {
-    // Comes for every packet, so it is checked before the pattern match, which costs more.
+    // Occurs for every packet, so it is handled before the slower pattern match.
     if (effect.type === 'send') {
       const socket = effect.via === 'fabric' ? this.fabricSocket : this.backendSocket;
       socket?.send(effect.datagram, effect.to);
@@ -142,7 +142,7 @@
       .with({ type: 'link-open' }, ({ linkId, address }) => this.openLink(linkId, address))
       .with({ type: 'link-send' }, ({ message }) => this.link?.send(message))
       .with({ type: 'peer-send' }, ({ linkId, message }) => this.peers.sendTo(linkId, message))
-      .with({ type: 'gossip-send' }, ({ to, message }) => this.peers.gossip(to, message))
+      .with({ type: 'gossip-send' }, ({ to, message }) => this.peers.sendGossip(to, message))
       .with({ type: 'probe' }, (probe) => {
         void probeBackend(probe).then((result) => this.step({ type: 'probe-result', result }));
       })
@@ -170,10 +170,10 @@
   }
 }
 
-/** Waits for the grace time, in which established flows are forwarded on. */
-async function finishPendingOpens(state: BalancerState, graceMs: number): Promise<void> {
-  const endsAt = performance.now() + graceMs;
-  while (performance.now() < endsAt || (graceMs > 0 && state.pendingOpens.size > 0)) {
+/** Waits until the grace period is over and, unless it is 0, no open is pending. */
+async function waitForPendingOpens(state: BalancerState, graceMs: number): Promise<void> {
+  const deadlineMs = performance.now() + graceMs;
+  while (performance.now() < deadlineMs || (graceMs > 0 && state.pendingOpens.size > 0)) {
     await new Promise((resolve) => setTimeout(resolve, STOP_POLL_INTERVAL_MS));
   }
 }
--- a/src/managed/daemon/control-daemon.ts
+++ b/src/managed/daemon/control-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * @file The control daemon: starts disk, links and the operator interface around the control machine's
- * decision step, and stops them in order.
+ * @file The control daemon: starts and stops the storage, the links and the operator API of a control
+ * machine.
  */
 import { readFile } from 'node:fs/promises';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -19,34 +19,35 @@
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { Settings } from '../settings/settings-schema.js';
 import { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
-import { ControlEdge } from './control-edge.js';
+import { ControlRuntime } from './control-runtime.js';
 import { listenHttp, type HttpServer, type TlsIdentity } from '../../shared/daemon/http-server.js';
 import { memberApi } from './member-api.js';
 import { listenForLinks, type LinkServer } from './message-link.js';
 import { operatorApi } from './operator-api.js';
 import { openStorageFolder } from '../../shared/daemon/storage-folder.js';
 
-/** Time between two looks at whether the state has changed, in milliseconds, at start and stop. */
+/** How often start and stop check the state. */
 const POLL_INTERVAL_MS = 5;
-/** How long a planned stop waits for another machine to lead, in milliseconds. */
-const TRANSFER_TIMEOUT_MS = 2_000;
+/** How long a stop waits until another machine has become leader. */
+const LEADERSHIP_TRANSFER_TIMEOUT_MS = 2_000;
 
 /** A running control daemon. */
 export interface ControlDaemon {
   readonly linkAddress: Address;
   readonly operatorAddress: Address;
-  /** The state; to be read only. */
+  /** For reading only. */
   readonly state: ControlState;
-  /** Puts a command into the log, as the operator interface does; resolves with its outcome. */
+  /** Proposes a command for the replicated log, like the operator API; resolves with its outcome. */
   propose(entry: CommandEntry): Promise<CommandOutcome>;
-  /** Hands over leadership, then stops. */
+  /** Transfers leadership, then stops. */
   stop(): Promise<void>;
 }
 
 /**
- * Starts a control daemon. A machine that stands alone is ready once it leads; one with peers at once,
- * since the others may start later.
- * @returns the daemon, `invalid-settings` without a data folder, `storage-failed` for a damaged one
+ * Starts a control daemon. The only member of a cluster is ready once it leads; a machine with peers is
+ * ready at once, since the peers may start later.
+ * @returns the daemon, `invalid-settings` without a data folder or with unreadable TLS files, or
+ *   `storage-failed` for a damaged data folder
  */
 export async function startControlDaemon(
   settings: Settings,
@@ -63,9 +64,9 @@
   if (storage.isErr()) {
     return err(storage.error);
   }
-  const daemon = await listen(settings, storage.value, tls.value);
+  const daemon = await startListening(settings, storage.value, tls.value);
   const { state } = daemon;
-  while (standsAlone(state, settings) && !isReady(state, settings)) {
+  while (isOnlyMember(state, settings) && !isReady(state, settings)) {
     await sleep(POLL_INTERVAL_MS);
   }
   const { nodeId } = settings;
@@ -73,21 +74,21 @@
   return ok(daemon);
 }
 
-async function listen(
+async function startListening(
   settings: Settings,
   storage: ConsensusStorage,
   tls: TlsIdentity | undefined,
 ): Promise<ControlDaemon> {
   const { control, nodeId, clusterKey } = settings;
-  const holder: { edge?: ControlEdge; http?: Parameters<typeof listenHttp>[1] } = {};
+  const holder: { runtime?: ControlRuntime; httpListener?: Parameters<typeof listenHttp>[1] } = {};
   const links = await listenForLinks(control.linkAddress, {
-    onMessage: (message, link) => holder.edge?.onMessage(message, link) ?? true,
-    onClose: (link) => holder.edge?.onClose(link),
-    onTraffic: (direction, kind, bytes) => holder.edge?.onTraffic(direction, kind, bytes),
+    onMessage: (message, link) => holder.runtime?.onMessage(message, link) ?? true,
+    onClose: (link) => holder.runtime?.onClose(link),
+    onTraffic: (direction, kind, bytes) => holder.runtime?.onTraffic(direction, kind, bytes),
   });
   const http = await listenHttp(
     control.operatorAddress,
-    (incoming, response) => holder.http?.(incoming, response),
+    (incoming, response) => holder.httpListener?.(incoming, response),
     tls,
   );
   const state = createControlState({
@@ -103,15 +104,15 @@
     })),
     recovered: storage.recovered,
   });
-  const edge = new ControlEdge(state, storage);
-  holder.edge = edge;
-  holder.http = requestListener(edge, settings);
+  const runtime = new ControlRuntime(state, storage);
+  holder.runtime = runtime;
+  holder.httpListener = requestListener(runtime, settings);
   return {
     linkAddress: links.address,
     operatorAddress: http.address,
     state,
-    propose: (entry) => edge.propose(entry),
-    stop: () => stop(edge, links, http, storage),
+    propose: (entry) => runtime.propose(entry),
+    stop: () => stop(runtime, links, http, storage),
   };
 }
 
@@ -131,12 +132,12 @@
   }
 }
 
-function requestListener(edge: ControlEdge, settings: Settings) {
-  const { state } = edge;
-  const operators = operatorApi({
+function requestListener(runtime: ControlRuntime, settings: Settings) {
+  const { state } = runtime;
+  const operatorListener = operatorApi({
     state: state.cluster,
-    propose: (entry) => edge.propose(entry),
-    query: () => edge.query(),
+    propose: (entry) => runtime.propose(entry),
+    confirmLeadership: () => runtime.confirmLeadership(),
     inForce: () => inForceView(state),
     load: () => unknownLoad,
   });
@@ -145,55 +146,56 @@
       state,
       adminToken: settings.control.adminToken,
       nowMs: () => performance.now(),
-      changeMembers: (command) => edge.changeMembers(command),
+      changeMembers: (command) => runtime.changeMembers(command),
     },
-    operators,
+    operatorListener,
   );
 }
 
-/** What balancers reported that they have in force. */
+/** The configuration versions that balancers have reported as in force. */
 function inForceView({ publisher, leaseAuthority }: ControlState): InForceView {
   const balancers = balancerReports(publisher);
-  // Until then balancers may hold leases of an earlier leader without having reported here.
+  // Before that, balancers may hold leases of an earlier leader without having reported to this one.
   const isComplete = haveEarlierLeasesExpired(leaseAuthority, performance.now());
   return { balancers, isComplete };
 }
 
 async function stop(
-  edge: ControlEdge,
+  runtime: ControlRuntime,
   links: LinkServer,
   http: HttpServer,
   storage: ConsensusStorage,
 ): Promise<void> {
-  edge.step({ type: 'stop' });
-  const deadlineMs = performance.now() + TRANSFER_TIMEOUT_MS;
-  const hasOthers = edge.state.consensus.role.name === 'leader' && otherVoters(edge.state) > 0;
-  while (hasOthers && isLeader(edge.state) && performance.now() < deadlineMs) {
+  runtime.step({ type: 'stop' });
+  const deadlineMs = performance.now() + LEADERSHIP_TRANSFER_TIMEOUT_MS;
+  const shouldTransferLeadership =
+    runtime.state.consensus.role.name === 'leader' && countOtherVoters(runtime.state) > 0;
+  while (shouldTransferLeadership && isLeader(runtime.state) && performance.now() < deadlineMs) {
     await sleep(POLL_INTERVAL_MS);
-    // Without effect while a hand-over is under way; one that failed is begun anew.
-    edge.step({ type: 'stop' });
+    // Restarts a failed transfer; no effect while one is in progress.
+    runtime.step({ type: 'stop' });
   }
-  edge.close();
+  runtime.close();
   await Promise.all([links.close(), http.close()]);
   await storage.close();
 }
 
-function otherVoters({ consensus }: ControlState): number {
+function countOtherVoters({ consensus }: ControlState): number {
   const voters = votersOf(currentMembership(consensus));
   return voters.filter(({ nodeId }) => nodeId !== consensus.nodeId).length;
 }
 
-/** True for the only member of a cluster, and for a machine that is about to begin one by itself. */
-function standsAlone(state: ControlState, settings: Settings): boolean {
+/** True for the only member of a cluster, and for a machine without peers that is about to create one. */
+function isOnlyMember(state: ControlState, settings: Settings): boolean {
   const { members } = currentMembership(state.consensus);
   return members.length === 0 ? settings.control.peers.length === 0 : members.length === 1;
 }
 
-/** A leader has applied all that was ever accepted once an entry of its own term is committed. */
+/** A leader has applied all accepted entries once an entry of its own term is committed. */
 function isReady({ cluster, consensus }: ControlState, settings: Settings): boolean {
   const { role, commitIndex } = consensus;
   const { operators, routing } = cluster;
   const hasOperators = settings.control.operators.length === 0 || operators.size > 0;
-  const hasAll = role.name === 'leader' && commitIndex >= role.termStartIndex;
-  return hasAll && hasOperators && routing.keys.size > 0;
+  const hasAppliedAll = role.name === 'leader' && commitIndex >= role.termStartIndex;
+  return hasAppliedAll && hasOperators && routing.keys.size > 0;
 }
--- a/src/managed/daemon/control-edge.ts
+++ b/src/managed/daemon/control-runtime.ts
@@ -1,5 +1,5 @@
 /**
- * @file Input and output of a control machine: runs the decision step and performs its effects.
+ * @file Runs the state machine of a control machine: passes events to it and performs the effects that it returns.
  */
 import { randomBytes } from 'node:crypto';
 import { TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
@@ -21,31 +21,31 @@
 import { countTraffic, type TrafficDirection } from '../dissemination/traffic.js';
 import type { ConsensusStorage } from '../../shared/daemon/consensus-storage.js';
 import { connectLink, type LinkHandlers, type MessageLink } from './message-link.js';
-import type { QueryAnswer } from './operator-api.js';
+import type { LeadershipConfirmation } from './operator-api.js';
 import { systemContextSource } from '../../shared/daemon/system-context.js';
 
-/** Time between two ticks of the decision step, in milliseconds. */
+/** Interval of the tick events of the state machine. */
 const TICK_INTERVAL_MS = 20;
-/** Delays between two tries to reach a peer, the first and the longest, in milliseconds. Not measured. */
+/** Bounds of the exponential delay between attempts to connect to a peer. */
 const FIRST_RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 1_000;
 
-/** A control machine's step with its links, its disk and the requests that wait for their outcome. */
-export class ControlEdge implements LinkHandlers {
-  private readonly contexts = systemContextSource();
+/** Connects the state machine with its links, its storage and the pending operator requests. */
+export class ControlRuntime implements LinkHandlers {
+  private readonly contextSource = systemContextSource();
   private readonly logger = loggerFor('consensus');
-  private readonly peers = createDialedLinks<MessageLink>({
+  private readonly peerLinks = createDialedLinks<MessageLink>({
     nowMs: () => performance.now(),
     dial: (to, onClose) => connectLink(to, { onMessage: () => false, onClose }),
     firstRetryDelayMs: FIRST_RETRY_DELAY_MS,
     maxRetryDelayMs: MAX_RETRY_DELAY_MS,
   });
-  private readonly commands = new Map<RequestId, (outcome: CommandOutcome) => void>();
-  private readonly queries = new Map<RequestId, (answer: QueryAnswer) => void>();
-  private readonly links = createLinkTable<MessageLink>();
+  private readonly pendingCommands = new Map<RequestId, (outcome: CommandOutcome) => void>();
+  private readonly pendingQueries = new Map<RequestId, (answer: LeadershipConfirmation) => void>();
+  private readonly inboundLinks = createLinkTable<MessageLink>();
   private readonly timer: NodeJS.Timeout;
   private nextRequestId = 1;
-  private lastRefusal: string | undefined;
+  private lastLoggedRefusal: string | undefined;
 
   constructor(
     readonly state: ControlState,
@@ -56,34 +56,34 @@
 
   /** Runs one step and performs its effects. */
   step(event: ControlEvent): void {
-    for (const effect of controlStep(this.state, event, this.contexts.now())) {
+    for (const effect of controlStep(this.state, event, this.contextSource.now())) {
       this.perform(effect);
     }
   }
 
-  /** Puts a command into the log; resolves with its outcome. */
+  /** Proposes a command for the replicated log; resolves with its outcome. */
   propose(entry: CommandEntry): Promise<CommandOutcome> {
     const requestId = this.allocateRequestId();
     return new Promise((resolve) => {
-      this.commands.set(requestId, resolve);
+      this.pendingCommands.set(requestId, resolve);
       this.step({ type: 'propose', requestId, entry });
     });
   }
 
-  /** Changes the control machines; resolves with the outcome. */
+  /** Changes the members of the control cluster; resolves with the outcome. */
   changeMembers(command: MemberCommand): Promise<CommandOutcome> {
     const requestId = this.allocateRequestId();
     return new Promise((resolve) => {
-      this.commands.set(requestId, resolve);
+      this.pendingCommands.set(requestId, resolve);
       this.step({ type: 'change-members', requestId, command });
     });
   }
 
-  /** Resolves once a quorum has confirmed that this machine leads, or with why it does not. */
-  query(): Promise<QueryAnswer> {
+  /** Resolves after a quorum has confirmed that this machine leads, or with an error. */
+  confirmLeadership(): Promise<LeadershipConfirmation> {
     const requestId = this.allocateRequestId();
     return new Promise((resolve) => {
-      this.queries.set(requestId, resolve);
+      this.pendingQueries.set(requestId, resolve);
       this.step({ type: 'query', requestId });
     });
   }
@@ -96,13 +96,13 @@
     if (message.type === 'peer') {
       this.step({ type: 'peer-message', envelope: message });
     } else {
-      this.step({ type: 'link-message', linkId: this.links.idOf(link), message });
+      this.step({ type: 'link-message', linkId: this.inboundLinks.idOf(link), message });
     }
     return true;
   }
 
   onClose(link: MessageLink): void {
-    const linkId = this.links.remove(link);
+    const linkId = this.inboundLinks.remove(link);
     if (linkId !== undefined) {
       this.step({ type: 'link-closed', linkId });
     }
@@ -114,15 +114,15 @@
 
   close(): void {
     clearInterval(this.timer);
-    this.peers.close((link) => link.close());
+    this.peerLinks.close((link) => link.close());
   }
 
   private tick(): void {
     const freshSecret = randomBytes(TOKEN_KEY_LENGTH_BYTES);
     this.step({ type: 'tick', wallTimeMs: Date.now(), freshSecret });
     const { refusal } = this.state.join;
-    if (refusal !== this.lastRefusal) {
-      this.lastRefusal = refusal;
+    if (refusal !== this.lastLoggedRefusal) {
+      this.lastLoggedRefusal = refusal;
       this.logger.warn(`A peer refuses this machine: ${refusal ?? ''}`);
     }
   }
@@ -136,15 +136,19 @@
   private perform(effect: ControlEffect): void {
     match(effect)
       .with({ type: 'persist' }, { type: 'persist-snapshot' }, (write) => this.persist(write))
-      .with({ type: 'peer-send' }, ({ address, envelope }) => this.peers.send(address, envelope))
-      .with({ type: 'link-send' }, ({ linkId, message }) => this.links.find(linkId)?.send(message))
+      .with({ type: 'peer-send' }, ({ address, envelope }) =>
+        this.peerLinks.send(address, envelope),
+      )
+      .with({ type: 'link-send' }, ({ linkId, message }) =>
+        this.inboundLinks.find(linkId)?.send(message),
+      )
       .with({ type: 'operator-reply' }, ({ requestId, outcome }) => {
-        this.commands.get(requestId)?.(outcome);
-        this.commands.delete(requestId);
+        this.pendingCommands.get(requestId)?.(outcome);
+        this.pendingCommands.delete(requestId);
       })
       .with({ type: 'query-reply' }, ({ requestId, ...answer }) => {
-        this.queries.get(requestId)?.(answer);
-        this.queries.delete(requestId);
+        this.pendingQueries.get(requestId)?.(answer);
+        this.pendingQueries.delete(requestId);
       })
       .with({ type: 'role-changed' }, () => this.logRole())
       .exhaustive();
--- a/src/managed/daemon/health-probe.ts
+++ b/src/managed/daemon/health-probe.ts
@@ -1,5 +1,5 @@
 /**
- * @file One health probe of a back end over HTTP.
+ * @file Sends the HTTP requests of one health probe to a back end.
  */
 import type { Backend } from '../control/routing-config.js';
 import {
@@ -10,16 +10,13 @@
 import type { ProbeEffect } from '../health/probe-schedule.js';
 import { sendJson } from './http-json.js';
 
-/**
- * How long one request of a probe may take, in milliseconds. Not measured; too short if probes of live back ends
- * fail.
- */
+/** Timeout of one HTTP request of a probe. */
 const PROBE_TIMEOUT_MS = 1_000;
 
 /**
- * Asks a back end for its health and load. An authoritative probe also sends its identity, and the order to drain where
- * the operators want that.
- * @returns what it reported, undefined for each endpoint that gave no valid answer; never rejects
+ * Requests the health and load of a back end. An authoritative probe also sends the back end's identity, and a drain
+ * request if the back end is to be drained.
+ * @returns the reports, undefined for each endpoint without a valid response; never rejects
  */
 export async function probeBackend({
   backend,
@@ -28,7 +25,7 @@
   if (isAuthoritative && backend.adminState === 'draining') {
     await fetchBody(backend, 'POST', '/drain');
   }
-  // The back end learns which one it is, and refuses what a stale configuration sends it.
+  // With its identity, a back end can reject traffic that is sent under a stale configuration.
   const identity = isAuthoritative ? `?serviceId=${backend.serviceId}&backendId=${backend.id}` : '';
   const [health, load] = await Promise.all([
     fetchBody(backend, 'GET', `/health${identity}`),
--- a/src/managed/daemon/http-json.ts
+++ b/src/managed/daemon/http-json.ts
@@ -1,16 +1,15 @@
 /**
- * @file Small helpers for HTTP with JSON bodies.
+ * @file HTTP requests with JSON bodies, and reading of JSON bodies.
  */
 import { request, type IncomingMessage } from 'node:http';
-import { request as requestOverTls } from 'node:https';
+import { request as httpsRequest } from 'node:https';
 import { err, ok, ResultAsync, type Result } from 'neverthrow';
 import type { Address } from '../../shared/common/address.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
-/** Longest body that is read; a longer one is refused. */
 const MAX_BODY_BYTES = 1024 * 1024;
 
-/** One HTTP request that this process sends. */
+/** An outgoing HTTP request. */
 export interface JsonRequest {
   readonly to: Address;
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
@@ -18,11 +17,11 @@
   readonly body?: unknown;
   readonly bearerToken?: string | undefined;
   readonly timeoutMs: number;
-  /** Certificate of the authority that signed the server's (PEM); with it TLS is used. */
+  /** CA certificate (PEM) that the server certificate is verified against; enables TLS. */
   readonly ca?: string | undefined;
 }
 
-/** Its answer. */
+/** The response to a `JsonRequest`. */
 export interface JsonResponse {
   readonly status: number;
   readonly body: unknown;
@@ -30,15 +29,15 @@
 
 /**
  * Sends a request.
- * @returns the answer, or `peer-unreachable` where none came in time or it was no JSON
+ * @returns the response, or `peer-unreachable` if the request failed, timed out or the body is not valid JSON
  */
 export function sendJson(options: JsonRequest): ResultAsync<JsonResponse, AmberliftError> {
-  return ResultAsync.fromPromise(exchange(options), (cause) =>
+  return ResultAsync.fromPromise(sendRequest(options), (cause) =>
     amberliftError('peer-unreachable', String(cause)),
   );
 }
 
-function exchange(options: JsonRequest): Promise<JsonResponse> {
+function sendRequest(options: JsonRequest): Promise<JsonResponse> {
   return new Promise((resolve, reject) => {
     const { ca } = options;
     const requestOptions = {
@@ -53,11 +52,11 @@
       },
     };
     const outgoing =
-      ca === undefined ? request(requestOptions) : requestOverTls({ ...requestOptions, ca });
+      ca === undefined ? request(requestOptions) : httpsRequest({ ...requestOptions, ca });
     outgoing.on('timeout', () => outgoing.destroy(new Error('No answer in time.')));
     outgoing.on('error', reject);
     outgoing.on('response', (incoming) => {
-      readBody(incoming).then((result) => {
+      readJsonBody(incoming).then((result) => {
         result.match(
           (body) => resolve({ status: incoming.statusCode ?? 0, body }),
           (error) => reject(new Error(error.message)),
@@ -70,9 +69,9 @@
 
 /**
  * Reads a JSON body.
- * @returns its value, undefined for an empty body, or `invalid-command`
+ * @returns the parsed value, undefined for an empty body, or `invalid-command`
  */
-export async function readBody(
+export async function readJsonBody(
   incoming: IncomingMessage,
 ): Promise<Result<unknown, AmberliftError>> {
   const chunks: Buffer[] = [];
@@ -89,7 +88,7 @@
   try {
     return ok(text === '' ? undefined : (JSON.parse(text) as unknown));
   } catch {
-    // JSON.parse throws for a body that is no JSON; its text may hold a secret, so it isn't repeated.
+    // The message of the SyntaxError may quote a secret from the body, so it is not passed on.
     return err(amberliftError('invalid-command', 'The body is no JSON.'));
   }
 }
--- a/src/managed/daemon/link-schemas.ts
+++ b/src/managed/daemon/link-schemas.ts
@@ -1,6 +1,6 @@
 /**
- * @file Schemas of the messages on the links of control machines and balancers. Whatever comes in is
- * checked by them before a decision sees it; a process that sends anything else loses its link.
+ * @file Schemas of the messages on the links of control machines and balancers. Every received message is
+ * validated before it is processed; an invalid one closes the link.
  */
 import * as z from 'zod/mini';
 import {
@@ -72,13 +72,13 @@
   remainingMs: z.number(),
   floorIndex: indexSchema,
 });
-const withId = z.looseObject({ id: indexSchema });
+const entity = z.looseObject({ id: indexSchema });
 const change = z.discriminatedUnion('type', [
-  z.object({ type: z.literal('service-set'), service: withId }),
+  z.object({ type: z.literal('service-set'), service: entity }),
   z.object({ type: z.literal('service-removed'), serviceId: indexSchema }),
-  z.object({ type: z.literal('backend-set'), backend: withId }),
+  z.object({ type: z.literal('backend-set'), backend: entity }),
   z.object({ type: z.literal('backend-removed'), backendId: indexSchema }),
-  z.object({ type: z.literal('key-set'), key: withId }),
+  z.object({ type: z.literal('key-set'), key: entity }),
   z.object({ type: z.literal('key-removed'), keyId: indexSchema }),
 ]);
 const update = z.discriminatedUnion('type', [
@@ -86,12 +86,12 @@
   z.object({
     type: z.literal('snapshot'),
     to: position,
-    services: z.array(withId),
-    backends: z.array(withId),
-    keys: z.array(withId),
+    services: z.array(entity),
+    backends: z.array(entity),
+    keys: z.array(entity),
   }),
 ]);
-const sharedResult = z.looseObject({ backendId: indexSchema, ageMs: nonNegativeSchema });
+const healthResult = z.looseObject({ backendId: indexSchema, ageMs: nonNegativeSchema });
 const controlToBalancer = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('heartbeat'),
@@ -102,21 +102,24 @@
   }),
   z.object({ type: z.literal('update'), update }),
   z.object({ type: z.literal('link-refused'), kind: z.literal('wrong-cluster') }),
-  z.object({ type: z.literal('health-state'), results: listOf(sharedResult) }),
+  z.object({ type: z.literal('health-state'), results: listOf(healthResult) }),
 ]);
 
 /**
- * @returns the message that came to the link address of a control machine, or undefined
+ * Validates a message received on the link address of a control machine.
+ * @returns the message, or undefined if it is invalid
  */
 export function parseControlLinkMessage(
   value: unknown,
 ): PeerEnvelope | BalancerToControlMessage | undefined {
-  const isFit = peerEnvelope.safeParse(value).success || balancerToControl.safeParse(value).success;
-  return isFit ? (value as PeerEnvelope | BalancerToControlMessage) : undefined;
+  const isValid =
+    peerEnvelope.safeParse(value).success || balancerToControl.safeParse(value).success;
+  return isValid ? (value as PeerEnvelope | BalancerToControlMessage) : undefined;
 }
 
 /**
- * @returns the message that came to the link address of a balancer, or undefined
+ * Validates a message received on the link address of a balancer.
+ * @returns the message, or undefined if it is invalid
  */
 export function parseBalancerLinkMessage(value: unknown): BalancerToControlMessage | undefined {
   return balancerToControl.safeParse(value).success
@@ -125,7 +128,8 @@
 }
 
 /**
- * @returns the message of the one that feeds a balancer, or undefined
+ * Validates a message that a balancer received from its configuration source.
+ * @returns the message, or undefined if it is invalid
  */
 export function parseFeedMessage(value: unknown): ControlToBalancerMessage | undefined {
   return controlToBalancer.safeParse(value).success
--- a/src/managed/daemon/member-api.ts
+++ b/src/managed/daemon/member-api.ts
@@ -1,9 +1,9 @@
 /**
- * @file The interface for changes of the control machines themselves, HTTP with JSON.
+ * @file The API for membership changes of the control cluster, HTTP with JSON.
  *
- * `GET /v1/members` lists the members and the machines that ask to be added, as this machine knows
- * them; `POST /v1/members` with `{type, nodeId}` adds a learner, promotes one that has caught up, or
- * removes a member. Both need `Authorization: Bearer TOKEN` with the admin token of the settings.
+ * `GET /v1/members` lists the members and the machines that ask to join, as seen by this machine.
+ * `POST /v1/members` with `{type, nodeId}` adds a learner, promotes one that has caught up, or removes a
+ * member. Both require `Authorization: Bearer TOKEN` with the admin token from the settings.
  */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { timingSafeEqual } from 'node:crypto';
@@ -14,32 +14,32 @@
 import type { MemberCommand } from '../control/control-events.js';
 import type { ControlState } from '../control/control-step.js';
 import { amberliftError } from '../../shared/common/error-kinds.js';
-import { readBody } from './http-json.js';
+import { readJsonBody } from './http-json.js';
 import { respondJson } from '../../shared/daemon/json-response.js';
 import { respondError } from './operator-api.js';
 
-const PATH = '/v1/members';
+const MEMBERS_PATH = '/v1/members';
 const memberCommandSchema = z.strictObject({
   type: z.enum(['add-member', 'promote-member', 'remove-member']),
   nodeId: z.string().min(1),
 });
 
-/** What the interface needs of the control machine. */
+/** The functions of the control machine that the API uses. */
 interface MemberApiOptions {
   readonly state: ControlState;
-  /** Undefined where changes are not allowed. */
+  /** Undefined disables the API. */
   readonly adminToken: string | undefined;
   nowMs(): number;
   changeMembers(command: MemberCommand): Promise<CommandOutcome>;
 }
 
 /**
- * @param next takes the requests for other pages
- * @returns a request listener
+ * @param next handles requests with another path
+ * @returns the request listener of the member API
  */
 export function memberApi(options: MemberApiOptions, next: RequestListener): RequestListener {
   return (incoming, response) => {
-    if (incoming.url !== PATH) {
+    if (incoming.url !== MEMBERS_PATH) {
       next(incoming, response);
       return;
     }
@@ -63,7 +63,7 @@
     respondJson(response, 200, status);
     return;
   }
-  const body = await readBody(incoming);
+  const body = await readJsonBody(incoming);
   const command = body.map((value) => memberCommandSchema.safeParse(value));
   if (command.isErr() || !command.value.success) {
     const message = 'A body {"type": "add-member" | "promote-member" | "remove-member", "nodeId"}.';
@@ -78,13 +78,13 @@
   }
 }
 
-/** Hashes have one length, as the comparison in constant time needs. */
+/** Compares hashes, since a constant-time comparison needs inputs of equal length. */
 function isAdmin(adminToken: string | undefined, incoming: IncomingMessage): boolean {
-  const given = /^Bearer (.+)$/.exec(incoming.headers.authorization ?? '')?.[1] ?? '';
+  const token = /^Bearer (.+)$/.exec(incoming.headers.authorization ?? '')?.[1] ?? '';
   return (
     adminToken !== undefined &&
     timingSafeEqual(
-      Buffer.from(operatorTokenHash(given)),
+      Buffer.from(operatorTokenHash(token)),
       Buffer.from(operatorTokenHash(adminToken)),
     )
   );
--- a/src/managed/daemon/message-link.ts
+++ b/src/managed/daemon/message-link.ts
@@ -1,5 +1,5 @@
 /**
- * @file TCP links that carry MessagePack messages between the system's own processes.
+ * @file TCP links that carry framed MessagePack messages between balancers and control machines.
  */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { once } from 'node:events';
@@ -7,16 +7,10 @@
 import { encodeFrame, FrameDecoder } from '../../shared/common/frame-codec.js';
 import type { TrafficDirection } from '../dissemination/traffic.js';
 
-/**
- * When TCP begins to check a link that is idle, in milliseconds. Not measured; the protocol above has shorter limits
- * of its own.
- */
-const KEEP_ALIVE_MS = 5_000;
-/**
- * A link whose other end leaves more than this unread is closed, and its owner opens it again. A snapshot of 9,000
- * back ends is 2.99 MB.
- */
-const MAX_UNSENT_BYTES = 16 * 1024 * 1024;
+/** Idle time before the first TCP keep-alive probe; the protocols on top have shorter timeouts. */
+const KEEP_ALIVE_DELAY_MS = 5_000;
+/** A link with more unsent bytes than this is closed; the limit leaves room for several large snapshots. */
+const MAX_SEND_BUFFER_BYTES = 16 * 1024 * 1024;
 
 /** One end of a link. */
 export interface MessageLink {
@@ -24,32 +18,32 @@
   close(): void;
 }
 
-/** What the owner of a link handles. */
+/** Callbacks of a link. */
 export interface LinkHandlers {
-  /** @returns false where the message is not one that belongs here; the link is closed then */
+  /** @returns false if the message is invalid, which closes the link */
   onMessage(message: unknown, link: MessageLink): boolean;
   onClose(link: MessageLink): void;
-  /** Counts a message with its bytes; of messages that come at once, the first counts them all. */
+  /** Called for each message; the bytes of messages received together are counted with the first. */
   onTraffic?(direction: TrafficDirection, kind: string, bytes: number): void;
 }
 
-/** A listening socket for links. */
+/** A server that accepts links. */
 export interface LinkServer {
   readonly address: Address;
   close(): Promise<void>;
 }
 
 /**
- * Connects to a process.
- * @returns the link at once; messages sent before the connection stands are queued
+ * Connects to another process.
+ * @returns the link, before it is connected; messages sent until then are queued
  */
 export function connectLink(to: Address, handlers: LinkHandlers): MessageLink {
-  return wrapLink(connect(to.port, to.host), handlers);
+  return createLink(connect(to.port, to.host), handlers);
 }
 
 /**
- * Listens for links.
- * @returns the server; rejects where the address can't be bound
+ * Starts a server that accepts links.
+ * @returns the server; rejects if the address can't be bound
  */
 export async function listenForLinks(
   address: Address,
@@ -59,7 +53,7 @@
   const server = createServer((socket) => {
     sockets.add(socket);
     socket.on('close', () => sockets.delete(socket));
-    wrapLink(socket, handlers);
+    createLink(socket, handlers);
   });
   server.listen(address.port, address.host);
   await once(server, 'listening');
@@ -72,25 +66,25 @@
   await new Promise<void>((resolve) => server.close(() => resolve()));
 }
 
-function wrapLink(socket: Socket, handlers: LinkHandlers): MessageLink {
+function createLink(socket: Socket, handlers: LinkHandlers): MessageLink {
   const decoder = new FrameDecoder();
   const link: MessageLink = {
     send: (message) => {
-      if (socket.writableLength > MAX_UNSENT_BYTES) {
+      if (socket.writableLength > MAX_SEND_BUFFER_BYTES) {
         socket.destroy();
       } else if (socket.writable) {
         const bytes = encodeFrame(message);
         socket.write(bytes);
-        handlers.onTraffic?.('sent', kindOf(message), bytes.length);
+        handlers.onTraffic?.('sent', messageKind(message), bytes.length);
       }
     },
     close: () => socket.destroy(),
   };
   socket.setNoDelay(true);
-  socket.setKeepAlive(true, KEEP_ALIVE_MS);
+  socket.setKeepAlive(true, KEEP_ALIVE_DELAY_MS);
   let countedBytes = 0;
   const receive = (message: unknown) => {
-    handlers.onTraffic?.('received', kindOf(message), socket.bytesRead - countedBytes);
+    handlers.onTraffic?.('received', messageKind(message), socket.bytesRead - countedBytes);
     countedBytes = socket.bytesRead;
     return handlers.onMessage(message, link);
   };
@@ -105,7 +99,7 @@
   return link;
 }
 
-function kindOf(message: unknown): string {
+function messageKind(message: unknown): string {
   const hasType = typeof message === 'object' && message !== null && 'type' in message;
   return hasType && typeof message.type === 'string' ? message.type : 'unknown';
 }
--- a/src/managed/daemon/metrics/balancer-metrics.ts
+++ b/src/managed/daemon/metrics/balancer-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * @file The metrics of a balancer.
+ * @file Prometheus metrics and health status of a balancer.
  */
 import { collectDefaultMetrics, Registry } from 'prom-client';
 import type { BalancerState } from '../../balancer/balancer-state.js';
@@ -18,8 +18,8 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * @param nowMs the clock of the balancer's steps
- * @returns what a balancer serves
+ * @param nowMs the clock that the balancer's state machine uses
+ * @returns the metrics and the health status of a balancer
  */
 export function balancerMetrics(state: BalancerState, nowMs: () => number): MetricsSource {
   const registry = new Registry();
@@ -30,18 +30,26 @@
 }
 
 function registerTraffic(registry: Registry, state: BalancerState): void {
-  const value = (name: string, help: string, read: () => number): void =>
+  const register = (name: string, help: string, read: () => number): void =>
     registerValue(registry, `amberlift_${name}`, help, read);
   const { limits } = state;
-  value('forwarded_packets_total', 'Packets of established flows sent to back ends.', () => {
+  register('forwarded_packets_total', 'Packets of established flows sent to back ends.', () => {
     return state.forwardedPackets;
   });
-  value('opens_received_total', 'Opens of callers.', () => limits.receivedOpens);
-  value('opens_sent_total', 'Opens sent to back ends, retries included.', () => limits.sentOpens);
-  value('opens_accepted_total', 'Opens that a back end accepted.', () => state.acceptedOpens);
-  value('opens_repeated_total', 'Copies of pending opens.', () => limits.repeatedOpens);
-  value('open_answers_late_total', 'Answers to opens no longer pending.', () => limits.lateAnswers);
-  value('opens_pending', 'Opens that wait for a back end.', () => state.pendingOpens.size);
+  register('opens_received_total', 'Opens of callers.', () => limits.receivedOpens);
+  register(
+    'opens_sent_total',
+    'Opens sent to back ends, retries included.',
+    () => limits.sentOpens,
+  );
+  register('opens_accepted_total', 'Opens that a back end accepted.', () => state.acceptedOpens);
+  register('opens_repeated_total', 'Copies of pending opens.', () => limits.repeatedOpens);
+  register(
+    'open_answers_late_total',
+    'Answers to opens no longer pending.',
+    () => limits.lateAnswers,
+  );
+  register('opens_pending', 'Opens that wait for a back end.', () => state.pendingOpens.size);
   registerLabelledValues(
     registry,
     'amberlift_errors_total',
@@ -67,12 +75,12 @@
   state: BalancerState,
   nowMs: () => number,
 ): void {
-  const value = (name: string, help: string, read: () => number): void =>
+  const register = (name: string, help: string, read: () => number): void =>
     registerValue(registry, `amberlift_${name}`, help, read);
-  value('config_index', 'Log index of the configuration in force.', () => state.position.index);
-  value('config_services', 'Services in force.', () => state.config.services.size);
-  value('live_balancers', 'Balancers that share the traffic.', () => state.fleet.balancerCount);
-  value('lease_held', '1 while the lease runs.', () =>
+  register('config_index', 'Log index of the configuration in force.', () => state.position.index);
+  register('config_services', 'Services in force.', () => state.config.services.size);
+  register('live_balancers', 'Balancers that share the traffic.', () => state.fleet.balancerCount);
+  register('lease_held', '1 while the lease runs.', () =>
     Number(isLeaseHeld(state.subscription.lease, nowMs())),
   );
   registerLabelledValues(
--- a/src/managed/daemon/metrics/control-metrics.ts
+++ b/src/managed/daemon/metrics/control-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * @file The metrics of a control machine.
+ * @file Prometheus metrics and health status of a control machine.
  */
 import { collectDefaultMetrics, Registry } from 'prom-client';
 import type { ControlState } from '../../control/control-state.js';
@@ -11,21 +11,27 @@
 } from '../../../shared/daemon/metrics/state-gauge.js';
 
 /**
- * @returns what a control machine serves
+ * @returns the metrics and the health status of a control machine
  */
 export function controlMetrics(state: ControlState): MetricsSource {
   const registry = new Registry();
   collectDefaultMetrics({ register: registry });
   const { consensus, cluster } = state;
-  const value = (name: string, help: string, read: () => number): void =>
+  const register = (name: string, help: string, read: () => number): void =>
     registerValue(registry, `amberlift_${name}`, help, read);
-  value('consensus_term', 'Term of this machine.', () => consensus.term);
-  value('consensus_commit_index', 'Highest index known as committed.', () => consensus.commitIndex);
-  value('consensus_is_leader', '1 at the leader.', () => Number(consensus.role.name === 'leader'));
-  value('storage_failed', '1 once the disk has failed.', () => Number(consensus.storageFailed));
-  value('applied_index', 'Index of the last entry applied.', () => cluster.index);
-  value('config_services', 'Services accepted.', () => cluster.routing.services.size);
-  value('config_backends', 'Back ends accepted.', () => cluster.routing.backends.size);
+  register('consensus_term', 'Term of this machine.', () => consensus.term);
+  register(
+    'consensus_commit_index',
+    'Highest index known as committed.',
+    () => consensus.commitIndex,
+  );
+  register('consensus_is_leader', '1 at the leader.', () =>
+    Number(consensus.role.name === 'leader'),
+  );
+  register('storage_failed', '1 once the disk has failed.', () => Number(consensus.storageFailed));
+  register('applied_index', 'Index of the last entry applied.', () => cluster.index);
+  register('config_services', 'Services accepted.', () => cluster.routing.services.size);
+  register('config_backends', 'Back ends accepted.', () => cluster.routing.backends.size);
   registerLabelledValues(
     registry,
     'amberlift_balancer_config_index',
--- a/src/managed/daemon/metrics/metrics-server.ts
+++ b/src/managed/daemon/metrics/metrics-server.ts
@@ -1,5 +1,5 @@
 /**
- * @file The HTTP endpoint of a daemon for `/metrics` and its health.
+ * @file HTTP server of a daemon for `/metrics` and `/health`.
  */
 import type { Address } from '../../../shared/common/address.js';
 import { listenHttp, type HttpServer } from '../../../shared/daemon/http-server.js';
@@ -9,9 +9,9 @@
 } from '../../../shared/daemon/metrics/metrics-listener.js';
 
 /**
- * Starts the endpoint.
- * @param address where to listen; undefined starts nothing
- * @returns the endpoint; rejects where the address can't be bound
+ * Starts the server.
+ * @param address the listen address; undefined disables the server
+ * @returns the server, or undefined without an address; rejects if the address can't be bound
  */
 export async function startMetricsServer(
   address: Address | undefined,
--- a/src/managed/daemon/operator-api.ts
+++ b/src/managed/daemon/operator-api.ts
@@ -1,8 +1,8 @@
 /**
- * @file The operator interface: HTTP with JSON.
+ * @file The operator API, HTTP with JSON.
  *
- * `POST /v1/command` with `{commandId, command}` changes something; `POST /v1/query` with `{query}`
- * asks, and is answered only once a quorum has confirmed that the answer is current. Both need
+ * `POST /v1/command` with `{commandId, command}` runs a command. `POST /v1/query` with `{query}` is a
+ * linearizable read: it is answered after a quorum has confirmed the leader. Both require
  * `Authorization: Bearer TOKEN`.
  */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
@@ -23,11 +23,11 @@
 import { visibleOutcome } from '../control/views/entity-views.js';
 import type { InForceView } from '../control/views/in-force.js';
 import { amberliftError, answerFor, type AmberliftError } from '../../shared/common/error-kinds.js';
-import { readBody } from './http-json.js';
+import { readJsonBody } from './http-json.js';
 import { respondJson } from '../../shared/daemon/json-response.js';
 
 const commandRequestSchema = z.strictObject({
-  /** Printable, without spaces, so that a statement can name it. */
+  /** Printable and without spaces, so that it can be used as a word of a statement. */
   commandId: z
     .string()
     .max(MAX_COMMAND_ID_LENGTH)
@@ -36,27 +36,27 @@
 });
 const queryRequestSchema = z.strictObject({ query: operatorQuerySchema });
 
-/** What the interface needs of the control machine. */
+/** The functions of the control machine that the API uses. */
 interface OperatorApiOptions {
   readonly state: ClusterState;
   propose(entry: CommandEntry): Promise<CommandOutcome>;
-  /** Resolves once a quorum has confirmed that the state here is current, or with why it may not be. */
-  query(): Promise<QueryAnswer>;
-  /** What balancers have in force. */
+  /** Resolves after a quorum has confirmed that the local state is current, or with an error. */
+  confirmLeadership(): Promise<LeadershipConfirmation>;
+  /** Configuration versions in force on the balancers. */
   inForce(): InForceView;
-  /** What back ends carry. */
+  /** Load of the back ends. */
   load(): LoadView;
 }
 
-/** Whether a question may be answered here. */
-export interface QueryAnswer {
+/** Whether this machine may answer a query; `error` is absent if it may. */
+export interface LeadershipConfirmation {
   readonly error?: AmberliftError;
-  /** Operator address of the leader, where another machine leads. */
+  /** Operator address of the leader, if another machine leads. */
   readonly leader?: Address;
 }
 
 /**
- * @returns the request listener of the operator interface
+ * @returns the request listener of the operator API
  */
 export function operatorApi(options: OperatorApiOptions): RequestListener {
   return (incoming, response) => {
@@ -66,8 +66,7 @@
   };
 }
 
-/** An operator whose token was checked. */
-interface Sender {
+interface AuthenticatedOperator {
   readonly operator: Operator;
   readonly owner: OwnerState;
 }
@@ -77,14 +76,14 @@
   incoming: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const sender = authenticate(options.state, incoming);
-  if (sender.isErr()) {
-    // A machine that lags may not know the operator yet; only a confirmed leader may say "unauthorized".
-    const { error = sender.error, leader } = await options.query();
+  const authenticated = authenticate(options.state, incoming);
+  if (authenticated.isErr()) {
+    // A lagging machine may not have the operator yet; only a confirmed leader may answer `unauthorized`.
+    const { error = authenticated.error, leader } = await options.confirmLeadership();
     respondError(response, error, leader);
     return;
   }
-  const { operator, owner } = sender.value;
+  const { operator, owner } = authenticated.value;
   if (incoming.method === 'POST' && incoming.url === '/v1/command') {
     await handleCommand(options, operator, incoming, response);
   } else if (incoming.method === 'POST' && incoming.url === '/v1/query') {
@@ -100,7 +99,9 @@
   incoming: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const request = (await readBody(incoming)).andThen((body) => parse(commandRequestSchema, body));
+  const request = (await readJsonBody(incoming)).andThen((body) =>
+    parseRequest(commandRequestSchema, body),
+  );
   if (request.isErr()) {
     respondError(response, request.error);
     return;
@@ -119,17 +120,19 @@
   incoming: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const request = (await readBody(incoming)).andThen((body) => parse(queryRequestSchema, body));
+  const request = (await readJsonBody(incoming)).andThen((body) =>
+    parseRequest(queryRequestSchema, body),
+  );
   if (request.isErr()) {
     respondError(response, request.error);
     return;
   }
-  const { error, leader } = await options.query();
+  const { error, leader } = await options.confirmLeadership();
   if (error !== undefined) {
     respondError(response, error, leader);
     return;
   }
-  // The state may have been replaced by a snapshot's meanwhile; the owner is looked up anew.
+  // A snapshot may have replaced the state in the meantime, so the owner is looked up again.
   const { state } = options;
   const source = {
     state,
@@ -143,7 +146,10 @@
   );
 }
 
-function parse<Value>(schema: z.ZodType<Value>, body: unknown): Result<Value, AmberliftError> {
+function parseRequest<Value>(
+  schema: z.ZodType<Value>,
+  body: unknown,
+): Result<Value, AmberliftError> {
   const parsed = schema.safeParse(body);
   if (parsed.success) {
     return ok(parsed.data);
@@ -157,7 +163,7 @@
 function authenticate(
   state: ClusterState,
   incoming: IncomingMessage,
-): Result<Sender, AmberliftError> {
+): Result<AuthenticatedOperator, AmberliftError> {
   const token = /^Bearer (.+)$/.exec(incoming.headers.authorization ?? '')?.[1] ?? '';
   const hash = operatorTokenHash(token);
   for (const operator of state.operators.values()) {
@@ -170,7 +176,7 @@
 }
 
 /**
- * Answers with an error, and with the leader's operator address where it is known.
+ * Sends an error response, with the leader's operator address if it is known.
  */
 export function respondError(
   response: ServerResponse,
--- a/src/managed/daemon/peer-sockets.ts
+++ b/src/managed/daemon/peer-sockets.ts
@@ -1,6 +1,6 @@
 /**
- * @file The sockets by which a balancer is reached by other balancers: UDP for gossip, TCP for links
- * over which they get the configuration.
+ * @file A balancer's sockets for other balancers: UDP for gossip and TCP for links that distribute the
+ * configuration.
  */
 import type { Address } from '../../shared/common/address.js';
 import { createLinkTable } from '../../shared/common/link-table.js';
@@ -17,49 +17,49 @@
 import { listenForLinks, type LinkServer, type MessageLink } from './message-link.js';
 import { bindUdp, type UdpSocket } from '../../shared/daemon/udp-socket.js';
 
-/** Handles what comes in. */
-interface PeerSocketsOwner {
+/** Callbacks for received messages and traffic counts. */
+interface PeerSocketsHandlers {
   step(event: BalancerEvent): void;
   countTraffic(direction: TrafficDirection, kind: string, bytes: number): void;
 }
 
-/** The sockets towards other balancers. */
+/** The gossip socket and the link server of a balancer. */
 export class PeerSockets {
   private readonly links = createLinkTable<MessageLink>();
   private readonly key: GossipKey;
   private udp: UdpSocket | undefined;
   private server: LinkServer | undefined;
-  private hasWarned = false;
+  private hasLoggedRejection = false;
 
   private constructor(
     clusterKey: string,
-    private readonly owner: () => PeerSocketsOwner | undefined,
+    private readonly handlers: () => PeerSocketsHandlers | undefined,
   ) {
     this.key = gossipKey(clusterKey);
   }
 
   /**
-   * @param owner undefined until there is one; what comes before is dropped
-   * @returns the bound sockets; rejects where an address can't be bound
+   * @param handlers returns undefined until the handlers exist; messages received before that are dropped
+   * @returns the bound sockets; rejects if an address can't be bound
    */
   static async bind(
     { balancer, clusterKey }: Settings,
-    owner: () => PeerSocketsOwner | undefined,
+    handlers: () => PeerSocketsHandlers | undefined,
   ): Promise<PeerSockets> {
-    const sockets = new PeerSockets(clusterKey, owner);
+    const sockets = new PeerSockets(clusterKey, handlers);
     sockets.udp = await bindUdp(balancer.gossipAddress, (datagram, from) =>
-      sockets.receive(datagram, from),
+      sockets.receiveDatagram(datagram, from),
     );
     sockets.server = await listenForLinks(balancer.linkAddress, {
       onMessage: (value, link) => {
         const message = parseBalancerLinkMessage(value);
         if (message !== undefined) {
-          owner()?.step({ type: 'peer-message', linkId: sockets.links.idOf(link), message });
+          handlers()?.step({ type: 'peer-message', linkId: sockets.links.idOf(link), message });
         }
         return message !== undefined;
       },
-      onClose: (link) => sockets.forget(link),
-      onTraffic: (direction, kind, bytes) => owner()?.countTraffic(direction, kind, bytes),
+      onClose: (link) => sockets.removeLink(link),
+      onTraffic: (direction, kind, bytes) => handlers()?.countTraffic(direction, kind, bytes),
     });
     return sockets;
   }
@@ -70,9 +70,9 @@
     return { host, gossipPort: udp?.address.port ?? 0, linkPort: server?.address.port ?? 0 };
   }
 
-  gossip(to: Address, message: PeerDatagram): void {
+  sendGossip(to: Address, message: PeerDatagram): void {
     const datagram = encodeGossip(message, this.key);
-    this.owner()?.countTraffic('sent', message.type, datagram.length);
+    this.handlers()?.countTraffic('sent', message.type, datagram.length);
     this.udp?.send(datagram, to);
   }
 
@@ -84,28 +84,28 @@
     await Promise.all([this.udp?.close(), this.server?.close()]);
   }
 
-  private receive(datagram: Uint8Array, from: Address): void {
+  private receiveDatagram(datagram: Uint8Array, from: Address): void {
     const message = decodeGossip(datagram, this.key);
     if (message.isErr()) {
-      this.warnOnce(message.error.message, from);
+      this.logRejectionOnce(message.error.message, from);
       return;
     }
-    this.owner()?.countTraffic('received', message.value.type, datagram.length);
-    this.owner()?.step({ type: 'gossip', message: message.value, from });
+    this.handlers()?.countTraffic('received', message.value.type, datagram.length);
+    this.handlers()?.step({ type: 'gossip', message: message.value, from });
   }
 
-  /** Logged once: a process with another cluster key goes on sending. */
-  private warnOnce(reason: string, { host, port }: Address): void {
-    if (!this.hasWarned) {
-      this.hasWarned = true;
+  /** Logs only the first rejection, since a process with another cluster key keeps sending. */
+  private logRejectionOnce(reason: string, { host, port }: Address): void {
+    if (!this.hasLoggedRejection) {
+      this.hasLoggedRejection = true;
       loggerFor('balancer').warn(`A datagram from ${host}:${port} is refused: ${reason}`);
     }
   }
 
-  private forget(link: MessageLink): void {
+  private removeLink(link: MessageLink): void {
     const linkId = this.links.remove(link);
     if (linkId !== undefined) {
-      this.owner()?.step({ type: 'peer-closed', linkId });
+      this.handlers()?.step({ type: 'peer-closed', linkId });
     }
   }
 }
--- a/src/managed/language/command-reference.ts
+++ b/src/managed/language/command-reference.ts
@@ -1,17 +1,17 @@
 /**
- * @file The table of all statements of the operators' language, from which the command reference
- * (docs/COMMANDS.md) is made. A test parses each example.
+ * @file All statements of the operators' language, from which the command reference (docs/COMMANDS.md) is
+ * generated.
  */
 
-/** One form of statement. */
+/** Reference entry of one statement. */
 export interface StatementReference {
-  /** Words as written; values in angle brackets; optional parts in square brackets. */
+  /** Syntax, with values in angle brackets and optional parts in square brackets. */
   readonly form: string;
   readonly meaning: string;
   readonly examples: readonly string[];
 }
 
-/** Statements that change something. */
+/** Statements that change the configuration. */
 export const commandReference: readonly StatementReference[] = [
   {
     form: 'define service <service> at <IP:PORT> [policy <policy>] [limit opens <number>/s] [limit connections <number> per backend]',
@@ -78,7 +78,7 @@
   },
 ];
 
-/** Statements that only ask. */
+/** Statements that only read. */
 export const queryReference: readonly StatementReference[] = [
   {
     form: 'show services',
@@ -133,13 +133,13 @@
   },
 ];
 
-/** One option of the client. */
+/** One option of `amberlift ctl`. */
 interface OptionReference {
   readonly flag: string;
   readonly meaning: string;
 }
 
-/** The options of `amberlift ctl`; the command line is made from them too. */
+/** The options of `amberlift ctl`, also used by its command-line parser. */
 export const ctlOptions: readonly OptionReference[] = [
   {
     flag: '--control <address>',
--- a/src/managed/language/complete-statement.ts
+++ b/src/managed/language/complete-statement.ts
@@ -1,32 +1,32 @@
 /**
- * @file Completion of a statement that is being written, from what the grammar accepts next.
+ * @file Completes a partial statement with the words that the grammar accepts next.
  */
 import { parseStatement } from './parse-statement.js';
 
-/** What may come next in a statement. */
+/** The candidates at the cursor. */
 interface Completion {
-  /** The word that is being written; empty after a space. */
+  /** The word before the cursor; empty after a space. */
   readonly partialWord: string;
-  /** Words of the language that fit the partial word, with all values that fit. */
+  /** Keywords and known values that start with the partial word. */
   readonly words: readonly string[];
-  /** What kind of value may stand here, such as `<service>`. */
+  /** Kinds of values that are accepted here, such as `<service>`. */
   readonly placeholders: readonly string[];
 }
 
-/** Known values by placeholder, such as the names of services for `<service>`. */
+/** Known values by placeholder, such as service names for `<service>`. */
 export type KnownValues = ReadonlyMap<string, readonly string[]>;
 
 /**
  * @param text the statement up to the cursor
- * @returns what may stand at the cursor
+ * @returns the candidates at the cursor
  */
-export function completeStatement(text: string, known: KnownValues = new Map()): Completion {
+export function completeStatement(text: string, knownValues: KnownValues = new Map()): Completion {
   const partialWord = /\S*$/.exec(text)?.[0] ?? '';
-  const before = text.slice(0, text.length - partialWord.length);
-  const expected = expectedAfter(before);
+  const prefix = text.slice(0, text.length - partialWord.length);
+  const expected = expectedAfter(prefix);
   const placeholders = expected.filter((word) => word.startsWith('<'));
   const words = expected.filter((word) => !word.startsWith('<'));
-  const values = placeholders.flatMap((placeholder) => known.get(placeholder) ?? []);
+  const values = placeholders.flatMap((placeholder) => knownValues.get(placeholder) ?? []);
   return {
     partialWord,
     words: [...words, ...values].filter((word) => word.startsWith(partialWord.toLowerCase())),
@@ -34,11 +34,11 @@
   };
 }
 
-/** A word that no rule accepts shows what any rule would accept in its place. */
-function expectedAfter(before: string): readonly string[] {
-  const probe = '\u0000';
-  return parseStatement(before + probe).match(
+/** Parses the prefix with a word that no rule accepts; the error then lists the accepted words. */
+function expectedAfter(prefix: string): readonly string[] {
+  const invalidWord = '\u0000';
+  return parseStatement(prefix + invalidWord).match(
     () => [],
-    (error) => (error.offset >= before.length ? error.expected : []),
+    (error) => (error.offset >= prefix.length ? error.expected : []),
   );
 }
--- a/src/managed/language/parse-statement.ts
+++ b/src/managed/language/parse-statement.ts
@@ -1,32 +1,32 @@
 /**
- * @file Parses statements of the operators' language into commands and queries. An error tells the
- * word at fault and the words that would be accepted in its place.
+ * @file Parses statements of the operators' language into commands and queries. An error has the
+ * unexpected word and the words that are accepted in its place.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { OperatorCommand } from '../control/commands.js';
 import type { OperatorQuery } from '../control/queries.js';
 import { parse, SyntaxError as GrammarError } from './generated/statement-parser.js';
 
-/** What a statement means. */
+/** A parsed statement. */
 type Statement =
   | { readonly kind: 'command'; readonly command: OperatorCommand }
   | { readonly kind: 'query'; readonly query: OperatorQuery };
 
-/** Why a text is no statement. */
+/** A syntax error. */
 interface StatementError {
-  /** Position of the word at fault in the text, in UTF-16 units; the text's length where it ends early. */
+  /** Offset of the unexpected word in UTF-16 code units; the length of the text if it ends early. */
   readonly offset: number;
-  /** The word at fault; empty where the text ends early. */
+  /** The unexpected word; empty if the text ends early. */
   readonly word: string;
-  /** Words that would be accepted; such as `<service>` where a value would be. */
+  /** Accepted words, or placeholders such as `<service>` for values. */
   readonly expected: readonly string[];
-  /** True where the statement could have ended before the word. */
+  /** True if the end of the statement is accepted in place of the word. */
   readonly couldEnd: boolean;
-  /** Why the statement is refused, where its words are each as expected. */
+  /** Set if each word is valid but the statement is not. */
   readonly reason?: string;
 }
 
-/** One thing that the generated parser would have accepted. */
+/** One alternative that the generated parser accepts. */
 interface Expectation {
   readonly type: string;
   readonly description?: string;
@@ -43,37 +43,38 @@
 
 /**
  * @param text one statement
- * @returns what it means, or which word is at fault
+ * @returns the command or query, or the syntax error
  */
 export function parseStatement(text: string): Result<Statement, StatementError> {
   try {
     return ok(parseText(text));
   } catch (cause) {
     if (cause instanceof ParserErrorClass) {
-      return err(statementError(text, cause));
+      return err(toStatementError(text, cause));
     }
     throw cause;
   }
 }
 
 /**
- * @returns the error in lines for people: the statement, a mark under the word at fault, and what
- *   would be accepted there
+ * @returns a message of three lines: the statement, a marker under the unexpected word, and what is
+ *   accepted there
  */
 export function describeStatementError(text: string, error: StatementError): string {
-  const mark = ' '.repeat(error.offset) + '^'.repeat(Math.max(1, error.word.length));
-  // Tabs and line breaks would shift the mark.
+  const marker = ' '.repeat(error.offset) + '^'.repeat(Math.max(1, error.word.length));
+  // Tabs and line breaks would shift the marker.
   const line = text.replace(/\s/g, ' ');
-  return `${line}\n${mark}\n${error.reason ?? describeFault(error)}`;
+  return `${line}\n${marker}\n${error.reason ?? describeSyntaxError(error)}`;
 }
 
-function describeFault(error: StatementError): string {
-  const fault = error.word === '' ? 'The statement ends early' : `"${error.word}" is not expected`;
+function describeSyntaxError(error: StatementError): string {
+  const problem =
+    error.word === '' ? 'The statement ends early' : `"${error.word}" is not expected`;
   const accepted = [...error.expected, ...(error.couldEnd ? ['the end of the statement'] : [])];
-  return `${fault}; accepted: ${accepted.join(', ')}.`;
+  return `${problem}; accepted: ${accepted.join(', ')}.`;
 }
 
-function statementError(text: string, cause: ParserError): StatementError {
+function toStatementError(text: string, cause: ParserError): StatementError {
   const { offset } = cause.location.start;
   const expected = cause.expected ?? [];
   const words = expected
--- a/src/managed/language/reference-text.ts
+++ b/src/managed/language/reference-text.ts
@@ -1,5 +1,5 @@
 /**
- * @file The text of docs/COMMANDS.md, made from the tables of statements and of error kinds.
+ * @file Generates the text of docs/COMMANDS.md from the tables of statements and error kinds.
  */
 import { answerFor, errorKinds, exitCodes } from '../../shared/common/error-kinds.js';
 import {
@@ -48,7 +48,7 @@
 `;
 
 /**
- * @returns the whole text, in Markdown
+ * @returns the whole document in Markdown
  */
 export function referenceText(): string {
   return [
--- a/src/managed/language/statement.peggy
+++ b/src/managed/language/statement.peggy
@@ -1,6 +1,6 @@
 // Grammar of the operators' language: one statement is one command or one query.
-// Each word is a rule with a name, so that an error stands at the start of the word at fault and
-// lists the words that would be accepted there. Names in angle brackets stand for values.
+// Each word is a named rule, so that a syntax error has the offset of the unexpected word and lists the
+// accepted words. Names in angle brackets are placeholders for values.
 {{
   import {
     isAddressText,
@@ -186,7 +186,7 @@
 Word = $[^ \t\r\n]+
 End = ![^ \t\r\n]
 
-// Words of the language.
+// Keywords.
 
 ADAPTIVE "adaptive" = "adaptive"i End
 ADD "add" = "add"i End
--- a/src/managed/settings/load-settings.ts
+++ b/src/managed/settings/load-settings.ts
@@ -1,5 +1,5 @@
 /**
- * @file The settings of `balancer` and `control`, from a YAML file and flags.
+ * @file Loads the settings of `amberlift balancer` and `amberlift control` from a YAML file and flags.
  */
 import type { Result } from 'neverthrow';
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
@@ -7,7 +7,7 @@
 import { settingsSchema, type Settings } from './settings-schema.js';
 
 /**
- * @returns the checked settings, or `invalid-settings`
+ * @returns the validated settings, or `invalid-settings`
  */
 export function loadSettings(source: SettingsSource): Result<Settings, AmberliftError> {
   return loadSettingsAs(settingsSchema, source);
--- a/src/managed/settings/settings-schema.ts
+++ b/src/managed/settings/settings-schema.ts
@@ -1,6 +1,6 @@
 /**
- * @file The schema of settings files, with the default of each option. One file format, YAML, for
- * all processes; each reads the sections that it needs.
+ * @file Schema and defaults of the YAML settings file that balancers and control machines share; each
+ * process reads the sections that it needs.
  */
 import { z } from 'zod';
 import { parseAddress } from '../../shared/common/address.js';
@@ -8,7 +8,7 @@
 import { addressRangeText, nameSchema } from '../control/commands.js';
 import { defaultBalancerOptions } from '../balancer/balancer-options.js';
 
-/** Characters of the shortest key or token; it refuses empty and obvious ones and measures no strength. */
+/** Minimum length of keys and tokens in characters; rejects empty and trivial ones. */
 const MIN_KEY_LENGTH = 8;
 
 /** An address written as `host:port`. */
@@ -100,8 +100,8 @@
         name: nameSchema,
         token: z.string().min(MIN_KEY_LENGTH),
         /**
-         * Ranges that this operator's addresses must lie in, and no other operator's may, such as
-         * `10.1.0.0/16:7000-7999`. Without any, all addresses but those granted to others.
+         * Ranges reserved for this operator, such as `10.1.0.0/16:7000-7999`; all its addresses must lie in
+         * them. Without it, the operator may use all addresses that are not reserved for others.
          */
         addressRanges: z.array(addressRangeText).optional(),
       }),
@@ -134,5 +134,5 @@
   control: controlSection.prefault({}).describe('Read by control machines.'),
 });
 
-/** The checked settings of a process. */
+/** The validated settings of a process. */
 export type Settings = z.infer<typeof settingsSchema>;
--- a/src/proof/standins/backend-process.ts
+++ b/src/proof/standins/backend-process.ts
@@ -8,7 +8,7 @@
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { z } from 'zod';
 import type { Address } from '../../shared/common/address.js';
-import { readBody } from '../../managed/daemon/http-json.js';
+import { readJsonBody } from '../../managed/daemon/http-json.js';
 import { respondJson } from '../../shared/daemon/json-response.js';
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { systemContextSource } from '../../shared/daemon/system-context.js';
@@ -130,7 +130,7 @@
   schema: z.ZodType<Body>,
   act: (body: Body) => object,
 ): Promise<void> {
-  const body = await readBody(incoming);
+  const body = await readJsonBody(incoming);
   const parsed = schema.safeParse(body.unwrapOr(undefined));
   if (parsed.success) {
     respondJson(response, 200, act(parsed.data));
--- a/src/proof/standins/fabric-process.ts
+++ b/src/proof/standins/fabric-process.ts
@@ -5,7 +5,7 @@
 import { z } from 'zod';
 import { addressSchema } from '../../shared/common/address-schema.js';
 import { formatAddress, type Address } from '../../shared/common/address.js';
-import { readBody } from '../../managed/daemon/http-json.js';
+import { readJsonBody } from '../../managed/daemon/http-json.js';
 import { respondJson } from '../../shared/daemon/json-response.js';
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { systemContextSource } from '../../shared/daemon/system-context.js';
@@ -58,7 +58,7 @@
     serviceSockets.set(formatAddress(socket.address), socket);
   }
   const http = await listenHttp(anyPort, (incoming, response) => {
-    void readBody(incoming).then((body) => {
+    void readJsonBody(incoming).then((body) => {
       const event = eventFrom(incoming.url, body.unwrapOr(undefined));
       if (event === undefined) {
         respondJson(response, 400, { error: 'A list is expected at /balancers.' });
--- a/test/managed/daemon/control-daemon.test.ts
+++ b/test/managed/daemon/control-daemon.test.ts
@@ -1,4 +1,4 @@
-/** @file Control daemons with real disks and links: any of them takes a command, whoever leads. */
+/** @file Tests a cluster of control daemons with real storage and links: members, commands and restarts. */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -22,7 +22,11 @@
 
 setLogLevel('silent');
 
-async function startDaemon(folder: string, nodeId: string, more: string[]): Promise<ControlDaemon> {
+async function startDaemon(
+  folder: string,
+  nodeId: string,
+  overrides: string[],
+): Promise<ControlDaemon> {
   const settings = loadSettings({
     overrides: [
       `nodeId=${nodeId}`,
@@ -30,7 +34,7 @@
       'clusterKey=cluster-key',
       `control.adminToken=${ADMIN_TOKEN}`,
       `control.operators=[{name: tarjeta, token: ${OPERATOR_TOKEN}}]`,
-      ...more,
+      ...overrides,
     ],
   });
   const daemon = await startControlDaemon(settings._unsafeUnwrap());
@@ -41,7 +45,7 @@
   return `control.peers=[{nodeId: c1, linkAddress: "${formatAddress(leader.linkAddress)}"}]`;
 }
 
-async function members(leader: ControlDaemon, body?: object, bearerToken = ADMIN_TOKEN) {
+async function requestMembers(leader: ControlDaemon, body?: object, bearerToken = ADMIN_TOKEN) {
   const response = await sendJson({
     to: leader.operatorAddress,
     method: body === undefined ? 'GET' : 'POST',
@@ -53,7 +57,7 @@
   return response._unsafeUnwrap();
 }
 
-/** Whoever leads; a busy computer may make it another one at any time. */
+/** Waits until one of the daemons leads; the leader may change at any time on a busy host. */
 async function leaderOf(daemons: Iterable<ControlDaemon>): Promise<ControlDaemon> {
   for (;;) {
     const leader = [...daemons].find(({ state }) => state.consensus.role.name === 'leader');
@@ -64,13 +68,16 @@
   }
 }
 
-async function changeSurely(daemons: Iterable<ControlDaemon>, body: object): Promise<void> {
-  while ((await members(await leaderOf(daemons), body)).status !== 200) {
+async function changeMembersUntilAccepted(
+  daemons: Iterable<ControlDaemon>,
+  body: object,
+): Promise<void> {
+  while ((await requestMembers(await leaderOf(daemons), body)).status !== 200) {
     await sleep(POLL_MS);
   }
 }
 
-function define(service: string, host: string): OperatorCommand {
+function defineService(service: string, host: string): OperatorCommand {
   const address = { host, port: 7000 };
   return { type: 'define-service', service, address, policy: 'adaptive', limits: {} };
 }
@@ -84,68 +91,76 @@
   const c1 = await startDaemon(folder, 'c1', []);
   const c2 = await startDaemon(folder, 'c2', [peersFlag(c1)]);
   const c3 = await startDaemon(folder, 'c3', [peersFlag(c1)]);
-  const stranger = await startDaemon(folder, 'c4', [peersFlag(c1), 'clusterKey=another-key']);
+  const foreignDaemon = await startDaemon(folder, 'c4', [peersFlag(c1), 'clusterKey=another-key']);
   const running = new Set([c1, c2, c3]);
   t.teardown(async () => {
-    await Promise.all([...running, stranger].map((daemon) => daemon.stop()));
+    await Promise.all([...running, foreignDaemon].map((daemon) => daemon.stop()));
     await rm(folder, { recursive: true });
   });
-  const send = (to: Iterable<ControlDaemon>, commandId: string, command: OperatorCommand) =>
+  const sendCommand = (to: Iterable<ControlDaemon>, commandId: string, command: OperatorCommand) =>
     new OperatorClient({
       controlAddresses: [...to].map(({ operatorAddress }) => operatorAddress),
       bearerToken: OPERATOR_TOKEN,
     }).send(commandId, command);
 
-  await t.test('the members are changed with the admin token alone', async (t) => {
+  await t.test('only the admin token permits membership changes', async (t) => {
     const change = { type: 'add-member', nodeId: 'c2' };
     const unauthorized = { body: { error: { kind: 'unauthorized' } } };
-    t.match(await members(c1, change, OPERATOR_TOKEN), unauthorized);
+    t.match(await requestMembers(c1, change, OPERATOR_TOKEN), unauthorized);
     const unknown = { body: { error: { kind: 'not-found' } } };
-    t.match(await members(c1, { type: 'add-member', nodeId: 'c9' }), unknown);
+    t.match(await requestMembers(c1, { type: 'add-member', nodeId: 'c9' }), unknown);
     for (const nodeId of ['c2', 'c3']) {
-      await changeSurely(running, { type: 'add-member', nodeId });
-      await changeSurely(running, { type: 'promote-member', nodeId });
+      await changeMembersUntilAccepted(running, { type: 'add-member', nodeId });
+      await changeMembersUntilAccepted(running, { type: 'promote-member', nodeId });
     }
-    const { body } = await members(await leaderOf(running));
+    const { body } = await requestMembers(await leaderOf(running));
     t.match(body, { members: [{ nodeId: 'c1' }, { nodeId: 'c2' }, { nodeId: 'c3' }] });
   });
 
-  await t.test('a machine with another cluster key is told so, and changes nothing', async (t) => {
-    while (stranger.state.join.refusal === undefined) {
+  await t.test('a machine with another cluster key is rejected and does not join', async (t) => {
+    while (foreignDaemon.state.join.refusal === undefined) {
       await sleep(POLL_MS);
     }
-    t.match(stranger.state.join.refusal, /cluster key/);
+    t.match(foreignDaemon.state.join.refusal, /cluster key/);
     t.equal(c1.state.join.announced.has('c4'), false);
   });
 
-  await t.test('a command goes through any machine, also after the leader stopped', async (t) => {
+  await t.test('any machine accepts commands, also after the leader has stopped', async (t) => {
     const followers = new Set(running);
     followers.delete(await leaderOf(running));
-    const first = await send(followers, 'id-1', define('authd', '127.1.0.1'));
-    t.ok(first.isOk(), 'a follower names the leader');
+    const first = await sendCommand(followers, 'id-1', defineService('authd', '127.1.0.1'));
+    t.ok(first.isOk(), 'a follower redirects to the leader');
     const stopped = await leaderOf(running);
     await stopped.stop();
     running.delete(stopped);
-    const second = await send([stopped, ...running], 'id-2', define('board-api', '127.1.0.2'));
-    t.ok(second.isOk(), 'a stopped machine is passed over');
-    const third = await send([stranger, ...running], 'id-2', define('board-api', '127.1.0.2'));
-    t.ok(third.isOk(), 'and so is one that knows no operator');
-    const again = await send(running, 'id-1', define('authd', '127.1.0.1'));
-    t.strictSame(again, first, 'a command sent again gets its first answer');
+    const second = await sendCommand(
+      [stopped, ...running],
+      'id-2',
+      defineService('board-api', '127.1.0.2'),
+    );
+    t.ok(second.isOk(), 'a stopped machine is skipped');
+    const third = await sendCommand(
+      [foreignDaemon, ...running],
+      'id-2',
+      defineService('board-api', '127.1.0.2'),
+    );
+    t.ok(third.isOk(), 'a machine without operators is skipped');
+    const repeated = await sendCommand(running, 'id-1', defineService('authd', '127.1.0.1'));
+    t.strictSame(repeated, first, 'a repeated command gets the original outcome');
     t.strictSame(serviceNames(await leaderOf(running)), ['authd', 'board-api']);
   });
 
-  await t.test('a machine that began alone starts again while another one leads', async (t) => {
+  await t.test('the first member restarts while another machine leads', async (t) => {
     if (running.delete(c1)) {
       await c1.stop();
     }
-    const again = await startDaemon(folder, 'c1', []);
-    running.add(again);
-    t.ok(again.state.consensus.commitIndex > 0, 'it is ready without leading');
+    const restarted = await startDaemon(folder, 'c1', []);
+    running.add(restarted);
+    t.ok(restarted.state.consensus.commitIndex > 0, 'ready as a follower');
   });
 });
 
-t.test('a machine is ready again once it has applied all that was accepted', async (t) => {
+t.test('a restarted machine is ready after it has applied all accepted commands', async (t) => {
   const folder = await mkdtemp(join(tmpdir(), 'amberlift-control-'));
   t.teardown(() => rm(folder, { recursive: true }));
   const before = await startDaemon(folder, 'c1', []);
@@ -154,7 +169,7 @@
       before.propose({
         commandId: `id-${number}`,
         operator: 'tarjeta',
-        command: define(`service-${number}`, `127.1.0.${number}`),
+        command: defineService(`service-${number}`, `127.1.0.${number}`),
       }),
     ),
   );
@@ -165,7 +180,7 @@
   await after.stop();
 });
 
-t.test('a control machine without a cluster sends operators on, and refuses none', async (t) => {
+t.test('a control machine without a cluster answers operators with not-leader', async (t) => {
   const folder = await mkdtemp(join(tmpdir(), 'amberlift-control-'));
   const peers = 'control.peers=[{nodeId: c0, linkAddress: "127.0.0.1:9"}]';
   const daemon = await startDaemon(folder, 'c1', [peers]);
@@ -178,7 +193,7 @@
     timeoutMs: 3_000,
   });
   t.match(response._unsafeUnwrap(), { status: 421, body: { error: { kind: 'not-leader' } } });
-  t.ok(answerFor('not-leader').retryable, 'clients ask the next machine');
+  t.ok(answerFor('not-leader').retryable, 'clients try the next machine');
   await daemon.stop();
   await rm(folder, { recursive: true });
 });
--- a/test/managed/daemon/message-link.test.ts
+++ b/test/managed/daemon/message-link.test.ts
@@ -1,4 +1,4 @@
-/** @file Links between the system's own processes. */
+/** @file Guards against unbounded send buffers on links whose peer does not read. */
 import { once } from 'node:events';
 import { createServer, type AddressInfo, type Socket } from 'node:net';
 import { setImmediate } from 'node:timers/promises';
@@ -8,17 +8,17 @@
 
 const MESSAGE_BYTES = 1024 * 1024;
 
-/** Bytes that do not get shorter when they are compressed, as links do with long messages. */
-function noise(): Buffer {
+/** Random bytes, since links compress long messages. */
+function incompressibleBytes(): Buffer {
   const random = seededRandom(1);
   const bytes = Buffer.alloc(MESSAGE_BYTES);
-  for (let at = 0; at < MESSAGE_BYTES; at += 4) {
-    bytes.writeUInt32LE(random.nextInt(2 ** 32), at);
+  for (let offset = 0; offset < MESSAGE_BYTES; offset += 4) {
+    bytes.writeUInt32LE(random.nextInt(2 ** 32), offset);
   }
   return bytes;
 }
 
-t.test('a link whose other end reads nothing is closed before memory runs out', async (t) => {
+t.test('a link is closed when its peer reads nothing and the send buffer is full', async (t) => {
   const sockets: Socket[] = [];
   const server = createServer((socket) => sockets.push(socket.pause()));
   server.listen(0, '127.0.0.1');
@@ -31,7 +31,7 @@
   const closed = new AbortController();
   const handlers = { onMessage: () => true, onClose: () => closed.abort() };
   const link = connectLink({ host: '127.0.0.1', port }, handlers);
-  const data = noise();
+  const data = incompressibleBytes();
   let sent = 0;
   while (!closed.signal.aborted && sent < 100) {
     link.send({ type: 'part', data });
--- a/test/managed/daemon/metrics.test.ts
+++ b/test/managed/daemon/metrics.test.ts
@@ -1,4 +1,4 @@
-/** @file What a daemon tells whoever watches it, and how it stops on signals. */
+/** @file Tests the metrics and health status of a balancer, and its shutdown on signals. */
 import t from 'tap';
 import type { Address } from '../../../src/shared/common/address.js';
 import { sendJson } from '../../../src/managed/daemon/http-json.js';
@@ -15,14 +15,14 @@
 } from '../balancer/balancer-world.js';
 
 const loopback: Address = { host: '127.0.0.1', port: 0 };
-const MANY_MS = '600000';
+const LONG_GRACE_MS = '600000';
 
 async function healthAt(to: Address) {
   const answer = await sendJson({ to, method: 'GET', path: '/health', timeoutMs: 5_000 });
   return answer._unsafeUnwrap();
 }
 
-t.test('a balancer counts by error kind, and says how long opens take', async (t) => {
+t.test('a balancer reports error counts by kind and the latency of opens', async (t) => {
   const service = serviceOf(1);
   const world = new BalancerWorld([service]);
   const [open] = world.open(service);
@@ -53,13 +53,13 @@
   t.match(await healthAt({ host, port }), { status: 503, body: { state: 'stopping' } });
 });
 
-t.test('the first SIGTERM stops gracefully, the second one at once', async (t) => {
+t.test('the first SIGTERM stops gracefully, the second one immediately', async (t) => {
   const settings = {
     nodeId: 'balancer-1',
     clusterKey: 'test-cluster-key',
     logLevel: 'warn',
     metricsAddress: '127.0.0.1:0',
-    'balancer.stopGraceMs': MANY_MS,
+    'balancer.stopGraceMs': LONG_GRACE_MS,
   };
   const flags = Object.entries(settings).flatMap(([path, value]) => ['--set', `${path}=${value}`]);
   const balancer = await startProcess('balancer', ['balancer', ...flags]);
@@ -72,10 +72,10 @@
     ({ state } = (await healthAt(metricsAddress)).body as { state: unknown });
   }
   balancer.signal('SIGTERM');
-  t.equal(await balancer.exited, exitCodes.failure, 'at once, with the grace time not over');
+  t.equal(await balancer.exited, exitCodes.failure, 'exits before the end of the grace period');
 });
 
-t.test('a graceful stop ends with success', async (t) => {
+t.test('a graceful stop exits with the success code', async (t) => {
   const flags = ['nodeId=b', 'clusterKey=test-cluster-key', 'balancer.stopGraceMs=0'];
   const args = [...flags, 'logLevel=warn'].flatMap((setting) => ['--set', setting]);
   const balancer = await startProcess('balancer', ['balancer', ...args]);
--- a/test/managed/daemon/random-bytes.test.ts
+++ b/test/managed/daemon/random-bytes.test.ts
@@ -1,4 +1,4 @@
-/** @file Whatever bytes come to a link port, the process goes on and serves the next link. */
+/** @file Guards against crashes of a link server on malformed input; it must keep accepting links. */
 import { spawn } from 'node:child_process';
 import { randomFillSync } from 'node:crypto';
 import { once } from 'node:events';
@@ -14,8 +14,8 @@
 import { listenForLinks } from '../../../src/managed/daemon/message-link.js';
 
 const CONNECTIONS = 300;
-const MAX_BYTES = 4_000;
-/** MessagePack's nil, as a frame and bare. */
+const MAX_RANDOM_BYTES = 4_000;
+/** A frame that contains only the MessagePack nil value. */
 const NIL = Buffer.from([0, 0, 0, 1, 0xc0]);
 const ANNOUNCEMENT = {
   type: 'peer',
@@ -30,28 +30,28 @@
   },
 };
 
-/** Links with random bytes, and with frames of good length whose content is no message of ours. */
-async function sendNoise(to: Address): Promise<void> {
+/** Opens links that send random bytes, or well-formed frames with invalid messages. */
+async function sendInvalidData(to: Address): Promise<void> {
   const random = seededRandom(1);
   for (let index = 0; index < CONNECTIONS; index += 1) {
     const socket = connect(to.port, to.host);
     socket.on('error', () => undefined);
-    const noise = randomFillSync(Buffer.alloc(1 + random.nextInt(MAX_BYTES)));
-    const contents = [encodeFrame({ type: 'peer' }), encodeFrame([index, 'x']), NIL, noise];
-    socket.end(contents[index % contents.length] ?? noise);
+    const randomBytes = randomFillSync(Buffer.alloc(1 + random.nextInt(MAX_RANDOM_BYTES)));
+    const contents = [encodeFrame({ type: 'peer' }), encodeFrame([index, 'x']), NIL, randomBytes];
+    socket.end(contents[index % contents.length] ?? randomBytes);
     await once(socket, 'close');
   }
 }
 
-t.test('300 links with random bytes, then a good one', async (t) => {
-  const taken: unknown[] = [];
+t.test('a valid link is served after 300 links with malformed data', async (t) => {
+  const acceptedMessages: unknown[] = [];
   const server = await listenForLinks(
     { host: '127.0.0.1', port: 0 },
     {
       onMessage: (message) => {
         const parsed = parseControlLinkMessage(message);
         if (parsed !== undefined) {
-          taken.push(parsed);
+          acceptedMessages.push(parsed);
         }
         return parsed !== undefined;
       },
@@ -59,22 +59,22 @@
     },
   );
   t.teardown(() => server.close());
-  await sendNoise(server.address);
-  t.same(taken, [], 'nothing of it was taken');
-  const good = connect(server.address.port, '127.0.0.1');
-  good.write(encodeFrame(ANNOUNCEMENT));
-  while (taken.length === 0) {
+  await sendInvalidData(server.address);
+  t.same(acceptedMessages, [], 'no malformed message is accepted');
+  const validSocket = connect(server.address.port, '127.0.0.1');
+  validSocket.write(encodeFrame(ANNOUNCEMENT));
+  while (acceptedMessages.length === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  good.destroy();
-  t.match(taken[0], ANNOUNCEMENT);
+  validSocket.destroy();
+  t.match(acceptedMessages[0], ANNOUNCEMENT);
 });
 
 interface ReadyLine {
   readonly linkAddress: Address;
 }
 
-t.test('a control machine as a process goes on after 300 links with random bytes', async (t) => {
+t.test('a control process keeps running after 300 links with malformed data', async (t) => {
   const folder = await mkdtemp(join(tmpdir(), 'amberlift-noise-'));
   const flags = [
     'nodeId=c1',
@@ -86,21 +86,21 @@
     'control.linkAddress=127.0.0.1:0',
     'control.operatorAddress=127.0.0.1:0',
   ].flatMap((setting) => ['--set', setting]);
-  const process_ = spawn(process.execPath, ['bin/amberlift.js', 'control', ...flags], {
+  const controlProcess = spawn(process.execPath, ['bin/amberlift.js', 'control', ...flags], {
     stdio: ['ignore', 'pipe', 'inherit'],
   });
-  let isEnded = false;
-  process_.on('exit', () => {
-    isEnded = true;
+  let hasExited = false;
+  controlProcess.on('exit', () => {
+    hasExited = true;
   });
   t.teardown(async () => {
-    process_.kill('SIGKILL');
+    controlProcess.kill('SIGKILL');
     await rm(folder, { recursive: true, force: true });
   });
-  const [line] = (await once(process_.stdout, 'data')) as [Buffer];
+  const [line] = (await once(controlProcess.stdout, 'data')) as [Buffer];
   const { linkAddress } = JSON.parse(line.toString('utf8')) as ReadyLine;
-  await sendNoise(linkAddress);
-  t.notOk(isEnded, 'it runs on');
+  await sendInvalidData(linkAddress);
+  t.notOk(hasExited, 'the process is still running');
   const socket = connect(linkAddress.port, linkAddress.host);
   await once(socket, 'connect');
   socket.destroy();
--- a/test/managed/language/parser-source.ts
+++ b/test/managed/language/parser-source.ts
@@ -1,4 +1,4 @@
-/** @file Makes the source of the statement parser from its grammar; used to write and to check it. */
+/** @file Generates the statement parser from its grammar, for `npm run generate` and for its test. */
 import { readFileSync } from 'node:fs';
 import peggy from 'peggy';
 
--- a/test/managed/language/reference-source.ts
+++ b/test/managed/language/reference-source.ts
@@ -1,4 +1,4 @@
-/** @file Makes docs/COMMANDS.md as it is committed: the reference text in the formatter's layout. */
+/** @file Generates the formatted content of docs/COMMANDS.md. */
 import { format, resolveConfig } from 'prettier';
 import { referenceText } from '../../../src/managed/language/reference-text.js';
 
--- a/test/managed/language/statement.test.ts
+++ b/test/managed/language/statement.test.ts
@@ -1,4 +1,4 @@
-/** @file The operators' language: what statements mean, and how errors are told. */
+/** @file Tests the operators' language: parsing, formatting, completion, syntax errors and generated files. */
 import { readFileSync } from 'node:fs';
 import { isDeepStrictEqual } from 'node:util';
 import fc from 'fast-check';
@@ -24,15 +24,15 @@
 
 const examples = [...commandReference, ...queryReference].flatMap((entry) => entry.examples);
 
-t.test('the committed parser is what the grammar gives', async (t) => {
+t.test('the committed parser matches the grammar', async (t) => {
   t.equal(readFileSync(PARSER_FILE, 'utf8'), parserSource());
 });
 
-t.test('the committed command reference is what the tables give', async (t) => {
+t.test('the committed command reference matches the tables', async (t) => {
   t.equal(readFileSync(REFERENCE_FILE, 'utf8'), await referenceSource());
 });
 
-t.test('each example of the reference is a statement that the schemas take', async (t) => {
+t.test('each example of the reference is a valid statement', async (t) => {
   for (const example of examples) {
     const statement = parseStatement(example)._unsafeUnwrap();
     const parsed =
@@ -55,7 +55,7 @@
   }
 });
 
-t.test('a statement means its command', async (t) => {
+t.test('statements are parsed into commands', async (t) => {
   const command = (text: string) => {
     const statement = parseStatement(text)._unsafeUnwrap();
     return statement.kind === 'command' ? statement.command : undefined;
@@ -77,7 +77,7 @@
   });
 });
 
-const faults: readonly (readonly [string, string])[] = [
+const syntaxErrors: readonly (readonly [string, string])[] = [
   ['define servic authd', '       ^^^^^^\n"servic" is not expected; accepted: service.'],
   [
     'drain backend twelve',
@@ -95,30 +95,30 @@
   ],
 ];
 
-t.test('an error marks the word at fault and tells what would be accepted', async (t) => {
-  for (const [text, told] of faults) {
+t.test('an error marks the unexpected word and lists the accepted words', async (t) => {
+  for (const [text, expectedMessage] of syntaxErrors) {
     const error = parseStatement(text)._unsafeUnwrapErr();
-    t.equal(describeStatementError(text, error), `${text}\n${told}`);
+    t.equal(describeStatementError(text, error), `${text}\n${expectedMessage}`);
   }
-  const tooFar = 'in 367 d drain backend 1';
-  const error = parseStatement(tooFar)._unsafeUnwrapErr();
-  t.match(describeStatementError(tooFar, error), /at most 366 days ahead/);
+  const beyondMaxDelay = 'in 367 d drain backend 1';
+  const error = parseStatement(beyondMaxDelay)._unsafeUnwrapErr();
+  t.match(describeStatementError(beyondMaxDelay, error), /at most 366 days ahead/);
 });
 
-t.test('any text is a statement or has a word at fault with words in its place', async (t) => {
+t.test('any text is a statement or gives an error with its offset and a reason', async (t) => {
   const words = examples.flatMap((example) => example.split(' '));
   const text = fc.oneof(
     fc.string(),
     fc.array(fc.constantFrom(...words), { maxLength: 12 }).map((list) => list.join(' ')),
   );
-  const isAnswered = (statement: string) =>
+  const hasResultOrExpectation = (statement: string) =>
     parseStatement(statement).match(
       () => true,
       ({ expected, couldEnd, reason, offset, word }) =>
         (expected.length > 0 || couldEnd || reason !== undefined) &&
         statement.slice(offset).startsWith(word),
     );
-  const property = fc.property(text, isAnswered);
+  const property = fc.property(text, hasResultOrExpectation);
   t.doesNotThrow(() => fc.assert(property, { seed: 5, numRuns: 2_000 }));
 });
 
@@ -171,17 +171,17 @@
   fc.record({ type: fc.constant('cancel-plan'), planId: id }),
 ) as fc.Arbitrary<OperatorCommand>;
 
-t.test('the statement of a command means that command', async (t) => {
-  const isReadBack = (command: OperatorCommand) =>
+t.test('a formatted command is parsed back into an equal command', async (t) => {
+  const parsesBack = (command: OperatorCommand) =>
     isDeepStrictEqual(parseStatement(formatCommand(command))._unsafeUnwrap(), {
       kind: 'command',
       command: structuredClone(command),
     });
-  const property = fc.property(anyCommand, isReadBack);
+  const property = fc.property(anyCommand, parsesBack);
   t.doesNotThrow(() => fc.assert(property, { seed: 7, numRuns: 300 }));
 });
 
-t.test('completion offers the words and known values that may come next', async (t) => {
+t.test('completion lists the keywords and known values that are accepted next', async (t) => {
   const known = new Map([['<service>', ['authd', 'settled']]]);
   t.strictSame(completeStatement('show ser').words, ['service', 'services']);
   t.strictSame(completeStatement('show service ', known).words, ['authd', 'settled']);
--- a/test/tools/client/operator-world.ts
+++ b/test/tools/client/operator-world.ts
@@ -1,5 +1,8 @@
 /** @file Control machines over loopback HTTP around one cluster state, for tests of the client. */
-import { operatorApi, type QueryAnswer } from '../../../src/managed/daemon/operator-api.js';
+import {
+  operatorApi,
+  type LeadershipConfirmation,
+} from '../../../src/managed/daemon/operator-api.js';
 import {
   listenHttp,
   type HttpServer,
@@ -66,8 +69,8 @@
           ? this.apply(entry)
           : { accepted: false, ...this.refusal(machine) };
       },
-      query: async () =>
-        machine.mode === 'leads' ? {} : (this.refusal(machine) satisfies QueryAnswer),
+      confirmLeadership: async () =>
+        machine.mode === 'leads' ? {} : (this.refusal(machine) satisfies LeadershipConfirmation),
       inForce: () => ({ balancers: this.balancers, isComplete: true }),
       load: () => unknownLoad,
     });
