--- a/src/managed/daemon/balancer-daemon.ts
+++ b/src/managed/daemon/balancer-daemon.ts
@@ -58,14 +58,14 @@
   holder.runtime = runtime;
   const frontAddress = await runtime.bindSockets(balancer.frontAddress, balancer.backAddress);
   const logger = loggerFor('balancer');
-  logger.info(`Balancer ${nodeId} is ready on port ${frontAddress.port}.`);
+  logger.info(`Balancer ${nodeId} is listening on UDP port ${frontAddress.port}.`);
   return {
     frontAddress,
     gossipAddress: gossipAddress(peers.addresses),
     state,
     stop: async (graceMs) => {
       runtime.step({ type: 'stop' });
-      logger.info(`Balancer ${nodeId} takes no new flows.`);
+      logger.info(`Balancer ${nodeId} is stopping and rejects new flows.`);
       await waitForPendingOpens(state, graceMs);
       await runtime.close();
       logger.info(`Balancer ${nodeId} has stopped.`);
--- a/src/managed/daemon/control-daemon.ts
+++ b/src/managed/daemon/control-daemon.ts
@@ -53,7 +53,7 @@
   settings: Settings,
 ): Promise<Result<ControlDaemon, AmberliftError>> {
   if (settings.dataFolder === undefined) {
-    return err(amberliftError('invalid-settings', 'dataFolder: a control machine needs one.'));
+    return err(amberliftError('invalid-settings', 'dataFolder: required for control machines.'));
   }
   const tls = await readTlsIdentity(settings);
   if (tls.isErr()) {
--- a/src/managed/daemon/control-runtime.ts
+++ b/src/managed/daemon/control-runtime.ts
@@ -123,7 +123,7 @@
     const { refusal } = this.state.join;
     if (refusal !== this.lastLoggedRefusal) {
       this.lastLoggedRefusal = refusal;
-      this.logger.warn(`A peer refuses this machine: ${refusal ?? ''}`);
+      this.logger.warn(`A peer rejected a message of this machine: ${refusal ?? ''}`);
     }
   }
 
@@ -160,7 +160,9 @@
       () => this.step({ type: 'persisted', writeId }),
       (cause: unknown) => {
         const reason = String(cause);
-        this.logger.error(`storage-failed: this machine acknowledges nothing more: ${reason}`);
+        this.logger.error(
+          `storage-failed: write failed, no further entries will be acknowledged: ${reason}`,
+        );
         this.step({ type: 'persist-failed', writeId, reason });
       },
     );
@@ -168,6 +170,8 @@
 
   private logRole(): void {
     const { role, term, leaderId } = this.state.consensus;
-    this.logger.info(`Now ${role.name} in term ${term}; leader ${leaderId ?? 'not known'}.`);
+    this.logger.info(
+      `Role changed to ${role.name} in term ${term}; leader: ${leaderId ?? 'unknown'}.`,
+    );
   }
 }
--- a/src/managed/daemon/http-json.ts
+++ b/src/managed/daemon/http-json.ts
@@ -53,7 +53,7 @@
     };
     const outgoing =
       ca === undefined ? request(requestOptions) : httpsRequest({ ...requestOptions, ca });
-    outgoing.on('timeout', () => outgoing.destroy(new Error('No answer in time.')));
+    outgoing.on('timeout', () => outgoing.destroy(new Error('Request timed out')));
     outgoing.on('error', reject);
     outgoing.on('response', (incoming) => {
       readJsonBody(incoming).then((result) => {
@@ -80,7 +80,7 @@
     const bytes = chunk as Buffer;
     length += bytes.length;
     if (length > MAX_BODY_BYTES) {
-      return err(amberliftError('invalid-command', 'The body is too long.'));
+      return err(amberliftError('invalid-command', 'HTTP body is too large'));
     }
     chunks.push(bytes);
   }
@@ -89,6 +89,6 @@
     return ok(text === '' ? undefined : (JSON.parse(text) as unknown));
   } catch {
     // The message of the SyntaxError may quote a secret from the body, so it is not passed on.
-    return err(amberliftError('invalid-command', 'The body is no JSON.'));
+    return err(amberliftError('invalid-command', 'HTTP body is not valid JSON'));
   }
 }
--- a/src/managed/daemon/member-api.ts
+++ b/src/managed/daemon/member-api.ts
@@ -55,7 +55,7 @@
   response: ServerResponse,
 ): Promise<void> {
   if (!isAdmin(options.adminToken, incoming)) {
-    respondError(response, amberliftError('unauthorized', 'The admin token is needed.'));
+    respondError(response, amberliftError('unauthorized', 'Missing or invalid admin token'));
     return;
   }
   if (incoming.method === 'GET') {
@@ -66,7 +66,8 @@
   const body = await readJsonBody(incoming);
   const command = body.map((value) => memberCommandSchema.safeParse(value));
   if (command.isErr() || !command.value.success) {
-    const message = 'A body {"type": "add-member" | "promote-member" | "remove-member", "nodeId"}.';
+    const message =
+      'Request body must be {"type": "add-member" | "promote-member" | "remove-member", "nodeId": "..."}';
     respondError(response, amberliftError('invalid-command', message));
     return;
   }
--- a/src/managed/daemon/operator-api.ts
+++ b/src/managed/daemon/operator-api.ts
@@ -89,7 +89,7 @@
   } else if (incoming.method === 'POST' && incoming.url === '/v1/query') {
     await handleQuery(options, owner, incoming, response);
   } else {
-    respondError(response, amberliftError('not-found', 'There is no such page.'));
+    respondError(response, amberliftError('not-found', 'Unknown endpoint'));
   }
 }
 
@@ -172,7 +172,7 @@
       return ok({ operator, owner });
     }
   }
-  return err(amberliftError('unauthorized', 'The bearer token belongs to no operator.'));
+  return err(amberliftError('unauthorized', 'Missing or invalid operator token'));
 }
 
 /**
--- a/src/managed/daemon/peer-sockets.ts
+++ b/src/managed/daemon/peer-sockets.ts
@@ -98,7 +98,9 @@
   private logRejectionOnce(reason: string, { host, port }: Address): void {
     if (!this.hasLoggedRejection) {
       this.hasLoggedRejection = true;
-      loggerFor('balancer').warn(`A datagram from ${host}:${port} is refused: ${reason}`);
+      loggerFor('balancer').warn(
+        `Dropped a gossip datagram from ${host}:${port}: ${reason} Further drops are not logged.`,
+      );
     }
   }
 
