--- a/src/managed/control/apply-command.ts
+++ b/src/managed/control/apply-command.ts
@@ -1,13 +1,12 @@
 /**
- * @file The replicated step: applies one log entry to the cluster state. Deterministic; every control machine that
- * applies the same entries holds the same state. Authority is checked here, not only at the operator interface. Owns
- * the replicated state (`cluster-state.ts`); the modules of the commands decide, and `commit` here changes the state.
+ * @file The replicated state machine: applies one log entry to the cluster state. It must be deterministic, so that
+ * all control machines reach the same state. Permissions are checked here as well as at the operator interface.
  */
 import { err, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
 import { formatAddress } from '../../shared/common/address.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
-import { countRevision, recordAudit } from './audit.js';
+import { recordRevision, recordAudit } from './audit.js';
 import { addBackend, retireBackend, setAdminState } from './backend-commands.js';
 import type { ClusterState, Operator, OwnerState, PlannedChange } from './cluster-state.js';
 import { commandHash } from './command-hash.js';
@@ -15,8 +14,8 @@
 import {
   checkNewCommandId,
   defaultRecordBounds,
-  forgetExpiredRecords,
-  keepRecord,
+  dropExpiredRecords,
+  addRecord,
   type RecordBounds,
 } from './command-records.js';
 import {
@@ -39,14 +38,14 @@
 /** The result of applying an entry. */
 export interface AppliedEntry {
   readonly outcome: CommandOutcome;
-  /** Changes of the configuration, for balancers; empty where the command was refused. */
+  /** Configuration changes to publish to balancers; empty if the command was refused. */
   readonly changes: readonly ConfigChange[];
 }
 
 /**
  * Applies the entry at `position` and records its outcome under its command ID.
- * @param bounds how many results are kept, and how long
- * @returns the outcome; for a command ID seen before, the outcome of the first time
+ * @param bounds limits on the number and age of stored outcomes
+ * @returns the outcome; for a repeated command, the outcome stored the first time
  */
 export function applyCommand(
   state: ClusterState,
@@ -61,12 +60,12 @@
   if (entry.operator === SYSTEM_OPERATOR) {
     return isSystemCommand(command)
       ? applySystemEntry(state, command)
-      : refused(amberliftError('unauthorized', 'The system sends no such command.'));
+      : refusal(amberliftError('unauthorized', 'The system sends no such command.'));
   }
   const operator = state.operators.get(entry.operator);
   const owner = state.owners.get(entry.operator);
   if (operator === undefined || owner === undefined) {
-    return refused(amberliftError('unauthorized', 'No such operator.'));
+    return refusal(amberliftError('unauthorized', 'No such operator.'));
   }
   return applyOperatorEntry(state, { operator, owner }, entry, bounds);
 }
@@ -82,7 +81,7 @@
   }
   return applySystemCommand(state, command).match(
     (changes): AppliedEntry => ({ outcome: { accepted: true, index: state.index }, changes }),
-    refused,
+    refusal,
   );
 }
 
@@ -94,13 +93,13 @@
 ): AppliedEntry {
   const { owner } = sender;
   const { command, commandId } = entry;
-  forgetExpiredRecords(owner, state.timeMs, bounds);
+  dropExpiredRecords(owner, state.timeMs, bounds);
   const hash = commandHash(command);
-  const earlier = owner.commandRecords.get(commandId);
-  if (earlier?.commandHash === hash) {
-    return { outcome: earlier.outcome, changes: [] };
+  const existing = owner.commandRecords.get(commandId);
+  if (existing?.commandHash === hash) {
+    return { outcome: existing.outcome, changes: [] };
   }
-  if (earlier !== undefined) {
+  if (existing !== undefined) {
     const message = 'This command ID was used for another command.';
     return auditedRefusal(state, owner, entry, amberliftError('command-id-reused', message));
   }
@@ -111,7 +110,7 @@
   const applied = decideAndCommit(state, sender, commandId, command);
   const issuedAtMs = commandIssueTimeMs(commandId);
   const { outcome } = applied;
-  keepRecord(owner, { commandId, commandHash: hash, outcome, issuedAtMs }, bounds);
+  addRecord(owner, { commandId, commandHash: hash, outcome, issuedAtMs }, bounds);
   audit(state, owner, commandId, command, outcome);
   return applied;
 }
@@ -128,7 +127,7 @@
       outcome: commit(state, sender.owner, decision),
       changes: decision.changes,
     }),
-    refused,
+    refusal,
   );
 }
 
@@ -176,7 +175,7 @@
   return {
     accepted: true,
     index: state.index,
-    revision: countRevision(
+    revision: recordRevision(
       owner,
       state.index,
       service && { serviceId: service.id, version: service.version },
@@ -187,26 +186,26 @@
   };
 }
 
-/** Executes a planned change once it is due; later entries for it find it gone. */
+/** Executes a due planned change and deletes it, so that a duplicate entry gets `not-found`. */
 function runPlannedChange(state: ClusterState, name: string, planId: number): AppliedEntry {
   const operator = state.operators.get(name);
   const owner = state.owners.get(name);
   const plan = owner?.plans.get(planId);
   if (operator === undefined || owner === undefined || plan === undefined) {
-    return refused(amberliftError('not-found', 'There is no such planned change.'));
+    return refusal(amberliftError('not-found', 'There is no such planned change.'));
   }
   if (plan.atMs > state.timeMs) {
-    return refused(amberliftError('conflict', 'The planned change is not due.'));
+    return refusal(amberliftError('conflict', 'The planned change is not due.'));
   }
   owner.plans.delete(planId);
-  const commandId = planRunId(plan);
+  const commandId = planExecutionId(plan);
   const applied = decideAndCommit(state, { operator, owner }, commandId, plan.change);
   audit(state, owner, commandId, plan.change, applied.outcome);
   return applied;
 }
 
-/** Under which ID the execution of a planned change stands in the audit log. */
-function planRunId(plan: PlannedChange): string {
+/** Command ID for the execution of a planned change in the audit log. */
+function planExecutionId(plan: PlannedChange): string {
   return `${plan.commandId}/run`;
 }
 
@@ -216,7 +215,7 @@
   entry: CommandEntry,
   error: AmberliftError,
 ): AppliedEntry {
-  const applied = refused(error);
+  const applied = refusal(error);
   audit(state, owner, entry.commandId, entry.command, applied.outcome);
   return applied;
 }
@@ -232,6 +231,6 @@
   recordAudit(owner, { atMs, operator: owner.name, commandId, command, outcome });
 }
 
-function refused(error: AmberliftError): AppliedEntry {
+function refusal(error: AmberliftError): AppliedEntry {
   return { outcome: { accepted: false, error }, changes: [] };
 }
--- a/src/managed/control/audit.ts
+++ b/src/managed/control/audit.ts
@@ -1,17 +1,16 @@
 /**
- * @file What an operator can look up of their own past: the audit log, and which log index carried
- * each of their revisions. Both are bounded.
+ * @file Each operator's history: the audit log, and the log index of each revision. Both are bounded.
  */
 import type { AuditEntry, OwnerState, ServiceVersion } from './cluster-state.js';
 import type { Service } from './routing-config.js';
 
-/** Lines of the audit log that are kept for one operator. Bounds the snapshot; not measured. */
+/** Limit per operator; bounds the snapshot size. */
 const MAX_AUDIT_ENTRIES = 1_000;
-/** Revisions whose log index is kept; older ones count as in force. Bounds the snapshot; not measured. */
+/** Limit per operator; bounds the snapshot size. Older revisions are assumed to be in force. */
 const MAX_REVISION_MARKS = 1_000;
 
 /**
- * Writes a line into the operator's audit log.
+ * Appends an entry to the operator's audit log; drops the oldest entry if the log is full.
  */
 export function recordAudit(owner: OwnerState, entry: Omit<AuditEntry, 'number'>): void {
   owner.auditLog.push({ number: owner.nextAuditNumber, ...entry });
@@ -22,11 +21,11 @@
 }
 
 /**
- * Counts an accepted command.
- * @param service the service that it changed, if any
- * @returns the operator's revision with it
+ * Increments the operator's revision after an accepted command.
+ * @param service new version of the changed service, if any
+ * @returns the new revision
  */
-export function countRevision(owner: OwnerState, index: number, service?: ServiceVersion): number {
+export function recordRevision(owner: OwnerState, index: number, service?: ServiceVersion): number {
   owner.revision += 1;
   owner.revisionMarks.push({ revision: owner.revision, index, service });
   if (owner.revisionMarks.length > MAX_REVISION_MARKS) {
@@ -36,8 +35,8 @@
 }
 
 /**
- * @param index a log index, such as the one that a balancer has in force
- * @returns the operator's highest revision that is in force there
+ * @param index a log index, such as the one a balancer has applied
+ * @returns the operator's latest revision at that index
  */
 export function revisionAt(owner: OwnerState, index: number): number {
   const mark = owner.revisionMarks.findLast((candidate) => candidate.index <= index);
@@ -49,15 +48,15 @@
 }
 
 /**
- * @param index a log index, such as the one that a balancer has in force
- * @returns the version of the service that is in force there; 0 before its definition
+ * @param index a log index, such as the one a balancer has applied
+ * @returns the service's version at that index; 0 before its definition
  */
 export function serviceVersionAt(owner: OwnerState, service: Service, index: number): number {
   const marks = owner.revisionMarks.filter((mark) => mark.service?.serviceId === service.id);
-  const inForce = marks.findLast((mark) => mark.index <= index)?.service;
-  const oldestKept = marks[0]?.service;
-  if (inForce !== undefined) {
-    return inForce.version;
+  const latest = marks.findLast((mark) => mark.index <= index)?.service;
+  const oldest = marks[0]?.service;
+  if (latest !== undefined) {
+    return latest.version;
   }
-  return oldestKept === undefined ? service.version : oldestKept.version - 1;
+  return oldest === undefined ? service.version : oldest.version - 1;
 }
--- a/src/managed/control/backend-commands.ts
+++ b/src/managed/control/backend-commands.ts
@@ -17,10 +17,9 @@
 } from './decision.js';
 import { idInBlock } from './id-blocks.js';
 
-/** Back ends that one service may have. Not measured; callers need 12,000 in all (DEVELOPERS.md). */
 const MAX_BACKENDS_PER_SERVICE = 2_000;
 
-/** What the commands on one back end have in common. */
+/** Fields shared by all commands on an existing back end. */
 interface BackendReference {
   readonly backendId: number;
   readonly basedOnVersion?: number | undefined;
@@ -58,7 +57,7 @@
   });
 }
 
-/** Sets what the operator wants of a back end: draining, or active again. */
+/** Starts or cancels the draining of a back end. */
 export function setAdminState(
   state: ClusterState,
   source: CommandSource,
@@ -77,7 +76,7 @@
   );
 }
 
-/** Retires a back end that is draining; its address goes into quarantine. */
+/** Removes a draining back end and quarantines its address. */
 export function retireBackend(
   state: ClusterState,
   source: CommandSource,
--- a/src/managed/control/cluster-snapshot.ts
+++ b/src/managed/control/cluster-snapshot.ts
@@ -1,6 +1,6 @@
 /**
- * @file The byte form of the cluster state, for snapshots on disk and between control machines. Equal
- * states have equal bytes.
+ * @file Serialization of the cluster state for snapshots on disk and between control machines. Equal states give
+ * equal bytes.
  */
 import { Packr } from 'msgpackr';
 import type {
@@ -22,7 +22,7 @@
   readonly commandRecords: readonly CommandRecord[];
 }
 
-/** The state with each map written as a list. */
+/** The cluster state with its maps converted to arrays. */
 interface ClusterSnapshot {
   readonly index: number;
   readonly term: number;
@@ -37,7 +37,7 @@
 }
 
 /**
- * @returns the state's bytes
+ * Serializes the state as MessagePack, without the derived lookup tables.
  */
 export function encodeClusterState(state: ClusterState): Uint8Array {
   const { index, term, timeMs, routing } = state;
@@ -61,15 +61,15 @@
 }
 
 /**
- * @param bytes made by `encodeClusterState`; the storage checks that they are whole
- * @returns the state
+ * Restores a state and rebuilds its lookup tables.
+ * @param bytes output of `encodeClusterState`; the storage layer has verified their integrity
  */
 export function decodeClusterState(bytes: Uint8Array): ClusterState {
   const snapshot = packr.unpack(bytes) as ClusterSnapshot;
   const routing = {
     services: new Map(snapshot.services.map((service) => [service.id, service])),
     backends: new Map(snapshot.backends.map((backend) => [backend.id, backend])),
-    // The secret is copied, so that it doesn't keep the bytes of the whole snapshot alive.
+    // Copies the secret: a view would keep the buffer of the whole snapshot in memory.
     keys: new Map(
       snapshot.keys.map((key) => [key.id, { ...key, secret: Uint8Array.from(key.secret) }]),
     ),
--- a/src/managed/control/cluster-state.ts
+++ b/src/managed/control/cluster-state.ts
@@ -1,134 +1,133 @@
 /**
- * @file The replicated state: operators, services, back ends, planned changes, token keys, addresses
- * in quarantine and results of commands. All that belongs to one operator stands in their own
- * `OwnerState`, so that one operator's counters and bounds never depend on another's commands.
+ * @file The replicated state: operators, services, back ends, planned changes, token keys, quarantined addresses and
+ * command outcomes. Counters and limits are kept per operator in `OwnerState`, so that operators cannot affect each
+ * other.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { ChangeCommand, CommandOutcome } from './commands.js';
 import { emptyConfigLookup, type ConfigLookup } from './config-lookup.js';
 import { emptyRoutingConfig, type RoutingConfig } from './routing-config.js';
 
-/** When a token key took its present state. */
+/** When a token key entered its current state. */
 export interface TokenKeyAge {
-  /** Index of the entry that set the state. */
+  /** Log index of the entry that set the state. */
   readonly sinceIndex: number;
-  /** Unix time of that entry, in milliseconds. */
+  /** Unix time of that entry in milliseconds. */
   readonly sinceMs: number;
 }
 
-/** An operator: one of the partners. */
+/** An operator, who owns services and sends commands. */
 export interface Operator {
   readonly name: string;
   /** SHA-256 of the operator's bearer token, in hex. */
   readonly tokenHash: string;
   /**
-   * Ranges that this operator's addresses must lie in, and no other operator's may. Without any, all
-   * addresses but those granted to others.
+   * Address ranges reserved for this operator. If undefined, the operator may use every address that is not reserved
+   * for another operator.
    */
   readonly addressRanges?: readonly string[] | undefined;
 }
 
-/** The result of a command, kept so that the same command sent again gets the same answer. */
+/** The stored outcome of a command; a retry of the command gets the same outcome. */
 export interface CommandRecord {
   readonly commandId: string;
-  /** SHA-256 of the command, so that an ID used for another command is refused. */
+  /** SHA-256 of the command in hex; detects the reuse of an ID for another command. */
   readonly commandHash: string;
   readonly outcome: CommandOutcome;
-  /** When the ID was made, in Unix milliseconds; undefined for an ID that is kept for good. */
+  /** Unix time in milliseconds from the command ID; undefined if the ID has none and the record never expires. */
   readonly issuedAtMs: number | undefined;
 }
 
-/** A change that waits for its time. */
+/** A change scheduled for a later time. */
 export interface PlannedChange {
-  /** Counts the operator's planned changes; never used again. */
+  /** Unique per operator and never reused. */
   readonly id: number;
-  /** Unix time in milliseconds from which it is due. */
+  /** Unix time in milliseconds at which it becomes due. */
   readonly atMs: number;
   readonly change: ChangeCommand;
-  /** ID of the command that planned it. */
+  /** ID of the `plan-change` command. */
   readonly commandId: string;
 }
 
-/** One line of an operator's audit log. */
+/** One entry of an operator's audit log. */
 export interface AuditEntry {
-  /** Counts the operator's lines, from 1. */
+  /** Sequence number per operator, from 1. */
   readonly number: number;
-  /** Unix time of the entry, in milliseconds. */
+  /** Replicated time in Unix milliseconds. */
   readonly atMs: number;
   readonly operator: string;
   readonly commandId: string;
-  /** The command as it was sent. */
   readonly command: unknown;
   readonly outcome: CommandOutcome;
 }
 
-/** Version of a service after a change of it or its back ends. */
+/** Version of a service after a change to the service or its back ends. */
 export interface ServiceVersion {
   readonly serviceId: number;
   readonly version: number;
 }
 
-/** The log index at which an operator's revision was accepted. */
+/** The log index of one of an operator's revisions. */
 interface RevisionMark {
   readonly revision: number;
   readonly index: number;
-  /** Undefined where the command changed no service. */
+  /** Undefined if the command changed no service. */
   readonly service?: ServiceVersion | undefined;
 }
 
-/** All that belongs to one operator alone, besides services and back ends. */
+/** Per-operator state other than services and back ends. */
 export interface OwnerState {
   readonly name: string;
-  /** Number of the operator's block of IDs, from 0; never given to another. */
+  /** Number of the operator's ID block, from 0; never reassigned. */
   readonly ownerNumber: number;
   nextServiceNumber: number;
   nextBackendNumber: number;
   nextPlanId: number;
   nextAuditNumber: number;
-  /** Counts the operator's accepted commands. */
+  /** Number of the operator's accepted commands and executed planned changes. */
   revision: number;
-  /** Revisions accepted last, oldest first; bounded. */
+  /** Latest revisions, oldest first; bounded. */
   readonly revisionMarks: RevisionMark[];
   readonly plans: Map<number, PlannedChange>;
   /** Oldest first; bounded. */
   readonly auditLog: AuditEntry[];
-  /** By command ID; bounded, see `command-records.ts`. */
+  /** By command ID; bounded as described in `command-records.ts`. */
   readonly commandRecords: Map<string, CommandRecord>;
-  /** How many of the records have an ID without time. */
+  /** Number of records whose command ID has no timestamp. */
   untimedRecordCount: number;
-  /** IDs made at this Unix time in milliseconds or before are refused as expired. */
+  /** Command IDs with this Unix time in milliseconds or an earlier one are refused as expired. */
   expiredUpToMs: number;
 }
 
-/** An address that left a service and may not join another one yet. */
+/** An address that was removed from a service and may not join another one yet. */
 export interface QuarantinedAddress {
   readonly address: Address;
   readonly formerServiceId: number;
-  /** Index of the entry that removed it. */
+  /** Log index of the removal. */
   readonly removedIndex: number;
 }
 
 /** The whole replicated state. */
 export interface ClusterState {
-  /** Index of the last entry applied. */
+  /** Log index of the last applied entry. */
   index: number;
-  /** Term of the last entry applied. */
+  /** Term of the last applied entry. */
   term: number;
-  /** Highest time of an entry applied, in Unix milliseconds; never goes back. */
+  /** Replicated time in Unix milliseconds: the highest time of all applied entries, so it never decreases. */
   timeMs: number;
   readonly operators: Map<string, Operator>;
   readonly owners: Map<string, OwnerState>;
   readonly routing: RoutingConfig;
   /** By key ID, for each key in `routing.keys`. */
   readonly keyAges: Map<number, TokenKeyAge>;
-  /** By the text form of the address. */
+  /** By formatted address. */
   readonly quarantine: Map<string, QuarantinedAddress>;
-  /** Derived from `routing`; not a part of snapshots. */
+  /** Derived from `routing`; not stored in snapshots. */
   lookup: ConfigLookup;
 }
 
 /**
- * @returns the state before the first entry
+ * @returns the state before the first log entry
  */
 export function emptyClusterState(): ClusterState {
   return {
@@ -145,8 +144,8 @@
 }
 
 /**
- * @param ownerNumber number of the operator's block of IDs
- * @returns the state of an operator who has sent nothing yet
+ * @param ownerNumber number of the operator's ID block
+ * @returns the state of a new operator
  */
 export function emptyOwnerState(name: string, ownerNumber: number): OwnerState {
   return {
--- a/src/managed/control/command-codec.ts
+++ b/src/managed/control/command-codec.ts
@@ -1,5 +1,5 @@
 /**
- * @file The form in which commands stand in the log.
+ * @file MessagePack serialization of log entries.
  */
 import { Packr } from 'msgpackr';
 import type { CommandEntry } from './commands.js';
@@ -7,14 +7,14 @@
 const packr = new Packr({ useRecords: false });
 
 /**
- * @returns the bytes of a log entry
+ * Serializes an entry for the log.
  */
 export function encodeCommandEntry(entry: CommandEntry): Uint8Array {
   return Uint8Array.from(packr.pack(entry));
 }
 
 /**
- * @returns the command of a log entry
+ * Parses an entry from the log; its shape is not validated.
  */
 export function decodeCommandEntry(data: Uint8Array): CommandEntry {
   return packr.unpack(data) as CommandEntry;
--- a/src/managed/control/command-hash.ts
+++ b/src/managed/control/command-hash.ts
@@ -1,5 +1,5 @@
 /**
- * @file A digest of a command, by which a command ID that is used for another command is noticed.
+ * @file Digests of commands, which detect reused command IDs, and of bearer tokens.
  */
 import { createHash } from 'node:crypto';
 import { Packr } from 'msgpackr';
@@ -8,7 +8,7 @@
 const packr = new Packr({ useRecords: false });
 
 /**
- * @returns SHA-256 of the command's MessagePack form, in hex
+ * @returns SHA-256 of the command in MessagePack, as hex
  */
 export function commandHash(command: Command): string {
   return createHash('sha256').update(packr.pack(command)).digest('hex');
@@ -16,7 +16,7 @@
 
 /**
  * @param token an operator's bearer token
- * @returns SHA-256 of it in hex, the form in which it is stored
+ * @returns SHA-256 of the token as hex, as stored in the cluster state
  */
 export function operatorTokenHash(token: string): string {
   return createHash('sha256').update(token).digest('hex');
--- a/src/managed/control/command-id.ts
+++ b/src/managed/control/command-id.ts
@@ -1,15 +1,14 @@
 /**
- * @file Command IDs. An ID that begins with the time at which it was made, such as `20261202T065703Z-4f1c9a`, shows
- * by itself that it is too old, so its record can be dropped after a while. The record of any other ID is kept for
- * good, so an operator has a limited number of these (`command-records.ts`).
+ * @file Command IDs. An ID may start with a timestamp, such as `20261202T065703Z-4f1c9a`, which lets its record
+ * expire. Records of other IDs never expire, so their number is limited (`command-records.ts`).
  */
 
 const TIMED_ID = /^(\d{4})(\d{2})(\d{2})T(\d{2})(\d{2})(\d{2})Z-/;
 
 /**
- * @param issuedAtMs Unix time in milliseconds; kept to the second
- * @param suffix what makes the ID unique, such as random hex digits
- * @returns a command ID that carries its time
+ * @param issuedAtMs Unix time in milliseconds; truncated to the second
+ * @param suffix makes the ID unique, such as random hex digits
+ * @returns a command ID that starts with a timestamp
  */
 export function timedCommandId(issuedAtMs: number, suffix: string): string {
   const time = new Date(issuedAtMs).toISOString().replace(/[-:]|\.\d+/g, '');
@@ -17,7 +16,7 @@
 }
 
 /**
- * @returns the Unix time in milliseconds at which the ID was made, or undefined where it says none
+ * @returns the timestamp of the ID in Unix milliseconds, or undefined if it has none
  */
 export function commandIssueTimeMs(commandId: string): number | undefined {
   const parts = TIMED_ID.exec(commandId)?.slice(1).map(Number);
--- a/src/managed/control/command-records.ts
+++ b/src/managed/control/command-records.ts
@@ -1,62 +1,51 @@
 /**
- * @file Has this command been applied before, and may it be applied now? The outcome of each command is kept under
- * its ID, so that the same command sent again gets the same outcome. The records are bounded, without letting an old
- * command apply twice:
+ * @file Deduplication of commands. The outcome of each command is stored under its ID, so that a retry gets the same
+ * outcome.
  *
- * - An ID that carries its time is refused as `command-expired` from the moment its record may have been dropped.
- *   Both follow from one rule: the ID's own time against a limit that only rises. The limit is the replicated time
- *   less the window, or higher where an operator has sent so many commands that the oldest records had to go.
- * - The record of an ID without a time is kept for good, and past a bound no further such ID is accepted.
- *
- * Times are Unix milliseconds of the replicated clock. Owns `commandRecords`, `untimedRecordCount` and
- * `expiredUpToMs`.
+ * - A record whose ID has a timestamp is dropped once the timestamp is at or below `expiredUpToMs`; such IDs are then
+ *   refused as `command-expired`. `expiredUpToMs` never decreases, so no command is applied twice.
+ * - Records of other IDs are never dropped; at a limit, further IDs without a timestamp are refused.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { CommandRecord, OwnerState } from './cluster-state.js';
 import { commandIssueTimeMs } from './command-id.js';
 
-/**
- * How long the outcome of a command is kept, in milliseconds; a later resend is refused as `command-expired`.
- * Not measured.
- */
-const COMMAND_WINDOW_MS = 24 * 60 * 60 * 1000;
-/** Outcomes that are kept for one operator; beyond it the window shrinks. Bounds the snapshot; not measured. */
+/** How long an outcome is stored; a later retry is refused as `command-expired`. */
+const RECORD_RETENTION_MS = 24 * 60 * 60 * 1000;
+/** Limit per operator for IDs with a timestamp; bounds the snapshot size. Above it the oldest records expire early. */
 const MAX_COMMAND_RECORDS = 20_000;
-/** IDs without a time that one operator may use, ever. Bounds the snapshot; not measured. */
+/** Limit per operator over the lifetime of the cluster; bounds the snapshot size. */
 const MAX_UNTIMED_COMMAND_IDS = 20_000;
-/** Part of the records that is dropped at once when there are too many, so that few commands pay for the pass. */
-const EVICTED_PART = 0.1;
+/** Share of the records evicted at once; a batch amortizes the cost of sorting them. */
+const EVICTION_FRACTION = 0.1;
 
-/** Bounds of the records; tests use smaller ones to reach the same code with fewer commands. */
+/** Limits on the age and number of one operator's records. */
 export interface RecordBounds {
-  readonly windowMs: number;
+  readonly retentionMs: number;
   readonly maxRecords: number;
   readonly maxUntimedIds: number;
 }
 
-/** The bounds of a cluster. */
+/** The limits in production. */
 export const defaultRecordBounds: RecordBounds = {
-  windowMs: COMMAND_WINDOW_MS,
+  retentionMs: RECORD_RETENTION_MS,
   maxRecords: MAX_COMMAND_RECORDS,
   maxUntimedIds: MAX_UNTIMED_COMMAND_IDS,
 };
 
 /**
- * Drops the records that are past the window at the present replicated time.
+ * Drops records older than the retention period.
+ * @param timeMs replicated time in Unix milliseconds
  */
-export function forgetExpiredRecords(
-  owner: OwnerState,
-  timeMs: number,
-  bounds: RecordBounds,
-): void {
-  owner.expiredUpToMs = Math.max(owner.expiredUpToMs, timeMs - bounds.windowMs);
+export function dropExpiredRecords(owner: OwnerState, timeMs: number, bounds: RecordBounds): void {
+  owner.expiredUpToMs = Math.max(owner.expiredUpToMs, timeMs - bounds.retentionMs);
   for (const [commandId, record] of owner.commandRecords) {
     if (record.issuedAtMs === undefined) {
       continue;
     }
     if (record.issuedAtMs > owner.expiredUpToMs) {
-      // Records stand in the order of arrival; the rest is checked once this one is dropped.
+      // Records are in order of arrival; later ones are checked after this one has expired.
       break;
     }
     owner.commandRecords.delete(commandId);
@@ -64,7 +53,8 @@
 }
 
 /**
- * @returns ok where a command of this ID, which has no record, may be applied
+ * Checks that a command may be applied under an ID without a record.
+ * @returns `command-expired` or `invalid-command` if it may not
  */
 export function checkNewCommandId(
   owner: OwnerState,
@@ -85,9 +75,9 @@
 }
 
 /**
- * Records the outcome of a command.
+ * Stores the outcome of a command; evicts the oldest records if there are too many.
  */
-export function keepRecord(owner: OwnerState, record: CommandRecord, bounds: RecordBounds): void {
+export function addRecord(owner: OwnerState, record: CommandRecord, bounds: RecordBounds): void {
   owner.commandRecords.set(record.commandId, record);
   if (record.issuedAtMs === undefined) {
     owner.untimedRecordCount += 1;
@@ -97,13 +87,13 @@
   }
 }
 
-/** Raises the limit so far that the oldest part of the records can be dropped. */
+/** Raises `expiredUpToMs` to expire the oldest records, and drops them. */
 function evictOldest(owner: OwnerState, bounds: RecordBounds): void {
   const times = [...owner.commandRecords.values()]
     .map((record) => record.issuedAtMs)
     .filter((time) => time !== undefined)
     .sort((one, other) => one - other);
-  const evictedCount = Math.max(1, Math.floor(bounds.maxRecords * EVICTED_PART));
+  const evictedCount = Math.max(1, Math.floor(bounds.maxRecords * EVICTION_FRACTION));
   owner.expiredUpToMs = Math.max(owner.expiredUpToMs, times[evictedCount - 1] ?? 0);
   for (const [commandId, record] of owner.commandRecords) {
     if (record.issuedAtMs !== undefined && record.issuedAtMs <= owner.expiredUpToMs) {
--- a/src/managed/control/commands.ts
+++ b/src/managed/control/commands.ts
@@ -1,6 +1,6 @@
 /**
- * @file Commands of operators and of the system, as they stand in the replicated log, and their outcomes. Field names
- * are stored and sent as they are here.
+ * @file Schemas and types of operator commands, system commands and their outcomes. They are stored in the replicated
+ * log and sent over the network under these field names.
  */
 import { z } from 'zod';
 import { addressSchema } from '../../shared/common/address-schema.js';
@@ -9,30 +9,30 @@
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import { placementPolicyNames } from './routing-config.js';
 
-/** Length of the longest name of a service, zone or operator. */
+/** Maximum length of a service, zone or operator name, in characters. */
 export const MAX_NAME_LENGTH = 63;
-/** What a name of a service, zone or operator looks like. */
+/** Pattern of service, zone and operator names. */
 export const NAME_PATTERN = /^[a-z][a-z0-9-]*$/;
-/** Length of the longest command ID. */
+/** Maximum length of a command ID, in characters. */
 export const MAX_COMMAND_ID_LENGTH = 128;
-/** A routing token names its key in one byte. */
+/** Routing tokens have one byte for the key ID. */
 const MAX_KEY_ID = 255;
-/** A delay after which a planned change is due is at most a year, in milliseconds. */
+/** Longest delay of a planned change: one leap year. */
 export const MAX_PLAN_DELAY_MS = 366 * 24 * 60 * 60 * 1000;
 
-/** Schema of a name of a service, zone or operator. */
+/** Schema of service, zone and operator names. */
 export const nameSchema = z
   .string()
   .max(MAX_NAME_LENGTH)
   .regex(NAME_PATTERN, 'lower-case letters, digits and hyphens');
 const name = nameSchema;
-const positive = z.number().int().positive();
+const positiveInteger = z.number().int().positive();
 const limits = z.strictObject({
-  opensPerSecond: positive.optional(),
-  connectionsPerBackend: positive.optional(),
+  opensPerSecond: positiveInteger.optional(),
+  connectionsPerBackend: positiveInteger.optional(),
 });
-/** The service version that the change was based on; the change conflicts where it is outdated. */
-const basedOnVersion = positive.optional();
+/** Expected version of the service; another version causes a `conflict`. */
+const basedOnVersion = positiveInteger.optional();
 
 const defineService = z.strictObject({
   type: z.literal('define-service'),
@@ -63,21 +63,21 @@
 });
 const drainBackend = z.strictObject({
   type: z.literal('drain-backend'),
-  backendId: positive,
+  backendId: positiveInteger,
   basedOnVersion,
 });
 const cancelDrain = z.strictObject({
   type: z.literal('cancel-drain'),
-  backendId: positive,
+  backendId: positiveInteger,
   basedOnVersion,
 });
 const retireBackend = z.strictObject({
   type: z.literal('retire-backend'),
-  backendId: positive,
+  backendId: positiveInteger,
   basedOnVersion,
 });
 
-/** Schema of the commands that change the configuration; each may also be planned. */
+/** Schema of the commands that change the configuration; these can also be planned. */
 const changeCommandSchema = z.discriminatedUnion('type', [
   defineService,
   changeService,
@@ -93,16 +93,16 @@
 
 const planChange = z.strictObject({
   type: z.literal('plan-change'),
-  /** When: Unix time in milliseconds, or a delay from when the command is applied. */
+  /** Unix time in milliseconds, or a delay in milliseconds after the command is applied. */
   when: z.union([
     z.strictObject({ atMs: z.number().int().nonnegative() }),
     z.strictObject({ inMs: z.number().int().nonnegative().max(MAX_PLAN_DELAY_MS) }),
   ]),
   change: changeCommandSchema,
 });
-const cancelPlan = z.strictObject({ type: z.literal('cancel-plan'), planId: positive });
+const cancelPlan = z.strictObject({ type: z.literal('cancel-plan'), planId: positiveInteger });
 
-/** Schema of every command that an operator may send. */
+/** Schema of all commands that an operator may send. */
 export const operatorCommandSchema = z.discriminatedUnion('type', [
   ...changeCommandSchema.options,
   planChange,
@@ -112,12 +112,12 @@
 /** A command that an operator sends. */
 export type OperatorCommand = z.infer<typeof operatorCommandSchema>;
 
-/** Schema of a range of addresses. */
-export const addressRangeText = z
+/** Schema of an address range in text form. */
+export const addressRangeSchema = z
   .string()
   .refine((text) => parseAddressRange(text) !== undefined, 'such as 10.1.0.0/16:7000-7999');
 
-/** Schema of commands that the system itself puts into the log. */
+/** Schema of the commands that the leader itself appends to the log. */
 const systemCommandSchema = z.discriminatedUnion('type', [
   z.strictObject({
     type: z.literal('set-operators'),
@@ -125,18 +125,18 @@
       z.strictObject({
         name,
         tokenHash: z.string(),
-        addressRanges: z.array(addressRangeText).readonly().optional(),
+        addressRanges: z.array(addressRangeSchema).readonly().optional(),
       }),
     ),
   }),
-  /** Adds a key: as `next`, or as `current` where there is no key yet; or moves one on. */
+  /** Adds a key as `next`, or as `current` in a new cluster. */
   z.strictObject({
     type: z.literal('set-token-key'),
     id: z.number().int().min(0).max(MAX_KEY_ID),
     secret: z.custom<Uint8Array>((value) => value instanceof Uint8Array, '16 bytes'),
     state: z.enum(['next', 'current']),
   }),
-  /** Makes the `next` key `current`, and the `current` one `previous`. */
+  /** Changes the `next` key to `current`, and the `current` key to `previous`. */
   z.strictObject({
     type: z.literal('promote-token-key'),
     id: z.number().int().min(0).max(MAX_KEY_ID),
@@ -146,31 +146,35 @@
     type: z.literal('remove-token-key'),
     id: z.number().int().min(0).max(MAX_KEY_ID),
   }),
-  /** Frees the addresses that left their service at this index or before. */
+  /** Ends the quarantine of addresses removed at this log index or earlier. */
   z.strictObject({ type: z.literal('release-addresses'), fencedIndex: z.number().int().min(0) }),
-  /** Executes a planned change that is due by the time of this entry. */
-  z.strictObject({ type: z.literal('run-planned-change'), operator: name, planId: positive }),
+  /** Executes a planned change that is due at the time of this entry. */
+  z.strictObject({
+    type: z.literal('run-planned-change'),
+    operator: name,
+    planId: positiveInteger,
+  }),
 ]);
 
-/** A command of the system itself. */
+/** A command that the leader itself appends to the log. */
 export type SystemCommand = z.infer<typeof systemCommandSchema>;
 
-/** Any command in the log. */
+/** A command in the log, from an operator or the system. */
 export type Command = OperatorCommand | SystemCommand;
 
-/** Name under which the system's own commands stand in the log; no operator may have it. */
+/** Sender of system commands in the log; reserved, so no operator may have this name. */
 export const SYSTEM_OPERATOR = 'system';
 
-/** One command as it stands in the log. */
+/** A log entry with one command. */
 export interface CommandEntry {
-  /** Made by the client; the same ID sent again gets the same outcome and is applied once. */
+  /** Idempotency key, chosen by the client: a retry with the same ID is not applied again. */
   readonly commandId: string;
   /** The operator who sent it, or `SYSTEM_OPERATOR`. */
   readonly operator: string;
   readonly command: Command;
   /**
-   * Unix time in milliseconds on the clock of the leader that proposed it. The replicated step
-   * takes all time from here. Without it no time passes.
+   * Unix time in milliseconds on the proposing leader's clock. It is the only clock of the replicated state; if
+   * undefined, the replicated time does not advance.
    */
   readonly atMs?: number | undefined;
 }
@@ -178,9 +182,9 @@
 /** The outcome of an accepted command. */
 export interface AcceptedOutcome {
   readonly accepted: true;
-  /** Index of the log entry; the configuration of this index has the change. */
+  /** Index of the log entry that made the change. */
   readonly index: number;
-  /** Counts the accepted commands of this operator alone; shown to operators in place of the index. */
+  /** The operator's revision after the change; shown to operators instead of the log index. */
   readonly revision?: number;
   /** Version of the service after the change. */
   readonly version?: number;
@@ -193,15 +197,15 @@
 interface RefusedOutcome {
   readonly accepted: false;
   readonly error: AmberliftError;
-  /** Operator address of the leader, where another machine leads. */
+  /** Operator address of the leader, if another machine is the leader. */
   readonly leader?: Address;
 }
 
-/** The outcome of a command that the replicated step applied or refused. */
+/** The outcome of a command. */
 export type CommandOutcome = AcceptedOutcome | RefusedOutcome;
 
 /**
- * @returns true for a command that only the system may send
+ * @returns true if only the system may send this command
  */
 export function isSystemCommand(command: Command): command is SystemCommand {
   return systemCommandTypes.has(command.type);
--- a/src/managed/control/config-delta.ts
+++ b/src/managed/control/config-delta.ts
@@ -1,6 +1,6 @@
 /**
- * @file Changes of the configuration as balancers get them: snapshots and deltas, each with the (term, index) that it
- * leads to. A receiver applies only newer ones. Field names are sent as they are here.
+ * @file Configuration updates for balancers: snapshots and deltas, each with the log position after the update. A
+ * receiver applies only newer ones. They are sent under these field names.
  */
 import { match } from 'ts-pattern';
 import type { Backend, RoutingConfig, Service, TokenKey } from './routing-config.js';
@@ -11,7 +11,7 @@
   readonly index: number;
 }
 
-/** One change of the configuration. */
+/** One change to a service, back end or token key. */
 export type ConfigChange =
   | { readonly type: 'service-set'; readonly service: Service }
   | { readonly type: 'service-removed'; readonly serviceId: number }
@@ -20,7 +20,7 @@
   | { readonly type: 'key-set'; readonly key: TokenKey }
   | { readonly type: 'key-removed'; readonly keyId: number };
 
-/** All changes from one position to another; applies only to exactly `from.index`. */
+/** All changes between two positions; applies only to a configuration at exactly `from.index`. */
 export interface ConfigDelta {
   readonly type: 'delta';
   readonly from: ConfigPosition;
@@ -37,18 +37,18 @@
   readonly keys: readonly TokenKey[];
 }
 
-/** A delta or a snapshot. */
+/** A configuration update as sent to balancers. */
 export type ConfigUpdate = ConfigDelta | ConfigSnapshot;
 
 /**
- * @returns true where `candidate` is after `current`
+ * @returns true if `candidate` has a higher index than `current` and a term that is not lower
  */
 export function isNewerPosition(candidate: ConfigPosition, current: ConfigPosition): boolean {
   return candidate.index > current.index && candidate.term >= current.term;
 }
 
 /**
- * Applies one change in place.
+ * Applies one change to the configuration in place.
  */
 export function applyConfigChange(config: RoutingConfig, change: ConfigChange): void {
   match(change)
@@ -62,7 +62,7 @@
 }
 
 /**
- * @returns the configuration at `position` as one update
+ * @returns a snapshot of the whole configuration at `position`
  */
 export function snapshotOf(config: RoutingConfig, position: ConfigPosition): ConfigSnapshot {
   return {
--- a/src/managed/control/config-lookup.ts
+++ b/src/managed/control/config-lookup.ts
@@ -1,32 +1,32 @@
 /**
- * @file Finds services and back ends by name, owner and address without a scan. Derived from the
- * routing configuration, and kept in step with it by `applyToConfig`.
+ * @file Lookup tables that find services and back ends by name, owner, service or address. They are derived from the
+ * routing configuration and updated with it by `applyToConfig`.
  */
 import { match } from 'ts-pattern';
 import { formatAddress } from '../../shared/common/address.js';
 import type { Backend, RoutingConfig, Service } from './routing-config.js';
 import { applyConfigChange, type ConfigChange } from './config-delta.js';
 
-/** The user of an address. */
+/** The service or back end that uses an address. */
 interface AddressUse {
   readonly usedBy: 'service' | 'backend';
   readonly id: number;
 }
 
-/** Lookups over a routing configuration. */
+/** Lookup tables of a routing configuration. */
 export interface ConfigLookup {
-  /** Service ID by `owner/name`. */
+  /** Service ID by `owner/name`, see `serviceNameKey`. */
   readonly serviceIdsByName: Map<string, number>;
   /** Service IDs by owner, in the order of definition. */
   readonly serviceIdsByOwner: Map<string, Set<number>>;
   /** Back end IDs by service ID, in the order of addition. */
   readonly backendIdsByService: Map<number, Set<number>>;
-  /** By the text form of the address. */
+  /** By formatted address. */
   readonly addressUses: Map<string, AddressUse>;
 }
 
 /**
- * @returns the lookups of a configuration without services
+ * @returns the lookup tables of an empty configuration
  */
 export function emptyConfigLookup(): ConfigLookup {
   return {
@@ -38,7 +38,7 @@
 }
 
 /**
- * @returns the lookups of a configuration, after it was read from a snapshot
+ * Builds the lookup tables of a configuration read from a snapshot.
  */
 export function buildConfigLookup(routing: RoutingConfig): ConfigLookup {
   const lookup = emptyConfigLookup();
@@ -48,7 +48,7 @@
 }
 
 /**
- * Applies one change to the configuration and its lookups.
+ * Applies one change to the configuration and its lookup tables in place.
  */
 export function applyToConfig(
   routing: RoutingConfig,
@@ -79,7 +79,7 @@
 function addService(lookup: ConfigLookup, service: Service): void {
   lookup.serviceIdsByName.set(serviceNameKey(service.owner, service.name), service.id);
   lookup.addressUses.set(formatAddress(service.address), { usedBy: 'service', id: service.id });
-  setOf(lookup.serviceIdsByOwner, service.owner).add(service.id);
+  getOrCreateSet(lookup.serviceIdsByOwner, service.owner).add(service.id);
 }
 
 function removeService(lookup: ConfigLookup, service: Service | undefined): void {
@@ -93,7 +93,7 @@
 
 function addBackend(lookup: ConfigLookup, backend: Backend): void {
   lookup.addressUses.set(formatAddress(backend.address), { usedBy: 'backend', id: backend.id });
-  setOf(lookup.backendIdsByService, backend.serviceId).add(backend.id);
+  getOrCreateSet(lookup.backendIdsByService, backend.serviceId).add(backend.id);
 }
 
 function removeBackend(lookup: ConfigLookup, backend: Backend | undefined): void {
@@ -103,7 +103,7 @@
   }
 }
 
-function setOf<Key>(sets: Map<Key, Set<number>>, key: Key): Set<number> {
+function getOrCreateSet<Key>(sets: Map<Key, Set<number>>, key: Key): Set<number> {
   const existing = sets.get(key);
   if (existing !== undefined) {
     return existing;
--- a/src/managed/control/control-state.ts
+++ b/src/managed/control/control-state.ts
@@ -30,7 +30,7 @@
 import { decodeCommandEntry } from './command-codec.js';
 import type { JoinState, PeerAddress } from './cluster-join.js';
 import type { CommandOutcome } from './commands.js';
-import type { FirstOperator } from './first-commands.js';
+import type { BootstrapOperator } from './bootstrap-commands.js';
 import { clusterProof } from './peer-messages.js';
 
 /**
@@ -62,7 +62,7 @@
   /** By index of the log entry. */
   readonly pendingProposals: Map<number, PendingProposal>;
   /** The operators of a new cluster. */
-  readonly firstOperators: readonly FirstOperator[];
+  readonly firstOperators: readonly BootstrapOperator[];
   readonly snapshotIntervalEntries: number;
   /** Unix time in milliseconds of the last tick; undefined before the first. */
   wallTimeMs: number | undefined;
@@ -79,7 +79,7 @@
   /** The other machines of the cluster's first membership; empty for a machine that stands alone. */
   readonly peers: readonly PeerAddress[];
   /** The operators of a new cluster; without effect in one that has operators. */
-  readonly operators?: readonly FirstOperator[];
+  readonly operators?: readonly BootstrapOperator[];
   readonly recovered: RecoveredState;
   readonly consensus?: Partial<ConsensusOptions>;
   /** Entries after which a snapshot is made. Default 2,000. */
--- a/src/managed/control/decision.ts
+++ b/src/managed/control/decision.ts
@@ -1,14 +1,7 @@
 /**
- * @file May this operator change this entity, and use this address? The checks that commands have in common, each
- * with the error that the operator gets:
- *
- * - a service or back end that is another operator's is `not-found`, like one that does not exist;
- * - a change based on an outdated version of the service is a `conflict`;
- * - an address must be granted to the operator (`unauthorized`), free, and not in quarantine (`conflict`).
- *
- * Commands of partners that race each other are thus decided by the order of the log, and version numbers count per
- * service, so equal numbers of two partners never meet. Functions here change nothing; `apply-command.ts` commits the
- * decision.
+ * @file Checks shared by operator commands: ownership, service versions and use of addresses. Another operator's
+ * service or back end is reported as `not-found`, so that operators cannot discover each other's entities. Functions
+ * here do not modify the state; `apply-command.ts` commits the decision.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { formatAddress, type Address } from '../../shared/common/address.js';
@@ -29,18 +22,18 @@
 import { serviceNameKey } from './config-lookup.js';
 import type { ConfigChange } from './config-delta.js';
 
-/** The sender of a command, and when it was accepted into the log. */
+/** The sender of a command, and the position and time of its log entry. */
 export interface CommandSource {
   readonly operator: Operator;
   readonly owner: OwnerState;
   readonly commandId: string;
-  /** Index of the entry. */
+  /** Index of the log entry. */
   readonly index: number;
   /** Replicated time in Unix milliseconds. */
   readonly timeMs: number;
 }
 
-/** What an accepted command changes. */
+/** The changes to the replicated state that an accepted command makes. */
 export interface Decision {
   readonly changes: readonly ConfigChange[];
   readonly service?: Service;
@@ -50,11 +43,11 @@
   readonly cancelledPlanId?: number;
 }
 
-/** A decision, or why the command is refused. */
+/** A decision, or the error with which the command is refused. */
 export type DecisionResult = Result<Decision, AmberliftError>;
 
 /**
- * @returns the decision that sets the service, counted as a new version, with other changes
+ * @returns a decision that increments the version of the service and makes the other changes
  */
 export function serviceChange(service: Service, ...others: ConfigChange[]): Decision {
   const changed = { ...service, version: service.version + 1 };
@@ -62,7 +55,7 @@
 }
 
 /**
- * @returns the operator's service of that name, or `not-found` whether or not another has it
+ * @returns the operator's service; `not-found` also if another operator owns it; `conflict` for another version
  */
 export function ownedService(
   state: ClusterState,
@@ -85,7 +78,8 @@
 }
 
 /**
- * @returns the operator's back end of that ID, or `not-found` whether or not another has it
+ * @returns the operator's back end and its service; `not-found` also if another operator owns it; `conflict` for
+ *   another version of the service
  */
 export function ownedBackend(
   state: ClusterState,
@@ -102,9 +96,8 @@
 }
 
 /**
- * Checks that an address may join a service: it is granted to the operator, in use by nobody, and
- * not in quarantine.
- * @param serviceId the service that it joins; an address may come back to the service it left
+ * Checks that an address may be added to a service: granted to the operator, not in use and not in quarantine.
+ * @param serviceId the service it joins, undefined for a new one; a quarantined address may rejoin its former service
  */
 export function checkAddressFree(
   state: ClusterState,
@@ -113,7 +106,7 @@
   serviceId: number | undefined,
 ): Result<undefined, AmberliftError> {
   const text = formatAddress(address);
-  if (!mayUse(state, operator, (range) => rangeContains(range, address))) {
+  if (!isGranted(state, operator, (range) => rangeContains(range, address))) {
     return err(amberliftError('unauthorized', `Address ${text} is not granted to you.`));
   }
   if (state.lookup.addressUses.has(text)) {
@@ -130,34 +123,34 @@
 }
 
 /**
- * Checks that a health address is on a machine that is granted to the operator.
+ * Checks that the host of a health address is granted to the operator; its port may be any.
  */
 export function checkHealthAddress(
   state: ClusterState,
   operator: Operator,
   address: Address,
 ): Result<undefined, AmberliftError> {
-  return mayUse(state, operator, (range) => rangeContainsHost(range, address.host))
+  return isGranted(state, operator, (range) => rangeContainsHost(range, address.host))
     ? ok(undefined)
     : err(amberliftError('unauthorized', `Host ${address.host} is not granted to you.`));
 }
 
-type RangeTest = (range: NonNullable<ReturnType<typeof parseAddressRange>>) => boolean;
+type RangePredicate = (range: NonNullable<ReturnType<typeof parseAddressRange>>) => boolean;
 
-function mayUse(state: ClusterState, operator: Operator, isInRange: RangeTest): boolean {
+function isGranted(state: ClusterState, operator: Operator, isInRange: RangePredicate): boolean {
   if (operator.addressRanges !== undefined) {
-    return someRange(operator.addressRanges, isInRange);
+    return matchesAnyRange(operator.addressRanges, isInRange);
   }
   for (const other of state.operators.values()) {
-    if (someRange(other.addressRanges ?? [], isInRange)) {
+    if (matchesAnyRange(other.addressRanges ?? [], isInRange)) {
       return false;
     }
   }
   return true;
 }
 
-function someRange(texts: readonly string[], isInRange: RangeTest): boolean {
-  return texts.some((text) => {
+function matchesAnyRange(rangeTexts: readonly string[], isInRange: RangePredicate): boolean {
+  return rangeTexts.some((text) => {
     const range = parseAddressRange(text);
     return range !== undefined && isInRange(range);
   });
--- a/src/managed/control/id-blocks.ts
+++ b/src/managed/control/id-blocks.ts
@@ -1,23 +1,26 @@
 /**
- * @file IDs of services and back ends. Each operator has a block of the 32-bit IDs and counts through it once: no ID
- * is used again, and an ID reveals nothing of another operator's activity.
+ * @file Allocation of 32-bit service and back end IDs. Each operator has a block of IDs, so that an ID reveals nothing
+ * about the activity of other operators. IDs are never reused.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
-/** Size of a block: 256 blocks fill the 32 bits. */
+/** 256 blocks of this size fill the 32-bit range. */
 const IDS_PER_OWNER = 2 ** 24;
-/** How many operators there can be. */
+/** Maximum number of operators, one ID block each. */
 export const MAX_OPERATORS = 256;
 
 /**
- * @param ownerNumber number of the operator's block
- * @param number counts from 1
- * @returns the ID, or `internal` once the block is used up
+ * @param ownerNumber number of the operator's ID block, from 0
+ * @param sequenceNumber number of the ID in the block, from 1
+ * @returns the ID, or `internal` if the block is exhausted
  */
-export function idInBlock(ownerNumber: number, number: number): Result<number, AmberliftError> {
-  if (number >= IDS_PER_OWNER) {
+export function idInBlock(
+  ownerNumber: number,
+  sequenceNumber: number,
+): Result<number, AmberliftError> {
+  if (sequenceNumber >= IDS_PER_OWNER) {
     return err(amberliftError('internal', 'Your block of IDs is used up.'));
   }
-  return ok(ownerNumber * IDS_PER_OWNER + number);
+  return ok(ownerNumber * IDS_PER_OWNER + sequenceNumber);
 }
--- a/src/managed/control/key-rotation.ts
+++ b/src/managed/control/key-rotation.ts
@@ -1,12 +1,7 @@
 /**
- * @file Which step of the rotation of token keys is due? A key is `next` until it is in force on every balancer, so
- * that no balancer gets a token that it can't check; then `current` for `rotateAfterMs`; then `previous` for
- * `keepPreviousMs`, while flows live whose tokens were minted with it; then it is removed. One step at a time, a
- * promotion before a removal, a removal before a new key.
- *
- * Inputs: the keys with the entry and time of their last change, the log index in force everywhere, Unix time in
- * milliseconds. The two periods are not measured. No flow may stay open for longer than a key is kept as `previous`;
- * a shorter period shows as `amberlift_errors_total{kind="unknown-key"}`.
+ * @file Rotation of token keys. A key is `next` until every balancer has it, so that all balancers can verify its
+ * tokens; then `current`, which mints new tokens; then `previous`, which verifies tokens of open flows; then it is
+ * removed.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
@@ -18,30 +13,34 @@
 
 const DAY_MS = 24 * 60 * 60 * 1000;
 
-/** When keys are rotated; times in milliseconds. */
+/** Periods of the key rotation, in milliseconds. */
 export interface KeyRotationOptions {
   /** How long a key is `current`. Default 7 days. */
   readonly rotateAfterMs: number;
-  /** How long a key is `previous`: no flow may stay open longer. Default 14 days. */
+  /**
+   * How long a key is `previous`. Default 14 days. Must exceed the longest lifetime of a flow, whose tokens otherwise
+   * fail as `unknown-key`.
+   */
   readonly keepPreviousMs: number;
 }
 
-/** The options of a cluster. */
+/** The default periods. */
 export const defaultKeyRotationOptions: KeyRotationOptions = {
   rotateAfterMs: 7 * DAY_MS,
   keepPreviousMs: 14 * DAY_MS,
 };
 
-/** What the leader should propose next; a new key's secret is drawn by the caller. */
+/** A step of the rotation for the leader to propose; the caller generates the secret of a new key. */
 export type KeyStep =
   | { readonly type: 'add-next'; readonly id: number }
   | { readonly type: 'promote'; readonly id: number }
   | { readonly type: 'remove'; readonly id: number };
 
 /**
- * Decides the next step of the rotation.
+ * Decides the next step of the rotation: a promotion before a removal, and a removal before a new key.
  * @param nowMs Unix time in milliseconds
- * @param inForceIndex every balancer has this log index in force
+ * @param inForceIndex log index that every balancer has in force
+ * @returns the step, or undefined if none is due
  */
 export function nextKeyStep(
   state: ClusterState,
@@ -55,11 +54,11 @@
     const sinceIndex = state.keyAges.get(next.id)?.sinceIndex ?? Infinity;
     return sinceIndex <= inForceIndex ? { type: 'promote', id: next.id } : undefined;
   }
-  const outdated = keys.find(
+  const expired = keys.find(
     (key) => key.state === 'previous' && ageMs(state, key, nowMs) >= options.keepPreviousMs,
   );
-  if (outdated !== undefined) {
-    return { type: 'remove', id: outdated.id };
+  if (expired !== undefined) {
+    return { type: 'remove', id: expired.id };
   }
   const current = keys.find((key) => key.state === 'current');
   if (current !== undefined && ageMs(state, current, nowMs) >= options.rotateAfterMs) {
@@ -70,8 +69,8 @@
 }
 
 /**
- * Decides a command on token keys.
- * @returns the changes, or `conflict` where the key is in no state for it
+ * Checks a command on token keys.
+ * @returns its changes; `conflict` if the state of the keys does not allow it; `invalid-command` for a bad secret
  */
 export function decideKeyCommand(
   state: ClusterState,
@@ -105,8 +104,8 @@
 ): Result<ConfigChange[], AmberliftError> {
   const { id, secret, state: keyState } = command;
   const { keys } = state.routing;
-  const taken = [...keys.values()].some((key) => key.state === keyState);
-  if (keys.has(id) || taken) {
+  const isStateInUse = [...keys.values()].some((key) => key.state === keyState);
+  if (keys.has(id) || isStateInUse) {
     return err(amberliftError('conflict', `Key ${id} or its state is taken.`));
   }
   if (secret.length !== TOKEN_KEY_LENGTH_BYTES) {
@@ -120,8 +119,8 @@
 }
 
 function freeKeyId(state: ClusterState, currentId: number): number | undefined {
-  for (let distance = 1; distance <= MAX_TOKEN_KEY_ID; distance += 1) {
-    const id = (currentId + distance) % (MAX_TOKEN_KEY_ID + 1);
+  for (let offset = 1; offset <= MAX_TOKEN_KEY_ID; offset += 1) {
+    const id = (currentId + offset) % (MAX_TOKEN_KEY_ID + 1);
     if (!state.routing.keys.has(id)) {
       return id;
     }
--- a/src/managed/control/leader-duties.ts
+++ b/src/managed/control/leader-duties.ts
@@ -7,7 +7,7 @@
  * come (`dissemination/publisher.ts`).
  */
 import { match } from 'ts-pattern';
-import { releasableAddresses } from './address-fence.js';
+import { releasableAddresses } from './address-quarantine.js';
 import type { ClusterState } from './cluster-state.js';
 import { SYSTEM_OPERATOR, type CommandEntry, type SystemCommand } from './commands.js';
 import {
--- a/src/managed/control/leadership.ts
+++ b/src/managed/control/leadership.ts
@@ -1,6 +1,6 @@
 /**
  * @file What a control machine does while it leads, at each tick: it lets a quorum confirm its leadership
- * (`dissemination/lease-authority.ts`), and proposes the first commands of a new cluster (`first-commands.ts`) and
+ * (`dissemination/lease-authority.ts`), and proposes the first commands of a new cluster (`bootstrap-commands.ts`) and
  * its duties (`leader-duties.ts`). It proposes nothing before an entry of its own term is committed, since it doesn't
  * know until then all that was committed earlier, and nothing while an earlier round is still pending.
  */
@@ -10,7 +10,7 @@
 import { propose, runConsensus } from './consensus-driver.js';
 import type { ControlEffect } from './control-events.js';
 import { leaderLinkAddress, type ControlState } from './control-state.js';
-import { firstCommands } from './first-commands.js';
+import { bootstrapCommands } from './bootstrap-commands.js';
 import { leaderDuties } from './leader-duties.js';
 
 /** What a tick brings from outside. */
@@ -54,7 +54,7 @@
     return [];
   }
   const { wallTimeMs: nowMs, freshSecret } = clock;
-  const first = firstCommands(state.cluster, {
+  const first = bootstrapCommands(state.cluster, {
     operators: state.firstOperators,
     freshSecret,
     nowMs,
--- a/src/managed/control/plan-commands.ts
+++ b/src/managed/control/plan-commands.ts
@@ -1,6 +1,6 @@
 /**
- * @file Planned changes: planning and cancelling them. The leader proposes a `run-planned-change`
- * entry when one is due; the replicated step executes it with the time of that entry.
+ * @file Commands that plan changes and cancel planned ones. The leader proposes a `run-planned-change` entry when a
+ * planned change is due, and `apply-command.ts` executes it.
  */
 import { err, ok } from 'neverthrow';
 import { amberliftError } from '../../shared/common/error-kinds.js';
@@ -8,10 +8,10 @@
 import type { OperatorCommand } from './commands.js';
 import type { CommandSource, DecisionResult } from './decision.js';
 
-/** Planned changes that may wait for one operator. Bounds the snapshot; not measured. */
+/** Limit per operator; bounds the snapshot size. */
 const MAX_PLANNED_CHANGES = 1_000;
 
-/** Plans a change; whether it is allowed is decided when it is executed. */
+/** Plans a change; permissions and conflicts are checked when it is executed. */
 export function planChange(
   source: CommandSource,
   command: Extract<OperatorCommand, { type: 'plan-change' }>,
@@ -39,7 +39,7 @@
     : err(amberliftError('not-found', `You have no planned change ${planId}.`));
 }
 
-/** A planned change with its owner. */
+/** A due planned change and the operator who owns it. */
 interface DuePlan {
   readonly operator: string;
   readonly planId: number;
--- a/src/managed/control/queries.ts
+++ b/src/managed/control/queries.ts
@@ -1,35 +1,35 @@
 /**
- * @file Queries that an operator may ask. Each answer holds only what belongs to that operator.
+ * @file Schemas of operator queries. Answers contain only data of the operator who sent the query.
  */
 import { z } from 'zod';
 import { MAX_COMMAND_ID_LENGTH, nameSchema } from './commands.js';
 
-const positive = z.number().int().positive();
+const positiveInteger = z.number().int().positive();
 
-/** Schema of every query. */
+/** Schema of all queries. */
 export const operatorQuerySchema = z.discriminatedUnion('type', [
   /** All services of the operator. */
   z.strictObject({ type: z.literal('services') }),
-  /** One service with its back ends. */
+  /** One service and its back ends. */
   z.strictObject({ type: z.literal('service'), service: nameSchema }),
-  /** Back ends of all services, or of one. */
+  /** Back ends of one service, or of all services of the operator. */
   z.strictObject({ type: z.literal('backends'), service: nameSchema.optional() }),
-  /** Planned changes, and accepted ones that are not in force everywhere. */
+  /** Planned changes, and accepted changes that are not yet in force on every balancer. */
   z.strictObject({ type: z.literal('changes') }),
-  /** What is committed, what is in force everywhere, and who lags. */
+  /** The committed revision, the revision in force on every balancer, and lagging balancers. */
   z.strictObject({ type: z.literal('in-force') }),
-  /** The balancers that lag. */
+  /** Lagging balancers. */
   z.strictObject({ type: z.literal('balancers') }),
-  /** The shared capacity, as totals. */
+  /** Totals of the shared capacity. */
   z.strictObject({ type: z.literal('capacity') }),
-  /** The operator's audit log, or its last lines. */
-  z.strictObject({ type: z.literal('audit'), last: positive.optional() }),
-  z.strictObject({ type: z.literal('explain-backend'), backendId: positive }),
+  /** The operator's audit log, or only its last `last` entries. */
+  z.strictObject({ type: z.literal('audit'), last: positiveInteger.optional() }),
+  z.strictObject({ type: z.literal('explain-backend'), backendId: positiveInteger }),
   z.strictObject({
     type: z.literal('explain-command'),
     commandId: z.string().min(1).max(MAX_COMMAND_ID_LENGTH),
   }),
 ]);
 
-/** A query of an operator. */
+/** A query sent by an operator. */
 export type OperatorQuery = z.infer<typeof operatorQuerySchema>;
--- a/src/managed/control/routing-config.ts
+++ b/src/managed/control/routing-config.ts
@@ -1,6 +1,6 @@
 /**
- * @file The part of the replicated state that balancers need to route: services, back ends and token keys. Control
- * machines publish it, balancers hold a copy of it. It depends on nothing else of the control machines.
+ * @file The routing configuration: services, back ends and token keys. Control machines replicate and publish it, and
+ * balancers keep a copy.
  */
 import type { Address } from '../../shared/common/address.js';
 
@@ -10,35 +10,35 @@
 /** Name of a placement policy. */
 export type PlacementPolicyName = (typeof placementPolicyNames)[number];
 
-/** Limits of one service; absent fields take the balancer's defaults. */
+/** Limits of one service; balancers use their defaults for missing fields. */
 export interface ServiceLimits {
-  /** New flows a second over the whole cluster. */
+  /** New flows per second across the whole cluster. */
   readonly opensPerSecond?: number | undefined;
-  /** Open flows that one back end may hold. */
+  /** Maximum open flows per back end. */
   readonly connectionsPerBackend?: number | undefined;
 }
 
-/** A service: one address, several back ends, one owner. */
+/** A load-balanced service with one public address. */
 export interface Service {
-  /** Never used again; from the owner's own block of IDs. */
+  /** From the owner's ID block; never reused. */
   readonly id: number;
   readonly name: string;
-  /** Name of the operator who owns it. */
+  /** Name of the owning operator. */
   readonly owner: string;
-  /** Address that callers use, one per service. */
+  /** Address to which callers send packets. */
   readonly address: Address;
   readonly policy: PlacementPolicyName;
   readonly limits: ServiceLimits;
-  /** Counts every change to the service and its back ends; starts at 1. */
+  /** Starts at 1; incremented by every change to the service or its back ends. */
   readonly version: number;
 }
 
-/** What the operators want of a back end. */
+/** Administrative state of a back end, set by its operator. */
 export type BackendAdminState = 'active' | 'draining';
 
-/** A back end of a service. A retired one leaves the state; its id is never used again. */
+/** A back end of a service. */
 export interface Backend {
-  /** From the owner's own block of IDs. */
+  /** From the owner's ID block; never reused. */
   readonly id: number;
   readonly serviceId: number;
   /** UDP address for packets. */
@@ -49,17 +49,17 @@
   readonly adminState: BackendAdminState;
 }
 
-/** A key for routing tokens. */
+/** A secret key that authenticates routing tokens. */
 export interface TokenKey {
   /** 0 to 255. */
   readonly id: number;
   /** 16 bytes. */
   readonly secret: Uint8Array;
-  /** `next` is known but not yet minted with, `current` is minted with, `previous` only checked. */
+  /** `current` mints new tokens; `next` (not yet in use) and `previous` only verify them. */
   readonly state: 'next' | 'current' | 'previous';
 }
 
-/** What balancers need to route; the part of the state that is sent to them. */
+/** The part of the replicated state that is sent to balancers; each map is keyed by ID. */
 export interface RoutingConfig {
   readonly services: Map<number, Service>;
   readonly backends: Map<number, Backend>;
@@ -67,7 +67,7 @@
 }
 
 /**
- * @returns a configuration without services
+ * @returns a configuration without services, back ends or keys
  */
 export function emptyRoutingConfig(): RoutingConfig {
   return { services: new Map(), backends: new Map(), keys: new Map() };
--- a/src/managed/control/service-commands.ts
+++ b/src/managed/control/service-commands.ts
@@ -16,10 +16,9 @@
 } from './decision.js';
 import { idInBlock } from './id-blocks.js';
 
-/** Services that one operator may have. Callers need 5,000 addresses in all (DEVELOPERS.md). */
 const MAX_SERVICES_PER_OPERATOR = 5_000;
 
-/** Defines a service. */
+/** Defines a new service without back ends. */
 export function defineService(
   state: ClusterState,
   source: CommandSource,
@@ -51,7 +50,7 @@
     });
 }
 
-/** Changes policy and limits of a service. */
+/** Changes the policy or limits of a service; omitted fields keep their values. */
 export function changeService(
   state: ClusterState,
   source: CommandSource,
@@ -67,7 +66,7 @@
   );
 }
 
-/** Retires a service that has no back ends left; its address goes into quarantine. */
+/** Removes a service without back ends and quarantines its address. */
 export function retireService(
   state: ClusterState,
   source: CommandSource,
--- a/src/managed/control/system-commands.ts
+++ b/src/managed/control/system-commands.ts
@@ -1,12 +1,12 @@
 /**
- * @file Commands of the system itself, besides planned changes. Each can be applied again without
- * effect, so they need no record of results.
+ * @file System commands other than the execution of planned changes. They are idempotent, so their outcomes are not
+ * recorded.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
 import { parseAddressRange, rangesOverlap } from '../../shared/common/address-range.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
-import { releaseAddresses } from './address-fence.js';
+import { releaseAddresses } from './address-quarantine.js';
 import { emptyOwnerState, type ClusterState, type Operator } from './cluster-state.js';
 import { SYSTEM_OPERATOR, type SystemCommand } from './commands.js';
 import { applyToConfig } from './config-lookup.js';
@@ -14,12 +14,12 @@
 import { MAX_OPERATORS } from './id-blocks.js';
 import { decideKeyCommand } from './key-rotation.js';
 
-/** A command of the system that needs no operator. */
+/** A system command that does not act for an operator. */
 type PlainSystemCommand = Exclude<SystemCommand, { type: 'run-planned-change' }>;
 
 /**
- * Applies a command of the system.
- * @returns the changes of the configuration
+ * Applies a system command to the state.
+ * @returns the configuration changes to publish to balancers
  */
 export function applySystemCommand(
   state: ClusterState,
@@ -50,9 +50,9 @@
   if (merged.has(SYSTEM_OPERATOR) || merged.size > MAX_OPERATORS) {
     return err(amberliftError('invalid-command', 'A name is taken, or there are too many.'));
   }
-  const clash = overlappingOperators([...merged.values()]);
-  if (clash !== undefined) {
-    const message = `The address ranges of ${clash.join(' and ')} overlap.`;
+  const overlapping = overlappingOperators([...merged.values()]);
+  if (overlapping !== undefined) {
+    const message = `The address ranges of ${overlapping.join(' and ')} overlap.`;
     return err(amberliftError('invalid-command', message));
   }
   for (const operator of operators) {
@@ -64,7 +64,7 @@
   return ok([]);
 }
 
-/** The names of two operators who are granted the same address. */
+/** Returns the names of the first two operators with overlapping address ranges, if any. */
 function overlappingOperators(operators: readonly Operator[]): string[] | undefined {
   const grants = operators.flatMap(({ name, addressRanges }) =>
     (addressRanges ?? []).flatMap((text) => {
--- a/src/managed/settings/settings-schema.ts
+++ b/src/managed/settings/settings-schema.ts
@@ -5,7 +5,7 @@
 import { z } from 'zod';
 import { parseAddress } from '../../shared/common/address.js';
 import { logLevels } from '../../shared/common/logger.js';
-import { addressRangeText, nameSchema } from '../control/commands.js';
+import { addressRangeSchema, nameSchema } from '../control/commands.js';
 import { defaultBalancerOptions } from '../balancer/balancer-options.js';
 
 /** Characters of the shortest key or token; it refuses empty and obvious ones and measures no strength. */
@@ -103,7 +103,7 @@
          * Ranges that this operator's addresses must lie in, and no other operator's may, such as
          * `10.1.0.0/16:7000-7999`. Without any, all addresses but those granted to others.
          */
-        addressRanges: z.array(addressRangeText).optional(),
+        addressRanges: z.array(addressRangeSchema).optional(),
       }),
     )
     .default([])
--- a/test/managed/control/address-fence.test.ts
+++ b/test/managed/control/address-quarantine.test.ts
@@ -1,4 +1,4 @@
-/** @file A control machine that stands alone: an address may change services once the fence lets it. */
+/** @file Guards against reuse of an address by another service while a balancer may still route to the former one. */
 import t from 'tap';
 import { LEASE_DURATION_MS, LEASE_MARGIN_MS } from '../../../src/managed/dissemination/lease.js';
 import { addCommand } from './control-world.js';
@@ -6,7 +6,7 @@
 
 const ADDRESS = { host: '127.0.0.1', port: 9_000 };
 
-t.test('an address that left a service joins another one after a lease', async (t) => {
+t.test('a removed address may join another service only after the lease has expired', async (t) => {
   const control = new SingleControl();
   control.run(2_000);
   control.setOperator();
@@ -19,7 +19,11 @@
   t.equal(control.send({ type: 'retire-backend', backendId })?.accepted, true);
 
   control.run(LEASE_DURATION_MS);
-  t.equal(control.send(addCommand('settled', ADDRESS))?.accepted, false, 'a lease may still run');
+  t.equal(
+    control.send(addCommand('settled', ADDRESS))?.accepted,
+    false,
+    'a lease may still be valid',
+  );
   control.run(2 * LEASE_MARGIN_MS + 3_000);
   t.equal(control.send(addCommand('settled', ADDRESS))?.accepted, true);
 });
--- a/test/managed/control/apply-command.test.ts
+++ b/test/managed/control/apply-command.test.ts
@@ -1,4 +1,4 @@
-/** @file The replicated step. */
+/** @file Guards against double execution, lost updates and missing permission checks when commands are applied. */
 import t from 'tap';
 import type { Command } from '../../../src/managed/control/commands.js';
 import { addCommand, ControlWorld } from './control-world.js';
@@ -11,7 +11,7 @@
   limits: {},
 };
 
-t.test('a command sent again is applied once and gets the same outcome', async (t) => {
+t.test('a repeated command is applied once and gets the same outcome', async (t) => {
   const world = new ControlWorld();
   const first = world.send('tarjeta', 'c1', defineAuthd);
   const second = world.send('tarjeta', 'c1', defineAuthd);
@@ -20,17 +20,14 @@
   t.equal(world.state.routing.services.size, 1);
 });
 
-t.test(
-  'a refused command sent again is refused as the first time, also once it could pass',
-  async (t) => {
-    const world = new ControlWorld();
-    const add = addCommand('authd', { host: '127.1.0.9', port: 9000 });
-    const first = world.send('tarjeta', 'c1', add);
-    t.match(first.outcome, { accepted: false, error: { kind: 'not-found' } });
-    world.send('tarjeta', 'c2', defineAuthd);
-    t.strictSame(world.send('tarjeta', 'c1', add).outcome, first.outcome);
-  },
-);
+t.test('a repeated command keeps its refusal even if it would now be accepted', async (t) => {
+  const world = new ControlWorld();
+  const add = addCommand('authd', { host: '127.1.0.9', port: 9000 });
+  const first = world.send('tarjeta', 'c1', add);
+  t.match(first.outcome, { accepted: false, error: { kind: 'not-found' } });
+  world.send('tarjeta', 'c2', defineAuthd);
+  t.strictSame(world.send('tarjeta', 'c1', add).outcome, first.outcome);
+});
 
 t.test('a command ID used for another command is refused', async (t) => {
   const world = new ControlWorld();
@@ -39,7 +36,7 @@
   t.match(other.outcome, { accepted: false, error: { kind: 'command-id-reused' } });
 });
 
-t.test('of two changes on an equal version the later one conflicts', async (t) => {
+t.test('of two changes based on the same version the second conflicts', async (t) => {
   const world = new ControlWorld();
   world.send('tarjeta', 'c1', defineAuthd);
   const change = (commandId: string) =>
@@ -54,7 +51,7 @@
 });
 
 t.test(
-  'changes on an equal version from two partners both pass, each on their own service',
+  'changes of two operators to their own services do not conflict at the same version',
   async (t) => {
     const world = new ControlWorld();
     world.define('tarjeta', 'authd', '127.1.0.1');
@@ -72,28 +69,31 @@
   },
 );
 
-t.test("another partner's service is not found, whether it exists or not", async (t) => {
-  const world = new ControlWorld();
-  world.send('tarjeta', 'c1', defineAuthd);
-  const backendId = world.add('tarjeta', 'authd', '127.1.0.9');
-  const commands: Command[] = [
-    { type: 'retire-service', service: 'authd' },
-    { type: 'retire-service', service: 'nothing' },
-    { type: 'drain-backend', backendId },
-  ];
-  for (const command of commands) {
-    const { outcome } = world.send('hara', JSON.stringify(command), command);
-    t.match(outcome, { accepted: false, error: { kind: 'not-found' } });
-  }
-});
+t.test(
+  'a service or back end of another operator is not found, like one that does not exist',
+  async (t) => {
+    const world = new ControlWorld();
+    world.send('tarjeta', 'c1', defineAuthd);
+    const backendId = world.add('tarjeta', 'authd', '127.1.0.9');
+    const commands: Command[] = [
+      { type: 'retire-service', service: 'authd' },
+      { type: 'retire-service', service: 'nothing' },
+      { type: 'drain-backend', backendId },
+    ];
+    for (const command of commands) {
+      const { outcome } = world.send('hara', JSON.stringify(command), command);
+      t.match(outcome, { accepted: false, error: { kind: 'not-found' } });
+    }
+  },
+);
 
-t.test('an operator may not send a command of the system', async (t) => {
+t.test('an operator may not send a system command', async (t) => {
   const world = new ControlWorld();
   const { outcome } = world.send('hara', 'h1', { type: 'set-operators', operators: [] });
   t.match(outcome, { accepted: false, error: { kind: 'unauthorized' } });
 });
 
-t.test('an address is refused where it is granted to another, used or not', async (t) => {
+t.test('an address granted to another operator is refused, whether in use or not', async (t) => {
   const world = new ControlWorld();
   world.define('tarjeta', 'authd', '127.1.0.1');
   world.define('hara', 'board-api', '127.2.0.1');
@@ -103,7 +103,7 @@
   }
 });
 
-t.test('an active back end is not retired', async (t) => {
+t.test('an active back end cannot be retired', async (t) => {
   const world = new ControlWorld();
   world.define('tarjeta', 'authd', '127.1.0.1');
   const backendId = world.add('tarjeta', 'authd', '127.1.0.9');
@@ -111,7 +111,7 @@
   t.match(outcome, { accepted: false, error: { kind: 'conflict' } });
 });
 
-t.test('IDs of services and back ends are never used again', async (t) => {
+t.test('the ID of a retired back end is not reused', async (t) => {
   const world = new ControlWorld();
   world.define('tarjeta', 'authd', '127.1.0.1');
   const first = world.add('tarjeta', 'authd', '127.1.0.9');
@@ -119,7 +119,7 @@
   t.not(world.add('tarjeta', 'authd', '127.1.0.9'), first);
 });
 
-t.test('every command, accepted or refused, stands in the audit log of its operator', async (t) => {
+t.test('accepted and refused commands are in the audit log of their operator', async (t) => {
   const world = new ControlWorld();
   world.define('tarjeta', 'authd', '127.1.0.1');
   world.send('tarjeta', 'c1', { type: 'drain-backend', backendId: 9 });
