--- a/src/managed/control/control-state.ts
+++ b/src/managed/control/control-state.ts
@@ -30,7 +30,7 @@
 import { decodeCommandEntry } from './command-codec.js';
 import type { JoinState, PeerAddress } from './cluster-join.js';
 import type { CommandOutcome } from './commands.js';
-import type { FirstOperator } from './first-commands.js';
+import type { BootstrapOperator } from './bootstrap-commands.js';
 import { clusterProof } from './peer-messages.js';
 
 /** Bounds the number of entries that a restart replays. */
@@ -60,7 +60,7 @@
   /** Keyed by log index. */
   readonly pendingProposals: Map<number, PendingProposal>;
   /** Operators that the leader adds to a new cluster. */
-  readonly firstOperators: readonly FirstOperator[];
+  readonly firstOperators: readonly BootstrapOperator[];
   readonly snapshotIntervalEntries: number;
   /** Unix time in milliseconds of the last tick; undefined before the first. */
   wallTimeMs: number | undefined;
@@ -77,7 +77,7 @@
   /** The other machines of the initial membership; empty for a single-node cluster. */
   readonly peers: readonly PeerAddress[];
   /** Operators to add to a new cluster; ignored if the cluster already has operators. */
-  readonly operators?: readonly FirstOperator[];
+  readonly operators?: readonly BootstrapOperator[];
   readonly recovered: RecoveredState;
   readonly consensus?: Partial<ConsensusOptions>;
   /** Number of entries after which a snapshot is taken. Default 2,000. */
--- a/src/managed/control/leader-commands.ts
+++ b/src/managed/control/leader-commands.ts
@@ -3,7 +3,7 @@
  * whose removal is fenced. Proposing a command twice is safe, so a new leader may repeat one whose outcome is unknown.
  */
 import { match } from 'ts-pattern';
-import { releasableAddresses } from './address-fence.js';
+import { releasableAddresses } from './address-quarantine.js';
 import type { ClusterState } from './cluster-state.js';
 import { SYSTEM_OPERATOR, type CommandEntry, type SystemCommand } from './commands.js';
 import {
--- a/src/managed/control/leadership.ts
+++ b/src/managed/control/leadership.ts
@@ -9,7 +9,7 @@
 import { propose, runConsensus } from './consensus-driver.js';
 import type { ControlEffect } from './control-events.js';
 import { leaderLinkAddress, type ControlState } from './control-state.js';
-import { firstCommands } from './first-commands.js';
+import { bootstrapCommands } from './bootstrap-commands.js';
 import { leaderCommands } from './leader-commands.js';
 
 /** Time and randomness that a tick event provides. */
@@ -53,7 +53,7 @@
     return [];
   }
   const { wallTimeMs: nowMs, freshSecret } = tickInput;
-  const initial = firstCommands(state.cluster, {
+  const initial = bootstrapCommands(state.cluster, {
     operators: state.firstOperators,
     freshSecret,
     nowMs,
--- a/src/managed/settings/settings-schema.ts
+++ b/src/managed/settings/settings-schema.ts
@@ -5,7 +5,7 @@
 import { z } from 'zod';
 import { parseAddress } from '../../shared/common/address.js';
 import { logLevels } from '../../shared/common/logger.js';
-import { addressRangeText, nameSchema } from '../control/commands.js';
+import { addressRangeSchema, nameSchema } from '../control/commands.js';
 import { defaultBalancerOptions } from '../balancer/balancer-options.js';
 
 /** Minimum length of keys and tokens in characters; rejects empty and trivial ones. */
@@ -103,7 +103,7 @@
          * Ranges reserved for this operator, such as `10.1.0.0/16:7000-7999`; all its addresses must lie in
          * them. Without it, the operator may use all addresses that are not reserved for others.
          */
-        addressRanges: z.array(addressRangeText).optional(),
+        addressRanges: z.array(addressRangeSchema).optional(),
       }),
     )
     .default([])
