--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -160,8 +160,8 @@
 
 /** @returns how long ago a control machine last said that its feed is current, in milliseconds; undefined for never */
 export function feedAgeMs({ feedStatus }: IngressState, nowMs: number): number | undefined {
-  const { currentAtMs } = feedStatus;
-  return currentAtMs === undefined ? undefined : Math.round(nowMs - currentAtMs);
+  const { lastCurrentAtMs } = feedStatus;
+  return lastCurrentAtMs === undefined ? undefined : Math.round(nowMs - lastCurrentAtMs);
 }
 
 /** The first message of a link. */
@@ -171,7 +171,7 @@
   isConfigDoubted: boolean,
 ): BalancerLinkMessage {
   const { name, zone } = state.options;
-  const { unfinished } = state.assembly;
+  const { unfinished } = state.configAssembly;
   const heldVersion = state.routes.config?.version ?? NO_VERSION;
   return {
     type: 'subscribe',
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -21,7 +21,7 @@
   type IngressState,
 } from '../ingress/ingress-state.js';
 import type { PacketCodec } from '../ingress/packet-codec.js';
-import { ingressSweep } from '../ingress/sweep.js';
+import { sweepIngress } from '../ingress/sweep.js';
 import type { DecisionFields } from './decision-log.js';
 import { countEvent, type EventCounts } from './event-counts.js';
 import { createFeedFollower, type ControlLink, type ControlLinkHandlers } from './feed-follower.js';
@@ -155,7 +155,7 @@
     log.ejections();
     if (tickAtMs >= nextSweepAtMs) {
       nextSweepAtMs = tickAtMs + SWEEP_INTERVAL_MS;
-      ingressSweep(state, tickAtMs).forEach((change) => log.changedLiveness(change, tickAtMs));
+      sweepIngress(state, tickAtMs).forEach((change) => log.changedLiveness(change, tickAtMs));
     }
     packetLog.flush();
   }
--- a/src/registered/daemon/metrics/ingress-metrics.ts
+++ b/src/registered/daemon/metrics/ingress-metrics.ts
@@ -5,7 +5,7 @@
 import { fleetAnswerStats } from '../../decisions/fleet-answer-stats.js';
 import type { AnswerStats } from '../../load-exchange/answer-stats.js';
 import { LIVENESS_LABELS } from '../../registry/backend-liveness.js';
-import { knowsCurrent } from '../../ingress/ingress-state.js';
+import { isFeedCurrent } from '../../ingress/ingress-state.js';
 import { busyInFleet } from '../../ingress/known-backend.js';
 import type { IngressProcess } from '../ingress-process.js';
 import type { MetricsSource } from '../../../shared/daemon/metrics/metrics-listener.js';
@@ -157,12 +157,12 @@
     'feed_age_seconds',
     'Time since a control machine said that what it tells is current.',
     () => {
-      const { currentAtMs } = state.feedStatus;
-      return currentAtMs === undefined ? -1 : (nowMs() - currentAtMs) / MS_PER_SECOND;
+      const { lastCurrentAtMs } = state.feedStatus;
+      return lastCurrentAtMs === undefined ? -1 : (nowMs() - lastCurrentAtMs) / MS_PER_SECOND;
     },
   );
   value('knows_current', '1 where what is known here was current a moment ago.', () =>
-    Number(knowsCurrent(state, nowMs())),
+    Number(isFeedCurrent(state, nowMs())),
   );
   value('known_balancers', 'Other balancers that are known here.', () => state.peers.size);
 }
--- a/src/registered/daemon/packet-handler.ts
+++ b/src/registered/daemon/packet-handler.ts
@@ -9,7 +9,7 @@
 import type { BalancerMessage, OpenMessage } from '../group/message-schemas.js';
 import type { KnownBackend } from '../ingress/known-backend.js';
 import type { IngressState } from '../ingress/ingress-state.js';
-import { followPeer, placeOpen } from '../ingress/open-step.js';
+import { adoptPeerPlacement, placeOpen } from '../ingress/open-step.js';
 import type { DropReason, FoundBy, PacketDecision } from '../ingress/packet-decision.js';
 import { decidePacket } from '../ingress/packet-step.js';
 import type { PacketCodec } from '../ingress/packet-codec.js';
@@ -56,7 +56,7 @@
       carryOut(placeOpen(state, packet, options.nowMs()), datagram, packet),
     onClaimed: ({ packet }) => refuse('dropped', 'claimed-elsewhere', packet),
     onFound: ({ datagram, packet }, key, token) =>
-      carryOut(followPeer(state, key, token, options.nowMs()), datagram, packet),
+      carryOut(adoptPeerPlacement(state, key, token, options.nowMs()), datagram, packet),
   });
   let lastPacketAtMs = 0;
 
--- a/src/registered/daemon/zone-gossip.ts
+++ b/src/registered/daemon/zone-gossip.ts
@@ -12,7 +12,7 @@
 import type { Address } from '../../shared/common/address.js';
 import type { ZoneUpdate } from '../group/group-messages.js';
 import type { BalancerMessage } from '../group/message-schemas.js';
-import { knowsCurrent, type IngressState } from '../ingress/ingress-state.js';
+import { isFeedCurrent, type IngressState } from '../ingress/ingress-state.js';
 
 /** What it needs of a balancer. */
 export interface ZoneGossipOptions {
@@ -51,11 +51,11 @@
   return { tick, handleQuery, applyUpdates };
 
   function tick(nowMs: number): void {
-    if (nowMs < nextAtMs || knowsCurrent(state, nowMs)) {
+    if (nowMs < nextAtMs || isFeedCurrent(state, nowMs)) {
       return;
     }
     nextAtMs = nowMs + ASK_INTERVAL_MS;
-    for (const { peerAddress } of state.peers.othersInTurn(turn, ASKED_BALANCERS)) {
+    for (const { peerAddress } of state.peers.rotatedPeers(turn, ASKED_BALANCERS)) {
       sendToBalancer(peerAddress, { type: 'find-zones', replyTo });
     }
     turn += ASKED_BALANCERS;
--- a/src/registered/decisions/slow-start.ts
+++ b/src/registered/decisions/slow-start.ts
@@ -57,7 +57,7 @@
   return { isCold, admits, recordPlacement };
 
   function isCold(backend: KnownBackend, nowMs: number): boolean {
-    return nowMs < backend.registration.warmUntilMs || nowMs < coldUntilByReadmission(backend);
+    return nowMs < backend.registration.coldUntilMs || nowMs < coldUntilByReadmission(backend);
   }
 
   /** @returns the end of the warm-up after a readmission, where the last heartbeat may be older than it */
@@ -90,7 +90,7 @@
     const balancerCount = peers.size + 1;
     const perBalancer = Math.floor(fleetLimit / balancerCount);
     const remainder = fleetLimit - perBalancer * balancerCount;
-    return perBalancer + Number(peers.isOwnHolder(id, remainder));
+    return perBalancer + Number(peers.isHolder(id, remainder));
   }
 
   function recordPlacement(backend: KnownBackend, nowMs: number): void {
--- a/src/registered/ingress/backend-table.ts
+++ b/src/registered/ingress/backend-table.ts
@@ -1,7 +1,6 @@
 /**
- * @file The back ends that a balancer knows: by service for new flows, by token for established ones. It owns what
- * control machines say of them (registration, load of the fleet) and changes it as the feed is applied. A back end that
- * leaves or falls silent stays resolvable for as long as its flows may live.
+ * @file Back ends that a balancer has learned from its feed, indexed by service for new flows and by token for established
+ * flows. A back end that departs or dies stays resolvable for the maximum lifetime of its flows.
  */
 import { formatAddress } from '../../shared/common/address.js';
 import type { AgedRecord } from '../group/group-messages.js';
@@ -16,34 +15,39 @@
 } from '../registry/backend-record.js';
 import type { MechanismSwitches } from '../decisions/mechanism-switches.js';
 import { isLaterStart } from '../registry/backend-start.js';
-import { createBackend, type KnownBackend, type OwnedBackend } from './known-backend.js';
-import { applyHeartbeat, applyLivenessChange, depart, isOver, suspect } from './registration.js';
+import { createBackend, type KnownBackend, type MutableBackend } from './known-backend.js';
+import {
+  applyHeartbeat,
+  applyLivenessChange,
+  recordDeparture,
+  isExpired,
+  markSuspect,
+} from './registration.js';
 
-const NO_ANSWERS = { stalled: 0, answered: 0, answerMs: 0, short: 0 };
+const ZERO_ANSWER_STATS = { stalled: 0, answered: 0, answerMs: 0, short: 0 };
 
-/** All back ends that a balancer knows. */
+/** The back ends of a balancer. A restarted back end has one entry per start. */
 export class BackendTable {
-  private readonly byId = new Map<string, OwnedBackend>();
-  private readonly byToken = new Map<number, OwnedBackend>();
-  /** The newest start that a token without a start may name. */
-  private readonly byPlainToken = new Map<number, OwnedBackend>();
-  /** The newest start of each back end. */
-  private readonly byName = new Map<string, OwnedBackend>();
-  /** The newest back end at each address. */
-  private readonly byAddress = new Map<string, OwnedBackend>();
-  private readonly byService = new Map<string, OwnedBackend[]>();
+  private readonly byId = new Map<string, MutableBackend>();
+  private readonly byToken = new Map<number, MutableBackend>();
+  /** Newest start by token without start; see `BackendIdentity.plainToken`. */
+  private readonly byPlainToken = new Map<number, MutableBackend>();
+  /** Newest start by back end name. */
+  private readonly byName = new Map<string, MutableBackend>();
+  /** Newest back end by address. */
+  private readonly byAddress = new Map<string, MutableBackend>();
+  private readonly byService = new Map<string, MutableBackend[]>();
   private readonly departures = new Map<string, DepartureKind>();
 
   /**
    * @param heartbeatIntervalMs time between two heartbeats of a back end
-   * @param tokens whether the tokens of flows name the start of their back end
+   * @param tokens whether flow tokens identify the start of the back end
    */
   constructor(
     private readonly heartbeatIntervalMs: number,
     private readonly tokens: MechanismSwitches['starts'] = 'named',
   ) {}
 
-  /** How many back ends are known. */
   get size(): number {
     return this.byId.size;
   }
@@ -52,7 +56,7 @@
     return this.byId.values();
   }
 
-  /** @returns the back end that a token names */
+  /** @returns the back end that a token identifies, including departed and dead ones */
   resolve(token: number): KnownBackend | undefined {
     return this.byToken.get(token) ?? this.byPlainToken.get(token);
   }
@@ -61,22 +65,22 @@
     return this.byId.get(id);
   }
 
-  /** @returns the active back ends of a service */
+  /** @returns the back ends of a service that have not departed */
   activeOf(service: string): readonly KnownBackend[] {
     return (this.byService.get(service) ?? []).filter(
       ({ registration }) => registration.departure === undefined,
     );
   }
 
-  /** @returns true where a back end that is alive stands at the address of another one */
+  /** @returns true if another back end at the same address is alive */
   isReplaced({ id, address }: KnownBackend): boolean {
     const holder = this.byAddress.get(formatAddress(address));
     return holder !== undefined && holder.id !== id && holder.registration.liveness === 'alive';
   }
 
   /**
-   * @returns the later start of the same back end that has begun and counts as alive, so that nothing of this one is left;
-   *   undefined where there is none
+   * @returns a later start of the same back end that is alive, in which case the state of this start is lost; undefined
+   *   if there is none
    */
   successorOf({ id, start }: KnownBackend): KnownBackend | undefined {
     const newest = this.byName.get(start.backend);
@@ -84,7 +88,7 @@
     return isLater && newest.registration.liveness === 'alive' ? newest : undefined;
   }
 
-  /** Applies the record of a back end; one that is not known yet is added. */
+  /** Updates the back end of a record, or adds it. */
   applyRecord(aged: AgedRecord, nowMs: number): void {
     const { record, ageMs } = aged;
     const backend = this.byId.get(record.id) ?? this.add(record, nowMs - ageMs);
@@ -93,7 +97,7 @@
     }
   }
 
-  /** Applies a change of liveness; one of a back end that is not known is left out. */
+  /** Applies a liveness change; ignored if the back end is unknown. */
   applyLiveness(change: LivenessChange, nowMs: number): void {
     const backend = this.byId.get(change.backendId);
     if (backend !== undefined) {
@@ -101,16 +105,16 @@
     }
   }
 
-  /** Suspects back ends that are alive here and that a full sync did not name. */
-  suspectAllBut(ids: ReadonlySet<string>, nowMs: number): void {
+  /** Marks live back ends as suspect if a full sync did not name them. */
+  suspectMissing(namedIds: ReadonlySet<string>, nowMs: number): void {
     for (const { id, registration } of this.byId.values()) {
-      if (registration.liveness === 'alive' && !ids.has(id)) {
-        suspect(registration, nowMs);
+      if (registration.liveness === 'alive' && !namedIds.has(id)) {
+        markSuspect(registration, nowMs);
       }
     }
   }
 
-  /** Applies a departure; it may come before the first record of its back end. */
+  /** Applies a departure, which may arrive before the first record of the back end. */
   applyDeparture({ backendId, kind }: Departure, nowMs: number): void {
     if (!isLaterDeparture(kind, this.departures.get(backendId))) {
       return;
@@ -118,11 +122,11 @@
     this.departures.set(backendId, kind);
     const backend = this.byId.get(backendId);
     if (backend !== undefined) {
-      depart(backend.registration, kind, nowMs);
+      recordDeparture(backend.registration, kind, nowMs);
     }
   }
 
-  /** Replaces the loads of the fleet; back ends that are not named have none. */
+  /** Replaces the fleet load of all back ends; those not listed get 0. */
   applyFleetLoads(loads: PackedLoads): void {
     for (const { fleet } of this.byId.values()) {
       fleet.busy = 0;
@@ -135,10 +139,10 @@
     });
   }
 
-  /** Replaces the answer stats of the fleet; back ends that are not named have none. */
+  /** Replaces the fleet answer stats of all back ends; those not listed get 0. */
   applyFleetAnswerStats(packed: PackedAnswerStats): void {
     for (const { fleet } of this.byId.values()) {
-      Object.assign(fleet, NO_ANSWERS);
+      Object.assign(fleet, ZERO_ANSWER_STATS);
     }
     eachAnswerStats(packed, (token, stats) => {
       const fleet = this.byToken.get(token)?.fleet;
@@ -148,24 +152,23 @@
     });
   }
 
-  /** Forgets back ends whose flows can't live any more. */
-  forget(nowMs: number, flowLifetimeMs: number): void {
+  /** Removes back ends that can have no live flows. */
+  removeExpired(nowMs: number, flowLifetimeMs: number): void {
     for (const backend of this.byId.values()) {
-      if (isOver(backend.registration, flowLifetimeMs, nowMs)) {
+      if (isExpired(backend.registration, flowLifetimeMs, nowMs)) {
         this.remove(backend);
       }
     }
   }
 
   /**
-   * @returns undefined where another back end, no start of the same one, has the same token, so that packets could not
-   *   tell them apart
+   * @returns undefined if a different back end has the same token, since packets could not be told apart
    */
-  private add(record: BackendRecord, receivedAtMs: number): OwnedBackend | undefined {
+  private add(record: BackendRecord, receivedAtMs: number): MutableBackend | undefined {
     const departure = this.departures.get(record.id);
     const backend = createBackend(record, receivedAtMs, departure, this.tokens);
-    const same = this.byToken.get(backend.token);
-    if (same !== undefined && same.start.backend !== backend.start.backend) {
+    const existing = this.byToken.get(backend.token);
+    if (existing !== undefined && existing.start.backend !== backend.start.backend) {
       return undefined;
     }
     this.byId.set(backend.id, backend);
@@ -184,23 +187,24 @@
     return backend;
   }
 
-  /** A later start of a back end takes a place from the one before it, and no other back end does. */
-  private setNewest<Key>(places: Map<Key, OwnedBackend>, key: Key, backend: OwnedBackend): void {
-    const before = places.get(key);
+  /** Sets an entry unless it belongs to a different back end, or to a later start of the same one. */
+  private setNewest<Key>(index: Map<Key, MutableBackend>, key: Key, backend: MutableBackend): void {
+    const current = index.get(key);
     if (
-      before === undefined ||
-      (before.start.backend === backend.start.backend && isLaterStart(backend.start, before.start))
+      current === undefined ||
+      (current.start.backend === backend.start.backend &&
+        isLaterStart(backend.start, current.start))
     ) {
-      places.set(key, backend);
+      index.set(key, backend);
     }
   }
 
-  private remove(backend: OwnedBackend): void {
+  private remove(backend: MutableBackend): void {
     this.byId.delete(backend.id);
-    deleteOwn(this.byName, backend.start.backend, backend);
-    deleteOwn(this.byToken, backend.token, backend);
-    deleteOwn(this.byPlainToken, backend.plainToken, backend);
-    deleteOwn(this.byAddress, formatAddress(backend.address), backend);
+    deleteIfMappedTo(this.byName, backend.start.backend, backend);
+    deleteIfMappedTo(this.byToken, backend.token, backend);
+    deleteIfMappedTo(this.byPlainToken, backend.plainToken, backend);
+    deleteIfMappedTo(this.byAddress, formatAddress(backend.address), backend);
     const sameService = this.byService.get(backend.service) ?? [];
     this.byService.set(
       backend.service,
@@ -210,8 +214,12 @@
   }
 }
 
-function deleteOwn<Key>(places: Map<Key, OwnedBackend>, key: Key, backend: OwnedBackend): void {
-  if (places.get(key) === backend) {
-    places.delete(key);
+function deleteIfMappedTo<Key>(
+  index: Map<Key, MutableBackend>,
+  key: Key,
+  backend: MutableBackend,
+): void {
+  if (index.get(key) === backend) {
+    index.delete(key);
   }
 }
--- a/src/registered/ingress/config-assembly.ts
+++ b/src/registered/ingress/config-assembly.ts
@@ -1,6 +1,6 @@
 /**
- * @file Puts the parts of an update of the configuration together: nothing of it is in force before all of it has come.
- * It owns the parts, and keeps them when the link ends, for the next one to go on from.
+ * @file Reassembles a configuration update that arrives in parts; it takes effect only when complete. The parts survive a
+ * disconnect, so that the next feed can resume the transfer.
  */
 import {
   NO_VERSION,
@@ -10,28 +10,28 @@
 } from '../declared/config-update.js';
 import type { UnfinishedConfig } from '../group/group-messages.js';
 
-/** What became of a part. */
+/** Result of adding a part. */
 type PartOutcome =
-  /** More parts are to come. */
+  /** More parts are expected. */
   | { readonly type: 'unfinished' }
   | { readonly type: 'complete'; readonly update: ConfigUpdate }
-  /** It does not follow the parts before it: the sender must begin anew. */
+  /** The part does not continue the previous ones; the sender must restart the update. */
   | { readonly type: 'unfit' };
 
-/** The parts of one update. */
+/** Reassembly buffer for one update at a time. */
 export interface ConfigAssembly {
-  /** How far an update has come that is not whole; undefined for nothing. */
+  /** Progress of the incomplete update; undefined if there is none. */
   readonly unfinished: UnfinishedConfig | undefined;
   addPart(part: ConfigPart): PartOutcome;
 }
 
 interface Assembled extends UnfinishedConfig {
-  /** How many changes the whole update has; another number is another list of changes. */
+  /** Total changes in the update; a different total means a different list of changes. */
   readonly changeCount: number;
   readonly changes: RouteChange[];
 }
 
-const NOTHING: Assembled = {
+const EMPTY_ASSEMBLY: Assembled = {
   version: NO_VERSION,
   baseVersion: NO_VERSION,
   changesTaken: 0,
@@ -39,7 +39,7 @@
   changes: [],
 };
 
-/** @returns an assembly without any part */
+/** @returns an empty assembly */
 export function createConfigAssembly(): ConfigAssembly {
   let assembled: Assembled | undefined;
 
@@ -56,12 +56,12 @@
 
   function addPart(part: ConfigPart): PartOutcome {
     const { version, baseVersion, idleTimeoutMs, warmUps, firstChange, changeCount } = part;
-    const before = firstChange === 0 ? [] : changesBefore(part);
-    if (before === undefined) {
+    const preceding = firstChange === 0 ? [] : precedingChanges(part);
+    if (preceding === undefined) {
       assembled = undefined;
       return { type: 'unfit' };
     }
-    const changes = [...before, ...part.changes];
+    const changes = [...preceding, ...part.changes];
     if (changes.length < changeCount) {
       assembled = { version, baseVersion, changeCount, changes, changesTaken: changes.length };
       return { type: 'unfinished' };
@@ -70,8 +70,9 @@
     return { type: 'complete', update: { version, baseVersion, idleTimeoutMs, warmUps, changes } };
   }
 
-  function changesBefore(part: ConfigPart): readonly RouteChange[] | undefined {
-    const { version, baseVersion, changesTaken, changeCount, changes } = assembled ?? NOTHING;
+  function precedingChanges(part: ConfigPart): readonly RouteChange[] | undefined {
+    const { version, baseVersion, changesTaken, changeCount, changes } =
+      assembled ?? EMPTY_ASSEMBLY;
     const isNext =
       version === part.version &&
       baseVersion === part.baseVersion &&
--- a/src/registered/ingress/counted-flows.ts
+++ b/src/registered/ingress/counted-flows.ts
@@ -1,18 +1,18 @@
 /**
- * @file How many flows a balancer counts for placement. Flows beyond that are forwarded all the same; they only don't
- * show in the load of their back end.
+ * @file Limit of the flows that a balancer tracks for placement, derived from its memory limit. Further flows are still
+ * forwarded, but are missing from the load of their back end.
  */
 
-/** Counting flows may take this part of the memory of a process. Not measured. */
-const COUNTED_FLOWS_SHARE = 0.25;
-/** What one counted flow takes; measured 199 bytes by the heap with 100,000 flows. */
+/** Share of the memory limit that flow tracking may use. */
+const COUNTED_FLOWS_MEMORY_SHARE = 0.25;
+/** Heap size of one tracked flow, with a margin. */
 const BYTES_PER_COUNTED_FLOW = 300;
-/** Flows counted at most, however much memory there is: the number with which their size was measured. */
 const MAX_COUNTED_FLOWS = 100_000;
 const BYTES_PER_MB = 1_000_000;
 
-/** @param memoryMb what the process may take, in megabytes; undefined for no bound */
-export function countedFlowsFor(memoryMb: number | undefined): number {
-  const budgetBytes = (memoryMb ?? Number.POSITIVE_INFINITY) * BYTES_PER_MB * COUNTED_FLOWS_SHARE;
+/** @param memoryMb memory limit of the process, in megabytes; undefined if unlimited */
+export function maxCountedFlowsFor(memoryMb: number | undefined): number {
+  const budgetBytes =
+    (memoryMb ?? Number.POSITIVE_INFINITY) * BYTES_PER_MB * COUNTED_FLOWS_MEMORY_SHARE;
   return Math.min(MAX_COUNTED_FLOWS, Math.floor(budgetBytes / BYTES_PER_COUNTED_FLOW));
 }
--- a/src/registered/ingress/established-packet.ts
+++ b/src/registered/ingress/established-packet.ts
@@ -1,16 +1,15 @@
 /**
- * @file A packet of an established flow: it goes to the back end that its token names, whatever else is known. Where
- * that back end is proven dead the client is reset, and where it has started again the packet is handled as
- * restarted-backend.ts decides.
+ * @file Handles a packet of an established flow: forwards it to the back end that its token identifies. If that back end
+ * is proven dead, the client is reset; if it has restarted, see restarted-backend.ts.
  */
 import { actionAfterRestart } from '../decisions/restarted-backend.js';
 import { isProvenDead, type UnacknowledgedData } from '../decisions/dead-flow.js';
-import { knowsCurrent, type IngressState } from './ingress-state.js';
+import { isFeedCurrent, type IngressState } from './ingress-state.js';
 import type { KnownBackend } from './known-backend.js';
 import type { PacketDecision } from './packet-decision.js';
 import { flowKeyOf, type PacketView } from './packet-view.js';
 
-/** Decides on a packet that is no open, and records what it shows of its back end. */
+/** Decides on a packet that is not an open, and records it in the flow activities. */
 export function decideEstablished(
   state: IngressState,
   packet: PacketView,
@@ -25,11 +24,11 @@
   }
   const successor = state.backends.successorOf(backend);
   return successor === undefined
-    ? decideForStart(state, packet, backend, nowMs)
-    : decideForRestarted(state, packet, backend, successor, nowMs);
+    ? decideForBackend(state, packet, backend, nowMs)
+    : decideAfterRestart(state, packet, backend, successor, nowMs);
 }
 
-function decideForRestarted(
+function decideAfterRestart(
   state: IngressState,
   packet: PacketView,
   backend: KnownBackend,
@@ -38,7 +37,7 @@
 ): PacketDecision {
   switch (actionAfterRestart(backend, successor)) {
     case 'follow':
-      return decideForStart(state, packet, successor, nowMs);
+      return decideForBackend(state, packet, successor, nowMs);
     case 'end':
       return packet.isReset
         ? { type: 'drop', reason: 'backend-restarted' }
@@ -46,7 +45,7 @@
   }
 }
 
-function decideForStart(
+function decideForBackend(
   state: IngressState,
   packet: PacketView,
   backend: KnownBackend,
@@ -64,12 +63,12 @@
   unacknowledged: UnacknowledgedData,
   nowMs: number,
 ): boolean {
-  // Nearly all are alive: the evidence is gathered for the others only.
+  // Fast path: skips gathering evidence for live back ends.
   if (backend.registration.liveness === 'alive') {
     return false;
   }
   const evidence = {
-    isFeedCurrent: knowsCurrent(state, nowMs),
+    isFeedCurrent: isFeedCurrent(state, nowMs),
     isReplaced: state.backends.isReplaced(backend),
     unacknowledged,
   };
--- a/src/registered/ingress/feed-status.ts
+++ b/src/registered/ingress/feed-status.ts
@@ -1,34 +1,34 @@
 /**
- * @file When this balancer was last current: when a control machine said that it is current itself and that the
- * balancer knows all that it does. Changed as the feed is applied; read by each rule that must not act on old knowledge.
+ * @file Tracks how recently this balancer was current, i.e. had received the complete state of a control machine that was
+ * itself current. Read by each rule that must not act on outdated state.
  */
 
-/** How old the knowledge of a balancer is. */
+/** Freshness of the state that a balancer has received through its feed. */
 export interface FeedStatus {
-  /** When the balancer was last current, in milliseconds; undefined for never. */
-  readonly currentAtMs: number | undefined;
-  /** When it was current first. */
+  /** Time at which the balancer was last current, in milliseconds; undefined for never. */
+  readonly lastCurrentAtMs: number | undefined;
+  /** Time at which it first was current; undefined for never. */
   readonly firstCurrentAtMs: number | undefined;
-  /** @returns true where it was current within the last `freshMs` */
+  /** @returns true if the balancer was current within the last `freshMs` */
   isCurrent(nowMs: number): boolean;
   recordCurrent(nowMs: number): void;
 }
 
-/** @param freshMs what the feed said counts as current for so long, in milliseconds */
+/** @param freshMs time for which the received state counts as current, in milliseconds */
 export function createFeedStatus(freshMs: number): FeedStatus {
-  let currentAtMs: number | undefined;
+  let lastCurrentAtMs: number | undefined;
   let firstCurrentAtMs: number | undefined;
 
   return {
-    get currentAtMs() {
-      return currentAtMs;
+    get lastCurrentAtMs() {
+      return lastCurrentAtMs;
     },
     get firstCurrentAtMs() {
       return firstCurrentAtMs;
     },
-    isCurrent: (nowMs) => currentAtMs !== undefined && nowMs - currentAtMs <= freshMs,
+    isCurrent: (nowMs) => lastCurrentAtMs !== undefined && nowMs - lastCurrentAtMs <= freshMs,
     recordCurrent: (nowMs) => {
-      currentAtMs = nowMs;
+      lastCurrentAtMs = nowMs;
       firstCurrentAtMs ??= nowMs;
     },
   };
--- a/src/registered/ingress/feed-step.ts
+++ b/src/registered/ingress/feed-step.ts
@@ -1,16 +1,16 @@
 /**
- * @file Applies a message of the feed: the one place at which control machines change what an ingress knows of back ends,
- * other balancers, zones and the configuration.
+ * @file Applies feed messages: the only place where control machines change the back ends, balancers, zones and
+ * configuration of an ingress.
  */
 import { NO_VERSION } from '../declared/config-update.js';
 import type { FeedMessage } from '../group/group-messages.js';
 import type { IngressState } from './ingress-state.js';
 
-/** What a message did to the configuration. */
+/** Effect of a message on the configuration. */
 type ConfigOutcome =
   | { readonly type: 'unchanged' }
   | { readonly type: 'in-force'; readonly version: number }
-  /** It does not follow what is held here: the control machine must begin anew. */
+  /** The update does not build on the current configuration; the control machine must restart it. */
   | { readonly type: 'unfit' };
 
 /** Applies a message of the control machine that feeds this balancer. */
@@ -29,7 +29,7 @@
   return outcome;
 }
 
-/** Back ends and balancers; departures come after the records that they end. */
+/** Applies back ends and balancers. Departures come after the records that they may refer to. */
 function applyMembers(state: IngressState, message: FeedMessage, nowMs: number): void {
   const { records, judgements, departures, balancers = [], lostBalancers = [] } = message;
   const { backends, peers, fullSync } = state;
@@ -41,7 +41,7 @@
   endFullSync(state, message, nowMs);
 }
 
-/** With the last message of a full sync, what it has not named is unknown to the control machine. */
+/** After the last message of a full sync, drops the balancers and suspects the back ends that it did not name. */
 function endFullSync(state: IngressState, message: FeedMessage, nowMs: number): void {
   const named = state.fullSync.finish(message);
   if (named === undefined) {
@@ -49,7 +49,7 @@
   }
   state.peers.retain(named.balancerNames);
   if (message.isCurrent) {
-    state.backends.suspectAllBut(named.backendIds, nowMs);
+    state.backends.suspectMissing(named.backendIds, nowMs);
   }
 }
 
@@ -62,11 +62,14 @@
   }
 }
 
-function applyConfig({ routes, assembly }: IngressState, { config }: FeedMessage): ConfigOutcome {
+function applyConfig(
+  { routes, configAssembly }: IngressState,
+  { config }: FeedMessage,
+): ConfigOutcome {
   if (config === undefined || config.version <= (routes.config?.version ?? NO_VERSION)) {
     return { type: 'unchanged' };
   }
-  const part = assembly.addPart(config);
+  const part = configAssembly.addPart(config);
   if (part.type !== 'complete') {
     return part.type === 'unfit' ? part : { type: 'unchanged' };
   }
--- a/src/registered/ingress/flow-activity.ts
+++ b/src/registered/ingress/flow-activity.ts
@@ -1,54 +1,51 @@
 /**
- * @file An estimate of the requests in progress at each back end, from the packets of clients alone: a request is in
- * progress from its first data until the client acknowledges bytes of the answer. It serves placement and the proof that
- * a back end is dead; no packet of an established flow needs it, and it may be lost at any time.
+ * @file Estimates the requests in progress at each back end from client packets alone: a request is in progress from its
+ * first data until the client acknowledges part of the answer. Placement and dead back end detection use the estimate;
+ * forwarding does not need it, so it may be lost at any time.
  *
- * It owns the memory of flows and alone changes the local activity of back ends. A stalled flow is one whose client
- * repeats what left this machine at once, without any sign of the back end.
+ * A flow is stalled if its client retransmits data that this machine forwarded immediately, and there is no sign of
+ * progress from the back end.
  */
 import type { UnacknowledgedData } from '../decisions/dead-flow.js';
 import { createAnswerSizes } from '../decisions/answer-sizes.js';
 import type { KnownBackend } from './known-backend.js';
 import { routeKey, type FlowKey, type PacketView } from './packet-view.js';
 
-/** What is remembered of one flow. */
+/** Tracked state of one flow. */
 interface FlowActivity {
   readonly backend: KnownBackend;
-  /** Position of the end of the data that the client has sent; 0 before any. */
-  sentEnd: number;
-  /** What the client had acknowledged when it sent its last data; 0 before the open was accepted. */
+  /** Sequence number after the last data byte of the client; 0 before any data. */
+  nextSequence: number;
+  /** Acknowledgement number in the last new data of the client; 0 before the open was accepted. */
   acknowledgedAtRequest: number;
   isBusy: boolean;
-  /** True where the last data or the open left at once: what its client waits for then is the back end. */
-  wentOutAtOnce: boolean;
+  /** True if the last data or the open was not queued for the link, so that any delay is due to the back end. */
+  wasSentImmediately: boolean;
   isStalled: boolean;
-  /** When the last of the client's data came, for the first time or again, in milliseconds. */
-  endSentAtMs: number;
-  /** When the last of the client's data came for the first time, in milliseconds. */
-  dataSinceMs: number;
-  /** How often the client has sent its last data again. */
-  repeats: number;
+  /** Arrival of the client's last data, including retransmissions, in milliseconds. */
+  lastTransmissionAtMs: number;
+  /** First arrival of the client's last data, in milliseconds. */
+  firstTransmissionAtMs: number;
+  /** Retransmissions of the client's last data. */
+  retransmissions: number;
   lastPacketAtMs: number;
 }
 
-/**
- * An open that brings no request, or a request without any answer, counts as in progress for so long. Not measured; too
- * long if a back end that hung stays ejected by load, too short if one that hangs is not.
- */
-const BUSY_LIFETIME_MS = 2_500;
+/** An open without a request, or a request without an answer, counts as in progress for this long. */
+const MAX_BUSY_MS = 2_500;
 
-/** Clients send data again after some 200 ms; the same data sooner was duplicated on its way. */
-const REPEATED_AFTER_MS = 150;
+/** Shorter than the first retransmission timeout of clients (about 200 ms); an earlier copy was duplicated in transit. */
+const MIN_RETRANSMISSION_DELAY_MS = 150;
 
-/** The flows that passed this balancer lately. */
+/** Tracks the recent flows of this balancer and updates the local activity of their back ends. */
 export class FlowActivities {
   private readonly flows = new Map<FlowKey, FlowActivity>();
-  private readonly sizes = createAnswerSizes();
+  private readonly answerSizes = createAnswerSizes();
 
   /**
-   * @param idleTimeoutMs a flow that has rested for this long is forgotten
-   * @param maxFlows flows beyond this number are not counted
-   * @param isLinkFree says whether packets leave at once
+   * @param idleTimeoutMs returns the time after which an idle flow is no longer tracked
+   * @param maxFlows further flows are not tracked
+   * @param isLinkFree returns true if packets are sent without queueing
    */
   constructor(
     private readonly idleTimeoutMs: () => number,
@@ -56,33 +53,33 @@
     private readonly isLinkFree: () => boolean = () => true,
   ) {}
 
-  /** How many flows are remembered. */
+  /** Number of tracked flows. */
   get size(): number {
     return this.flows.size;
   }
 
-  /** Records that a new flow was placed; it counts as busy until its request comes and is answered. */
+  /** Records the placement of a new flow, which counts as busy until its request is answered. */
   recordOpen(key: FlowKey, backend: KnownBackend, nowMs: number): void {
     if (this.flows.get(key)?.backend === backend) {
       return;
     }
-    this.end(key);
-    this.remember(key, backend, nowMs, true);
+    this.remove(key);
+    this.track(key, backend, nowMs, true);
   }
 
-  /** Records a copy of an open that was placed here; one that is read together with the first, after a pause, is none. */
+  /** Records a copy of an open that was placed here. One that directly follows the first is no retransmission. */
   recordOpenCopy(key: FlowKey, nowMs: number): void {
     const flow = this.flows.get(key);
-    const isWaiting = flow?.sentEnd === 0 && flow.isBusy;
-    if (isWaiting && nowMs - flow.endSentAtMs >= REPEATED_AFTER_MS) {
-      this.setStalled(flow, flow.wentOutAtOnce);
+    const isWaiting = flow?.nextSequence === 0 && flow.isBusy;
+    if (isWaiting && nowMs - flow.lastTransmissionAtMs >= MIN_RETRANSMISSION_DELAY_MS) {
+      this.setStalled(flow, flow.wasSentImmediately);
     }
   }
 
   /**
    * Records a packet of an established flow.
-   * @returns how often the client has sent the data of the packet again, as far as it passed here; undefined where
-   *   it carries none, or is not counted
+   * @returns the retransmissions of the data in the packet that this balancer has seen; undefined if the packet carries
+   *   no data or its flow is not tracked
    */
   recordPacket(
     key: FlowKey,
@@ -90,15 +87,15 @@
     packet: PacketView,
     nowMs: number,
   ): UnacknowledgedData | undefined {
-    const known = this.flows.get(key);
+    const tracked = this.flows.get(key);
     if (packet.isFinish || packet.isReset) {
-      if (known?.backend === backend && packet.isFinish) {
-        this.recordProgress(known, packet, nowMs);
+      if (tracked?.backend === backend && packet.isFinish) {
+        this.recordProgress(tracked, packet, nowMs);
       }
-      this.end(key);
+      this.remove(key);
       return undefined;
     }
-    const flow = known?.backend === backend ? known : this.replace(key, backend, nowMs);
+    const flow = tracked?.backend === backend ? tracked : this.replace(key, backend, nowMs);
     if (flow === undefined) {
       return undefined;
     }
@@ -110,29 +107,29 @@
     return undefined;
   }
 
-  /** Forgets flows that have rested for too long, and requests that nobody answers. */
+  /** Removes idle flows, and stops counting requests that were not answered in time. */
   sweep(nowMs: number): void {
     const idleTimeoutMs = this.idleTimeoutMs();
     for (const [key, flow] of this.flows) {
-      const restedMs = nowMs - flow.lastPacketAtMs;
-      if (restedMs > idleTimeoutMs) {
-        this.end(key);
-      } else if (flow.isBusy && restedMs > BUSY_LIFETIME_MS) {
+      const idleMs = nowMs - flow.lastPacketAtMs;
+      if (idleMs > idleTimeoutMs) {
+        this.remove(key);
+      } else if (flow.isBusy && idleMs > MAX_BUSY_MS) {
         this.setStalled(flow, false);
         this.setBusy(flow, false);
       }
     }
   }
 
-  /** The client has got something of the back end: its acceptance of the open, or the beginning of an answer. */
+  /** Handles an acknowledgement of the accepted open, or of the beginning of an answer. */
   private recordProgress(flow: FlowActivity, packet: PacketView, nowMs: number): void {
     if (!flow.isBusy || packet.acknowledged === flow.acknowledgedAtRequest) {
       return;
     }
     const isAnswer = flow.acknowledgedAtRequest !== 0;
     const answerBytes = (packet.acknowledged - flow.acknowledgedAtRequest) | 0;
-    const wasOvertaken = isAnswer && answerBytes < 0;
-    if (wasOvertaken) {
+    const isReordered = isAnswer && answerBytes < 0;
+    if (isReordered) {
       return;
     }
     if (isAnswer) {
@@ -146,16 +143,16 @@
 
   private recordAnswer(flow: FlowActivity, packet: PacketView, bytes: number, nowMs: number): void {
     const { answers } = flow.backend.local;
-    if (this.sizes.isShort(routeKey(packet.destinationHost, packet.destinationPort), bytes)) {
+    if (this.answerSizes.isShort(routeKey(packet.destinationHost, packet.destinationPort), bytes)) {
       answers.recordShortAnswer(nowMs);
-    } else if (flow.wentOutAtOnce && flow.repeats === 0) {
-      answers.recordAnswer(nowMs - flow.dataSinceMs, nowMs);
+    } else if (flow.wasSentImmediately && flow.retransmissions === 0) {
+      answers.recordAnswer(nowMs - flow.firstTransmissionAtMs, nowMs);
     }
   }
 
   private recordData(flow: FlowActivity, packet: PacketView, nowMs: number): UnacknowledgedData {
     const end = (packet.sequence + packet.dataLength) >>> 0;
-    const isNew = ((end - flow.sentEnd) | 0) > 0 || flow.sentEnd === 0;
+    const isNew = ((end - flow.nextSequence) | 0) > 0 || flow.nextSequence === 0;
     return isNew
       ? this.recordNewData(flow, packet, end, nowMs)
       : this.recordOldData(flow, end, nowMs);
@@ -167,38 +164,42 @@
     end: number,
     nowMs: number,
   ): UnacknowledgedData {
-    const isKnown = flow.sentEnd !== 0 || flow.isBusy;
-    if (isKnown && acknowledged !== flow.acknowledgedAtRequest) {
+    const hasBaseline = flow.nextSequence !== 0 || flow.isBusy;
+    if (hasBaseline && acknowledged !== flow.acknowledgedAtRequest) {
       flow.backend.local.recordProgress(nowMs);
     }
-    flow.sentEnd = end;
-    flow.endSentAtMs = nowMs;
-    flow.dataSinceMs = nowMs;
-    flow.repeats = 0;
+    flow.nextSequence = end;
+    flow.lastTransmissionAtMs = nowMs;
+    flow.firstTransmissionAtMs = nowMs;
+    flow.retransmissions = 0;
     flow.acknowledgedAtRequest = acknowledged;
-    flow.wentOutAtOnce = this.isLinkFree();
+    flow.wasSentImmediately = this.isLinkFree();
     this.setStalled(flow, false);
     this.setBusy(flow, true);
     return { retransmissions: 0, sinceMs: nowMs };
   }
 
-  /** Of several packets under way the last one counts: data before it may be sent again alone. */
+  /** Counts retransmissions of the last packet in flight only; earlier ones may be retransmitted separately. */
   private recordOldData(flow: FlowActivity, end: number, nowMs: number): UnacknowledgedData {
-    const isRepeat = end === flow.sentEnd && nowMs - flow.endSentAtMs >= REPEATED_AFTER_MS;
-    if (isRepeat) {
-      flow.repeats += 1;
-      flow.endSentAtMs = nowMs;
-      this.setStalled(flow, flow.isBusy && flow.wentOutAtOnce);
-    }
-    return { retransmissions: isRepeat ? flow.repeats : 0, sinceMs: flow.dataSinceMs };
+    const isRetransmission =
+      end === flow.nextSequence && nowMs - flow.lastTransmissionAtMs >= MIN_RETRANSMISSION_DELAY_MS;
+    if (isRetransmission) {
+      flow.retransmissions += 1;
+      flow.lastTransmissionAtMs = nowMs;
+      this.setStalled(flow, flow.isBusy && flow.wasSentImmediately);
+    }
+    return {
+      retransmissions: isRetransmission ? flow.retransmissions : 0,
+      sinceMs: flow.firstTransmissionAtMs,
+    };
   }
 
   private replace(key: FlowKey, backend: KnownBackend, nowMs: number): FlowActivity | undefined {
-    this.end(key);
-    return this.remember(key, backend, nowMs, false);
+    this.remove(key);
+    return this.track(key, backend, nowMs, false);
   }
 
-  private remember(
+  private track(
     key: FlowKey,
     backend: KnownBackend,
     nowMs: number,
@@ -209,14 +210,14 @@
     }
     const flow: FlowActivity = {
       backend,
-      sentEnd: 0,
+      nextSequence: 0,
       acknowledgedAtRequest: 0,
       isBusy: false,
-      wentOutAtOnce: this.isLinkFree(),
+      wasSentImmediately: this.isLinkFree(),
       isStalled: false,
-      endSentAtMs: nowMs,
-      dataSinceMs: nowMs,
-      repeats: 0,
+      lastTransmissionAtMs: nowMs,
+      firstTransmissionAtMs: nowMs,
+      retransmissions: 0,
       lastPacketAtMs: nowMs,
     };
     this.flows.set(key, flow);
@@ -224,7 +225,7 @@
     return flow;
   }
 
-  private end(key: FlowKey): void {
+  private remove(key: FlowKey): void {
     const flow = this.flows.get(key);
     if (flow !== undefined) {
       this.setStalled(flow, false);
--- a/src/registered/ingress/full-sync.ts
+++ b/src/registered/ingress/full-sync.ts
@@ -1,10 +1,10 @@
 /**
- * @file What the messages of a full sync have named so far: back ends and balancers that are missing at its end are
- * unknown to the control machine. A sync that breaks off is replaced by the next one that begins.
+ * @file Collects the back ends and balancers named in the messages of a full sync; those not named are unknown to the
+ * control machine. A new sync replaces an interrupted one.
  */
 import type { FeedMessage } from '../group/group-messages.js';
 
-/** All that a full sync named. */
+/** Back ends and balancers named in a full sync. */
 interface SyncedNames {
   readonly backendIds: ReadonlySet<string>;
   readonly balancerNames: ReadonlySet<string>;
@@ -12,13 +12,13 @@
 
 /** Collects the names of a full sync. */
 export interface FullSync {
-  /** Collects what a message names, from the first message of a full sync on. */
+  /** Adds the names in a message; ignored outside a full sync. */
   collect(message: FeedMessage): void;
-  /** @returns what was named, once for each full sync, with its last message; undefined otherwise */
+  /** @returns the collected names if the message is the last one of a full sync; undefined otherwise */
   finish(message: FeedMessage): SyncedNames | undefined;
 }
 
-/** @returns a sync that has not begun */
+/** @returns a collector that waits for the first message of a full sync */
 export function createFullSync(): FullSync {
   let backendIds: Set<string> | undefined;
   let balancerNames: Set<string> | undefined;
--- a/src/registered/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -1,18 +1,18 @@
 /**
- * @file The state of an ingress and its options. Each part is made here by its factory and changed by one module:
+ * @file State and options of an ingress. Each part is created by its own factory and changed by these modules only:
  *
- * | part                                               | changed by                                       |
- * | -------------------------------------------------- | ------------------------------------------------ |
- * | `routes`, `assembly`, `fullSync`, `feedStatus`     | `feed-step`, as messages of the feed are applied |
- * | `backends`, `peers`                                | the same                                         |
- * | `zones`                                            | the same, and orders that other balancers know   |
- * | `opens`                                            | `open-step`, and placements of other balancers   |
- * | `activities`                                       | `established-packet`, `open-step`, the sweep     |
- * | `slowStart`, `placement`                           | `open-step`                                      |
- * | `livenessLog`                                      | the sweep                                        |
- * | `stallGuard`, `isStopping`                         | the process around it                            |
+ * | part                                                 | changed by                                     |
+ * | ---------------------------------------------------- | ---------------------------------------------- |
+ * | `routes`, `configAssembly`, `fullSync`, `feedStatus` | `feed-step`                                    |
+ * | `backends`, `peers`                                  | `feed-step`                                    |
+ * | `zones`                                              | `feed-step`, gossip from other balancers       |
+ * | `opens`                                              | `open-step`, placements by other balancers     |
+ * | `activities`                                         | `established-packet`, `open-step`, `sweep`     |
+ * | `slowStart`, `placement`                             | `open-step`                                    |
+ * | `livenessLog`                                        | `sweep`                                        |
+ * | `stallGuard`, `isStopping`                           | the ingress process                            |
  *
- * None of it is durable: a balancer that starts learns all from its feed.
+ * Nothing is persisted; after a restart the balancer receives everything through its feed.
  */
 import type { StallGuard } from '../../shared/common/stall-guard.js';
 import type { MechanismSwitches } from '../decisions/mechanism-switches.js';
@@ -37,49 +37,48 @@
   readonly zone: string;
   /** Time between two heartbeats of a back end. */
   readonly heartbeatIntervalMs: number;
-  /** A flow does not live longer. */
+  /** Maximum lifetime of a flow. */
   readonly flowLifetimeMs: number;
-  /** When the control machine that feeds it is given up. */
+  /** Timing of the feed, including the timeouts after which it moves to another control machine. */
   readonly feed: FeedTiming;
-  /** Flows beyond this number are not counted for placement. */
+  /** Further flows are not tracked for placement. */
   readonly maxCountedFlows: number;
   readonly switches: MechanismSwitches;
-  /** What a cold back end may be given; undefined where the deployment does not bound it. */
+  /** Limits on new flows to a cold back end; undefined for no limits. */
   readonly slowStartBounds?: SlowStartBounds | undefined;
 }
 
 /** The state of one ingress. */
 export interface IngressState {
   readonly options: IngressOptions;
-  /** The configuration in force. */
   readonly routes: RouteTable;
-  /** The parts of a newer configuration that have come. */
-  readonly assembly: ConfigAssembly;
+  /** Received parts of a newer configuration. */
+  readonly configAssembly: ConfigAssembly;
   readonly fullSync: FullSync;
   readonly feedStatus: FeedStatus;
   readonly backends: BackendTable;
   /** The other balancers. */
   readonly peers: PeerTable;
-  /** Which zones take no new flows. */
+  /** Evacuation state of zones. */
   readonly zones: ZoneTable;
   readonly opens: OpenMemory;
   readonly activities: FlowActivities;
   readonly slowStart: SlowStart;
   readonly placement: Placement;
-  /** What the logs have said of back ends. */
+  /** Last logged liveness of back ends. */
   readonly livenessLog: LivenessLog;
   readonly stallGuard: StallGuard;
-  /** True once a planned stop has begun. */
+  /** True once a graceful shutdown has begun. */
   readonly isStopping: boolean;
   beginStop(): void;
 }
 
-/** A flow at rest is forgotten after so long, in milliseconds, while no configuration says otherwise. */
+/** Idle timeout of flows while there is no configuration. */
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
 /**
- * @param isLinkFree says whether packets leave at once, or wait for the link of the machine
- * @returns the state of an ingress that starts and knows nothing
+ * @param isLinkFree returns true if packets are sent without queueing for the link of the machine
+ * @returns the initial state of an ingress
  */
 export function createIngressState(
   options: IngressOptions,
@@ -102,7 +101,7 @@
   return {
     options,
     routes,
-    assembly: createConfigAssembly(),
+    configAssembly: createConfigAssembly(),
     fullSync: createFullSync(),
     feedStatus,
     backends: new BackendTable(options.heartbeatIntervalMs, options.switches.starts),
@@ -127,14 +126,14 @@
   };
 }
 
-/** @returns true where what this balancer knows was current a moment ago */
-export function knowsCurrent(state: IngressState, nowMs: number): boolean {
+/** @returns true if the state received through the feed is current */
+export function isFeedCurrent(state: IngressState, nowMs: number): boolean {
   return state.feedStatus.isCurrent(nowMs);
 }
 
 /**
- * @returns true where new flows may be sent here: this balancer was current at least once, has a configuration, and does
- *   not stop. One that is cut off later goes on with what it knows.
+ * @returns true if this balancer can take new flows: it has been current, has a configuration and is not stopping. A
+ *   balancer that loses its feed later stays ready.
  */
 export function isReady(state: IngressState): boolean {
   const hasState =
--- a/src/registered/ingress/known-backend.ts
+++ b/src/registered/ingress/known-backend.ts
@@ -1,9 +1,9 @@
 /**
- * @file One start of a back end as a balancer knows it. Each part has one owner, which alone changes it:
+ * @file State of one start of a back end at a balancer. Each part is changed by one module only:
  *
- * - the identity never changes;
- * - `registration` and `fleet` are changed by the back end table, as the feed says;
- * - `local` is changed by the flow activities, as packets of clients show it.
+ * - the identity is constant;
+ * - `registration` and `fleet` are changed by the back end table, from the feed;
+ * - `local` is changed by the flow activities, from client packets.
  */
 import { Buffer } from 'node:buffer';
 import type { Address } from '../../shared/common/address.js';
@@ -14,62 +14,62 @@
 import { createLocalActivity, type LocalActivity } from './local-activity.js';
 import { createRegistration, type Registration } from './registration.js';
 
-/** What all other balancers report of one back end, summed by control machines. */
+/** Totals over the reports of all other balancers on one back end, computed by control machines. */
 interface FleetLoad {
-  /** Requests that seem to be in progress. */
+  /** Estimated requests in progress. */
   busy: number;
-  /** Flows whose clients repeat what nobody acknowledges. */
+  /** Flows whose clients retransmit unacknowledged data. */
   stalled: number;
-  /** Answers of usual size; older ones count for less, so this is no whole number. */
+  /** Answers of usual size, decayed by age and thus fractional. */
   answered: number;
-  /** What these answers took together, in milliseconds. */
+  /** Total latency of these answers, decayed likewise, in milliseconds. */
   answerMs: number;
-  /** Answers far below the usual size of their route; older ones count for less. */
+  /** Answers far below the usual size of their route, decayed likewise. */
   short: number;
 }
 
-/** Which start of which back end it is. */
+/** Identity of one start of a back end. */
 interface BackendIdentity {
   readonly id: string;
   readonly start: BackendStart;
   readonly service: string;
   readonly zone: string;
   readonly address: Address;
-  /** The eight bytes that name it before a packet. */
+  /** Instance number, 8 bytes, prepended to packets to this back end. */
   readonly instanceBytes: Uint8Array;
-  /** Names it in packets of its flows; never 0. */
+  /** Identifies the back end in packets of established flows; never 0. */
   readonly token: number;
-  /** The same without its start; packets that were sent by balancers which know of no starts bring it. */
+  /** Token without the start, as assigned by balancers that do not support starts. */
   readonly plainToken: number;
 }
 
-/** One start of a back end. */
+/** One start of a back end; read-only view. */
 export interface KnownBackend extends BackendIdentity {
   readonly registration: Readonly<Registration>;
   readonly fleet: Readonly<FleetLoad>;
   readonly local: LocalActivity;
 }
 
-/** The same as its owner, the back end table, holds it. */
-export interface OwnedBackend extends BackendIdentity {
+/** Writable view of a back end, for the back end table. */
+export interface MutableBackend extends BackendIdentity {
   readonly registration: Registration;
   readonly fleet: FleetLoad;
   readonly local: LocalActivity;
 }
 
-const INSTANCE_BYTES = 8;
+const INSTANCE_ID_BYTES = 8;
 
 /**
- * @param receivedAtMs when the first heartbeat came that brought the record
- * @param departure what was known of its departure before that
- * @param tokens whether its token names the start
+ * @param receivedAtMs time at which the heartbeat with the record arrived
+ * @param departure departure that was received before the record, if any
+ * @param tokens whether the token identifies the start
  */
 export function createBackend(
   record: BackendRecord,
   receivedAtMs: number,
   departure: DepartureKind | undefined,
   tokens: MechanismSwitches['starts'],
-): OwnedBackend {
+): MutableBackend {
   const plainToken = plainTokenOf(record);
   return {
     id: record.id,
@@ -77,7 +77,7 @@
     service: record.service,
     zone: record.zone,
     address: record.address,
-    instanceBytes: Buffer.from(record.instanceNumber, 'hex').subarray(0, INSTANCE_BYTES),
+    instanceBytes: Buffer.from(record.instanceNumber, 'hex').subarray(0, INSTANCE_ID_BYTES),
     token: tokens === 'named' ? tokenOf(record) : plainToken,
     plainToken,
     registration: createRegistration(record, receivedAtMs, departure),
@@ -86,12 +86,12 @@
   };
 }
 
-/** @returns how many requests it runs at the same time; at least 1 */
+/** @returns the maximum number of concurrent requests; at least 1 */
 export function slotsOf({ registration }: KnownBackend): number {
   return Math.max(1, registration.record.capacity);
 }
 
-/** @returns requests that seem to be in progress there, over all balancers */
+/** @returns the estimated requests in progress, over all balancers */
 export function busyInFleet({ local, fleet }: KnownBackend): number {
   return local.busy + fleet.busy;
 }
--- a/src/registered/ingress/liveness-log.ts
+++ b/src/registered/ingress/liveness-log.ts
@@ -1,23 +1,23 @@
 /**
- * @file Which liveness of each back end the logs named last, so that each change is written once.
+ * @file Tracks the last logged liveness of each back end, so that each change is logged once.
  */
 import type { Liveness } from '../registry/backend-liveness.js';
 import type { KnownBackend } from './known-backend.js';
 
-/** A back end whose liveness has changed. */
+/** A liveness change of a back end. */
 export interface LivenessTransition {
   readonly backend: KnownBackend;
   readonly from: Liveness;
   readonly to: Liveness;
 }
 
-/** What the logs have said of the liveness of back ends. */
+/** Last logged liveness of back ends. */
 export interface LivenessLog {
-  /** @returns what has changed since the last call; a back end that is new counts as alive before */
+  /** @returns the changes since the last call; new back ends start as alive */
   transitions(backends: Iterable<KnownBackend>): LivenessTransition[];
 }
 
-/** @returns a log that has named no back end yet */
+/** @returns an empty log */
 export function createLivenessLog(): LivenessLog {
   const logged = new WeakMap<KnownBackend, Liveness>();
 
--- a/src/registered/ingress/load-reporter.ts
+++ b/src/registered/ingress/load-reporter.ts
@@ -1,6 +1,6 @@
 /**
- * @file When an ingress reports its load and its answer stats to the control machine that feeds it: each where it has
- * changed, no more often than its length allows. A reporter owns what was sent on one link.
+ * @file Reports the load and the answer stats of an ingress to its control machine. Each table is sent when it has changed,
+ * at a rate limited by its size.
  */
 import type { LoadReportMessage } from '../group/group-messages.js';
 import {
@@ -16,30 +16,30 @@
 import { createTableThrottle, rowsToSend } from '../load-exchange/table-throttle.js';
 import type { IngressState } from './ingress-state.js';
 
-/** Reports on one link. */
+/** Send state of the reports on one link. */
 export interface LoadReporter {
-  /** @returns the report that is to be sent now, and counts as sent; undefined for none */
+  /** @returns the report to send now, recorded as sent; undefined if none is due */
   due(nowMs: number): LoadReportMessage | undefined;
 }
 
-/** @returns a reporter that has sent nothing yet */
+/** @returns a reporter for a new link */
 export function createLoadReporter(state: IngressState): LoadReporter {
-  const loadsOutlet = createTableThrottle();
-  const statsOutlet = createTableThrottle(Number.POSITIVE_INFINITY, ANSWER_STATS_ROWS);
+  const loadThrottle = createTableThrottle();
+  const answerStatsThrottle = createTableThrottle(Number.POSITIVE_INFINITY, ANSWER_STATS_ROWS);
 
   return { due };
 
   function due(nowMs: number): LoadReportMessage | undefined {
-    const loads = rowsToSend(loadsOutlet, () => ownLoads(state), nowMs);
-    const signals = rowsToSend(statsOutlet, () => ownAnswerStats(state, nowMs), nowMs);
+    const loads = rowsToSend(loadThrottle, () => localLoads(state), nowMs);
+    const signals = rowsToSend(answerStatsThrottle, () => localAnswerStats(state, nowMs), nowMs);
     return loads === undefined && signals === undefined
       ? undefined
       : { type: 'load-report', ...(loads && { loads }), ...(signals && { signals }) };
   }
 }
 
-/** @returns requests in progress by back end; back ends without any are left out */
-export function ownLoads(state: IngressState): PackedLoads {
+/** @returns the requests in progress per back end, through this balancer; idle back ends are omitted */
+export function localLoads(state: IngressState): PackedLoads {
   const loads: BackendLoadEntry[] = [];
   for (const { token, local } of state.backends.all()) {
     if (local.busy > 0) {
@@ -49,7 +49,7 @@
   return packLoads(loads);
 }
 
-function ownAnswerStats(state: IngressState, nowMs: number): PackedAnswerStats {
+function localAnswerStats(state: IngressState, nowMs: number): PackedAnswerStats {
   return packAnswerStats(
     [...state.backends.all()].map(
       ({ token, local }) => [token, local.answers.stats(nowMs)] as const,
--- a/src/registered/ingress/local-activity.ts
+++ b/src/registered/ingress/local-activity.ts
@@ -1,30 +1,29 @@
 /**
- * @file What the flows through this balancer show of one back end: requests in progress, signs of life, answers. The
- * flow activities change it with each packet; placement, reports to control machines and metrics read it.
+ * @file Activity of one back end as observed in flows through this balancer: requests in progress, progress and answers.
+ * Written by the flow activities; read by placement, load reports and metrics.
  */
 import { createAnswerRecorder, type AnswerRecorder } from '../decisions/answer-recorder.js';
 
-/** One back end as the flows here show it. */
+/** Observed activity of one back end. */
 export interface LocalActivity {
-  /** Requests that seem to be in progress, with opens that have not brought their request yet. */
+  /** Estimated requests in progress, including opens whose request has not arrived yet. */
   readonly busy: number;
-  /** When a client last acknowledged something new of the back end, in milliseconds; minus infinity for never. */
+  /** Time of the last new acknowledgement by a client, in milliseconds; minus infinity for never. */
   readonly lastProgressAtMs: number;
-  /** How it answers here. */
   readonly answers: AnswerRecorder;
-  changeBusy(by: 1 | -1): void;
+  changeBusy(delta: 1 | -1): void;
   recordProgress(nowMs: number): void;
 }
 
-/** @returns the activity of a back end without any flow */
+/** @returns the activity of a back end without flows */
 export function createLocalActivity(): LocalActivity {
-  // Plain fields: a choice among 84 back ends that read them through getters took half as long again.
+  // Plain fields instead of getters: placement reads them for every candidate.
   const activity = {
     busy: 0,
     lastProgressAtMs: Number.NEGATIVE_INFINITY,
     answers: createAnswerRecorder(),
-    changeBusy: (by: 1 | -1) => {
-      activity.busy += by;
+    changeBusy: (delta: 1 | -1) => {
+      activity.busy += delta;
     },
     recordProgress: (nowMs: number) => {
       activity.lastProgressAtMs = nowMs;
--- a/src/registered/ingress/open-memory.ts
+++ b/src/registered/ingress/open-memory.ts
@@ -1,18 +1,17 @@
 /**
- * @file A short memory of where opens went, so that a copy of an open goes where the first went. If two back ends took
- * one flow, the client's packets could reach the one that it did not choose. It is lost with the process; the holders
- * of an open, other balancers, keep it as well.
+ * @file Remembers for a short time which back end each open was sent to, so that copies of an open follow the first one;
+ * a flow that reached two back ends would break. Not persisted, but the holders of an open keep it as well.
  */
 import type { FlowKey } from './packet-view.js';
 import { createPeriodMap, type PeriodMap } from '../../shared/common/period-map.js';
 
-/** How long copies of an open may come after the first, in milliseconds. */
+/** Maximum delay of a copy after the first open, in milliseconds. */
 export const OPEN_LIFETIME_MS = 2_000;
 
-/** Opens beyond this number in one period are not remembered: other balancers may send any number. */
+/** Limit per period; bounds memory, since other balancers add opens as well. */
 const MAX_OPENS = 200_000;
 
-/** Tokens of the back ends to which the opens of the last one to two periods went. */
+/** Back end tokens of recent opens, kept for one to two periods. */
 export class OpenMemory {
   private readonly tokens: PeriodMap<FlowKey, number>;
 
@@ -24,7 +23,7 @@
     this.tokens.set(key, token, nowMs);
   }
 
-  /** @returns the token of the back end that an open went to; undefined where none is known */
+  /** @returns the token of the back end that an open was sent to; undefined if not remembered */
   recall(key: FlowKey, nowMs: number): number | undefined {
     return this.tokens.get(key, nowMs);
   }
--- a/src/registered/ingress/open-step.ts
+++ b/src/registered/ingress/open-step.ts
@@ -1,13 +1,13 @@
 /**
- * @file The way of an open: refused while this balancer knows too little; sent after its first copy where that is
- * remembered; asked for at the holders where another balancer may have placed it; placed; refused where no back end may
- * take it. The rules themselves are in `src/registered/decisions`.
+ * @file Decides on an open: drops it while this balancer lacks state, forwards a copy to the back end of the first one, asks
+ * the holders if another balancer may have placed it, and otherwise places or refuses it. The rules are in
+ * `src/registered/decisions`.
  */
 import { actionAfterRestart } from '../decisions/restarted-backend.js';
 import { isLearning } from '../decisions/learning.js';
 import { admitOpen } from '../decisions/open-admission.js';
 import { refuseOpen } from '../decisions/open-refusal.js';
-import { isReady, knowsCurrent, type IngressState } from './ingress-state.js';
+import { isReady, isFeedCurrent, type IngressState } from './ingress-state.js';
 import type { KnownBackend } from './known-backend.js';
 import type { FoundBy, PacketDecision } from './packet-decision.js';
 import { flowKeyOf, type FlowKey, type PacketView } from './packet-view.js';
@@ -19,12 +19,12 @@
   }
   const key = flowKeyOf(packet);
   const rememberedToken = state.opens.recall(key, nowMs);
-  if (rememberedToken !== undefined && !isEnded(state, rememberedToken)) {
+  if (rememberedToken !== undefined && !hasEnded(state, rememberedToken)) {
     state.activities.recordOpenCopy(key, nowMs);
     return forwardCopy(state, rememberedToken, { type: 'remembered' });
   }
   if (!state.routes.has(packet.destinationHost, packet.destinationPort)) {
-    return knowsCurrent(state, nowMs)
+    return isFeedCurrent(state, nowMs)
       ? { type: 'reset', reason: 'no-route' }
       : { type: 'drop', reason: 'not-current' };
   }
@@ -38,7 +38,7 @@
   }
 }
 
-/** Places an open of which no earlier copy is known, here or at the holders that were asked. */
+/** Places an open for which neither this balancer nor the queried holders remember an earlier copy. */
 export function placeOpen(state: IngressState, packet: PacketView, nowMs: number): PacketDecision {
   const service = state.routes.nextService(packet.destinationHost, packet.destinationPort);
   if (service === undefined) {
@@ -48,12 +48,12 @@
   const eligible = active.filter(({ zone }) => !state.zones.isEvacuated(zone));
   const backend = state.placement.choose(eligible, hashOf(packet), nowMs);
   return backend === undefined
-    ? refuseOpen(active, eligible, mayLearnMore(state, nowMs))
-    : recordPlaced(state, packet, service, backend, nowMs);
+    ? refuseOpen(active, eligible, isStillLearning(state, nowMs))
+    : recordPlacement(state, packet, service, backend, nowMs);
 }
 
-/** Another balancer has placed the first copy of an open at the back end with this token. */
-export function followPeer(
+/** Forwards an open to the back end with this token, at which another balancer placed an earlier copy. */
+export function adoptPeerPlacement(
   state: IngressState,
   key: FlowKey,
   token: number,
@@ -68,7 +68,7 @@
 }
 
 function forwardCopy(state: IngressState, token: number, foundBy: FoundBy): PacketDecision {
-  if (isEnded(state, token)) {
+  if (hasEnded(state, token)) {
     return { type: 'drop', reason: 'backend-restarted' };
   }
   const named = state.backends.resolve(token);
@@ -78,8 +78,8 @@
     : { type: 'forward', backend, foundBy };
 }
 
-/** The first copy went to a start that is over, of which nothing is left: the open is placed anew. */
-function isEnded({ backends }: IngressState, token: number): boolean {
+/** @returns true if the back end of the first copy has restarted without its state, so that the open is placed again */
+function hasEnded({ backends }: IngressState, token: number): boolean {
   const backend = backends.resolve(token);
   if (backend === undefined) {
     return false;
@@ -88,7 +88,7 @@
   return successor !== undefined && actionAfterRestart(backend, successor) === 'end';
 }
 
-function mayLearnMore(state: IngressState, nowMs: number): boolean {
+function isStillLearning(state: IngressState, nowMs: number): boolean {
   const { switches, heartbeatIntervalMs } = state.options;
   return (
     switches.learning === 'dropped' &&
@@ -96,8 +96,8 @@
   );
 }
 
-/** The load that is logged counts the flows before this one. */
-function recordPlaced(
+/** Records a placement. The load in the result excludes the new flow. */
+function recordPlacement(
   state: IngressState,
   packet: PacketView,
   service: string,
@@ -114,7 +114,7 @@
 
 const HASH_MULTIPLIER = 0x9e3779b1;
 
-/** @returns 32 bits that spread the flows of one client over back ends */
+/** @returns a 32-bit hash that spreads the flows of one client over back ends */
 function hashOf(packet: PacketView): number {
   const mixed = Math.imul(
     packet.sourceHost ^ (packet.sourcePort * HASH_MULTIPLIER),
--- a/src/registered/ingress/packet-decision.ts
+++ b/src/registered/ingress/packet-decision.ts
@@ -1,59 +1,59 @@
 /**
- * @file What a balancer does with a packet of a client. The reasons are the words of log lines and metrics.
+ * @file Result type of the decision on a client packet. The drop reasons appear in logs and metrics.
  */
 import type { KnownBackend } from './known-backend.js';
 import type { FlowKey } from './packet-view.js';
 
-/** Why a packet was dropped or its open refused. */
+/** Reason to drop a packet or reset its flow. */
 export type DropReason =
-  /** The token names no back end that is known here. */
+  /** No back end has the token. */
   | 'unknown-token'
-  /** A packet of an established flow without a token. */
+  /** A packet of an established flow carries no token. */
   | 'no-token'
-  /** This balancer has not been current yet, or has no configuration. */
+  /** This balancer has not been current yet or has no configuration. */
   | 'not-ready'
-  /** An open of a route that may be new, at a balancer that is not current. */
+  /** The route of an open is unknown, but may be new since this balancer is not current. */
   | 'not-current'
   | 'no-route'
   | 'no-backend'
   /** The back end of an established flow is proven dead. */
   | 'backend-dead'
-  /** The back end of a flow has started again since, at another address, and holds nothing of before. */
+  /** The back end of the flow has restarted at another address, without its state. */
   | 'backend-restarted'
-  /** All zones in which the service has back ends are evacuated. */
+  /** All zones with back ends of the service are evacuated. */
   | 'zones-evacuated'
-  /** Slow start admits no further flow to any back end that it could go to. */
+  /** Slow start admits no further flow to any eligible back end. */
   | 'all-cold'
-  /** An open that waited while this process stood still. */
+  /** The open was queued while this process was stalled. */
   | 'stale-open'
-  /** An open whose other copy another balancer is placing at this moment. */
+  /** Another balancer is placing another copy of the open. */
   | 'claimed-elsewhere';
 
-/** How the back end of an open was found. */
+/** Source of the back end of an open. */
 export type FoundBy =
   /** Chosen by placement. */
   | {
       readonly type: 'chosen';
       readonly key: FlowKey;
       readonly service: string;
-      /** Requests in progress for each slot. */
+      /** Requests in progress per slot, without the new flow. */
       readonly load: number;
     }
-  /** A copy of an open that this balancer placed. */
+  /** This balancer placed an earlier copy. */
   | { readonly type: 'remembered' }
-  /** A copy of an open that another balancer placed. */
+  /** Another balancer placed an earlier copy. */
   | { readonly type: 'told-by-peer' };
 
-/** What becomes of a packet. */
+/** Decision on a client packet. */
 export type PacketDecision =
   | {
       readonly type: 'forward';
       readonly backend: KnownBackend;
-      /** How the back end of an open was found; undefined for packets with a token. */
+      /** Source of the back end of an open; undefined for packets of established flows. */
       readonly foundBy?: FoundBy;
     }
-  /** The client learns that its flow was not opened, or is over. */
+  /** Tells the client that its flow was refused or has ended. */
   | { readonly type: 'reset'; readonly reason: DropReason }
   | { readonly type: 'drop'; readonly reason: DropReason }
-  /** The first copy may have gone through another balancer: ask the holders, then call `placeOpen` or `followPeer`. */
+  /** Another balancer may have placed an earlier copy: query the holders, then call `placeOpen` or `adoptPeerPlacement`. */
   | { readonly type: 'ask-peers'; readonly key: FlowKey };
--- a/src/registered/ingress/packet-step.ts
+++ b/src/registered/ingress/packet-step.ts
@@ -1,6 +1,6 @@
 /**
- * @file The decision for each packet of a client. State of a flow lives in its token, so a packet of an established flow
- * needs nothing that this balancer remembers; only opens are placed.
+ * @file Entry point for client packets. Packets of established flows are routed by their token, without per-flow state;
+ * only opens are placed.
  */
 import { decideEstablished } from './established-packet.js';
 import type { IngressState } from './ingress-state.js';
@@ -8,7 +8,7 @@
 import type { PacketDecision } from './packet-decision.js';
 import type { PacketView } from './packet-view.js';
 
-/** Decides on a packet, and records what it shows. */
+/** Decides on a client packet and updates the state from it. */
 export function decidePacket(
   state: IngressState,
   packet: PacketView,
--- a/src/registered/ingress/peer-table.ts
+++ b/src/registered/ingress/peer-table.ts
@@ -1,39 +1,36 @@
 /**
- * @file The other balancers, and which of them hold the memory of an open: a few that all balancers choose alike by
- * rendezvous, so that asking about a copy costs as much in a large fleet as in a small one. It owns the list, which
- * changes as the feed is applied.
- *
- * Measured in the simulator: a balancer sends and gets 731 bytes a second for control among 8 balancers, and 250 among 50.
+ * @file The other balancers, and which of them are the holders of an open, i.e. remember its placement. Holders are chosen
+ * by rendezvous hashing, so that all balancers agree and the cost of a lookup does not depend on the size of the fleet.
  */
 import type { BalancerInfo } from '../group/group-messages.js';
 import { hashText, rendezvousScore } from '../../shared/common/rendezvous.js';
 import type { FlowKey } from './packet-view.js';
 
-/** The balancer that places an open notifies so many others: one of them may have crashed. */
+/** Holders notified of a placement; tolerates the crash of one. */
 export const NOTIFIED_HOLDERS = 2;
-/** One that has a copy asks so many: they meet those also where the two know different balancers by one. */
+/** Holders queried about a copy; includes a notified one even if the balancer lists differ by one entry. */
 export const ASKED_HOLDERS = 3;
 
-/** The balancers that a balancer knows. */
+/** The fleet as listed by the feed. */
 export interface PeerTable {
-  /** How many others there are. */
+  /** Number of other balancers. */
   readonly size: number;
-  /** Forgets all balancers but the named ones. */
+  /** Removes all balancers that are not named. */
   retain(names: ReadonlySet<string>): void;
-  /** Applies balancers that joined and the names of those that left. */
-  applyChanges(joined: readonly BalancerInfo[], left: readonly string[]): void;
+  /** @param removed names of balancers */
+  applyChanges(added: readonly BalancerInfo[], removed: readonly string[]): void;
   /**
-   * @param count how many are chosen; this balancer may be one of them, and is left out then
-   * @returns the holders of an open, the best first
+   * @param count holders to choose over the whole fleet; if this balancer is one of them, it is omitted
+   * @returns the holders of an open, by descending score
    */
   holdersOf(key: FlowKey, count: number): BalancerInfo[];
-  /** @returns other balancers, from the place `turn` in the list on */
-  othersInTurn(turn: number, count: number): BalancerInfo[];
-  /** @returns true where this balancer is one of the `count` that all choose for a key, and the others know it */
-  isOwnHolder(key: string, count: number): boolean;
+  /** @returns up to `count` other balancers, from `offset` in the list with wraparound */
+  rotatedPeers(offset: number, count: number): BalancerInfo[];
+  /** @returns true if this balancer is listed and among the `count` holders of a key */
+  isHolder(key: string, count: number): boolean;
 }
 
-interface KnownBalancer {
+interface BalancerEntry {
   readonly info: BalancerInfo;
   readonly nameHash: number;
 }
@@ -44,11 +41,11 @@
 }
 
 /**
- * @param ownName name of the balancer that keeps the table
- * @returns a table without any other balancer
+ * @param ownName name of this balancer
+ * @returns an empty table
  */
 export function createPeerTable(ownName: string): PeerTable {
-  const balancers = new Map<string, KnownBalancer>();
+  const balancers = new Map<string, BalancerEntry>();
 
   return {
     get size() {
@@ -56,9 +53,9 @@
     },
     retain,
     applyChanges,
-    holdersOf: (key, count) => chosenFor(key, count).filter(({ name }) => name !== ownName),
-    othersInTurn,
-    isOwnHolder: (key, count) => chosenFor(key, count).some(({ name }) => name === ownName),
+    holdersOf: (key, count) => selectHolders(key, count).filter(({ name }) => name !== ownName),
+    rotatedPeers,
+    isHolder: (key, count) => selectHolders(key, count).some(({ name }) => name === ownName),
   };
 
   function retain(names: ReadonlySet<string>): void {
@@ -69,20 +66,20 @@
     }
   }
 
-  function applyChanges(joined: readonly BalancerInfo[], left: readonly string[]): void {
-    left.forEach((name) => balancers.delete(name));
-    joined.forEach((info) => balancers.set(info.name, { info, nameHash: hashText(info.name) }));
+  function applyChanges(added: readonly BalancerInfo[], removed: readonly string[]): void {
+    removed.forEach((name) => balancers.delete(name));
+    added.forEach((info) => balancers.set(info.name, { info, nameHash: hashText(info.name) }));
   }
 
-  function othersInTurn(turn: number, count: number): BalancerInfo[] {
+  function rotatedPeers(offset: number, count: number): BalancerInfo[] {
     const others = [...balancers.values()].flatMap(({ info }) =>
       info.name === ownName ? [] : [info],
     );
-    const first = others.length === 0 ? 0 : turn % others.length;
-    return [...others.slice(first), ...others.slice(0, first)].slice(0, count);
+    const start = others.length === 0 ? 0 : offset % others.length;
+    return [...others.slice(start), ...others.slice(0, start)].slice(0, count);
   }
 
-  function chosenFor(key: string, count: number): BalancerInfo[] {
+  function selectHolders(key: string, count: number): BalancerInfo[] {
     const keyHash = hashText(key);
     const best: ScoredBalancer[] = [];
     for (const { info, nameHash } of balancers.values()) {
@@ -92,11 +89,11 @@
   }
 }
 
-/** Keeps the `count` balancers with the highest scores, the highest first. */
+/** Inserts into a list sorted by descending score that is limited to `count` entries. */
 function insertScored(best: ScoredBalancer[], scored: ScoredBalancer, count: number): void {
-  const worse = best.findIndex(({ score }) => score < scored.score);
-  if (worse >= 0) {
-    best.splice(worse, 0, scored);
+  const insertAt = best.findIndex(({ score }) => score < scored.score);
+  if (insertAt >= 0) {
+    best.splice(insertAt, 0, scored);
   } else if (best.length < count) {
     best.push(scored);
   }
--- a/src/registered/ingress/registration.ts
+++ b/src/registered/ingress/registration.ts
@@ -1,30 +1,30 @@
 /**
- * @file What control machines know of one back end: its record, its liveness and its departure. The back end table
- * changes it as the feed says; all others read it.
+ * @file State of one back end as reported by control machines: record, liveness and departure. Changed by the back end
+ * table only.
  *
- * Times are on this balancer's clock: the feed carries ages, so clocks of machines are never compared.
+ * All times are on the clock of this balancer. The feed carries ages, so clocks of machines are never compared.
  */
 import { livenessOf, type LivenessChange, type Liveness } from '../registry/backend-liveness.js';
 import type { BackendRecord, DepartureKind } from '../registry/backend-record.js';
 
-/** What is registered of a back end. Writable for its owner only; `KnownBackend` shows it read-only. */
+/** Registration of a back end. `KnownBackend` exposes it read-only. */
 export interface Registration {
-  /** What the back end last said of itself. */
+  /** Latest record of the back end. */
   record: BackendRecord;
-  /** When the heartbeat with that record came, in milliseconds. */
+  /** Arrival of the heartbeat with that record, in milliseconds. */
   recordReceivedAtMs: number;
-  /** Until when it is cold from its start, in milliseconds. */
-  warmUntilMs: number;
-  /** When its last heartbeat came, in milliseconds; while it is alive the feed names only records that change. */
+  /** End of the warm-up after its start, in milliseconds. */
+  coldUntilMs: number;
+  /** Last reported heartbeat, in milliseconds. The feed omits unchanged records of live back ends. */
   lastHeartbeatAtMs: number;
   liveness: Liveness;
-  /** Undefined while it is active. */
+  /** Undefined while the back end is active. */
   departure: DepartureKind | undefined;
-  /** When its departure became known, in milliseconds; without meaning while it is active. */
+  /** Arrival of the departure, in milliseconds; meaningless while the back end is active. */
   departedAtMs: number;
 }
 
-/** @returns the registration of a back end whose first record came at `receivedAtMs` */
+/** @returns a registration whose first record arrived at `receivedAtMs` */
 export function createRegistration(
   record: BackendRecord,
   receivedAtMs: number,
@@ -33,7 +33,7 @@
   return {
     record,
     recordReceivedAtMs: receivedAtMs,
-    warmUntilMs: receivedAtMs + record.warmUpLeftMs,
+    coldUntilMs: receivedAtMs + record.warmUpLeftMs,
     lastHeartbeatAtMs: receivedAtMs,
     liveness: 'alive',
     departure,
@@ -41,7 +41,7 @@
   };
 }
 
-/** Applies a heartbeat that came `ageMs` ago; the record of an older one never replaces a newer one. */
+/** Applies a heartbeat that arrived `ageMs` ago; its record never replaces a newer one. */
 export function applyHeartbeat(
   registration: Registration,
   { record, ageMs }: { readonly record: BackendRecord; readonly ageMs: number },
@@ -54,11 +54,11 @@
   if (record.sequence > registration.record.sequence) {
     registration.record = record;
     registration.recordReceivedAtMs = receivedAtMs;
-    registration.warmUntilMs = receivedAtMs + record.warmUpLeftMs;
+    registration.coldUntilMs = receivedAtMs + record.warmUpLeftMs;
   }
 }
 
-/** Applies another liveness that a control machine detected. */
+/** Applies a liveness change detected by a control machine. */
 export function applyLivenessChange(
   registration: Registration,
   { liveness, silentMs }: LivenessChange,
@@ -68,26 +68,30 @@
   registration.lastHeartbeatAtMs = nowMs - silentMs;
 }
 
-/** A full sync did not name the back end: its heartbeats count as missing from now on. */
-export function suspect(registration: Registration, nowMs: number): void {
+/** Marks the back end as suspect; its heartbeats count as missing from now on. */
+export function markSuspect(registration: Registration, nowMs: number): void {
   registration.liveness = 'suspect';
   registration.lastHeartbeatAtMs = nowMs;
 }
 
-/** The back end leaves; the caller sees to it that a departure is never taken back. */
-export function depart(registration: Registration, kind: DepartureKind, nowMs: number): void {
+/** Records a departure. The caller ensures that a departure is never reverted. */
+export function recordDeparture(
+  registration: Registration,
+  kind: DepartureKind,
+  nowMs: number,
+): void {
   registration.departure = kind;
   registration.departedAtMs = nowMs;
 }
 
-/** @returns true where no flow of the back end can live any more */
-export function isOver(
+/** @returns true if the back end can have no live flows */
+export function isExpired(
   registration: Readonly<Registration>,
   flowLifetimeMs: number,
   nowMs: number,
 ): boolean {
   const { departure, departedAtMs, lastHeartbeatAtMs, liveness } = registration;
-  const lastSignAtMs =
+  const lastActiveAtMs =
     departure === undefined ? lastHeartbeatAtMs : Math.max(departedAtMs, lastHeartbeatAtMs);
-  return liveness !== 'alive' && nowMs - lastSignAtMs > flowLifetimeMs;
+  return liveness !== 'alive' && nowMs - lastActiveAtMs > flowLifetimeMs;
 }
--- a/src/registered/ingress/route-table.ts
+++ b/src/registered/ingress/route-table.ts
@@ -1,6 +1,6 @@
 /**
- * @file The configuration in force at a balancer: its version, and which service the next flow of each route goes to.
- * It owns the routes; they change only as a whole update of the configuration is applied.
+ * @file The active configuration of a balancer: its version, and the routes with the service of their next flow. Changes
+ * only as a whole, by a complete update.
  */
 import { packHost } from '../../shared/common/address.js';
 import { NO_VERSION, type ConfigUpdate } from '../declared/config-update.js';
@@ -11,24 +11,24 @@
 } from '../decisions/weighted-round-robin.js';
 import { routeKey, type RouteKey } from './packet-view.js';
 
-/** The configuration in force. */
+/** The active configuration, without its routes. */
 interface ConfigInForce {
   readonly version: number;
-  /** A flow that has rested for this long may be forgotten, in milliseconds. */
+  /** Time after which an idle flow may be removed, in milliseconds. */
   readonly idleTimeoutMs: number;
-  /** How the back ends of services warm up, by service. */
+  /** Warm-up of back ends, by service. */
   readonly warmUps: ReadonlyMap<string, ServiceWarmUp>;
 }
 
-/** What became of an update. */
+/** Result of an update. */
 type UpdateOutcome =
   | 'applied'
-  /** What is in force is as new. */
+  /** The active configuration is at least as new. */
   | 'known'
-  /** It is made to another version than the one in force. */
+  /** The update is based on a version other than the active one. */
   | 'unfit';
 
-/** Routes by address and port. */
+/** The active configuration, with routes by address and port. */
 export class RouteTable {
   private routes = new Map<RouteKey, WeightedRoundRobin>();
   private inForce: ConfigInForce | undefined;
@@ -38,29 +38,30 @@
     return this.inForce;
   }
 
-  /** How many routes there are. */
+  /** Number of routes. */
   get size(): number {
     return this.routes.size;
   }
 
-  /** Puts an update of the configuration in force; an older one never follows a newer one. */
+  /** Activates an update, unless the active configuration is at least as new. */
   applyUpdate(update: ConfigUpdate): UpdateOutcome {
     const { version, baseVersion, idleTimeoutMs, warmUps, changes } = update;
-    const heldVersion = this.inForce?.version ?? NO_VERSION;
-    if (version <= heldVersion) {
+    const currentVersion = this.inForce?.version ?? NO_VERSION;
+    if (version <= currentVersion) {
       return 'known';
     }
-    if (baseVersion !== NO_VERSION && baseVersion !== heldVersion) {
+    if (baseVersion !== NO_VERSION && baseVersion !== currentVersion) {
       return 'unfit';
     }
-    const before = this.routes;
-    this.routes = baseVersion === NO_VERSION ? new Map<RouteKey, WeightedRoundRobin>() : before;
+    const previousRoutes = this.routes;
+    this.routes =
+      baseVersion === NO_VERSION ? new Map<RouteKey, WeightedRoundRobin>() : previousRoutes;
     for (const { host, port, targets } of changes) {
       const key = routeKey(Number(packHost(host)), port);
       if (targets === undefined) {
         this.routes.delete(key);
       } else {
-        this.routes.set(key, keptOrNew(before.get(key), targets));
+        this.routes.set(key, reuseOrCreate(previousRoutes.get(key), targets));
       }
     }
     const byService = new Map(warmUps.map((warmUp) => [warmUp.service, warmUp]));
@@ -68,21 +69,21 @@
     return 'applied';
   }
 
-  /** @param host IPv4 number as 32 bits */
+  /** @param host IPv4 address as a 32-bit integer */
   has(host: number, port: number): boolean {
     return this.routes.has(routeKey(host, port));
   }
 
-  /** @returns the service that the next flow of a route goes to; undefined where there is no route, or no weight */
+  /** @returns the service for the next flow of a route; undefined if there is no route or no target with a weight */
   nextService(host: number, port: number): string | undefined {
     return this.routes.get(routeKey(host, port))?.next();
   }
 }
 
-/** A route whose targets did not change goes on with its turns. */
-function keptOrNew(
-  before: WeightedRoundRobin | undefined,
+/** Keeps the round-robin state of a route whose targets did not change. */
+function reuseOrCreate(
+  existing: WeightedRoundRobin | undefined,
   targets: readonly WeightedTarget[],
 ): WeightedRoundRobin {
-  return before?.hasTargets(targets) === true ? before : createWeightedRoundRobin(targets);
+  return existing?.hasTargets(targets) === true ? existing : createWeightedRoundRobin(targets);
 }
--- a/src/registered/ingress/token-packet.ts
+++ b/src/registered/ingress/token-packet.ts
@@ -1,6 +1,5 @@
 /**
- * @file The product's own packets with 32-bit tokens, as MessagePack maps: what clients and back ends write,
- * and the codec by which balancers read it.
+ * @file Packet format of this product, with 32-bit tokens, encoded as MessagePack maps; and its codec for balancers.
  */
 import { Packr } from 'msgpackr';
 import { packHost, parseAddress, unpackHost, type Address } from '../../shared/common/address.js';
@@ -9,30 +8,30 @@
 
 const packetKinds = ['open', 'accept', 'data', 'acknowledge', 'finish', 'reset'] as const;
 
-/** What a packet does. */
+/** Type of a packet. */
 export type PacketKind = (typeof packetKinds)[number];
 
 /** A packet between a client and a back end. */
 export interface TokenPacket {
   readonly kind: PacketKind;
-  /** IPv4 numbers; so is `to`. */
+  /** IPv4, like `to`. */
   readonly from: Address;
   readonly to: Address;
   readonly token: number;
-  /** Of an open: its copies before it. */
+  /** Retransmission count of an open. */
   readonly copyNumber: number;
-  /** Chosen by the back end that accepts; named by the client from then on. */
+  /** Chosen by the accepting back end and echoed by the client. */
   readonly acceptNumber: number;
-  /** Number of the request that the data carries; 0 for none. */
+  /** Request that the data belongs to; 0 for none. */
   readonly requestId: number;
   readonly sequence: number;
   readonly acknowledged: number;
   readonly dataLength: number;
-  /** Over everything but the token, so that a changed packet is noticed. */
+  /** Checksum that detects changed packets; see `sumOf`. */
   readonly sum: number;
 }
 
-/** A packet for a back end, with what names the one that is meant. */
+/** A packet for a back end, with the instance number of its recipient. */
 interface PacketForBackend {
   readonly instance: string;
   readonly packet: TokenPacket;
@@ -51,28 +50,28 @@
   'sum',
 ] as const;
 
-/** @returns the packet with its sum */
+/** @returns the packet with its checksum */
 export function sealPacket(packet: Omit<TokenPacket, 'sum'>): TokenPacket {
   return { ...packet, sum: sumOf(packet) };
 }
 
-/** @returns true where nothing but the token was changed on the way */
+/** @returns true if the checksum is valid */
 export function isIntact(packet: TokenPacket): boolean {
   return packet.sum === sumOf(packet);
 }
 
-/** @returns the bytes of a packet */
+/** @returns the encoded packet */
 export function encodePacket(packet: TokenPacket): Uint8Array {
   return packr.pack(packet);
 }
 
-/** @returns the packet, or undefined where the bytes are none */
+/** @returns the packet, or undefined if the bytes are malformed */
 export function decodePacket(bytes: Uint8Array): TokenPacket | undefined {
   const value = unpack(bytes);
   return isTokenPacket(value) ? value : undefined;
 }
 
-/** @returns what a back end gets, or undefined where the bytes are none of it */
+/** @returns the packet and its recipient, or undefined if the bytes are malformed */
 export function decodeForBackend(bytes: Uint8Array): PacketForBackend | undefined {
   const value = unpack(bytes) as Partial<PacketForBackend> | null | undefined;
   const isForBackend = typeof value?.instance === 'string' && isTokenPacket(value.packet);
@@ -120,7 +119,7 @@
   try {
     return packr.unpack(bytes);
   } catch {
-    // No MessagePack: the reader of the datagram counts it as malformed.
+    // Not MessagePack: the caller counts the datagram as malformed.
     return undefined;
   }
 }
@@ -140,22 +139,23 @@
 
 function isAddress(value: unknown): boolean {
   const { host, port } = (value ?? {}) as Partial<Address>;
-  return typeof host === 'string' && !host.includes(':') && isPlace(host, port);
+  return typeof host === 'string' && !host.includes(':') && isHostAndPort(host, port);
 }
 
-function isPlace(host: string, port: unknown): boolean {
+function isHostAndPort(host: string, port: unknown): boolean {
   return Number.isInteger(port) && parseAddress(`${host}:${String(port)}`) !== undefined;
 }
 
 const SUM_FACTOR = 31;
 
+/** Omits the token, which balancers replace, and the sequence fields. */
 function sumOf(packet: Omit<TokenPacket, 'sum'>): number {
   const { kind, from, to, copyNumber, acceptNumber, requestId } = packet;
   const fields = [kind, from.host, from.port, to.host, to.port];
   const text = [...fields, copyNumber, acceptNumber, requestId].join();
   let sum = 0;
-  for (const letter of text) {
-    sum = (Math.imul(sum, SUM_FACTOR) + (letter.codePointAt(0) ?? 0)) | 0;
+  for (const character of text) {
+    sum = (Math.imul(sum, SUM_FACTOR) + (character.codePointAt(0) ?? 0)) | 0;
   }
   return sum;
 }
--- a/src/registered/ingress/zone-table.ts
+++ b/src/registered/ingress/zone-table.ts
@@ -1,24 +1,24 @@
 /**
- * @file The zones as a balancer knows them: which are evacuated, so that no new flow goes there, and when others were
- * readmitted. It owns them; only newer orders count, so a control machine that lags behind takes nothing back.
+ * @file Evacuation state of zones at a balancer: evacuated zones take no new flows. Only newer orders apply, so a lagging
+ * control machine cannot revert a change.
  */
 import type { ZoneUpdate } from '../group/group-messages.js';
 
-/** What a balancer knows of zones. */
+/** Evacuation state of zones. */
 export interface ZoneTable {
-  /** Rises with each order that is applied. */
+  /** Incremented with each applied order. */
   readonly version: number;
   applyUpdates(updates: readonly ZoneUpdate[], nowMs: number): void;
-  /** @returns all zones for which there was an order, as other balancers get them */
+  /** @returns all zones with an order, in the form that is sent to other balancers */
   updates(nowMs: number): ZoneUpdate[];
   isEvacuated(zone: string): boolean;
-  /** @returns when a zone was readmitted last, in milliseconds; undefined for never, or where it is not known */
+  /** @returns the time of the last readmission, in milliseconds; undefined if there was none or it is unknown */
   readmittedAtMs(zone: string): number | undefined;
-  /** @returns the evacuated zones and for how long each has been known here as one; undefined for none */
+  /** @returns the evacuated zones, each with the time since this balancer learned of it; undefined if there are none */
   describeEvacuated(nowMs: number): string | undefined;
 }
 
-interface KnownZone {
+interface ZoneEntry {
   readonly orders: number;
   readonly evacuatedSinceMs: number | undefined;
   readonly readmittedAtMs: number | undefined;
@@ -26,7 +26,7 @@
 
 /** @returns a table in which no zone is evacuated */
 export function createZoneTable(): ZoneTable {
-  const zones = new Map<string, KnownZone>();
+  const zones = new Map<string, ZoneEntry>();
   let version = 0;
 
   return {
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -8,7 +8,7 @@
 import { listenHttp } from '../../shared/daemon/http-server.js';
 import { ingressMetricsListener } from '../../registered/daemon/metrics/late-metrics.js';
 import { timingFor } from '../../registered/group/timing.js';
-import { countedFlowsFor } from '../../registered/ingress/counted-flows.js';
+import { maxCountedFlowsFor } from '../../registered/ingress/counted-flows.js';
 import { tokenPacketCodec } from '../../registered/ingress/token-packet.js';
 import { ingressSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
@@ -47,7 +47,7 @@
         heartbeatIntervalMs: settings.heartbeatIntervalMs,
         flowLifetimeMs: settings.flowLifetimeMs,
         feed: timing.feed,
-        maxCountedFlows: countedFlowsFor(settings.memoryMb),
+        maxCountedFlows: maxCountedFlowsFor(settings.memoryMb),
         switches: settings.policy,
         slowStartBounds: settings.coldBounds,
       },
--- a/test/registered/ingress/calm-world.test.ts
+++ b/test/registered/ingress/calm-world.test.ts
@@ -1,11 +1,11 @@
-/** @file A simulated deployment with nothing but planned work: everything is served, nothing is violated. */
+/** @file Guards against failed requests and violations in a simulated deployment without faults. */
 import t from 'tap';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
 
-async function calmWorld(seed: number): Promise<IngressWorld> {
+async function startWorld(seed: number): Promise<IngressWorld> {
   const world = new IngressWorld(seed, smallIngressWorld);
   world.start();
   await world.run(FORMATION_MS);
@@ -13,8 +13,8 @@
   return world;
 }
 
-t.test('the group forms with all machines, and balancers become ready', async (t) => {
-  const world = await calmWorld(1);
+t.test('the control group forms with all machines, and balancers become ready', async (t) => {
+  const world = await startWorld(1);
   const leaders = world.controls.filter(
     ({ process }) => process?.state.consensus.role.name === 'leader',
   );
@@ -27,7 +27,7 @@
 t.test(
   'requests are served while back ends drain, balancers restart and routes change',
   async (t) => {
-    const world = await calmWorld(2);
+    const world = await startWorld(2);
     await world.run(3_000);
     for (const backend of world.backends.slice(0, 2)) {
       world.addBackend(backend.identity.service);
--- a/test/registered/ingress/client-packets.ts
+++ b/test/registered/ingress/client-packets.ts
@@ -1,9 +1,9 @@
 /**
- * @file A packet of a client for tests, which say only what differs.
+ * @file A client packet for tests, which override the fields that matter to them.
  */
 import type { PacketView } from '../../../src/registered/ingress/packet-view.js';
 
-/** A packet of an established flow without data. */
+/** A packet of an established flow, without data. */
 export const PLAIN_PACKET: PacketView = {
   sourceHost: 1,
   sourcePort: 1_000,
--- a/test/registered/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -1,7 +1,6 @@
 /**
- * @file Zones that are emptied and taken back, in the simulated deployment. Nothing may reach the back ends of an
- * evacuated zone later than the bound, an order that comes late may undo nothing, and a zone that is taken back is
- * cold: its back ends bear few new flows a second from all balancers together.
+ * @file Guards against flows to evacuated zones, delayed orders that revert newer ones, and too many new flows to a
+ * readmitted zone, whose back ends are cold.
  */
 import t from 'tap';
 import { createStallGuard } from '../../../src/shared/common/stall-guard.js';
@@ -16,13 +15,13 @@
 } from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
-const CUT_NOTICED_MS = 500;
+const CUT_DETECTION_MS = 500;
 const KINDS = ['zone-evacuated'] as const;
-/** Some 150 new flows a second: what a zone that is taken back at once can't bear. */
-const busy: Partial<IngressWorldOptions> = { clientCount: 80, balancerCount: 12 };
+/** About 150 new flows per second: too many for a zone that was just readmitted. */
+const HIGH_LOAD: Partial<IngressWorldOptions> = { clientCount: 80, balancerCount: 12 };
 
 for (let seed = 21; seed <= 24; seed += 1) {
-  t.test(`evacuations beside all other faults, seed ${seed}`, async (t) => {
+  t.test(`evacuations combined with other faults, seed ${seed}`, async (t) => {
     const report = await runIngressWorld({
       seed,
       faultCount: 16,
@@ -44,26 +43,23 @@
 }
 
 for (const coldRequestsPerS of [0, 6, 40]) {
-  t.test(
-    `zones that are taken back, ${coldRequestsPerS} requests a second while cold`,
-    async (t) => {
-      const report = await runIngressWorld({
-        seed: 31,
-        faultCount: 12,
-        kinds: KINDS,
-        endsWithLoss: false,
-        options: { ...busy, coldRequestsPerS },
-      });
-      t.same(report.violations, []);
-      t.ok(report.servedRequests > 0);
-    },
-  );
+  t.test(`readmitted zones, ${coldRequestsPerS} requests per second while cold`, async (t) => {
+    const report = await runIngressWorld({
+      seed: 31,
+      faultCount: 12,
+      kinds: KINDS,
+      endsWithLoss: false,
+      options: { ...HIGH_LOAD, coldRequestsPerS },
+    });
+    t.same(report.violations, []);
+    t.ok(report.servedRequests > 0);
+  });
 }
 
-/** Empties a zone under load, takes it back, and tells the checks that failed, each once. */
-async function emptyZone(
+/** Evacuates and readmits a zone under load. @returns the failed checks */
+async function evacuateUnderLoad(
   prepare: (world: IngressWorld) => void,
-  options = busy,
+  options = HIGH_LOAD,
 ): Promise<Set<IngressCheck>> {
   const world = new IngressWorld(41, { ...smallIngressWorld, ...options });
   world.start();
@@ -78,16 +74,16 @@
   return new Set(world.oracle.violations.map(({ check }) => check));
 }
 
-t.test('a zone is emptied and taken back under load', async (t) => {
-  t.same(await emptyZone(() => undefined), new Set());
+t.test('a zone is evacuated and readmitted under load', async (t) => {
+  t.same(await evacuateUnderLoad(() => undefined), new Set());
 });
 
-/** Some balancers are cut off from control from before a zone is emptied until after it is taken back. */
-async function emptyZoneBehindCut(
+/** Evacuates and readmits a zone while some balancers have no connection to control machines. @returns the failed checks */
+async function evacuateDuringPartition(
   cutCount: number,
   prepare: (world: IngressWorld) => void = () => undefined,
 ): Promise<Set<IngressCheck>> {
-  const world = new IngressWorld(42, { ...smallIngressWorld, ...busy });
+  const world = new IngressWorld(42, { ...smallIngressWorld, ...HIGH_LOAD });
   world.start();
   await world.run(FORMATION_MS);
   prepare(world);
@@ -96,31 +92,31 @@
   for (const { host } of world.balancers.slice(0, cutCount)) {
     world.controls.forEach(({ address }) => world.wires.cut(host, address.host, true));
   }
-  await world.run(CUT_NOTICED_MS);
+  await world.run(CUT_DETECTION_MS);
   world.zoneOperator.evacuate('zone-a', 4_000);
   await world.run(8_000);
   return new Set(world.oracle.violations.map(({ check }) => check));
 }
 
 for (const cutCount of [2, 6]) {
-  t.test(`${cutCount} of 12 balancers are cut off while a zone is emptied`, async (t) => {
-    t.same(await emptyZoneBehindCut(cutCount), new Set());
+  t.test(`${cutCount} of 12 balancers are cut off while a zone is evacuated`, async (t) => {
+    t.same(await evacuateDuringPartition(cutCount), new Set());
   });
 }
 
-t.test('mutant: balancers that are cut off ask nobody', async (t) => {
-  const failed = await emptyZoneBehindCut(2, (world) =>
+t.test('mutant: balancers that are cut off do not query other balancers', async (t) => {
+  const failed = await evacuateDuringPartition(2, (world) =>
     world.balancers.forEach(({ process }) => {
       if (process !== undefined) {
-        process.state.peers.othersInTurn = () => [];
+        process.state.peers.rotatedPeers = () => [];
       }
     }),
   );
   t.ok(failed.has('cold'), [...failed].join(' '));
 });
 
-t.test('mutant: a balancer passes over evacuations', async (t) => {
-  const failed = await emptyZone((world) =>
+t.test('mutant: balancers ignore evacuations', async (t) => {
+  const failed = await evacuateUnderLoad((world) =>
     world.balancers.forEach(({ process }) => {
       if (process !== undefined) {
         process.state.zones.isEvacuated = () => false;
@@ -130,14 +126,14 @@
   t.ok(failed.has('evacuation'), [...failed].join(' '));
 });
 
-t.test('mutant: balancers give cold back ends what they give the others', async (t) => {
+t.test('mutant: balancers place flows on cold back ends without limit', async (t) => {
   const policy = { ...defaultSwitches, warmUp: 'ignored' as const };
-  const failed = await emptyZone(() => undefined, { ...busy, policy });
+  const failed = await evacuateUnderLoad(() => undefined, { ...HIGH_LOAD, policy });
   t.ok(failed.has('cold'), [...failed].join(' '));
 });
 
-t.test('mutant: orders are acknowledged and not kept', async (t) => {
-  const failed = await emptyZone((world) =>
+t.test('mutant: orders are acknowledged but not applied', async (t) => {
+  const failed = await evacuateUnderLoad((world) =>
     world.controls.forEach(({ process }) => {
       if (process !== undefined) {
         process.state.replicated.zones.apply = () => 'known';
@@ -147,26 +143,29 @@
   t.ok(failed.has('evacuation'), [...failed].join(' '));
 });
 
-t.test('an evacuation outlives the loss of two disks and of all power', async (t) => {
-  for (const isKept of [true, false]) {
-    const world = new IngressWorld(6, smallIngressWorld);
-    world.start();
-    await world.run(FORMATION_MS);
-    if (!isKept) {
-      world.controls.forEach(({ disk }) => (disk.sync = () => undefined));
+t.test(
+  'an evacuation survives the loss of two disks and a power loss of all machines',
+  async (t) => {
+    for (const isKept of [true, false]) {
+      const world = new IngressWorld(6, smallIngressWorld);
+      world.start();
+      await world.run(FORMATION_MS);
+      if (!isKept) {
+        world.controls.forEach(({ disk }) => (disk.sync = () => undefined));
+      }
+      const faults = new DrawnFaults(world);
+      world.zoneOperator.order('zone-a', 'evacuate', () => faults.wipeSomePowerOffAll());
+      await world.run(12_000);
+      world.readBackFromAll();
+      await world.run(1_000);
+      const isLost = world.oracle.violations.some(({ check }) => check === 'zone');
+      t.equal(isLost, !isKept, isKept ? 'kept' : 'mutant: disks do not sync');
     }
-    const faults = new DrawnFaults(world);
-    world.zoneOperator.order('zone-a', 'evacuate', () => faults.wipeSomePowerOffAll());
-    await world.run(12_000);
-    world.readBackFromAll();
-    await world.run(1_000);
-    const isLost = world.oracle.violations.some(({ check }) => check === 'zone');
-    t.equal(isLost, !isKept, isKept ? 'kept' : 'mutant: disks sync nothing');
-  }
-});
+  },
+);
 
 t.test(
-  'a group that restarts as a whole takes no zone for cold that was readmitted before',
+  'after a restart of the whole group, zones that were readmitted earlier are not cold',
   async (t) => {
     const world = new IngressWorld(8, smallIngressWorld);
     world.start();
@@ -184,9 +183,9 @@
     world.balancers.forEach((balancer) => balancer.start());
     await world.run(1_500);
     for (const { process } of world.balancers) {
-      const all = [...(process?.state.backends.all() ?? [])];
-      t.ok(all.length > 0, 'it knows back ends');
-      const cold = all.filter((backend) =>
+      const backends = [...(process?.state.backends.all() ?? [])];
+      t.ok(backends.length > 0, 'the balancer has back ends');
+      const cold = backends.filter((backend) =>
         process?.state.slowStart.isCold(backend, world.clock.nowMs),
       );
       t.same(cold, [], 'none is cold');
@@ -195,11 +194,11 @@
 );
 
 /**
- * An operator's order reaches a control machine that stands still, is given to another one and acknowledged, and is
- * taken back. The machine goes on, hears of both, and finds the first order waiting.
- * @returns what must never be and was
+ * An evacuation is sent to a frozen control machine, then sent to another one, acknowledged and reverted. The frozen
+ * machine resumes, receives both later orders, and then reads the first one from its queue.
+ * @returns the failed checks
  */
-async function lateOrder(prepare: (world: IngressWorld) => void): Promise<string[]> {
+async function delayedOrder(prepare: (world: IngressWorld) => void): Promise<string[]> {
   const world = new IngressWorld(5, smallIngressWorld);
   world.start();
   await world.run(FORMATION_MS);
@@ -209,27 +208,27 @@
   );
   frozen?.freeze(4_000);
   frozen?.call({ type: 'order-zone', zone: 'zone-a', kind: 'evacuate' }, () => undefined);
-  const ended = { evacuated: false, readmitted: false };
+  const acknowledged = { evacuated: false, readmitted: false };
   world.zoneOperator.order('zone-a', 'evacuate', (isAcknowledged) => {
-    ended.evacuated = isAcknowledged;
-    world.zoneOperator.order('zone-a', 'readmit', (isTakenBack) => {
-      ended.readmitted = isTakenBack;
+    acknowledged.evacuated = isAcknowledged;
+    world.zoneOperator.order('zone-a', 'readmit', (isReadmitted) => {
+      acknowledged.readmitted = isReadmitted;
     });
   });
   await world.run(3_900);
-  t.same(ended, { evacuated: true, readmitted: true });
+  t.same(acknowledged, { evacuated: true, readmitted: true });
   await world.run(4_000);
   world.readBackFromAll();
   await world.run(1_000);
   return world.oracle.violations.map(({ check }) => check);
 }
 
-t.test('an order that waited at a machine that stood still undoes nothing', async (t) => {
-  t.same(await lateOrder(() => undefined), []);
+t.test('an order queued at a frozen control machine does not revert newer orders', async (t) => {
+  t.same(await delayedOrder(() => undefined), []);
 });
 
-t.test('mutant: late orders are applied', async (t) => {
-  const violations = await lateOrder((world) =>
+t.test('mutant: delayed orders are applied', async (t) => {
+  const violations = await delayedOrder((world) =>
     world.controls.forEach(({ process }) => {
       if (process !== undefined) {
         const guard = createStallGuard({ stallMs: 300, rememberedMs: 0 });
--- a/test/registered/ingress/faults.test.ts
+++ b/test/registered/ingress/faults.test.ts
@@ -1,4 +1,4 @@
-/** @file The simulated deployment under drawn faults: nothing is violated, and service comes back. */
+/** @file Guards against violations, and failures to recover, in the simulated deployment under random faults. */
 import t from 'tap';
 import { drawnFaultKinds } from '../../../src/proof/sim-registered/drawn-faults.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
@@ -7,7 +7,7 @@
 const FAULTS = 12;
 
 for (const kind of drawnFaultKinds) {
-  t.test(`three times ${kind}`, async (t) => {
+  t.test(`three faults of kind ${kind}`, async (t) => {
     const report = await runIngressWorld({
       seed: 7,
       faultCount: 3,
@@ -19,7 +19,7 @@
 }
 
 for (let seed = 1; seed <= SEEDS; seed += 1) {
-  t.test(`faults of seed ${seed}`, async (t) => {
+  t.test(`random faults, seed ${seed}`, async (t) => {
     const endsWithLoss = seed % 2 === 0;
     const report = await runIngressWorld({ seed, faultCount: FAULTS, endsWithLoss });
     t.same(report.violations, []);
--- a/test/registered/ingress/frozen-balancer.test.ts
+++ b/test/registered/ingress/frozen-balancer.test.ts
@@ -1,4 +1,4 @@
-/** @file A balancer that stood still: opens that waited there were placed by others meanwhile. */
+/** @file Guards against broken flows when a frozen balancer places queued opens that others placed meanwhile. */
 import t from 'tap';
 import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
@@ -7,8 +7,8 @@
 const SEEDS = 6;
 const FAULTS = 10;
 
-/** The guard never doubts an open. */
-function trustAll(world: IngressWorld): void {
+/** Makes all balancers trust opens that were queued during a stall. */
+function disableStallGuard(world: IngressWorld): void {
   for (const { process } of world.balancers) {
     if (process !== undefined) {
       process.state.stallGuard.trustAt = () => 'fresh';
@@ -17,7 +17,7 @@
 }
 
 t.test(
-  'no flow breaks when balancers stand still and go on; a mutant without the guard does',
+  'no flow breaks when balancers freeze and resume; without the stall guard, flows break',
   async (t) => {
     let isCaught = false;
     for (let seed = 1; seed <= SEEDS; seed += 1) {
@@ -27,18 +27,18 @@
         kinds: ['balancer-frozen'],
         endsWithLoss: false,
       } as const;
-      const whole = await runIngressWorld(run);
-      t.same(whole.violations, [], `seed ${seed}`);
+      const baseline = await runIngressWorld(run);
+      t.same(baseline.violations, [], `seed ${seed}`);
       if (!isCaught) {
-        const broken = await runIngressWorld({ ...run, prepare: trustAll });
-        isCaught = broken.violations.some(({ check }) => check === 'flow');
+        const mutant = await runIngressWorld({ ...run, prepare: disableStallGuard });
+        isCaught = mutant.violations.some(({ check }) => check === 'flow');
       }
     }
-    t.ok(isCaught, 'the mutant is caught');
+    t.ok(isCaught, 'the mutant is detected');
   },
 );
 
-t.test('opens are doubted after a stall, and stale after a long one', async (t) => {
+t.test('opens are doubtful after a stall, and stale after a long one', async (t) => {
   const trustAfter = (pauseMs: number, laterMs = 0) => {
     const guard = createStallGuard({ stallMs: 300, rememberedMs: 2_000 });
     guard.recordTurn(1_000);
@@ -47,7 +47,7 @@
     return guard.trustAt(1_100 + pauseMs + laterMs);
   };
   t.equal(trustAfter(100), 'fresh');
-  t.equal(trustAfter(299), 'fresh', 'a tick that is late');
+  t.equal(trustAfter(299), 'fresh', 'a late tick');
   t.equal(trustAfter(300), 'doubtful');
   t.equal(trustAfter(1_999), 'doubtful');
   t.equal(trustAfter(2_000), 'stale');
--- a/test/registered/ingress/frozen-series.test.ts
+++ b/test/registered/ingress/frozen-series.test.ts
@@ -1,7 +1,6 @@
 /**
- * @file Balancers stand still one after the other and at the same time, for 1 to 4 s each, while clients send
- * copies of their opens elsewhere. No flow may end at two back ends: with these seeds each broke flows while two
- * balancers that asked about copies of one open at the same moment could both place it.
+ * @file Guards against flows at two back ends when balancers freeze in turn or together while clients retransmit opens to
+ * others, and two balancers that query the holders for one open at the same time could both place it.
  */
 import t from 'tap';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
@@ -10,7 +9,7 @@
 const FREEZES = 30;
 
 for (const seed of SEEDS) {
-  t.test(`balancers that stand still in turn, seed ${seed}`, async (t) => {
+  t.test(`balancers freeze repeatedly, seed ${seed}`, async (t) => {
     const report = await runIngressWorld({
       seed,
       faultCount: FREEZES,
--- a/test/registered/ingress/many-balancers.test.ts
+++ b/test/registered/ingress/many-balancers.test.ts
@@ -1,4 +1,4 @@
-/** @file Fifty balancers: promises under faults, and what a balancer sends and gets does not grow with them. */
+/** @file Guards against violations with 50 balancers, and against control traffic per balancer that grows with the fleet. */
 import t from 'tap';
 import type { DrawnFaultKind } from '../../../src/proof/sim-registered/drawn-faults.js';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
@@ -7,7 +7,7 @@
 
 const MANY = 50;
 const FEW = 8;
-/** Two back ends take one flow in one of some thousand opens only. */
+/** Enough opens for the mutant to break a flow, which happens about once in thousands. */
 const MANY_CLIENTS = 60;
 const FORMATION_MS = 6_000;
 const MEASURED_MS = 10_000;
@@ -21,11 +21,11 @@
   'all-controls-killed',
   'backend-replaced',
 ];
-/** Copies of opens reach another balancer where the first one died or its answer was lost. */
+/** Faults after which copies of an open reach another balancer. */
 const copyKinds: readonly DrawnFaultKind[] = ['datagrams-lost', 'balancer-killed'];
 
 for (let seed = 1; seed <= 3; seed += 1) {
-  t.test(`${MANY} balancers under faults of seed ${seed}`, async (t) => {
+  t.test(`${MANY} balancers under random faults, seed ${seed}`, async (t) => {
     const report = await runIngressWorld({
       seed,
       faultCount: 8,
@@ -38,20 +38,20 @@
   });
 }
 
-t.test(`mutant: ${MANY} balancers of which none remembers an open of another`, async (t) => {
+t.test(`mutant: ${MANY} balancers without memory of opens`, async (t) => {
   let isCaught = false;
   for (let seed = 1; seed <= 6 && !isCaught; seed += 1) {
     const run = { seed, faultCount: 20, kinds: copyKinds, endsWithLoss: false };
     const options = { balancerCount: MANY, clientCount: MANY_CLIENTS };
-    const whole = await runIngressWorld({ ...run, options });
-    t.same(whole.violations, [], `seed ${seed} unbroken`);
-    const broken = await runIngressWorld({ ...run, options, prepare: forgetOpens });
-    isCaught = broken.violations.some(({ check }) => check === 'flow');
+    const baseline = await runIngressWorld({ ...run, options });
+    t.same(baseline.violations, [], `seed ${seed} without the mutation`);
+    const mutant = await runIngressWorld({ ...run, options, prepare: forgetOpens });
+    isCaught = mutant.violations.some(({ check }) => check === 'flow');
   }
   t.ok(isCaught);
 });
 
-/** No memory of opens at all, neither of those placed here nor of those told. */
+/** Disables the memory of opens, both local ones and those of other balancers. */
 function forgetOpens(world: IngressWorld): void {
   for (const { process } of world.balancers) {
     if (process !== undefined) {
@@ -61,12 +61,12 @@
 }
 
 const CLIENTS_PER_BALANCER = 2;
-const MOST_GROWTH = 1.5;
+const MAX_GROWTH = 1.5;
 const BUDGET_BYTES_PER_S = 10_000;
 
 /**
- * @param prepare breaks the world, for mutants
- * @returns bytes a second between processes that one balancer sends and gets on the mean, clients in proportion
+ * @param prepare mutation of the world, if any
+ * @returns mean control traffic of a balancer, sent and received, in bytes per second; clients scale with balancers
  */
 async function controlBytesPerS(
   balancerCount: number,
@@ -92,8 +92,8 @@
   return (bytes * 1_000) / MEASURED_MS / balancerCount;
 }
 
-/** Each balancer tells all others of each open, as if there were no holders. */
-function tellAll(world: IngressWorld): void {
+/** Makes all balancers notify and query every other balancer about each open, instead of its holders. */
+function notifyAllBalancers(world: IngressWorld): void {
   const all = world.balancers.map(({ host }) => ({
     name: host,
     zone: 'zone-a',
@@ -106,17 +106,20 @@
   }
 }
 
-t.test('control bytes of a balancer grow by less than a half from few to many', async (t) => {
-  const few = await controlBytesPerS(FEW);
-  const many = await controlBytesPerS(MANY);
-  t.comment(`${Math.round(few)} bytes a second at ${FEW}, ${Math.round(many)} at ${MANY}`);
-  t.ok(many < MOST_GROWTH * few, `${few} to ${many}`);
-  t.ok(many < BUDGET_BYTES_PER_S, 'the budget of control for one balancer');
-});
+t.test(
+  'control traffic per balancer grows by less than half from few to many balancers',
+  async (t) => {
+    const few = await controlBytesPerS(FEW);
+    const many = await controlBytesPerS(MANY);
+    t.comment(`${Math.round(few)} bytes per second at ${FEW}, ${Math.round(many)} at ${MANY}`);
+    t.ok(many < MAX_GROWTH * few, `${few} to ${many}`);
+    t.ok(many < BUDGET_BYTES_PER_S, 'within the control traffic budget of a balancer');
+  },
+);
 
-t.test('mutant: each balancer tells all others of each open', async (t) => {
-  const few = await controlBytesPerS(FEW, tellAll);
-  const many = await controlBytesPerS(MANY, tellAll);
-  t.comment(`${Math.round(few)} bytes a second at ${FEW}, ${Math.round(many)} at ${MANY}`);
-  t.ok(many > MOST_GROWTH * few, 'it grows with the balancers');
+t.test('mutant: each balancer notifies all others of each open', async (t) => {
+  const few = await controlBytesPerS(FEW, notifyAllBalancers);
+  const many = await controlBytesPerS(MANY, notifyAllBalancers);
+  t.comment(`${Math.round(few)} bytes per second at ${FEW}, ${Math.round(many)} at ${MANY}`);
+  t.ok(many > MAX_GROWTH * few, 'it grows with the number of balancers');
 });
--- a/test/registered/ingress/mutants.test.ts
+++ b/test/registered/ingress/mutants.test.ts
@@ -1,4 +1,4 @@
-/** @file Each check of the oracle catches a deployment that is broken on purpose. */
+/** @file Guards against oracle checks that miss faults: each check must detect a deployment with a deliberate defect. */
 import t from 'tap';
 import type { ConfigDocument } from '../../../src/registered/group/replicated-state.js';
 import type { DrawnFaultKind } from '../../../src/proof/sim-registered/drawn-faults.js';
@@ -19,11 +19,11 @@
 const CLIENT_HOSTS = '100.64.';
 const BACKEND_HOSTS = '10.0.2.';
 const FIRST_SEED = 50;
-const SEEDS_TRIED = 6;
+const MAX_SEEDS = 6;
 
 const mutants: readonly IngressMutant[] = [
   {
-    name: 'a balancer passes over departures',
+    name: 'balancers ignore departures',
     check: 'drain',
     kinds: ['backend-replaced'],
     faultCount: 3,
@@ -35,7 +35,7 @@
       }),
   },
   {
-    name: 'a balancer forgets opens and asks nobody',
+    name: 'balancers forget opens and do not query the holders',
     check: 'flow',
     kinds: ['datagrams-lost'],
     faultCount: 8,
@@ -48,7 +48,7 @@
       }),
   },
   {
-    name: 'a balancer keeps its first configuration',
+    name: 'balancers keep their first configuration',
     check: 'config',
     kinds: ['config-changed'],
     faultCount: 4,
@@ -60,14 +60,14 @@
       }),
   },
   {
-    name: 'a control machine answers reads from its own memory',
+    name: 'control machines answer reads from local state',
     check: 'config',
     kinds: ['control-cut', 'config-changed'],
     faultCount: 16,
     breakWorld: answerFromMemory,
   },
   {
-    name: 'a balancer sends flows of every route to one service',
+    name: 'balancers send flows of all routes to one service',
     check: 'route',
     kinds: ['backend-crashed'],
     faultCount: 1,
@@ -80,21 +80,21 @@
       }),
   },
   {
-    name: 'packets of clients are changed on their way',
+    name: 'client packets are corrupted in transit',
     check: 'unasked',
     kinds: ['config-changed'],
     faultCount: 1,
-    breakWorld: (world) => alterPackets(world, CLIENT_HOSTS),
+    breakWorld: (world) => corruptPackets(world, CLIENT_HOSTS),
   },
   {
-    name: 'packets of back ends are changed on their way',
+    name: 'back end packets are corrupted in transit',
     check: 'mixed',
     kinds: ['config-changed'],
     faultCount: 1,
-    breakWorld: (world) => alterPackets(world, BACKEND_HOSTS),
+    breakWorld: (world) => corruptPackets(world, BACKEND_HOSTS),
   },
   {
-    name: 'disks sync nothing',
+    name: 'disks do not sync',
     check: 'lost',
     kinds: ['config-changed'],
     faultCount: 1,
@@ -105,7 +105,7 @@
       }),
   },
   {
-    name: 'balancers that restart never come back',
+    name: 'killed balancers do not restart',
     check: 'recover',
     kinds: ['balancer-killed'],
     faultCount: 12,
@@ -130,7 +130,7 @@
   }
 }
 
-function alterPackets(world: IngressWorld, senderHosts: string): void {
+function corruptPackets(world: IngressWorld, senderHosts: string): void {
   const { wires } = world;
   const send = wires.sendDatagram.bind(wires);
   wires.sendDatagram = (host, to, bytes) => {
@@ -141,12 +141,12 @@
 }
 
 for (const { name, check, kinds, faultCount, endsWithLoss = false, breakWorld } of mutants) {
-  t.test(`caught by ${check}: ${name}`, async (t) => {
+  t.test(`detected by ${check}: ${name}`, async (t) => {
     let isCaught = false;
-    for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS_TRIED && !isCaught; seed += 1) {
+    for (let seed = FIRST_SEED; seed < FIRST_SEED + MAX_SEEDS && !isCaught; seed += 1) {
       const run = { seed, faultCount, kinds, endsWithLoss };
-      const whole = await runIngressWorld(run);
-      t.same(whole.violations, [], `seed ${seed} unbroken`);
+      const baseline = await runIngressWorld(run);
+      t.same(baseline.violations, [], `seed ${seed} without the mutation`);
       const report = await runIngressWorld({ ...run, prepare: breakWorld });
       isCaught = report.violations.some((violation) => violation.check === check);
     }
--- a/test/registered/ingress/peer-table.test.ts
+++ b/test/registered/ingress/peer-table.test.ts
@@ -1,4 +1,4 @@
-/** @file Which balancers keep the memory of an open: the same for all, few, and spread over all. */
+/** @file Guards against balancers that disagree on the holders of an open, and against holders that are unevenly loaded. */
 import t from 'tap';
 import {
   ASKED_HOLDERS,
@@ -26,43 +26,43 @@
   return balancers.map(({ name }) => name);
 }
 
-t.test('all balancers choose the same holders; one of them leaves itself out', async (t) => {
+t.test('all balancers choose the same holders; a holder omits itself', async (t) => {
   const outside = createPeerTable('outside');
   outside.applyChanges(all, []);
   for (let key = 0; key < 50; key += 1) {
     const holders = namesOf(outside.holdersOf(`flow-${key}`, ASKED_HOLDERS));
     t.equal(holders.length, ASKED_HOLDERS);
     for (const number of [1, 40, 88]) {
-      const seen = namesOf(tableOf(number).holdersOf(`flow-${key}`, ASKED_HOLDERS));
+      const fromHolder = namesOf(tableOf(number).holdersOf(`flow-${key}`, ASKED_HOLDERS));
       t.same(
-        seen,
+        fromHolder,
         holders.filter((name) => name !== `balancer-${number}`),
       );
     }
   }
 });
 
-t.test('those that are told are among those that are asked, also when one has gone', async (t) => {
+t.test('notified holders are among the queried ones, even if one has been removed', async (t) => {
   const placing = tableOf(1);
   const asking = tableOf(2);
   for (let key = 0; key < KEYS; key += 1) {
-    const told = namesOf(placing.holdersOf(`flow-${key}`, NOTIFIED_HOLDERS));
-    const [lost = ''] = told;
+    const notified = namesOf(placing.holdersOf(`flow-${key}`, NOTIFIED_HOLDERS));
+    const [lost = ''] = notified;
     asking.applyChanges(all, []);
     asking.applyChanges([], [lost]);
     const asked = new Set([
       ...namesOf(asking.holdersOf(`flow-${key}`, ASKED_HOLDERS)),
       'balancer-2',
     ]);
-    const left = told.filter((name) => name !== lost);
-    if (!left.every((name) => asked.has(name))) {
-      t.fail(`flow-${key}: told ${told.join(' ')}, asked ${[...asked].join(' ')}`);
+    const remaining = notified.filter((name) => name !== lost);
+    if (!remaining.every((name) => asked.has(name))) {
+      t.fail(`flow-${key}: notified ${notified.join(' ')}, queried ${[...asked].join(' ')}`);
     }
   }
   t.pass();
 });
 
-t.test('the memory is spread over all balancers', async (t) => {
+t.test('holders are spread over all balancers', async (t) => {
   const table = createPeerTable('outside');
   table.applyChanges(all, []);
   const counts = new Map<string, number>();
@@ -76,7 +76,7 @@
   t.ok(Math.max(...counts.values()) < 2 * mean);
 });
 
-t.test('balancers come and go', async (t) => {
+t.test('balancers are added and removed', async (t) => {
   const table = createPeerTable('balancer-1');
   t.equal(table.size, 0);
   t.same(table.holdersOf('flow', ASKED_HOLDERS), []);
--- a/test/registered/ingress/reborn-backend.test.ts
+++ b/test/registered/ingress/reborn-backend.test.ts
@@ -1,6 +1,6 @@
 /**
- * @file A back end crashes and the next one starts at its address at once, as its own service or another; a
- * heartbeat of the first one, held up by a cut, comes after that. No balancer takes the first one for alive.
+ * @file Guards against a crashed back end that counts as alive again because of a delayed heartbeat, after a new back end
+ * has started at its address.
  */
 import t from 'tap';
 import { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
@@ -8,13 +8,13 @@
 import { smallIngressWorld } from '../../../src/proof/sim-registered/world-parts.js';
 
 const FORMATION_MS = 6_000;
-const HELD_UP_MS = 700;
-/** A tick of control, a tick of the feed, and the way between them. */
-const TOLD_MS = 200;
+const HEARTBEAT_DELAY_MS = 700;
+/** One control tick, one feed tick and the network latency. */
+const PROPAGATION_MS = 200;
 const SEEDS = 4;
 
 for (let seed = 1; seed <= SEEDS; seed += 1) {
-  t.test(`a late heartbeat of a start that is over, seed ${seed}`, async (t) => {
+  t.test(`a delayed heartbeat of a crashed back end, seed ${seed}`, async (t) => {
     const world = new IngressWorld(seed, smallIngressWorld);
     world.start();
     await world.run(FORMATION_MS);
@@ -27,23 +27,23 @@
     first.crash();
     world.addBackend(SIMULATED_SERVICES[seed % SIMULATED_SERVICES.length] ?? 'alpha', address);
     const next = world.backends.at(-1)?.identity.id ?? '';
-    await world.run(TOLD_MS);
-    t.same(livenessOf(world, id), ['dead'], 'once the next one is heard of');
-    await world.run(HELD_UP_MS);
+    await world.run(PROPAGATION_MS);
+    t.same(livenessOf(world, id), ['dead'], 'after the first heartbeat of the next one');
+    await world.run(HEARTBEAT_DELAY_MS);
     first.deliverHeldUpHeartbeat();
-    await world.run(TOLD_MS);
-    t.same(livenessOf(world, id), ['dead'], 'after the late heartbeat');
+    await world.run(PROPAGATION_MS);
+    t.same(livenessOf(world, id), ['dead'], 'after the delayed heartbeat');
     t.same(livenessOf(world, next), ['alive']);
     world.balancers[0]?.kill();
     world.balancers[0]?.start();
     await world.run(FORMATION_MS);
-    t.same(livenessOf(world, id), ['dead'], 'also on a balancer that has just started');
+    t.same(livenessOf(world, id), ['dead'], 'also on a balancer that was just restarted');
     t.same(world.oracle.violations, []);
   });
 }
 
-/** @returns what the balancers that know a back end take it for, each once */
+/** @returns the distinct liveness values of a back end over all balancers that have it */
 function livenessOf(world: IngressWorld, id: string): (string | undefined)[] {
-  const known = world.balancers.flatMap(({ process }) => process?.state.backends.find(id) ?? []);
-  return [...new Set(known.map(({ registration }) => registration.liveness))];
+  const found = world.balancers.flatMap(({ process }) => process?.state.backends.find(id) ?? []);
+  return [...new Set(found.map(({ registration }) => registration.liveness))];
 }
--- a/test/registered/ingress/restarted-backend.test.ts
+++ b/test/registered/ingress/restarted-backend.test.ts
@@ -1,11 +1,6 @@
 /**
- * @file A back end starts again under its ID. It serves as a new one: nothing that is known of the start before (departure,
- * address, warm-up, sequence) is held against it, no packet of a flow of before is sent to it, and what the start before
- * has sent, and comes late, changes nothing.
- *
- * Before starts had names, heartbeats of the next start were dropped as late until its sequence passed the last one of the
- * start before, though they were acknowledged; and a start that had said that it drains was followed by one that never
- * got a flow.
+ * @file Guards against state of an earlier start (departure, address, warm-up, sequence) that is applied to a restarted back
+ * end, against its packets reaching the new start, and against delayed messages of the earlier start.
  */
 import t from 'tap';
 import { drawnFaultKinds } from '../../../src/proof/sim-registered/drawn-faults.js';
@@ -20,10 +15,10 @@
 
 const FORMATION_MS = 6_000;
 const SERVED_MS = 3_000;
-/** A tick of control, a tick of the feed, and the way between them. */
-const TOLD_MS = 200;
-/** What changes is in force everywhere within this time (`applyBoundMs`); a cold back end gets fewer flows before. */
-const SERVES_WITHIN_MS = smallIngressWorld.applyBoundMs + WARM_UP_MS;
+/** One control tick, one feed tick and the network latency. */
+const PROPAGATION_MS = 200;
+/** The change reaches all balancers within `applyBoundMs`; the warm-up limits new flows after that. */
+const MAX_TIME_TO_SERVE_MS = smallIngressWorld.applyBoundMs + WARM_UP_MS;
 const SEEDS = 4;
 const DRAWN_SEEDS = 16;
 const FAULTS = 12;
@@ -41,74 +36,81 @@
   return { world, first };
 }
 
-/** @returns what the balancers take a start for, each liveness once; nothing where none knows it */
+/** @returns the distinct liveness values of a start over all balancers that have it */
 function livenessOf(world: IngressWorld, { startId }: StandInBackend): string[] {
-  const known = world.balancers.flatMap(
+  const found = world.balancers.flatMap(
     ({ process }) => process?.state.backends.find(startId) ?? [],
   );
-  return [...new Set(known.map(({ registration }) => registration.liveness))];
+  return [...new Set(found.map(({ registration }) => registration.liveness))];
 }
 
 for (let seed = 1; seed <= SEEDS; seed += 1) {
-  t.test(`the next start is used at once, and the one before no more, seed ${seed}`, async (t) => {
-    const { world, first } = await servingWorld(seed);
-    const next = world.restartBackend(first);
-    await world.run(TOLD_MS);
-    t.same(livenessOf(world, first), ['dead']);
-    t.same(livenessOf(world, next), ['alive']);
-    await world.run(SERVES_WITHIN_MS);
-    t.ok(next.acceptedFlows > 0, `${next.acceptedFlows} flows`);
-    t.same(world.oracle.violations, []);
-  });
+  t.test(
+    `the new start is used at once and the previous one no longer, seed ${seed}`,
+    async (t) => {
+      const { world, first } = await servingWorld(seed);
+      const next = world.restartBackend(first);
+      await world.run(PROPAGATION_MS);
+      t.same(livenessOf(world, first), ['dead']);
+      t.same(livenessOf(world, next), ['alive']);
+      await world.run(MAX_TIME_TO_SERVE_MS);
+      t.ok(next.acceptedFlows > 0, `${next.acceptedFlows} flows`);
+      t.same(world.oracle.violations, []);
+    },
+  );
 
-  t.test(`a start that drained is not held against the next one, seed ${seed}`, async (t) => {
+  t.test(`the drain of the previous start does not affect the new one, seed ${seed}`, async (t) => {
     const { world, first } = await servingWorld(seed);
     first.leave(true, () => undefined);
-    await world.run(TOLD_MS);
+    await world.run(PROPAGATION_MS);
     const next = world.restartBackend(first);
-    await world.run(TOLD_MS);
+    await world.run(PROPAGATION_MS);
     first.deliverHeldUpHeartbeat();
-    await world.run(SERVES_WITHIN_MS);
+    await world.run(MAX_TIME_TO_SERVE_MS);
     t.ok(next.acceptedFlows > 0, `${next.acceptedFlows} flows`);
     t.same(livenessOf(world, next), ['alive']);
     t.same(world.oracle.violations, []);
   });
 
-  t.test(`what a start has sent and comes late, seed ${seed}`, async (t) => {
+  t.test(`delayed messages of the previous start, seed ${seed}`, async (t) => {
     const { world, first } = await servingWorld(seed);
     const moved = { host: '10.0.5.1', port: first.identity.address.port };
     const next = world.restartBackend(first, moved);
-    await world.run(TOLD_MS);
+    await world.run(PROPAGATION_MS);
     first.deliverHeldUpHeartbeat();
     first.deliverHeldUpDeparture();
-    await world.run(TOLD_MS);
-    t.same(livenessOf(world, first), ['dead'], 'the heartbeat');
+    await world.run(PROPAGATION_MS);
+    t.same(livenessOf(world, first), ['dead'], 'despite its delayed heartbeat');
     t.same(livenessOf(world, next), ['alive']);
     const departed = world.controls.map(({ process }) =>
       process?.state.replicated.departureOf(next.startId),
     );
-    t.same(new Set(departed), new Set([undefined]), 'the departure ends the start that sent it');
-    await world.run(SERVES_WITHIN_MS);
+    t.same(
+      new Set(departed),
+      new Set([undefined]),
+      'the departure applies only to the start that sent it',
+    );
+    await world.run(MAX_TIME_TO_SERVE_MS);
     t.ok(next.acceptedFlows > 0, `${next.acceptedFlows} flows`);
   });
 
-  t.test(`control machines that have all started again, seed ${seed}`, async (t) => {
+  t.test(`all control machines restart, seed ${seed}`, async (t) => {
     const { world, first } = await servingWorld(seed);
     const next = world.restartBackend(first);
     await world.run(SERVED_MS);
     world.controls.forEach((control) => control.kill());
-    await world.run(TOLD_MS);
+    await world.run(PROPAGATION_MS);
     world.controls.forEach((control) => control.start(false));
     await world.run(SERVED_MS);
     first.deliverHeldUpHeartbeat();
-    await world.run(TOLD_MS);
+    await world.run(PROPAGATION_MS);
     t.same(livenessOf(world, first), ['dead']);
     t.same(livenessOf(world, next), ['alive']);
   });
 }
 
 for (const kind of restartFaultKinds) {
-  t.test(`three times ${kind}`, async (t) => {
+  t.test(`three faults of kind ${kind}`, async (t) => {
     const report = await runIngressWorld({
       seed: 7,
       faultCount: 3,
@@ -120,7 +122,7 @@
 }
 
 for (let seed = 1; seed <= DRAWN_SEEDS; seed += 1) {
-  t.test(`restarts among all other faults, seed ${seed}`, async (t) => {
+  t.test(`restarts combined with other faults, seed ${seed}`, async (t) => {
     const report = await runIngressWorld({
       seed,
       faultCount: FAULTS,
--- a/test/registered/ingress/route-table.test.ts
+++ b/test/registered/ingress/route-table.test.ts
@@ -1,4 +1,4 @@
-/** @file The routes in force: shares by weight, and never an older configuration after a newer one. */
+/** @file Guards against shares that deviate from the weights, and against older configurations that replace newer ones. */
 import t from 'tap';
 import { fullUpdate, type ConfigUpdate } from '../../../src/registered/declared/config-update.js';
 import { RouteTable } from '../../../src/registered/ingress/route-table.js';
@@ -25,7 +25,7 @@
   });
 }
 
-t.test('after any number of flows each target is within one flow of its share', async (t) => {
+t.test('each target is always within one flow of its share', async (t) => {
   const weights = [90, 7, 3];
   const total = 100;
   const table = new RouteTable();
@@ -45,14 +45,14 @@
   t.pass();
 });
 
-t.test('a target without weight takes nothing', async (t) => {
+t.test('a target with weight 0 gets no flows', async (t) => {
   const table = new RouteTable();
   table.applyUpdate(config(1, [1, 0]));
   const services = Array.from({ length: 20 }, () => table.nextService(HOST, PORT));
   t.same(new Set(services), new Set(['service-0']));
 });
 
-t.test('an older configuration, or the same again, changes nothing', async (t) => {
+t.test('an update that is not newer is ignored', async (t) => {
   const table = new RouteTable();
   t.equal(table.applyUpdate(config(5, [1])), 'applied');
   t.equal(table.applyUpdate(config(4, [0, 1])), 'known');
--- a/test/registered/ingress/token-packet.test.ts
+++ b/test/registered/ingress/token-packet.test.ts
@@ -1,4 +1,4 @@
-/** @file The product's packets: what is none is no packet, and on the way only the token changes. */
+/** @file Guards against malformed input that is accepted as a packet, and against changes other than to the token in transit. */
 import fc from 'fast-check';
 import { Packr } from 'msgpackr';
 import t from 'tap';
@@ -26,7 +26,7 @@
 });
 const INSTANCE = Buffer.from('00000000000000a1', 'hex');
 
-t.test('a packet is read field by field', async (t) => {
+t.test('a packet is decoded into its view', async (t) => {
   t.match(tokenPacketCodec.read(encodePacket(PACKET)), {
     sourceHost: 0x64400007,
     sourcePort: 40_001,
@@ -37,7 +37,7 @@
   });
 });
 
-t.test('towards a back end only the token changes', async (t) => {
+t.test('only the token changes on the way to a back end', async (t) => {
   const forBackend = decodeForBackend(
     tokenPacketCodec.toBackend(encodePacket(PACKET), INSTANCE, 77),
   );
@@ -45,14 +45,14 @@
   t.ok(forBackend !== undefined && isIntact(forBackend.packet));
 });
 
-t.test('a reset goes back to the client', async (t) => {
+t.test('a reset is addressed to the client', async (t) => {
   const view = tokenPacketCodec.read(encodePacket(PACKET));
   const reset = view === undefined ? undefined : decodePacket(tokenPacketCodec.resetFor(view));
   t.match(reset, { kind: 'reset', from: PACKET.to, to: PACKET.from });
   t.same(view === undefined ? undefined : tokenPacketCodec.clientAddress(view), PACKET.from);
 });
 
-t.test('other bytes and other values are no packet', async (t) => {
+t.test('malformed bytes and values are rejected', async (t) => {
   const values = fc.oneof(
     fc.uint8Array({ maxLength: 300 }),
     fc.jsonValue().map((value) => packr.pack(value)),
--- a/test/registered/ingress/zone-table.test.ts
+++ b/test/registered/ingress/zone-table.test.ts
@@ -1,4 +1,4 @@
-/** @file What a balancer believes of zones, and what it gives to cold back ends. */
+/** @file Guards against outdated evacuation state, and against too many new flows to cold back ends. */
 import t from 'tap';
 import { BackendTable } from '../../../src/registered/ingress/backend-table.js';
 import type { KnownBackend } from '../../../src/registered/ingress/known-backend.js';
@@ -13,7 +13,7 @@
 const WARM_UP = { service: 'alpha', warmUpMs: 2_000 };
 const HEARTBEAT_MS = 1_200;
 
-t.test('a control machine that lags behind takes nothing back', async (t) => {
+t.test('a lagging control machine does not revert newer orders', async (t) => {
   const zones = createZoneTable();
   zones.applyUpdates([{ zone: 'a', isEvacuated: true, orders: 3 }], 1_000);
   zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 2 }], 1_100);
@@ -25,8 +25,8 @@
   t.equal(zones.describeEvacuated(2_000), undefined);
 });
 
-/** Balancers that all know each other, before one back end that is cold until 2,000 ms. */
-function balancersWith(count: number, bounds: SlowStartBounds, coldRequestsPerS: number) {
+/** Slow starts of balancers that list each other, and one back end that is cold until 2,000 ms. */
+function slowStartsOf(count: number, bounds: SlowStartBounds, coldRequestsPerS: number) {
   const names = Array.from({ length: count }, (_, index) => `balancer-${index}`);
   const infos = names.map((name) => ({
     name,
@@ -34,7 +34,7 @@
     peerAddress: { host: '10.0.3.1', port: 1 },
   }));
   const backend = coldBackend();
-  const shares = names.map((name) => {
+  const slowStarts = names.map((name) => {
     const peers = createPeerTable(name);
     peers.applyChanges(infos, []);
     return createSlowStart({
@@ -46,7 +46,7 @@
       isFeedCurrent: () => true,
     });
   });
-  return { shares, backend };
+  return { slowStarts, backend };
 }
 
 function coldBackend(): KnownBackend {
@@ -62,32 +62,35 @@
 ];
 
 for (const { balancers, bounds, coldRequestsPerS } of cases) {
-  t.test(`${balancers} balancers, ${coldRequestsPerS} requests a second while cold`, async (t) => {
-    const { shares, backend } = balancersWith(balancers, bounds, coldRequestsPerS);
-    const times: number[] = [];
-    for (let nowMs = 0; nowMs < 2_000; nowMs += 5) {
-      for (const share of shares) {
-        if (share.admits(backend, nowMs)) {
-          share.recordPlacement(backend, nowMs);
-          times.push(nowMs);
+  t.test(
+    `${balancers} balancers, ${coldRequestsPerS} requests per second while cold`,
+    async (t) => {
+      const { slowStarts, backend } = slowStartsOf(balancers, bounds, coldRequestsPerS);
+      const times: number[] = [];
+      for (let nowMs = 0; nowMs < 2_000; nowMs += 5) {
+        for (const slowStart of slowStarts) {
+          if (slowStart.admits(backend, nowMs)) {
+            slowStart.recordPlacement(backend, nowMs);
+            times.push(nowMs);
+          }
         }
       }
-    }
-    const mostInASecond = Math.max(
-      ...times.map((from) => times.filter((at) => at >= from && at < from + 1_000).length),
-    );
-    const allowed = coldRequestsPerS * bounds.excess + bounds.slackPerS;
-    t.ok(mostInASecond <= allowed / 2, `${mostInASecond} of ${allowed}`);
-    t.ok(times.length >= Math.floor(allowed / 2), 'the share is given');
-    t.ok(
-      shares.every((share) => share.admits(backend, 2_001)),
-      'warm now',
-    );
-  });
+      const maxPerSecond = Math.max(
+        ...times.map((from) => times.filter((at) => at >= from && at < from + 1_000).length),
+      );
+      const allowed = coldRequestsPerS * bounds.excess + bounds.slackPerS;
+      t.ok(maxPerSecond <= allowed / 2, `${maxPerSecond} of ${allowed}`);
+      t.ok(times.length >= Math.floor(allowed / 2), 'the share is used');
+      t.ok(
+        slowStarts.every((slowStart) => slowStart.admits(backend, 2_001)),
+        'warm',
+      );
+    },
+  );
 }
 
-t.test('a balancer that does not know the others gives nothing to cold back ends', async (t) => {
-  const share = createSlowStart({
+t.test('a balancer without a current feed places no flows on cold back ends', async (t) => {
+  const slowStart = createSlowStart({
     bounds: { excess: 1.5, slackPerS: 500 },
     heartbeatIntervalMs: HEARTBEAT_MS,
     zones: createZoneTable(),
@@ -96,28 +99,34 @@
     isFeedCurrent: (nowMs) => nowMs < 1_000,
   });
   const backend = coldBackend();
-  t.ok(share.admits(backend, 500));
-  t.notOk(share.admits(backend, 1_000));
-  t.ok(share.admits(backend, 2_000), 'warm');
+  t.ok(slowStart.admits(backend, 500));
+  t.notOk(slowStart.admits(backend, 1_000));
+  t.ok(slowStart.admits(backend, 2_000), 'warm');
 });
 
-t.test('back ends of a zone that is taken back are cold until they have surely told', async (t) => {
-  const zones = createZoneTable();
-  const share = createSlowStart({
-    bounds: { excess: 1, slackPerS: 0 },
-    heartbeatIntervalMs: HEARTBEAT_MS,
-    zones,
-    peers: createPeerTable('balancer-1'),
-    warmUpOf: () => ({ service: 'alpha', warmUpMs: 9_000, coldRequestsPerS: 0 }),
-    isFeedCurrent: () => true,
-  });
-  const backend = coldBackend();
-  zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 2, readmittedAgoMs: 0 }], 10_000);
-  t.ok(share.isCold(backend, 10_000));
-  Object.assign(backend.registration, { recordReceivedAtMs: 11_000 });
-  t.ok(share.isCold(backend, 12_000), 'that may have been sent before and held up');
-  Object.assign(backend.registration, { recordReceivedAtMs: 12_500 });
-  t.notOk(share.isCold(backend, 12_500));
-  Object.assign(backend.registration, { recordReceivedAtMs: 0 });
-  t.notOk(share.isCold(backend, 19_000), 'its warm-up is over, whatever it tells');
-});
+t.test(
+  'back ends of a readmitted zone are cold until a record from after the readmission arrives',
+  async (t) => {
+    const zones = createZoneTable();
+    const slowStart = createSlowStart({
+      bounds: { excess: 1, slackPerS: 0 },
+      heartbeatIntervalMs: HEARTBEAT_MS,
+      zones,
+      peers: createPeerTable('balancer-1'),
+      warmUpOf: () => ({ service: 'alpha', warmUpMs: 9_000, coldRequestsPerS: 0 }),
+      isFeedCurrent: () => true,
+    });
+    const backend = coldBackend();
+    zones.applyUpdates([{ zone: 'a', isEvacuated: false, orders: 2, readmittedAgoMs: 0 }], 10_000);
+    t.ok(slowStart.isCold(backend, 10_000));
+    Object.assign(backend.registration, { recordReceivedAtMs: 11_000 });
+    t.ok(
+      slowStart.isCold(backend, 12_000),
+      'the record may have been sent before the readmission and delayed',
+    );
+    Object.assign(backend.registration, { recordReceivedAtMs: 12_500 });
+    t.notOk(slowStart.isCold(backend, 12_500));
+    Object.assign(backend.registration, { recordReceivedAtMs: 0 });
+    t.notOk(slowStart.isCold(backend, 19_000), 'its warm-up is over, regardless of its records');
+  },
+);
