--- a/src/registered/daemon/feed-follower.ts
+++ b/src/registered/daemon/feed-follower.ts
@@ -158,8 +158,8 @@
 
 /** @returns time since a control machine last reported that its feed is current, in milliseconds; undefined before that */
 export function feedAgeMs({ feedStatus }: IngressState, nowMs: number): number | undefined {
-  const { currentAtMs } = feedStatus;
-  return currentAtMs === undefined ? undefined : Math.round(nowMs - currentAtMs);
+  const { lastCurrentAtMs } = feedStatus;
+  return lastCurrentAtMs === undefined ? undefined : Math.round(nowMs - lastCurrentAtMs);
 }
 
 /** @returns the first message of a link */
@@ -169,7 +169,7 @@
   needsFullConfig: boolean,
 ): BalancerLinkMessage {
   const { name, zone } = state.options;
-  const { unfinished } = state.assembly;
+  const { unfinished } = state.configAssembly;
   const heldVersion = state.routes.config?.version ?? NO_VERSION;
   return {
     type: 'subscribe',
--- a/src/registered/daemon/zone-gossip.ts
+++ b/src/registered/daemon/zone-gossip.ts
@@ -6,7 +6,7 @@
 import type { Address } from '../../shared/common/address.js';
 import type { ZoneUpdate } from '../group/group-messages.js';
 import type { BalancerMessage } from '../group/message-schemas.js';
-import { knowsCurrent, type IngressState } from '../ingress/ingress-state.js';
+import { isFeedCurrent, type IngressState } from '../ingress/ingress-state.js';
 
 /** Options and dependencies of the gossip. */
 export interface ZoneGossipOptions {
@@ -41,11 +41,11 @@
   return { tick, handleQuery, applyUpdates };
 
   function tick(nowMs: number): void {
-    if (nowMs < nextQueryAtMs || knowsCurrent(state, nowMs)) {
+    if (nowMs < nextQueryAtMs || isFeedCurrent(state, nowMs)) {
       return;
     }
     nextQueryAtMs = nowMs + QUERY_INTERVAL_MS;
-    for (const { peerAddress } of state.peers.othersInTurn(nextOffset, QUERY_FANOUT)) {
+    for (const { peerAddress } of state.peers.rotatedPeers(nextOffset, QUERY_FANOUT)) {
       sendToBalancer(peerAddress, { type: 'find-zones', replyTo });
     }
     nextOffset += QUERY_FANOUT;
