--- a/src/managed/daemon/control-edge.ts
+++ b/src/managed/daemon/control-edge.ts
@@ -4,7 +4,7 @@
 import { randomBytes } from 'node:crypto';
 import { TOKEN_KEY_LENGTH_BYTES } from '../flow/token.js';
 import { match } from 'ts-pattern';
-import { createDialedLinks } from '../../shared/common/dialed-links.js';
+import { createOutboundLinks } from '../../shared/common/outbound-links.js';
 import { createLinkTable } from '../../shared/common/link-table.js';
 import { loggerFor } from '../../shared/common/logger.js';
 import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
@@ -34,7 +34,7 @@
 export class ControlEdge implements LinkHandlers {
   private readonly contexts = systemContextSource();
   private readonly logger = loggerFor('consensus');
-  private readonly peers = createDialedLinks<MessageLink>({
+  private readonly peers = createOutboundLinks<MessageLink>({
     nowMs: () => performance.now(),
     dial: (to, onClose) => connectLink(to, { onMessage: () => false, onClose }),
     firstRetryDelayMs: FIRST_RETRY_DELAY_MS,
--- a/src/proof/sim-managed/simulated-control.ts
+++ b/src/proof/sim-managed/simulated-control.ts
@@ -4,7 +4,7 @@
  */
 import { match } from 'ts-pattern';
 import type { Address } from '../../shared/common/address.js';
-import type { DialedLinks } from '../../shared/common/dialed-links.js';
+import type { OutboundLinks } from '../../shared/common/outbound-links.js';
 import type { PersistEffect } from '../../shared/consensus/persisted-state.js';
 import { operatorTokenHash } from '../../managed/control/command-hash.js';
 import {
@@ -67,7 +67,7 @@
   /** Undefined while it reads its disk. */
   state: ControlState | undefined;
   private storage: ConsensusStorage | undefined;
-  private peerLinks: DialedLinks<VirtualLinkEnd> | undefined;
+  private peerLinks: OutboundLinks<VirtualLinkEnd> | undefined;
   private readonly links = new Map<number, VirtualLinkEnd>();
   private readonly commands = new Map<number, (outcome: CommandOutcome) => void>();
   private readonly queries = new Map<number, (shown: StateAnswer) => void>();
--- a/src/proof/sim-managed/simulated-peer-links.ts
+++ b/src/proof/sim-managed/simulated-peer-links.ts
@@ -2,7 +2,7 @@
  * @file How a simulated control machine opens its links to the other control machines: the product's dialer over virtual links.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
-import { createDialedLinks, type DialedLinks } from '../../shared/common/dialed-links.js';
+import { createOutboundLinks, type OutboundLinks } from '../../shared/common/outbound-links.js';
 import type { Simulation } from './simulation.js';
 import { connectVirtualLink, type VirtualLinkEnd } from '../virtual/virtual-links.js';
 
@@ -16,8 +16,8 @@
 export function createSimulatedPeerLinks(
   simulation: Simulation,
   host: string,
-): DialedLinks<VirtualLinkEnd> {
-  return createDialedLinks({
+): OutboundLinks<VirtualLinkEnd> {
+  return createOutboundLinks({
     nowMs: () => simulation.nowMs,
     dial: (to, onClose) => dial(simulation, host, to, onClose),
     firstRetryDelayMs: FIRST_RETRY_DELAY_MS,
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -3,7 +3,7 @@
  */
 import type { Address } from '../../shared/common/address.js';
 import { formatAddress } from '../../shared/common/address.js';
-import { createDialedLinks, type DialedLinks } from '../../shared/common/dialed-links.js';
+import { createOutboundLinks, type OutboundLinks } from '../../shared/common/outbound-links.js';
 import { createLinkTable } from '../../shared/common/link-table.js';
 import type { GroupReply } from '../../registered/group/group-events.js';
 import { startNumberOf } from '../../registered/group/calls/forward-ids.js';
@@ -40,7 +40,7 @@
   readonly disk: VirtualDisk;
   process: GroupProcess | undefined;
   private readonly gate: ProcessGate;
-  private peerLinks: DialedLinks<VirtualLink> | undefined;
+  private peerLinks: OutboundLinks<VirtualLink> | undefined;
   private readonly feedLinks = createLinkTable<VirtualLink>();
   private nextStorageNumber = 1;
 
@@ -148,7 +148,7 @@
       storage.recovered,
       startNumberOf(generation),
     );
-    const peerLinks = createDialedLinks<VirtualLink>({
+    const peerLinks = createOutboundLinks<VirtualLink>({
       nowMs: () => clock.nowMs,
       dial: (to, onClose) =>
         wires.connect(this.address.host, to, { onMessage: () => false, onClose }),
--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -10,12 +10,12 @@
  * dropped: the protocols above send again.
  *
  * Owns all links of a process, dialed and accepted, and the timer of their pulses. Who dials again, and when, is decided by
- * `shared/common/dialed-links.ts` and `decisions/feed-source.ts`.
+ * `shared/common/outbound-links.ts` and `decisions/feed-source.ts`.
  */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import type { Address } from '../../shared/common/address.js';
-import { encodeFrame, FrameDecoder, pulseFrame } from '../../shared/common/frame-codec.js';
+import { encodeFrame, FrameDecoder, keepAliveFrame } from '../../shared/common/frame-codec.js';
 import type { Timing } from '../group/timing.js';
 
 /** Times and bounds of links. */
@@ -206,7 +206,7 @@
         link.giveUp(`Nothing came for ${this.options.silentAfterMs} ms.`);
       } else if (now - link.sentAtMs >= this.options.pulseIntervalMs / 2 && link.socket.writable) {
         link.sentAtMs = now;
-        link.socket.write(pulseFrame);
+        link.socket.write(keepAliveFrame);
       }
     }
   }
--- a/src/registered/daemon/group-daemon.ts
+++ b/src/registered/daemon/group-daemon.ts
@@ -7,7 +7,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Result } from 'neverthrow';
 import type { Address } from '../../shared/common/address.js';
-import { createDialedLinks } from '../../shared/common/dialed-links.js';
+import { createOutboundLinks } from '../../shared/common/outbound-links.js';
 import { encodeFrame } from '../../shared/common/frame-codec.js';
 import { createLinkTable } from '../../shared/common/link-table.js';
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
@@ -50,7 +50,7 @@
 export class GroupDaemon {
   private readonly links: FrameLinks;
   private readonly feedLinks = createLinkTable<FrameLink>();
-  private readonly peers = createDialedLinks<FrameLink>({
+  private readonly peers = createOutboundLinks<FrameLink>({
     nowMs: () => performance.now(),
     // Nothing but pulses comes back on a link that was dialed.
     dial: (to, onClose) => this.links.connect(to, { onMessage: () => false, onClose }),
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -148,7 +148,7 @@
 
   function tick(): void {
     const tickAtMs = nowMs();
-    state.stallGuard.recordTurn(tickAtMs);
+    state.stallGuard.recordActivity(tickAtMs);
     feed.tick(tickAtMs);
     zones.tick(tickAtMs);
     log.changedZones(tickAtMs);
--- a/src/registered/daemon/packet-handler.ts
+++ b/src/registered/daemon/packet-handler.ts
@@ -76,7 +76,7 @@
     }
     const nowMs = options.nowMs();
     lastPacketAtMs = nowMs;
-    state.stallGuard.recordTurn(nowMs);
+    state.stallGuard.recordActivity(nowMs);
     carryOut(decidePacket(state, packet, nowMs), datagram, packet);
   }
 
--- a/src/registered/decisions/open-admission.ts
+++ b/src/registered/decisions/open-admission.ts
@@ -4,9 +4,9 @@
  * break. A first copy that arrives without delay cannot have been placed elsewhere.
  */
 import {
-  createStallGuard,
-  type InputTrust,
-  type StallGuard,
+  createStallDetector,
+  type InputFreshness,
+  type StallDetector,
 } from '../../shared/common/stall-guard.js';
 import { OPEN_LIFETIME_MS } from '../ingress/open-memory.js';
 
@@ -19,8 +19,8 @@
 const STALL_MS = 150;
 
 /** @returns a guard that must record each turn of the process; its trust is an input of `admitOpen` */
-export function createOpenStallGuard(): StallGuard {
-  return createStallGuard({ stallMs: STALL_MS, rememberedMs: OPEN_LIFETIME_MS });
+export function createOpenStallGuard(): StallDetector {
+  return createStallDetector({ stallThresholdMs: STALL_MS, peerRetentionMs: OPEN_LIFETIME_MS });
 }
 
 /**
@@ -28,7 +28,7 @@
  * @param canAskPeers false where the memory of opens is not shared, or no other balancer is known
  */
 export function admitOpen(
-  trust: InputTrust,
+  trust: InputFreshness,
   copyNumber: number,
   canAskPeers: boolean,
 ): OpenAdmission {
--- a/src/registered/decisions/open-claims.ts
+++ b/src/registered/decisions/open-claims.ts
@@ -5,7 +5,7 @@
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { FlowKey } from '../ingress/packet-view.js';
-import { createPeriodMap } from '../../shared/common/period-map.js';
+import { createExpiringMap } from '../../shared/common/expiring-map.js';
 
 /** Claims on opens that are about to be placed. */
 interface OpenClaims {
@@ -34,7 +34,7 @@
 
 /** @returns an empty set of claims */
 export function createOpenClaims(): OpenClaims {
-  const claims = createPeriodMap<FlowKey, Claim>({
+  const claims = createExpiringMap<FlowKey, Claim>({
     periodMs: CLAIM_LIFETIME_MS,
     maxEntries: MAX_CLAIMS,
   });
--- a/src/registered/egress/sent-copies.ts
+++ b/src/registered/egress/sent-copies.ts
@@ -7,7 +7,7 @@
  * fullest of 80 balancers, with links of 1.5 megabits a second, 2,716 were such copies. A packet that was lost behind the
  * link is sent again with a later copy.
  */
-import { createPeriodMap } from '../../shared/common/period-map.js';
+import { createExpiringMap } from '../../shared/common/expiring-map.js';
 import type { WaitingPacket } from './flow-queues.js';
 
 /** The packets that left lately. */
@@ -23,7 +23,7 @@
 
 /** @returns a memory of nothing */
 export function createSentCopies(): SentCopies {
-  const leftAtMs = createPeriodMap<string, number>({
+  const leftAtMs = createExpiringMap<string, number>({
     periodMs: COPY_AFTER_MS,
     maxEntries: MAX_REMEMBERED,
   });
--- a/src/registered/group/calls/order-guard.ts
+++ b/src/registered/group/calls/order-guard.ts
@@ -4,7 +4,7 @@
  * Returns the guard that zone-order-calls.ts asks before it accepts an order. How long orders are refused after a pause
  * stands in shared/common/stall-guard.ts.
  */
-import { createStallGuard, type StallGuard } from '../../../shared/common/stall-guard.js';
+import { createStallDetector, type StallDetector } from '../../../shared/common/stall-guard.js';
 
 /**
  * A pause of this process from which on orders may be late. An order that waited for less is as new as any that was on
@@ -14,6 +14,6 @@
 const ORDER_STALL_MS = 300;
 
 /** @returns the guard that detects pauses of this process; no order is remembered by others, so none is doubtful */
-export function createOrderGuard(): StallGuard {
-  return createStallGuard({ stallMs: ORDER_STALL_MS, rememberedMs: 0 });
+export function createOrderGuard(): StallDetector {
+  return createStallDetector({ stallThresholdMs: ORDER_STALL_MS, peerRetentionMs: 0 });
 }
--- a/src/registered/group/calls/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -34,7 +34,7 @@
   if (!hasZone(state, zone)) {
     return [{ type: 'reply', requestId, reply: unknownZone(state, zone, nowMs) }];
   }
-  if (state.stallGuard.trustAt(nowMs) !== 'fresh') {
+  if (state.stallGuard.freshnessAt(nowMs) !== 'fresh') {
     const reason = 'This process stood still a moment ago: the order may be old.';
     return [{ type: 'reply', requestId, reply: { type: 'unavailable', reason } }];
   }
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -5,7 +5,7 @@
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { LinkId } from '../../shared/common/link-table.js';
-import type { StallGuard } from '../../shared/common/stall-guard.js';
+import type { StallDetector } from '../../shared/common/stall-guard.js';
 import {
   createConsensusState,
   type ConsensusOptions,
@@ -72,7 +72,7 @@
   /** When this machine saw zones being readmitted (zone-readmissions.ts). */
   readonly readmissions: ZoneReadmissions;
   /** Detects pauses of this process, for orders that waited meanwhile (calls/order-guard.ts). */
-  readonly stallGuard: StallGuard;
+  readonly stallGuard: StallDetector;
 }
 
 /**
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -37,7 +37,7 @@
   context: StepContext,
 ): GroupEffect[] {
   const { nowMs } = context;
-  state.stallGuard.recordTurn(nowMs);
+  state.stallGuard.recordActivity(nowMs);
   const run = (consensusEvent: ConsensusEvent) => runConsensus(state, consensusEvent, context);
   return match(event)
     .with({ type: 'heartbeat' }, (call) => handleHeartbeat(state, call, nowMs, run))
--- a/src/registered/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -14,7 +14,7 @@
  *
  * None of it is durable: a balancer that starts learns all from its feed.
  */
-import type { StallGuard } from '../../shared/common/stall-guard.js';
+import type { StallDetector } from '../../shared/common/stall-guard.js';
 import type { MechanismSwitches } from '../decisions/mechanism-switches.js';
 import { createOpenStallGuard } from '../decisions/open-admission.js';
 import { createPlacement, type Placement } from '../decisions/placement.js';
@@ -68,7 +68,7 @@
   readonly placement: Placement;
   /** What the logs have said of back ends. */
   readonly livenessLog: LivenessLog;
-  readonly stallGuard: StallGuard;
+  readonly stallGuard: StallDetector;
   /** True once a planned stop has begun. */
   readonly isStopping: boolean;
   beginStop(): void;
--- a/src/registered/ingress/open-memory.ts
+++ b/src/registered/ingress/open-memory.ts
@@ -4,7 +4,7 @@
  * of an open, other balancers, keep it as well.
  */
 import type { FlowKey } from './packet-view.js';
-import { createPeriodMap, type PeriodMap } from '../../shared/common/period-map.js';
+import { createExpiringMap, type ExpiringMap } from '../../shared/common/expiring-map.js';
 
 /** How long copies of an open may come after the first, in milliseconds. */
 export const OPEN_LIFETIME_MS = 2_000;
@@ -14,10 +14,10 @@
 
 /** Tokens of the back ends to which the opens of the last one to two periods went. */
 export class OpenMemory {
-  private readonly tokens: PeriodMap<FlowKey, number>;
+  private readonly tokens: ExpiringMap<FlowKey, number>;
 
   constructor(periodMs: number) {
-    this.tokens = createPeriodMap({ periodMs, maxEntries: MAX_OPENS });
+    this.tokens = createExpiringMap({ periodMs, maxEntries: MAX_OPENS });
   }
 
   remember(key: FlowKey, token: number, nowMs: number): void {
--- a/src/shared/common/address-range.ts
+++ b/src/shared/common/address-range.ts
@@ -1,6 +1,6 @@
 /**
- * @file Ranges of addresses, by which each operator is granted a part of the address space.
- * Text form: `10.1.0.0/16`, or `10.1.0.0/16:7000-7999` for a part of the ports.
+ * @file CIDR address ranges with an optional port range; operators are granted parts of the address space as such ranges.
+ * Text form: `10.1.0.0/16` or `10.1.0.0/16:7000-7999`.
  */
 import { isIP } from 'node:net';
 import { MAX_PORT, type Address } from './address.js';
@@ -12,9 +12,9 @@
 const BITS_PER_GROUP = 16n;
 const IPV6_GROUPS = 8;
 
-/** A range of addresses; all bounds are included. */
+/** A range of hosts and ports; all bounds are inclusive. */
 export interface AddressRange {
-  /** 4 or 6. */
+  /** IP version: 4 or 6. */
   readonly family: number;
   readonly lowHost: bigint;
   readonly highHost: bigint;
@@ -23,8 +23,9 @@
 }
 
 /**
- * @param text `HOST/PREFIX`, with `:LOW-HIGH` behind it for a part of the ports
- * @returns the range, or undefined where the text is none
+ * Parses an address range.
+ * @param text `HOST/PREFIX` or `HOST/PREFIX:LOW_PORT-HIGH_PORT`
+ * @returns the range, or undefined if the text is not a valid range
  */
 export function parseAddressRange(text: string): AddressRange | undefined {
   const parts = /^\[?([0-9a-fA-F.:]+?)\]?\/(\d{1,3})(?::(\d{1,5})-(\d{1,5}))?$/.exec(text);
@@ -47,7 +48,7 @@
 }
 
 /**
- * @returns true where the range has this address
+ * @returns true if the range contains both the host and the port of the address
  */
 export function rangeContains(range: AddressRange, address: Address): boolean {
   return (
@@ -58,8 +59,8 @@
 }
 
 /**
- * @param host an IP number
- * @returns true where the range has this host on some port
+ * @param host an IP address
+ * @returns true if the range contains the host, on any port
  */
 export function rangeContainsHost(range: AddressRange, host: string): boolean {
   const family = isIP(host);
@@ -71,7 +72,7 @@
 }
 
 /**
- * @returns true where some address is in both
+ * @returns true if the ranges have at least one address in common
  */
 export function rangesOverlap(one: AddressRange, other: AddressRange): boolean {
   return (
@@ -94,7 +95,7 @@
 }
 
 function ipv6Number(host: string): bigint {
-  const [head = '', tail] = withoutDottedTail(host).split('::');
+  const [head = '', tail] = expandDottedSuffix(host).split('::');
   const headGroups = head.split(':').filter((group) => group !== '');
   const tailGroups = (tail ?? '').split(':').filter((group) => group !== '');
   const zeros = Array<string>(IPV6_GROUPS - headGroups.length - tailGroups.length).fill('0');
@@ -104,8 +105,8 @@
   );
 }
 
-/** `::ffff:10.0.0.1` as `::ffff:a00:1`. */
-function withoutDottedTail(host: string): string {
+/** Rewrites an IPv6 address with an embedded IPv4 address: `::ffff:10.0.0.1` becomes `::ffff:a00:1`. */
+function expandDottedSuffix(host: string): string {
   const dotted = /^(.*:)(\d+\.\d+\.\d+\.\d+)$/.exec(host);
   if (dotted === null) {
     return host;
--- a/src/shared/common/address-schema.ts
+++ b/src/shared/common/address-schema.ts
@@ -1,11 +1,11 @@
 /**
- * @file The schema of addresses; apart from the addresses themselves, so that daemons need not load it.
+ * @file Zod schema of addresses, in a module of its own so that daemons which don't validate addresses need not load Zod.
  */
 import { isIP } from 'node:net';
 import { z } from 'zod';
 import { MAX_PORT } from './address.js';
 
-/** Schema of an address, for settings, commands and messages. */
+/** Schema of an address in settings, commands and messages. */
 export const addressSchema = z.strictObject({
   host: z.string().refine((text) => isIP(text) !== 0, 'an IP number such as 127.0.0.1'),
   port: z.number().int().min(0).max(MAX_PORT),
--- a/src/shared/common/address.ts
+++ b/src/shared/common/address.ts
@@ -1,13 +1,13 @@
 /**
- * @file IP addresses with ports, and their text form.
+ * @file IP addresses with ports: text form, map keys and packed form.
  */
 import { isIP } from 'node:net';
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface Address {
-  /** IPv4 or IPv6 number; never a host name. */
+  /** IPv4 or IPv6 address in text form; never a host name. */
   readonly host: string;
-  /** Port, 0 to 65535; 0 asks the operating system for a free one. */
+  /** 0 to 65535; with 0 the operating system chooses a free port when binding. */
   readonly port: number;
 }
 
@@ -15,7 +15,7 @@
 export const MAX_PORT = 65_535;
 
 /**
- * @returns `host:port`, with IPv6 numbers in brackets; used as a map key and in logs
+ * @returns `host:port`, with IPv6 addresses in brackets; used as a map key and in logs
  */
 export function formatAddress(address: Address): string {
   return address.host.includes(':')
@@ -25,7 +25,7 @@
 
 /**
  * @param text `host:port` or `[host]:port`
- * @returns the address, or undefined where the text is not one
+ * @returns the address, or undefined if the text is not a valid address
  */
 export function parseAddress(text: string): Address | undefined {
   const parts = /^\[?([^\]]+?)\]?:(\d{1,5})$/.exec(text);
@@ -44,31 +44,30 @@
 const PORT_VALUES = 65_536;
 
 /**
- * An address as a key of tables: a whole number for IPv4, the text form for IPv6. Two addresses have
- * the same key only where they are equal.
+ * Map key of an address: an integer for IPv4, the text form for IPv6. Different addresses have different keys.
  */
 export type AddressKey = number | string;
 
-/** A host in short: the 32 bits of an IPv4 number, or an IPv6 number as text. */
+/** Compact form of a host: an IPv4 address as a 32-bit integer, or an IPv6 address as text. */
 export type PackedHost = number | string;
 
 /**
- * @returns the key of an address
+ * @returns the map key of an address
  */
 export function addressKey(address: Address): AddressKey {
   return packedAddressKey(packHost(address.host), address.port);
 }
 
 /**
- * @returns the key of an address whose host is packed
+ * @returns the map key of an address whose host is already packed
  */
 export function packedAddressKey(host: PackedHost, port: number): AddressKey {
   return typeof host === 'number' ? host * PORT_VALUES + port : formatAddress({ host, port });
 }
 
 /**
- * @param host IPv4 or IPv6 number
- * @returns the host in short
+ * @param host IPv4 or IPv6 address
+ * @returns its packed form
  */
 export function packHost(host: string): PackedHost {
   if (host.includes(':')) {
@@ -89,7 +88,7 @@
 }
 
 /**
- * @returns the IP number as text
+ * @returns the IP address in text form
  */
 export function unpackHost(host: PackedHost): string {
   if (typeof host === 'string') {
--- a/src/shared/common/bandwidth.ts
+++ b/src/shared/common/bandwidth.ts
@@ -1,13 +1,13 @@
 /**
- * @file Bandwidths as operators write them, and as schedulers count.
+ * @file Converts bandwidths from the unit of the settings to the unit of the schedulers.
  */
 
-/** Bytes a millisecond of one megabit a second. */
+/** 1 Mbit/s in bytes per millisecond. */
 const BYTES_PER_MS_OF_MBPS = 125;
 
 /**
- * @param linkRateMbps megabits a second; undefined where it is not known
- * @returns the same in bytes a millisecond
+ * @param linkRateMbps megabits per second; undefined if unknown
+ * @returns the rate in bytes per millisecond; undefined if unknown
  */
 export function bytesPerMsOf(linkRateMbps: number | undefined): number | undefined {
   return linkRateMbps === undefined ? undefined : linkRateMbps * BYTES_PER_MS_OF_MBPS;
--- a/src/shared/common/branded.ts
+++ b/src/shared/common/branded.ts
@@ -1,9 +1,8 @@
 /**
- * @file Branded types: values that are plain numbers or texts when they run, and that the compiler keeps
- * apart by what they name.
+ * @file Branded types: plain numbers or strings at run time that the compiler treats as distinct types.
  */
 
 declare const brandName: unique symbol;
 
-/** A `Base` that names a `Name`; made only where such values come into being. */
+/** A `Base` branded as `Name`; only the code that creates such values casts to it. */
 export type Branded<Base, Name extends string> = Base & { readonly [brandName]: Name };
--- a/src/shared/common/error-kinds.ts
+++ b/src/shared/common/error-kinds.ts
@@ -1,10 +1,10 @@
 /**
- * @file The closed list of error kinds, and the table from each kind to its answers: what a caller gets, what an operator
- * gets over HTTP, the exit code of a command, and whether it is certain that the work did not run.
+ * @file All error kinds, and for each the response to the caller, the HTTP status, the exit code of a command, and whether
+ * the request is known not to have run.
  */
 import { match } from 'ts-pattern';
 
-/** Every kind of error in the system. */
+/** All error kinds of the system. */
 export const errorKinds = [
   // Datagrams.
   'malformed-datagram',
@@ -48,24 +48,23 @@
 /** One kind of error. */
 export type ErrorKind = (typeof errorKinds)[number];
 
-/** How a caller is answered: not at all, with a refusal of the open or request, or by a close. */
+/** Response to a caller: none, a refusal of the open or request, or a close of the flow. */
 export type CallerAnswer = 'drop' | 'refuse' | 'close';
 
-/** The answers that belong to one error kind. */
+/** How an error of one kind is reported. */
 export interface ErrorAnswer {
-  /** What the caller gets. */
   readonly callerAnswer: CallerAnswer;
-  /** True where it is certain that the open or request did not run, so that "not run" may be said. */
+  /** True if the open or request is known not to have run, so that this may be reported to the caller. */
   readonly surelyNotRun: boolean;
-  /** True where the same thing may be tried again later without change. */
+  /** True if the same request may succeed when it is repeated later. */
   readonly retryable: boolean;
-  /** HTTP status at the operator interface. */
+  /** HTTP status of the operator API. */
   readonly httpStatus: number;
   /** Exit code of a command that ends with this error. */
   readonly exitCode: number;
 }
 
-/** Exit codes of all commands; listed in docs/COMMANDS.md. */
+/** Exit codes of all commands. */
 export const exitCodes = {
   success: 0,
   failure: 1,
@@ -111,9 +110,7 @@
 }
 
 /**
- * The table from error kind to answers.
- * @param kind the error kind
- * @returns its answers
+ * @returns how errors of a kind are reported
  */
 export function answerFor(kind: ErrorKind): ErrorAnswer {
   return match(kind)
@@ -150,15 +147,15 @@
     .exhaustive();
 }
 
-/** An error as a value; carried by neverthrow results. */
+/** An error value, as carried by neverthrow results. */
 export interface AmberliftError {
   readonly kind: ErrorKind;
-  /** One short sentence for people. */
+  /** Human-readable description: one short sentence. */
   readonly message: string;
 }
 
 /**
- * @returns an error value of the given kind
+ * @returns an error value
  */
 export function amberliftError(kind: ErrorKind, message: string): AmberliftError {
   return { kind, message };
--- a/src/shared/common/frame-codec.ts
+++ b/src/shared/common/frame-codec.ts
@@ -1,83 +1,76 @@
 /**
- * @file Frames on a stream: four bytes of length, then that many bytes of MessagePack, which are compressed
- * where the first bit says so. A frame without content is a pulse. Length and nothing else is believed
- * before a frame is whole, and it is bounded, as is what it is inflated to.
+ * @file Length-prefixed frames on a byte stream: a 4-byte header, then a MessagePack payload of that length. The top bit of
+ * the header marks a DEFLATE-compressed payload; an empty frame is a keep-alive. Compressed and inflated sizes are bounded.
  */
 import { constants, deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Packr } from 'msgpackr';
 
 const LENGTH_BYTES = 4;
 
-/**
- * The longest frame that is accepted, in bytes, also once inflated; it bounds memory against what is no frame at all.
- * Not measured; links closed with `A frame of N bytes is too long.` would show it too small.
- */
+/** Limit for a payload both on the wire and inflated; bounds memory if the peer sends anything but frames. */
 const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
-/** Set in the length of a frame whose content is compressed. */
+/** Header bit of a frame with a compressed payload. */
 const COMPRESSED_FLAG = 0x8000_0000;
-/**
- * Shorter content is sent as it is, in bytes: most messages are short, and compressing them costs more than it saves. Where
- * the two meet is not measured.
- */
-const COMPRESS_FROM_BYTES = 4_096;
+/** Shorter payloads are sent uncompressed: compressing them costs more than it saves. */
+const COMPRESSION_THRESHOLD_BYTES = 4_096;
 
 const packr = new Packr({ useRecords: false });
 
-/** A frame without content. */
-export const pulseFrame: Uint8Array = Buffer.alloc(LENGTH_BYTES);
+/** An empty frame, sent to keep an idle link alive. */
+export const keepAliveFrame: Uint8Array = Buffer.alloc(LENGTH_BYTES);
 
 /**
- * @returns the frame of a message
+ * @returns the frame of a message, compressed if that makes it shorter
  */
 export function encodeFrame(message: object): Buffer {
   const content = packr.pack(message);
-  if (content.length < COMPRESS_FROM_BYTES) {
-    return frameOf(content, 0);
+  if (content.length < COMPRESSION_THRESHOLD_BYTES) {
+    return buildFrame(content, 0);
   }
   const compressed = deflateRawSync(content, { level: constants.Z_BEST_SPEED });
   return compressed.length < content.length
-    ? frameOf(compressed, COMPRESSED_FLAG)
-    : frameOf(content, 0);
+    ? buildFrame(compressed, COMPRESSED_FLAG)
+    : buildFrame(content, 0);
 }
 
-function frameOf(content: Uint8Array, flag: number): Buffer {
+function buildFrame(content: Uint8Array, flag: number): Buffer {
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + content.length);
   frame.writeUInt32BE((content.length | flag) >>> 0, 0);
   frame.set(content, LENGTH_BYTES);
   return frame;
 }
 
-/** What came out of a stream. */
+/** The messages of the frames completed by a chunk, or an error that ends the stream. */
 export type DecodedFrames =
   | { readonly type: 'messages'; readonly messages: readonly unknown[] }
-  /** The stream can not be read on. */
+  /** The stream can't be decoded any further. */
   | { readonly type: 'malformed'; readonly reason: string };
 
-/** Splits a stream into messages. */
+/** Decodes a byte stream into messages. */
 export class FrameDecoder {
-  private waiting: Buffer[] = [];
-  private waitingBytes = 0;
-  /** How many bytes are needed before anything can be done. */
+  private chunks: Buffer[] = [];
+  private bufferedBytes = 0;
+  /** Bytes that must be buffered before the next frame can be decoded. */
   private neededBytes = LENGTH_BYTES;
 
   constructor(private readonly maxFrameBytes: number = MAX_FRAME_BYTES) {}
 
-  /** True where some of a frame has come, beyond its length. */
+  /** True if part of a payload has been received, not only its header. */
   get isInsideFrame(): boolean {
-    return this.waitingBytes > LENGTH_BYTES;
+    return this.bufferedBytes > LENGTH_BYTES;
   }
 
-  /** Adds the next bytes; `malformed` is final. */
+  /** Decodes the next chunk; `malformed` is final. */
   push(chunk: Buffer): DecodedFrames {
-    this.waiting.push(chunk);
-    this.waitingBytes += chunk.length;
+    this.chunks.push(chunk);
+    this.bufferedBytes += chunk.length;
     const messages: unknown[] = [];
-    while (this.waitingBytes >= this.neededBytes) {
-      const bytes = this.joined();
-      const head = bytes.readUInt32BE(0);
-      const isCompressed = head >= COMPRESSED_FLAG;
-      const length = isCompressed ? head - COMPRESSED_FLAG : head;
+    while (this.bufferedBytes >= this.neededBytes) {
+      const bytes = this.joinChunks();
+      const header = bytes.readUInt32BE(0);
+      const isCompressed = header >= COMPRESSED_FLAG;
+      const length = isCompressed ? header - COMPRESSED_FLAG : header;
       if (length > this.maxFrameBytes) {
         return { type: 'malformed', reason: `A frame of ${length} bytes is too long.` };
       }
@@ -86,14 +79,13 @@
         this.neededBytes = end;
         break;
       }
-      this.keep(bytes.subarray(end));
+      this.retain(bytes.subarray(end));
       if (length > 0) {
         try {
           const content = bytes.subarray(LENGTH_BYTES, end);
           messages.push(packr.unpack(isCompressed ? this.inflate(content) : content));
         } catch {
-          // The cause is of no use to the reader of the log: the bytes come from another process, whose link is closed with
-          // this reason.
+          // The cause is omitted: the caller closes the link, and details of the invalid bytes don't help its operator.
           return { type: 'malformed', reason: 'A frame is no MessagePack.' };
         }
       }
@@ -101,24 +93,24 @@
     return { type: 'messages', messages };
   }
 
-  /** Throws where the content is not compressed, or is too long. */
+  /** Throws if the payload is not valid DEFLATE data or inflates beyond the limit. */
   private inflate(content: Uint8Array): Buffer {
     return inflateRawSync(content, { maxOutputLength: this.maxFrameBytes });
   }
 
-  private joined(): Buffer {
-    const [first] = this.waiting;
-    if (this.waiting.length === 1 && first !== undefined) {
+  private joinChunks(): Buffer {
+    const [first] = this.chunks;
+    if (this.chunks.length === 1 && first !== undefined) {
       return first;
     }
-    const bytes = Buffer.concat(this.waiting, this.waitingBytes);
-    this.waiting = [bytes];
+    const bytes = Buffer.concat(this.chunks, this.bufferedBytes);
+    this.chunks = [bytes];
     return bytes;
   }
 
-  private keep(rest: Buffer): void {
-    this.waiting = rest.length === 0 ? [] : [rest];
-    this.waitingBytes = rest.length;
+  private retain(rest: Buffer): void {
+    this.chunks = rest.length === 0 ? [] : [rest];
+    this.bufferedBytes = rest.length;
     this.neededBytes = LENGTH_BYTES;
   }
 }
--- a/src/shared/common/keyed-hash.ts
+++ b/src/shared/common/keyed-hash.ts
@@ -1,19 +1,18 @@
 /**
- * @file Keyed hashes of 64 bits: SipHash-2-4 by the siphash24 package, which runs it as WebAssembly.
- * docs/design/data-path.md has the measurement against other ways.
+ * @file 64-bit keyed hashes: SipHash-2-4, as implemented in WebAssembly by the siphash24 package.
  */
 import siphash24 from 'siphash24';
 
-/** Bytes of a hash. */
+/** Size of a hash. */
 export const KEYED_HASH_BYTES = 8;
-/** Bytes of a key. */
+/** Size of a key. */
 export const KEYED_HASH_KEY_BYTES = 16;
 
 const NO_ARGUMENT_CHECKS = true;
 
 /**
  * @param key 16 bytes
- * @param hash where to write the hash, 8 bytes; a new array where it is not given
+ * @param hash output buffer of 8 bytes; a new one by default
  * @returns `hash`
  */
 export function keyedHash(
--- a/src/shared/common/link-table.ts
+++ b/src/shared/common/link-table.ts
@@ -1,21 +1,21 @@
 /**
- * @file The links that others opened to a process, by the IDs under which its decisions know them.
+ * @file Table of the inbound links of a process; decision steps refer to links by ID.
  */
 import type { Branded } from './branded.js';
 
-/** Names a link for as long as the process runs; never used again. */
+/** Unique ID of a link within a process; never reused. */
 export type LinkId = Branded<number, 'LinkId'>;
 
 /** Links by their IDs. */
 export interface LinkTable<Link extends object> {
-  /** @returns the ID of a link, a new one at the first call */
+  /** @returns the ID of a link; the first call for a link adds it to the table */
   idOf(link: Link): LinkId;
   find(linkId: number): Link | undefined;
-  /** @returns the ID that the link had, or undefined where it never had one */
+  /** @returns the ID of the removed link, or undefined if the table doesn't contain it */
   remove(link: Link): LinkId | undefined;
-  /** All links, in the order in which they came. */
+  /** All links, in the order in which they were added. */
   all(): Iterable<Link>;
-  /** Forgets all links; their IDs are not used again. */
+  /** Removes all links; their IDs are not reused. */
   clear(): void;
 }
 
@@ -30,9 +30,9 @@
   return { idOf, find: (linkId) => links.get(linkId), remove, all: () => links.values(), clear };
 
   function idOf(link: Link): LinkId {
-    const known = ids.get(link);
-    if (known !== undefined) {
-      return known;
+    const existing = ids.get(link);
+    if (existing !== undefined) {
+      return existing;
     }
     const linkId = nextId as LinkId;
     nextId += 1;
--- a/src/shared/common/logger.ts
+++ b/src/shared/common/logger.ts
@@ -1,9 +1,9 @@
 /**
- * @file Logs: loglevel, written to standard error as short sentences with a fixed prefix for each part.
+ * @file Loggers, based on loglevel: one per component, writing to standard error unless another sink is set.
  */
 import loglevel from 'loglevel';
 
-/** The parts of the system that write logs; each has one fixed prefix. */
+/** The components that write logs; the name is part of each line. */
 const logParts = [
   'balancer',
   'control',
@@ -19,19 +19,19 @@
   'ctl',
 ] as const;
 
-/** A part of the system that writes logs. */
+/** A component that writes logs. */
 export type LogPart = (typeof logParts)[number];
 
-/** The log levels that a flag or a settings file may name. */
+/** The log levels accepted in flags and settings files. */
 export const logLevels = ['trace', 'debug', 'info', 'warn', 'error', 'silent'] as const;
 
-/** A log level. */
+/** The minimum severity of the lines that are written. */
 export type LogLevel = (typeof logLevels)[number];
 
-/** A logger of one part. */
+/** The logger of one component. */
 export type Logger = Pick<loglevel.Logger, 'trace' | 'debug' | 'info' | 'warn' | 'error'>;
 
-/** Writes a line, given with its end. */
+/** Writes a line, which includes its line terminator. */
 export type LogSink = (line: string) => void;
 
 let sink: LogSink = (line) => {
@@ -39,15 +39,15 @@
 };
 
 /**
- * Sends all lines elsewhere from now on; daemons must not wait for the reader of their lines.
+ * Replaces the sink of all loggers; daemons need one that never blocks on the reader of the log.
  */
 export function setLogSink(newSink: LogSink): void {
   sink = newSink;
 }
 
 /**
- * @param part the part whose prefix each line carries
- * @returns the logger of that part
+ * @param part the component named in each line
+ * @returns the logger of that component
  */
 export function loggerFor(part: LogPart): Logger {
   const logger = loglevel.getLogger(part);
@@ -59,8 +59,8 @@
 }
 
 /**
- * Sets the level of all parts; called once at start, before the first logger is made.
- * @param level the lowest level that is written
+ * Sets the level of all loggers; called once at startup, before the first logger is created.
+ * @param level the minimum level that is written
  */
 export function setLogLevel(level: LogLevel): void {
   loglevel.setLevel(level, false);
--- a/src/shared/common/dialed-links.ts
+++ b/src/shared/common/outbound-links.ts
@@ -1,41 +1,33 @@
 /**
- * @file When is a link that broke dialed again?
- *
- * Inputs: when the link was opened and when it closed (ms on the process's clock), and the bounds of the delay.
- *
- * A process has one link to each address, dialed when there is something to send. Once it broke it is dialed again after a
- * delay, which doubles with each failure that follows and begins anew for a link that lasted longer than the longest
- * delay. What can't be sent meanwhile is dropped, since the protocols above send again; nothing is dialed without a
- * message to send, so an address that is gone for good costs nothing.
- *
- * Owns the links by address; the caller gives the delays and their reason.
+ * @file Outbound links, one per address: opened on the first send, and reopened on a later send, with exponential backoff after failures.
+ * Messages are dropped while a link is down; the protocols above retransmit.
  */
 import { formatAddress, type Address } from './address.js';
 
-/** What a dialed link can do. */
-export interface DialedLink {
+/** An open link. */
+export interface OutboundLink {
   send(message: object): void;
 }
 
-/** How links are opened; all times in milliseconds. */
-export interface DialOptions<Link extends DialedLink> {
+/** How links are opened and reopened; all times in milliseconds. */
+export interface OutboundLinkOptions<Link extends OutboundLink> {
   nowMs(): number;
   /**
    * Opens a link.
    * @param onClose called once, when the link has closed
-   * @returns undefined where it can't be opened; `onClose` is not called then
+   * @returns undefined if the link can't be opened; `onClose` is not called then
    */
   dial(to: Address, onClose: () => void): Link | undefined;
   readonly firstRetryDelayMs: number;
-  /** The delay doubles up to here; after a link that lasted longer it is `firstRetryDelayMs` again. */
+  /** Upper bound of the delay. A link that stayed open for longer resets the delay to `firstRetryDelayMs`. */
   readonly maxRetryDelayMs: number;
 }
 
-/** Links to other processes. */
-export interface DialedLinks<Link extends DialedLink> {
-  /** Sends a message, or drops it where the link broke a moment ago. */
+/** Links to other processes, by address. */
+export interface OutboundLinks<Link extends OutboundLink> {
+  /** Sends a message; drops it while the link is down and its retry delay has not passed. */
   send(to: Address, message: object): void;
-  /** Forgets all links and opens none from now on; the caller ends those that it is given. */
+  /** Removes all links and opens no more; calls `end` with each open link, which the caller must close. */
   close(end: (link: Link) => void): void;
 }
 
@@ -46,11 +38,11 @@
 }
 
 /**
- * @returns links, none of them open
+ * @returns a collection without open links
  */
-export function createDialedLinks<Link extends DialedLink>(
-  options: DialOptions<Link>,
-): DialedLinks<Link> {
+export function createOutboundLinks<Link extends OutboundLink>(
+  options: OutboundLinkOptions<Link>,
+): OutboundLinks<Link> {
   const { firstRetryDelayMs, maxRetryDelayMs } = options;
   const peers = new Map<string, Peer<Link>>();
   let isClosed = false;
@@ -61,7 +53,7 @@
     if (isClosed) {
       return;
     }
-    const peer = peerAt(to);
+    const peer = findOrCreatePeer(to);
     if (peer.link === undefined && options.nowMs() >= peer.retryAtMs) {
       open(to, peer);
     }
@@ -75,11 +67,11 @@
     open.forEach(end);
   }
 
-  function peerAt(to: Address): Peer<Link> {
+  function findOrCreatePeer(to: Address): Peer<Link> {
     const name = formatAddress(to);
-    const known = peers.get(name);
-    if (known !== undefined) {
-      return known;
+    const existing = peers.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const peer: Peer<Link> = {
       link: undefined,
@@ -100,10 +92,10 @@
 
   function recordClosed(peer: Peer<Link>, openedAtMs: number): void {
     const nowMs = options.nowMs();
-    const hasLasted = nowMs - openedAtMs > maxRetryDelayMs;
+    const wasStable = nowMs - openedAtMs > maxRetryDelayMs;
     peer.link = undefined;
-    peer.retryAtMs = nowMs + (hasLasted ? firstRetryDelayMs : peer.retryDelayMs);
-    peer.retryDelayMs = hasLasted
+    peer.retryAtMs = nowMs + (wasStable ? firstRetryDelayMs : peer.retryDelayMs);
+    peer.retryDelayMs = wasStable
       ? firstRetryDelayMs
       : Math.min(maxRetryDelayMs, peer.retryDelayMs * 2);
   }
--- a/src/shared/common/random.ts
+++ b/src/shared/common/random.ts
@@ -1,5 +1,5 @@
 /**
- * @file Random sources built on the pure-rand library.
+ * @file Seeded pseudo-random sources, based on the pure-rand library.
  */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -8,7 +8,7 @@
 
 /**
  * @param seed 32-bit seed; the same seed gives the same sequence
- * @returns a random source
+ * @returns a deterministic random source
  */
 export function seededRandom(seed: number): RandomSource {
   const generator = xoroshiro128plus(seed);
--- a/src/shared/common/rendezvous.ts
+++ b/src/shared/common/rendezvous.ts
@@ -1,13 +1,13 @@
 /**
- * @file Rendezvous hashing: all nodes that know the same members choose the same ones for a key, and a
- * member that comes or goes changes the choice only where it was or would be chosen.
+ * @file Rendezvous (highest random weight) hashing: nodes with the same member list choose the same members for a key, and
+ * adding or removing a member changes the choice only for keys of that member.
  */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
 /**
- * @returns a 32-bit hash of a text: FNV-1a with a final mix
+ * @returns a 32-bit hash of a text: FNV-1a with the finalizer of MurmurHash3
  */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET;
@@ -17,7 +17,7 @@
   return mix(hash);
 }
 
-/** The final mix of MurmurHash3: each bit of the input changes each bit of the output. */
+/** The finalizer of MurmurHash3: each input bit affects each output bit. */
 function mix(value: number): number {
   let mixed = value;
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
@@ -28,14 +28,14 @@
 /**
  * @param keyHash hash of the key
  * @param nodeHash hash of the node's name
- * @returns the node's score for the key; the nodes with the highest scores are chosen
+ * @returns the node's score for the key; the highest scores win
  */
 export function rendezvousScore(keyHash: number, nodeHash: number): number {
   return mix(keyHash ^ Math.imul(nodeHash, 0x9e3779b1));
 }
 
 /**
- * @returns the `count` names with the highest scores for the key, the highest first
+ * @returns the `count` names with the highest scores for the key, in descending order of score
  */
 export function chooseByRendezvous(key: string, names: readonly string[], count: number): string[] {
   const keyHash = hashText(key);
--- a/src/shared/common/schema-faults.ts
+++ b/src/shared/common/schema-faults.ts
@@ -1,6 +1,6 @@
 /**
- * @file What a schema finds wrong, as one line for people. The small form of zod that daemons load has no
- * words of its own, so those of the English locale are put in force here.
+ * @file Formats Zod validation errors as one line. `zod/mini`, which daemons use, has no error messages by default, so the
+ * English locale is configured here.
  */
 import * as z from 'zod/mini';
 import en from 'zod/v4/locales/en.js';
@@ -8,7 +8,7 @@
 z.config(en());
 
 /**
- * @returns each fault with the path of its field, joined into one line
+ * @returns all issues on one line, each with the path of its field
  */
 export function describeFaults(error: z.core.$ZodError): string {
   return error.issues
--- a/src/shared/common/stall-guard.ts
+++ b/src/shared/common/stall-guard.ts
@@ -1,62 +1,60 @@
 /**
- * @file May what this process reads now be out of date?
- *
- * Inputs: the times of the process's turns (inputs and ticks), in milliseconds. A pause between two turns means that the
- * process stood still: its machine was paused, or had no processor. What waited meanwhile may be old without showing it:
- * opens that other balancers have placed since, orders that their sender has cancelled at another machine.
+ * @file Detects that the process was stalled (a paused machine, no CPU time) from the gaps between its inputs and ticks.
+ * Input that was queued during a stall may be outdated: other balancers may have placed the same opens, and senders may have
+ * cancelled orders at another machine.
  */
 
-/** How far what is read now can be trusted. */
-export type InputTrust =
-  /** It has just come. */
+/** How current the input that is read now is. */
+export type InputFreshness =
+  /** Not delayed by a stall. */
   | 'fresh'
-  /** It may have waited, but not for longer than others remember what happened meanwhile. */
+  /** Possibly delayed by a stall that is shorter than the retention time of the peers. */
   | 'doubtful'
-  /** It may have waited for longer than others remember, and than its sender waits. */
+  /** Possibly delayed for longer than peers retain what happened and senders wait for an answer. */
   | 'stale';
 
-/** Watches the turns of a process. */
-export interface StallGuard {
-  /** Records that the process runs; called with each input and each tick, before anything is decided. */
-  recordTurn(nowMs: number): void;
-  trustAt(nowMs: number): InputTrust;
+/** Detects stalls of a process. */
+export interface StallDetector {
+  /** Records that the process is running; called for each input and tick before it is handled. */
+  recordActivity(nowMs: number): void;
+  freshnessAt(nowMs: number): InputFreshness;
 }
 
-/** Options of the guard; all times in milliseconds. */
-export interface StallGuardOptions {
-  /** A pause between two turns that is shorter is none; longer than a tick. */
-  readonly stallMs: number;
-  /** Others remember for so long at least what happened meanwhile. */
-  readonly rememberedMs: number;
+/** Thresholds of the detector, in milliseconds. */
+export interface StallDetectorOptions {
+  /** Shortest gap between inputs and ticks that counts as a stall; longer than a tick. */
+  readonly stallThresholdMs: number;
+  /** Minimum time for which peers remember what happened during a stall. */
+  readonly peerRetentionMs: number;
 }
 
-/**
- * What waited is read within this time after a stall, in milliseconds; what comes anew meanwhile is sent again anyway.
- * Not measured; old copies of opens that are placed right after a stall would show it too short.
- */
-const BACKLOG_MS = 300;
-
-/** @returns a guard of a process that has just started */
-export function createStallGuard({ stallMs, rememberedMs }: StallGuardOptions): StallGuard {
-  let lastTurnAtMs: number | undefined;
-  let stalledForMs = 0;
-  let trustedFromMs = Number.NEGATIVE_INFINITY;
-
-  return { recordTurn, trustAt };
-
-  function recordTurn(nowMs: number): void {
-    const pausedForMs = nowMs - (lastTurnAtMs ?? nowMs);
-    lastTurnAtMs = nowMs;
-    if (pausedForMs >= stallMs) {
-      stalledForMs = pausedForMs;
-      trustedFromMs = nowMs + BACKLOG_MS;
+/** Time after a stall within which the queued input is read; new input that is rejected meanwhile is sent again. */
+const BACKLOG_DRAIN_MS = 300;
+
+/** @returns a detector without recorded activity */
+export function createStallDetector({
+  stallThresholdMs,
+  peerRetentionMs,
+}: StallDetectorOptions): StallDetector {
+  let lastActiveAtMs: number | undefined;
+  let stallDurationMs = 0;
+  let freshFromMs = Number.NEGATIVE_INFINITY;
+
+  return { recordActivity, freshnessAt };
+
+  function recordActivity(nowMs: number): void {
+    const inactiveMs = nowMs - (lastActiveAtMs ?? nowMs);
+    lastActiveAtMs = nowMs;
+    if (inactiveMs >= stallThresholdMs) {
+      stallDurationMs = inactiveMs;
+      freshFromMs = nowMs + BACKLOG_DRAIN_MS;
     }
   }
 
-  function trustAt(nowMs: number): InputTrust {
-    if (nowMs >= trustedFromMs) {
+  function freshnessAt(nowMs: number): InputFreshness {
+    if (nowMs >= freshFromMs) {
       return 'fresh';
     }
-    return stalledForMs < rememberedMs ? 'doubtful' : 'stale';
+    return stallDurationMs < peerRetentionMs ? 'doubtful' : 'stale';
   }
 }
--- a/src/shared/common/step.ts
+++ b/src/shared/common/step.ts
@@ -1,25 +1,23 @@
 /**
- * @file The contract of every decision step: deterministic code that is given the time and the
- * random source. A step owns its state and may update it in place; the same state, event, time and
- * random source always give the same effects.
+ * @file The context of decision steps. A step is deterministic: the same state, event, time and random source always
+ * produce the same effects. It owns its state and may update it in place.
  */
 
-/** A source of random numbers; seeded in the simulator and in tests. */
+/** A source of random numbers; seeded in simulations and tests. */
 export interface RandomSource {
   /**
-   * @returns an integer from 0 (included) to `bound` (excluded)
+   * @returns an integer from 0 (inclusive) to `bound` (exclusive)
    */
   nextInt(bound: number): number;
   /**
-   * @returns a float from 0 (included) to 1 (excluded)
+   * @returns a float from 0 (inclusive) to 1 (exclusive)
    */
   nextFloat(): number;
 }
 
-/** What a step is given besides its state and the event. */
+/** Inputs of a step besides its state and the event. */
 export interface StepContext {
-  /** Time in milliseconds on a clock that never runs backwards; its origin is arbitrary. */
+  /** Time on a monotonic clock with an arbitrary origin. */
   readonly nowMs: number;
-  /** The random source of this process. */
   readonly random: RandomSource;
 }
--- a/src/shared/daemon/consensus-storage.ts
+++ b/src/shared/daemon/consensus-storage.ts
@@ -1,10 +1,7 @@
 /**
- * @file The disk of a control machine: `identity` names the disk, `log` holds records in the order in
- * which they were written, `snapshot` the state machine. Identity, snapshot and a rewritten log are
- * written to another name, synced and renamed, so that each is there as a whole or not at all.
- *
- * Owns these files. `record-file.ts` tells damage from what a crash may leave; a damaged disk is
- * `storage-failed`, and its machine doesn't start, since it may have acknowledged what is gone.
+ * @file Durable storage of a consensus member in three files: `identity` (the storage ID), `log` (records in the order of
+ * writing) and `snapshot` (the state machine). Whole files are replaced atomically: written under a temporary name, synced
+ * and renamed. Corruption, unlike a torn last write, prevents the start, since acknowledged writes may be lost.
  */
 import { randomUUID } from 'node:crypto';
 import { Packr } from 'msgpackr';
@@ -32,23 +29,23 @@
   readonly storageId: string;
 }
 
-/** What is found on a disk, or `storage-failed`. */
+/** What was read from disk, or `storage-failed`. */
 type Recovery<Found> = Result<Found, AmberliftError>;
 
-/** Waits between two tries of a write that failed. */
+/** Waits before a failed write is retried. */
 export type RetryPause = () => Promise<void>;
 
-/** The opened disk of a control machine. */
+/** The open storage of a consensus member. */
 export class ConsensusStorage {
   private failure: string | undefined;
-  /** Length of the log file up to the last write that is known to last. */
+  /** Length of the log file up to the last durable write. */
   private logBytes: number;
-  /** Ends with the write under way. */
+  /** Resolves once the write in progress has ended. */
   private lastWrite: Promise<void> = Promise.resolve();
 
   private constructor(
     private readonly folder: StorageFolder,
-    /** What was found at the start. */
+    /** State read from disk at startup. */
     readonly recovered: RecoveredState,
     logBytes: number,
     private readonly pause: RetryPause | undefined,
@@ -57,10 +54,10 @@
   }
 
   /**
-   * Recovers what is on disk; an empty folder gets a new storage ID.
-   * @param pause with it, a write that fails is tried again until it lasts, so that a full disk needs no
-   *   restart; without it, the first failure is final
-   * @returns the storage, or `storage-failed` where the disk is damaged or another machine's
+   * Recovers the state on disk; initializes an empty folder with a new storage ID.
+   * @param pause if given, failed writes are retried until they succeed, so that a full disk needs no restart; otherwise
+   *   the first failure is final
+   * @returns the storage, or `storage-failed` if the files are damaged or belong to another machine
    */
   static async open(
     folder: StorageFolder,
@@ -76,42 +73,45 @@
       const logBytes = (await folder.read(LOG_FILE))?.length ?? 0;
       return ok(new ConsensusStorage(folder, recovered.value, logBytes, pause));
     } catch (cause) {
-      // What the operating system says of the disk, or a record that does not decode.
-      return err(storageFailed(messageOf(cause)));
+      // An I/O error, or a record that can't be decoded.
+      return err(storageFailed(errorMessage(cause)));
     }
   }
 
   /**
-   * Performs a write; it lasts once this resolves. Rejects where it fails, without `pause` alone; nothing is
-   * written any more then, since what the disk holds is not known until it is read again.
+   * Performs a write, which is durable once this resolves. Rejects on failure if there is no `pause`; all later writes
+   * then fail, too, since the content of the disk is unknown until it is read again.
    */
   persist(effect: PersistEffect): Promise<void> {
-    const write = this.pause === undefined ? this.perform(effect) : this.insist(effect, this.pause);
-    // Only for `close` to wait; the failure itself goes to the caller.
+    const write =
+      this.pause === undefined
+        ? this.persistOnce(effect)
+        : this.persistWithRetry(effect, this.pause);
+    // `close` only waits for the write; the caller handles its failure.
     this.lastWrite = write.catch(() => undefined);
     return write;
   }
 
-  /** Closes the files once the write under way has ended. */
+  /** Closes the files once the write in progress has ended. */
   async close(): Promise<void> {
     await this.lastWrite;
     await this.folder.close();
   }
 
-  private async perform(effect: PersistEffect): Promise<void> {
+  private async persistOnce(effect: PersistEffect): Promise<void> {
     if (this.failure !== undefined) {
       throw new Error(this.failure);
     }
     try {
       await this.write(effect);
     } catch (cause) {
-      this.failure = messageOf(cause);
+      this.failure = errorMessage(cause);
       throw cause;
     }
   }
 
-  /** Tries a write until it lasts; what a failed try left is cut off first. */
-  private async insist(effect: PersistEffect, pause: RetryPause): Promise<void> {
+  /** Retries a write until it succeeds; before each retry, truncates what the failed attempt left in the log. */
+  private async persistWithRetry(effect: PersistEffect, pause: RetryPause): Promise<void> {
     for (let isFirst = true; ; isFirst = false) {
       try {
         if (!isFirst && effect.type === 'persist') {
@@ -120,7 +120,7 @@
         await this.write(effect);
         return;
       } catch {
-        // A full or failing disk, of which no try tells more than the one before: the owner logs how long the write took.
+        // A full or failing disk. The caller logs how long the write took, so attempts are not logged.
         await pause();
       }
     }
@@ -146,8 +146,8 @@
 }
 
 /**
- * Writes a file of one record so that after a crash the old or the new one is there.
- * @returns its length in bytes
+ * Atomically replaces a file by one that holds a single record.
+ * @returns the length of the file in bytes
  */
 async function replaceFile(folder: StorageFolder, name: string, content: object): Promise<number> {
   const temporary = name + TEMPORARY_SUFFIX;
@@ -164,7 +164,7 @@
   nodeId: string,
   makeStorageId: () => string,
 ): Promise<Recovery<RecoveredState>> {
-  const identity = await readWhole<Identity>(folder, IDENTITY_FILE);
+  const identity = await readSingleRecord<Identity>(folder, IDENTITY_FILE);
   if (identity.isErr()) {
     return err(identity.error);
   }
@@ -175,15 +175,19 @@
   if (ownerId !== nodeId) {
     return err(storageFailed(`The data folder belongs to ${ownerId}, not to ${nodeId}.`));
   }
-  const snapshot = await readWhole<Snapshot>(folder, SNAPSHOT_FILE);
+  const snapshot = await readSingleRecord<Snapshot>(folder, SNAPSHOT_FILE);
   if (snapshot.isErr()) {
     return err(snapshot.error);
   }
   const records = await recoverLog(folder, snapshot.value);
-  return records.map((kept) => ({ storageId, snapshot: snapshot.value, records: kept }));
+  return records.map((validRecords) => ({
+    storageId,
+    snapshot: snapshot.value,
+    records: validRecords,
+  }));
 }
 
-/** The identity comes last, so that a disk without it has never been used. */
+/** Writes the identity last, so that a folder without it has never been in use. */
 async function createStorage(
   folder: StorageFolder,
   nodeId: string,
@@ -231,8 +235,11 @@
   return ok(records.flatMap((record) => packr.unpack(record) as LogRecord[]));
 }
 
-/** Reads a file that is there as a whole or not at all. */
-async function readWhole<T>(folder: StorageFolder, name: string): Promise<Recovery<T | undefined>> {
+/** Reads a file that holds a single record, as written by `replaceFile`. */
+async function readSingleRecord<T>(
+  folder: StorageFolder,
+  name: string,
+): Promise<Recovery<T | undefined>> {
   const content = await folder.read(name);
   if (content === undefined) {
     return ok(undefined);
@@ -249,6 +256,6 @@
   return amberliftError('storage-failed', message);
 }
 
-function messageOf(cause: unknown): string {
+function errorMessage(cause: unknown): string {
   return cause instanceof Error ? cause.message : String(cause);
 }
--- a/src/shared/daemon/http-server.ts
+++ b/src/shared/daemon/http-server.ts
@@ -1,5 +1,5 @@
 /**
- * @file An HTTP server bound to one address.
+ * @file An HTTP or HTTPS server bound to one address.
  */
 import { once } from 'node:events';
 import { createServer, type RequestListener } from 'node:http';
@@ -13,7 +13,7 @@
   close(): Promise<void>;
 }
 
-/** A certificate with its key, both in PEM. */
+/** A certificate and its private key, both in PEM. */
 export interface TlsIdentity {
   readonly cert: string;
   readonly key: string;
@@ -21,8 +21,8 @@
 
 /**
  * Listens for HTTP requests.
- * @param tls the server's certificate; without it there is no TLS
- * @returns the server; rejects where the address can't be bound or the certificate is not usable
+ * @param tls certificate for HTTPS; plain HTTP without it
+ * @returns the server; rejects if the address can't be bound or the certificate is invalid
  */
 export async function listenHttp(
   address: Address,
--- a/src/shared/daemon/json-response.ts
+++ b/src/shared/daemon/json-response.ts
@@ -1,10 +1,10 @@
 /**
- * @file Answers with JSON bodies; free of the HTTP module of the runtime, which costs time at the start.
+ * @file JSON responses. Imports only types from `node:http`, since loading that module slows down the start.
  */
 import type { ServerResponse } from 'node:http';
 
 /**
- * Answers with JSON.
+ * Sends a response with a JSON body and ends it.
  */
 export function respondJson(response: ServerResponse, status: number, body: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' });
--- a/src/shared/daemon/metrics/metrics-listener.ts
+++ b/src/shared/daemon/metrics/metrics-listener.ts
@@ -1,5 +1,5 @@
 /**
- * @file The HTTP interface for monitoring a daemon: `/metrics` in the format of Prometheus, and `/health`.
+ * @file HTTP endpoints for monitoring a daemon: `/metrics` in the Prometheus text format, and `/health`.
  */
 import type { RequestListener, ServerResponse } from 'node:http';
 import type { Registry } from 'prom-client';
@@ -10,23 +10,23 @@
 const FAILED = 500;
 const UNAVAILABLE = 503;
 
-/** How a daemon is. */
+/** Health of a daemon. */
 export interface DaemonHealth {
-  /** False where nothing new should be sent to it. */
+  /** False if no new work should be sent to the daemon. */
   readonly ready: boolean;
-  /** One word, such as `ready` or `stopping`. */
+  /** Short state name such as `ready` or `stopping`. */
   readonly state: string;
 }
 
-/** What is served. */
+/** The metrics and the health of a daemon. */
 export interface MetricsSource {
   readonly registry: Registry;
   readonly health: () => DaemonHealth;
 }
 
 /**
- * Metrics cost memory and time at the start, so a process that may never be asked loads them late.
- * @param load called once, at the first request
+ * Loads the metrics lazily, since they cost memory and startup time.
+ * @param load called once, on the first request
  * @returns the listener of an HTTP server
  */
 export function createMetricsListener(load: () => Promise<MetricsSource>): RequestListener {
--- a/src/shared/daemon/metrics/state-gauge.ts
+++ b/src/shared/daemon/metrics/state-gauge.ts
@@ -1,10 +1,9 @@
 /**
- * @file Metrics that are read out of a daemon's state when they are asked for, so that counting costs
- * the hot path nothing but the count itself.
+ * @file Gauges that read their values from a daemon's state on each scrape, so that the hot path doesn't update metrics.
  */
 import { Gauge, type Registry } from 'prom-client';
 
-/** One value of a metric that has a label. */
+/** A label value and the value of the metric for it. */
 export interface LabelledValue {
   readonly label: string;
   readonly value: number;
@@ -12,7 +11,7 @@
 
 /**
  * Registers a metric without labels.
- * @param read called for each scrape
+ * @param read called on each scrape
  */
 export function registerValue(
   registry: Registry,
@@ -30,7 +29,7 @@
 
 /**
  * Registers a metric with one label.
- * @param read called for each scrape; values that it no longer gives are dropped
+ * @param read called on each scrape; label values that it no longer returns are removed
  */
 export function registerLabelledValues(
   registry: Registry,
--- a/src/shared/daemon/record-file.ts
+++ b/src/shared/daemon/record-file.ts
@@ -1,7 +1,7 @@
 /**
- * @file The form of record files: each record has a marker, its length, a CRC-32 of its payload and the
- * payload. One record is one synced write, so that a crash can leave only the last one incomplete; a
- * bad record with good ones after it means damage, not a crash.
+ * @file Format of record files: each record is a marker, the payload length, a CRC-32 of the payload, and the payload. Each
+ * record is synced before the next is written, so an invalid record that is followed by a valid one means corruption, not a
+ * torn write.
  */
 import CRC32 from 'crc-32';
 
@@ -9,12 +9,12 @@
 const LENGTH_OFFSET = 4;
 const CRC_OFFSET = 8;
 
-/** Bytes that stand before each payload. */
+/** Size of the header before each payload. */
 export const RECORD_HEADER_BYTES = 12;
 
 /**
- * @param payload the content; not empty
- * @returns the bytes of one record
+ * @param payload must not be empty
+ * @returns the encoded record
  */
 export function encodeRecord(payload: Uint8Array): Buffer {
   const record = Buffer.allocUnsafe(RECORD_HEADER_BYTES + payload.length);
@@ -25,17 +25,18 @@
   return record;
 }
 
-/** The whole records at the start of some bytes. */
+/** The valid records at the start of a file. */
 export interface ScannedRecords {
+  /** Payloads of the valid records. */
   readonly records: Buffer[];
-  /** How many bytes the whole records take; what follows is torn or damaged. */
+  /** Length of the valid records in bytes; the rest is torn or damaged. */
   readonly validBytes: number;
-  /** Where a whole record begins after the bad bytes; undefined where the bad bytes are a torn tail. */
+  /** Offset of the first valid record after the invalid bytes; undefined if there is none, as after a torn write. */
   readonly laterRecordAt: number | undefined;
 }
 
 /**
- * @returns the records up to the first torn or damaged one
+ * @returns the records before the first torn or damaged one
  */
 export function scanRecords(content: Buffer): ScannedRecords {
   const records: Buffer[] = [];
--- a/src/shared/daemon/stop-signal.ts
+++ b/src/shared/daemon/stop-signal.ts
@@ -1,26 +1,26 @@
 /**
- * @file The signals that ask a daemon to stop. They may come again while a stop is under way.
+ * @file Handles the signals that stop a daemon, including repeated ones during shutdown.
  */
 
-/** What a daemon does when it is asked to stop. */
+/** Handlers of stop signals. */
 export interface StopSignalOptions {
   readonly signals: readonly NodeJS.Signals[];
-  /** Called on the first of them. */
-  readonly stop: () => void;
-  /** Called on each later one. */
-  readonly again: () => void;
+  /** Called on the first signal. */
+  readonly onStop: () => void;
+  /** Called on each later signal. */
+  readonly onRepeat: () => void;
 }
 
-/** Listens for the signals; one that comes again does not end the process by itself. */
-export function onStopSignal({ signals, stop, again }: StopSignalOptions): void {
+/** Installs the signal handlers, which replace the default action of ending the process. */
+export function onStopSignal({ signals, onStop, onRepeat }: StopSignalOptions): void {
   let isStopping = false;
   const onSignal = (): void => {
     if (isStopping) {
-      again();
+      onRepeat();
       return;
     }
     isStopping = true;
-    stop();
+    onStop();
   };
   signals.forEach((signal) => process.on(signal, onSignal));
 }
--- a/src/shared/daemon/storage-folder.ts
+++ b/src/shared/daemon/storage-folder.ts
@@ -1,32 +1,28 @@
 /**
- * @file The few file operations that storage is built on, behind an interface, so that tests can make
- * any of them fail or crash.
+ * @file The file operations that storage needs, behind an interface so that tests can inject failures and crashes.
  */
 import { mkdir, open, readFile, rename, rm, type FileHandle } from 'node:fs/promises';
 import { dirname, join, resolve } from 'node:path';
 
-/**
- * Files of one folder. What is not synced may be lost in a crash. All operations reject with what the operating system says;
- * `consensus-storage.ts` is the one place that decides what follows from it.
- */
+/** Files of one folder. Unsynced changes may be lost in a crash. Operations reject with the error of the operating system. */
 export interface StorageFolder {
-  /** @returns the content, or undefined where there is no such file */
+  /** @returns the content, or undefined if the file doesn't exist */
   read(name: string): Promise<Buffer | undefined>;
-  /** Creates or empties the file and writes the content. */
+  /** Creates or truncates the file and writes the content. */
   write(name: string, content: Uint8Array): Promise<void>;
   append(name: string, content: Uint8Array): Promise<void>;
   truncate(name: string, length: number): Promise<void>;
-  /** Makes the content of a file last. */
+  /** Makes the content of a file durable. */
   sync(name: string): Promise<void>;
   rename(from: string, to: string): Promise<void>;
   remove(name: string): Promise<void>;
-  /** Makes new names, renames and removals last. */
+  /** Makes created, renamed and removed directory entries durable. */
   syncFolder(): Promise<void>;
   close(): Promise<void>;
 }
 
 /**
- * Opens a folder of the real disk; creates it, and makes its name last, where it is missing.
+ * Opens a folder on disk. Creates it if it is missing, and syncs its parents so that the new entries are durable.
  */
 export async function openStorageFolder(path: string): Promise<StorageFolder> {
   const firstCreated = await mkdir(path, { recursive: true });
@@ -65,13 +61,13 @@
   }
 
   async write(name: string, content: Uint8Array): Promise<void> {
-    const handle = await this.handleOf(name);
+    const handle = await this.openHandle(name);
     await handle.truncate(0);
     await handle.appendFile(content);
   }
 
   async append(name: string, content: Uint8Array): Promise<void> {
-    const handle = await this.handleOf(name);
+    const handle = await this.openHandle(name);
     const { bytesWritten } = await handle.write(content);
     if (bytesWritten < content.length) {
       throw new Error(`Only ${bytesWritten} of ${content.length} bytes were written.`);
@@ -79,21 +75,21 @@
   }
 
   async truncate(name: string, length: number): Promise<void> {
-    await (await this.handleOf(name)).truncate(length);
+    await (await this.openHandle(name)).truncate(length);
   }
 
   async sync(name: string): Promise<void> {
-    await (await this.handleOf(name)).datasync();
+    await (await this.openHandle(name)).datasync();
   }
 
   async rename(from: string, to: string): Promise<void> {
-    await this.release(from);
-    await this.release(to);
+    await this.closeHandle(from);
+    await this.closeHandle(to);
     await rename(join(this.path, from), join(this.path, to));
   }
 
   async remove(name: string): Promise<void> {
-    await this.release(name);
+    await this.closeHandle(name);
     await rm(join(this.path, name), { force: true });
   }
 
@@ -102,20 +98,20 @@
   }
 
   async close(): Promise<void> {
-    await Promise.all([...this.handles.keys()].map((name) => this.release(name)));
+    await Promise.all([...this.handles.keys()].map((name) => this.closeHandle(name)));
   }
 
-  private async handleOf(name: string): Promise<FileHandle> {
-    const known = this.handles.get(name);
-    if (known !== undefined) {
-      return known;
+  private async openHandle(name: string): Promise<FileHandle> {
+    const existing = this.handles.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const handle = await open(join(this.path, name), 'a');
     this.handles.set(name, handle);
     return handle;
   }
 
-  private async release(name: string): Promise<void> {
+  private async closeHandle(name: string): Promise<void> {
     const handle = this.handles.get(name);
     this.handles.delete(name);
     await handle?.close();
--- a/src/shared/daemon/system-context.ts
+++ b/src/shared/daemon/system-context.ts
@@ -1,5 +1,5 @@
 /**
- * @file The real clock and a random source seeded by the system; the only place where daemons get them from.
+ * @file The system clock and a randomly seeded random source; the only source of time and randomness in daemons.
  */
 import { randomInt } from 'node:crypto';
 import { seededRandom } from '../common/random.js';
@@ -7,13 +7,13 @@
 
 const SEED_BOUND = 2 ** 31;
 
-/** Makes the context for each step of a daemon. */
+/** Provides the context of each step of a daemon. */
 export interface ContextSource {
   now(): StepContext;
 }
 
 /**
- * @returns contexts with the monotonic clock of this machine
+ * @returns a source of contexts with the monotonic clock of this process
  */
 export function systemContextSource(): ContextSource {
   const random: RandomSource = seededRandom(randomInt(SEED_BOUND));
--- a/src/shared/daemon/udp-socket.ts
+++ b/src/shared/daemon/udp-socket.ts
@@ -8,15 +8,12 @@
 
 const IPV4_FAMILY = 4;
 const IPV6_FAMILY = 6;
-/**
- * What the system may hold for a process that is busy or paused, in bytes; the system may grant less. Not measured;
- * datagrams that the system counts as dropped would show it too small.
- */
-const BUFFER_BYTES = 4 * 1024 * 1024;
+/** Requested kernel buffer size, for bursts while the process is busy; the system may grant less. */
+const SOCKET_BUFFER_BYTES = 4 * 1024 * 1024;
 
 /** A bound UDP socket. */
 export interface UdpSocket {
-  /** The address that it is bound to, with the port that the system chose. */
+  /** The bound address, with the actual port. */
   readonly address: Address;
   send(datagram: Uint8Array, to: Address): void;
   close(): Promise<void>;
@@ -24,21 +21,21 @@
 
 /**
  * Binds a socket.
- * @param address where to bind; port 0 lets the system choose
- * @param onDatagram called for each datagram with its sender
- * @returns the socket; rejects where the address can't be bound
+ * @param address where to bind; with port 0 the system chooses the port
+ * @param onDatagram called with each datagram and its sender
+ * @returns the socket; rejects if the address can't be bound
  */
 export async function bindUdp(
   address: Address,
   onDatagram: (datagram: Buffer, from: Address) => void,
 ): Promise<UdpSocket> {
-  // Asking for IPv6 costs 8 ms at its first call, which a process that starts can't spare.
+  // `isIPv6` is slow on its first call, which would delay the start.
   const type = isIPv4(address.host) ? 'udp4' : 'udp6';
   const socket = createSocket({
     type,
-    lookup: numberLookup(type === 'udp6' ? IPV6_FAMILY : IPV4_FAMILY),
-    recvBufferSize: BUFFER_BYTES,
-    sendBufferSize: BUFFER_BYTES,
+    lookup: ipLiteralLookup(type === 'udp6' ? IPV6_FAMILY : IPV4_FAMILY),
+    recvBufferSize: SOCKET_BUFFER_BYTES,
+    sendBufferSize: SOCKET_BUFFER_BYTES,
   });
   socket.on('message', (datagram, sender) =>
     onDatagram(datagram, { host: sender.address, port: sender.port }),
@@ -66,11 +63,8 @@
   };
 }
 
-/**
- * An address is always an IP number here; the resolver would hand it back one turn later, at a cost
- * for each datagram.
- */
-function numberLookup(family: number) {
+/** Replaces the resolver, which would defer each datagram by a tick: destinations are always IP literals. */
+function ipLiteralLookup(family: number) {
   return (
     host: string,
     _options: object,
@@ -80,7 +74,7 @@
   };
 }
 
-/** A datagram that can't be sent is a lost datagram; its sender retransmits. */
+/** An unsendable datagram is treated as lost; the sender retransmits. */
 function ignoreSendError(): void {
   return undefined;
 }
--- a/src/shared/settings/load-settings.ts
+++ b/src/shared/settings/load-settings.ts
@@ -1,6 +1,6 @@
 /**
- * @file Reads the settings of a process: a YAML file, overridden by flags, checked by the schema of that process.
- * An error names the file, the path in it, what was found and what is allowed.
+ * @file Loads the settings of a process: a YAML file, overridden by flags and validated by the schema of the process. Errors
+ * give the file, the path of the option, the value found and what is allowed.
  */
 import { readFileSync } from 'node:fs';
 import { err, ok, Result } from 'neverthrow';
@@ -8,20 +8,20 @@
 import type { z } from 'zod';
 import { amberliftError, type AmberliftError } from '../common/error-kinds.js';
 
-/** A plain object, as YAML gives it. */
+/** A YAML mapping. */
 type PlainObject = Record<string, unknown>;
 
-/** Where settings come from. */
+/** The sources of settings. */
 export interface SettingsSource {
-  /** Path of a YAML file; absent where flags say everything. */
+  /** Path of a YAML file; absent if all settings are given as flags. */
   readonly file?: string | undefined;
-  /** Overrides `path.to.option=value`, the value written as in YAML. */
+  /** Overrides of the form `path.to.option=value`, with the value in YAML. */
   readonly overrides: readonly string[];
 }
 
 /**
- * @param schema what the settings of the process must look like
- * @returns the checked settings, or `invalid-settings`
+ * @param schema the schema of the settings of the process
+ * @returns the validated settings, or `invalid-settings`
  */
 export function loadSettingsAs<Schema extends z.ZodType>(
   schema: Schema,
--- a/src/tools/cli/daemon-command.ts
+++ b/src/tools/cli/daemon-command.ts
@@ -85,12 +85,12 @@
 export function stopOnSignal(stop: () => Promise<void>): void {
   onStopSignal({
     signals: ['SIGTERM', 'SIGINT'],
-    stop: () => {
+    onStop: () => {
       stop().then(
         () => process.exit(exitCodes.success),
         () => process.exit(exitCodes.failure),
       );
     },
-    again: () => process.exit(exitCodes.failure),
+    onRepeat: () => process.exit(exitCodes.failure),
   });
 }
--- a/test/platform/backend-starts.test.ts
+++ b/test/platform/backend-starts.test.ts
@@ -1,7 +1,6 @@
 /**
- * @file Heartbeats and departures over HTTP to a control machine alone on loopback: what is acknowledged takes effect, or it
- * is not acknowledged. Before starts had names, each of these was acknowledged: the next start was dropped as late or held
- * to the departure of the one before, and entries of another writer were registered.
+ * @file Heartbeats and deregistrations over HTTP to a single control machine: calls without effect must not be acknowledged.
+ * Guards against mixing up successive starts of a back end and against registering malformed entries.
  */
 import { mkdtempSync } from 'node:fs';
 import { createServer } from 'node:http';
@@ -16,8 +15,8 @@
 import { timingFor } from '../../src/registered/group/timing.js';
 
 const HEARTBEAT_INTERVAL_MS = 200;
-const BORN = 1_790_000_000_000;
-const BEAT = {
+const STARTED_AT_MS = 1_790_000_000_000;
+const HEARTBEAT = {
   service: 'alpha',
   address: '127.0.0.1:9001',
   zone: 'zone-a',
@@ -26,12 +25,12 @@
   state: 'ready',
   warmupLeftMs: 0,
   callSeq: 500,
-  born: BORN,
+  born: STARTED_AT_MS,
 };
 
 interface Control {
   readonly daemon: GroupDaemon;
-  /** @returns the status */
+  /** @returns the HTTP status */
   post(path: string, body?: string): Promise<number>;
 }
 
@@ -74,13 +73,13 @@
     const response = await fetch(`http://127.0.0.1:${port}${path}`, { method: 'POST', body });
     return response.status;
   };
-  const lead = async (): Promise<void> => {
-    if ((await post('/Backends.Heartbeat/leads', JSON.stringify(BEAT))) !== 200) {
+  const waitForLeader = async (): Promise<void> => {
+    if ((await post('/Backends.Heartbeat/leads', JSON.stringify(HEARTBEAT))) !== 200) {
       await sleep(50);
-      await lead();
+      await waitForLeader();
     }
   };
-  await lead();
+  await waitForLeader();
   return { daemon, post };
 }
 
@@ -92,52 +91,69 @@
   return port;
 }
 
-t.test('a next start is registered with what it says, whatever its count', async (t) => {
-  const { daemon, post } = await startControl(t);
-  const beat = (changes: object) =>
-    post('/Backends.Heartbeat/i-1', JSON.stringify({ ...BEAT, ...changes }));
-  t.equal(await beat({}), 200);
-  const next = { callSeq: 1, born: BORN + 4_000, address: '127.0.0.1:9002', warmupLeftMs: 2_000 };
-  t.equal(await beat(next), 200);
-  const { registry } = daemon.group.state;
-  t.match(registry.get(`i-1#${BORN + 4_000}`)?.record, {
-    address: { port: 9_002 },
-    warmUpLeftMs: 2_000,
-    sequence: 1,
-  });
-  t.equal(registry.isSuperseded(`i-1#${BORN}`), true);
-  t.equal(await beat({ callSeq: 501 }), 503, 'a late one of the start before has no effect');
-  t.equal(registry.currentStartOf('i-1'), `i-1#${BORN + 4_000}`);
-});
+t.test(
+  'a new start is registered with its own fields, even with a lower sequence number',
+  async (t) => {
+    const { daemon, post } = await startControl(t);
+    const beat = (changes: object) =>
+      post('/Backends.Heartbeat/i-1', JSON.stringify({ ...HEARTBEAT, ...changes }));
+    t.equal(await beat({}), 200);
+    const next = {
+      callSeq: 1,
+      born: STARTED_AT_MS + 4_000,
+      address: '127.0.0.1:9002',
+      warmupLeftMs: 2_000,
+    };
+    t.equal(await beat(next), 200);
+    const { registry } = daemon.group.state;
+    t.match(registry.get(`i-1#${STARTED_AT_MS + 4_000}`)?.record, {
+      address: { port: 9_002 },
+      warmUpLeftMs: 2_000,
+      sequence: 1,
+    });
+    t.equal(registry.isSuperseded(`i-1#${STARTED_AT_MS}`), true);
+    t.equal(
+      await beat({ callSeq: 501 }),
+      503,
+      'a late heartbeat of the previous start has no effect',
+    );
+    t.equal(registry.currentStartOf('i-1'), `i-1#${STARTED_AT_MS + 4_000}`);
+  },
+);
 
-t.test('a departure of the start before is not held against the next one', async (t) => {
+t.test('a departure of the previous start does not affect the next one', async (t) => {
   const { daemon, post } = await startControl(t);
   const beat = (changes: object) =>
-    post('/Backends.Heartbeat/i-2', JSON.stringify({ ...BEAT, ...changes }));
+    post('/Backends.Heartbeat/i-2', JSON.stringify({ ...HEARTBEAT, ...changes }));
   const departureOf = (born: number) => daemon.group.state.replicated.departureOf(`i-2#${born}`);
   t.equal(await beat({ state: 'draining' }), 200);
-  t.equal(await beat({ callSeq: 1, born: BORN + 9_000 }), 200);
-  t.equal(departureOf(BORN), 'draining');
-  t.equal(departureOf(BORN + 9_000), undefined);
-  t.equal(await post('/Backends.Deregister/i-2'), 503, 'it may be of the start before');
-  t.equal(await post('/Backends.Deregister/i-2', JSON.stringify({ born: BORN })), 200);
-  t.equal(departureOf(BORN + 9_000), undefined);
+  t.equal(await beat({ callSeq: 1, born: STARTED_AT_MS + 9_000 }), 200);
+  t.equal(departureOf(STARTED_AT_MS), 'draining');
+  t.equal(departureOf(STARTED_AT_MS + 9_000), undefined);
+  t.equal(await post('/Backends.Deregister/i-2'), 503, 'it may be from the previous start');
+  t.equal(await post('/Backends.Deregister/i-2', JSON.stringify({ born: STARTED_AT_MS })), 200);
+  t.equal(departureOf(STARTED_AT_MS + 9_000), undefined);
   await sleep(2 * HEARTBEAT_INTERVAL_MS);
-  t.equal(await post('/Backends.Deregister/i-2'), 200, 'a start that is not new may leave');
-  t.equal(departureOf(BORN + 9_000), 'gone');
+  t.equal(await post('/Backends.Deregister/i-2'), 200, 'a start that is no longer new may leave');
+  t.equal(departureOf(STARTED_AT_MS + 9_000), 'gone');
 });
 
-t.test('what another writer sends registers nobody, and changes nothing else', async (t) => {
+t.test('malformed entries register no back end and change no other state', async (t) => {
   const { daemon, post } = await startControl(t);
   const { registry } = daemon.group.state;
   const sizeBefore = registry.size;
-  const wrong = [{ state: 'frozen' }, { born: `${BORN}` }, { born: 1.5 }, { capacity: 1e300 }];
+  const wrong = [
+    { state: 'frozen' },
+    { born: `${STARTED_AT_MS}` },
+    { born: 1.5 },
+    { capacity: 1e300 },
+  ];
   for (const changes of [...wrong, { callSeq: -1.5 }, { zone: undefined }]) {
-    const body = JSON.stringify({ ...BEAT, ...changes });
+    const body = JSON.stringify({ ...HEARTBEAT, ...changes });
     t.equal(await post('/Backends.Heartbeat/i-3', body), 400, body);
   }
   t.equal(await post('/Backends.Heartbeat/i-3', '\u0000{'), 400);
-  t.equal(await post('/Backends.Deregister/i-3'), 503, 'nobody knows it');
+  t.equal(await post('/Backends.Deregister/i-3'), 503, 'the back end is unknown');
   t.equal(registry.size, sizeBefore);
   t.same(daemon.group.state.replicated.allDepartures(), []);
   const counted = [...daemon.group.counts].filter(([name]) => name.startsWith('entry refused'));
@@ -151,15 +167,15 @@
   });
 });
 
-t.test('back ends of services that nobody names are few, and not listed', async (t) => {
+t.test('back ends of undeclared services are limited in number and not listed', async (t) => {
   const { daemon, post } = await startControl(t);
-  const body = JSON.stringify({ ...BEAT, service: 'nobody' });
+  const body = JSON.stringify({ ...HEARTBEAT, service: 'nobody' });
   const statuses: number[] = [];
   for (let number = 0; number < 1_010; number += 1) {
     statuses.push(await post(`/Backends.Heartbeat/i-${number}`, body));
   }
   t.equal(daemon.group.state.registry.size, 1_000);
-  t.equal(statuses.filter((status) => status === 503).length, 11, 'one was there before');
+  t.equal(statuses.filter((status) => status === 503).length, 11, 'one was registered before');
   await sleep(HEARTBEAT_INTERVAL_MS);
   t.same([...daemon.group.state.replicated.allBackends()], []);
 });
--- a/test/platform/control-api.test.ts
+++ b/test/platform/control-api.test.ts
@@ -1,11 +1,11 @@
-/** @file The calls of back ends and operators: each becomes a call of the group or a clear answer. */
+/** @file Translation of HTTP calls of back ends and operators, and refusal of malformed ones. */
 import fc from 'fast-check';
 import t from 'tap';
 import { readConfigDocument } from '../../platform/config-document.js';
 import { instanceNumberOf, translateCall } from '../../platform/control-api.js';
 import type { TranslatedCall } from '../../src/registered/daemon/call-listener.js';
 
-const BEAT = {
+const HEARTBEAT = {
   service: 'alpha',
   address: '10.128.0.9:8080',
   zone: 'zone-a',
@@ -55,7 +55,7 @@
   return translated.type === 'reply' ? translated.refusal : undefined;
 }
 
-t.test('zones are emptied and taken back', async (t) => {
+t.test('zones are evacuated and readmitted', async (t) => {
   t.match(translate('POST', '/Evacuations.Start/hall-a', ''), {
     call: { type: 'order-zone', zone: 'hall-a', kind: 'evacuate' },
   });
@@ -66,7 +66,7 @@
   t.equal(statusOf(translate('GET', '/Evacuations.Start/hall-a', '')), 404);
 });
 
-t.test('services tell how their back ends warm up', async (t) => {
+t.test('services declare the warm-up of their back ends', async (t) => {
   const { version, routes, limits } = CONFIG;
   const services = [
     { name: 'alpha', warmupS: 2, coldPerS: 12.5 },
@@ -79,9 +79,9 @@
   ]);
 });
 
-t.test('a heartbeat', async (t) => {
+t.test('a heartbeat is translated', async (t) => {
   const path = '/Backends.Heartbeat/i-7f3a91c2';
-  const translated = translate('POST', path, JSON.stringify(BEAT));
+  const translated = translate('POST', path, JSON.stringify(HEARTBEAT));
   t.match(translated, {
     type: 'call',
     call: {
@@ -95,24 +95,24 @@
       },
     },
   });
-  const draining = translate('POST', path, JSON.stringify({ ...BEAT, state: 'draining' }));
+  const draining = translate('POST', path, JSON.stringify({ ...HEARTBEAT, state: 'draining' }));
   t.match(draining, { call: { isDraining: true } });
 });
 
-t.test('a start of a back end has a name of its own', async (t) => {
+t.test('each start of a back end has its own ID', async (t) => {
   const path = '/Backends.Heartbeat/i-7f3a91c2';
   const born = 1_790_000_000_123;
-  t.match(translate('POST', path, JSON.stringify({ ...BEAT, born })), {
+  t.match(translate('POST', path, JSON.stringify({ ...HEARTBEAT, born })), {
     call: { record: { id: `i-7f3a91c2#${born}`, instanceNumber: '000000007f3a91c2' } },
   });
   t.match(translate('POST', '/Backends.Deregister/i-7f3a91c2', JSON.stringify({ born })), {
     call: { type: 'deregister', backendId: `i-7f3a91c2#${born}` },
   });
   const forged = '/Backends.Heartbeat/i-7f3a91c2%235';
-  t.equal(refusalOf(translate('POST', forged, JSON.stringify(BEAT))), 'id');
+  t.equal(refusalOf(translate('POST', forged, JSON.stringify(HEARTBEAT))), 'id');
 });
 
-t.test('what another writer sends names no back end, and the reason is counted', async (t) => {
+t.test('malformed heartbeats are refused with the invalid field as reason', async (t) => {
   const wrong: Readonly<Record<string, readonly unknown[]>> = {
     service: ['', 5, null, 'x'.repeat(101)],
     address: ['here', '10.0.0.1', '10.0.0.1:0', 7, null],
@@ -127,85 +127,78 @@
   const path = '/Backends.Heartbeat/i-1';
   for (const [field, values] of Object.entries(wrong)) {
     for (const value of values) {
-      const text = JSON.stringify({ ...BEAT, [field]: value });
+      const text = JSON.stringify({ ...HEARTBEAT, [field]: value });
       const translated = translate('POST', path, text);
       t.equal(statusOf(translated), 400, text);
       t.equal(refusalOf(translated), field, text);
     }
-    const { [field]: left, ...others } = BEAT as Readonly<Record<string, unknown>>;
-    if (left !== undefined) {
+    const { [field]: removed, ...others } = HEARTBEAT as Readonly<Record<string, unknown>>;
+    if (removed !== undefined) {
       t.equal(refusalOf(translate('POST', path, JSON.stringify(others))), field, `no ${field}`);
     }
   }
-  for (const text of ['', '{', '[]', '5', '\u0000\ufffd', JSON.stringify(BEAT).slice(0, -3)]) {
+  for (const text of ['', '{', '[]', '5', '\u0000\ufffd', JSON.stringify(HEARTBEAT).slice(0, -3)]) {
     t.equal(refusalOf(translate('POST', path, text)), 'unreadable', text);
   }
   t.equal(refusalOf(translate('POST', '/Backends.Deregister/i-1', '{"born":"x"}')), 'born');
   t.equal(refusalOf(translate('POST', '/Backends.Deregister/i-1', '[')), 'unreadable');
 });
 
-t.test(
-  'a heartbeat is either that of a back end in bounds, or refused with a reason',
-  async (t) => {
-    const fields = Object.keys({ ...BEAT, born: 0 });
-    const anything = fc.oneof(fc.string(), fc.double(), fc.constant(null), fc.json(), fc.boolean());
-    const changes = fc.dictionary(fc.constantFrom(...fields), fc.option(anything));
-    fc.assert(
-      fc.property(changes, (changed) => {
-        const text = JSON.stringify({ ...BEAT, ...changed });
-        const translated = translate('POST', '/Backends.Heartbeat/i-1', text);
-        if (translated.type === 'reply') {
-          return translated.reply.status === 400 && refusalOf(translated) !== undefined;
-        }
-        const { call } = translated;
-        if (call.type !== 'heartbeat') {
-          return false;
-        }
-        const { capacity, warmUpLeftMs, sequence } = call.record;
-        const isBounded =
-          capacity > 0 && capacity <= 1e5 && warmUpLeftMs >= 0 && warmUpLeftMs < 1e9;
-        return isBounded && Number.isSafeInteger(sequence) && sequence >= 0;
-      }),
-      { seed: 2, numRuns: 2_000 },
-    );
-    t.pass();
-  },
-);
-
-t.test('a deregistration and a read', async (t) => {
+t.test('a heartbeat has fields within their bounds, or is refused with a reason', async (t) => {
+  const fields = Object.keys({ ...HEARTBEAT, born: 0 });
+  const anything = fc.oneof(fc.string(), fc.double(), fc.constant(null), fc.json(), fc.boolean());
+  const changes = fc.dictionary(fc.constantFrom(...fields), fc.option(anything));
+  fc.assert(
+    fc.property(changes, (changed) => {
+      const text = JSON.stringify({ ...HEARTBEAT, ...changed });
+      const translated = translate('POST', '/Backends.Heartbeat/i-1', text);
+      if (translated.type === 'reply') {
+        return translated.reply.status === 400 && refusalOf(translated) !== undefined;
+      }
+      const { call } = translated;
+      if (call.type !== 'heartbeat') {
+        return false;
+      }
+      const { capacity, warmUpLeftMs, sequence } = call.record;
+      const isBounded = capacity > 0 && capacity <= 1e5 && warmUpLeftMs >= 0 && warmUpLeftMs < 1e9;
+      return isBounded && Number.isSafeInteger(sequence) && sequence >= 0;
+    }),
+    { seed: 2, numRuns: 2_000 },
+  );
+  t.pass();
+});
+
+t.test('a deregistration and a read are translated', async (t) => {
   t.match(translate('POST', '/Backends.Deregister/i-1', ''), {
     call: { type: 'deregister', backendId: 'i-1' },
   });
   t.match(translate('GET', '/Config.Get', ''), { call: { type: 'read-config' } });
 });
 
-t.test('a configuration keeps its text', async (t) => {
+t.test('a configuration keeps its original text', async (t) => {
   const text = JSON.stringify(CONFIG, undefined, 1);
   t.match(translate('POST', '/Config.Put', text), {
     call: { type: 'declare-config', document: { version: 7, text } },
   });
 });
 
-t.test(
-  'invalid configurations are refused, and so is an old version that is invalid',
-  async (t) => {
-    const whole = JSON.stringify(CONFIG);
-    t.equal(statusOf(translate('POST', '/Config.Put', whole.slice(0, -9))), 400, 'cut short');
-    t.equal(statusOf(putConfig({}, { service: 'gamma', trafficSplit: undefined })), 400, 'service');
-    t.equal(statusOf(putConfig({}, { host: '198.18.0.2' })), 400, 'same place');
-    t.equal(statusOf(putConfig({}, { timeoutMs: 0 })), 400, 'no time-out');
-    const weightless = [{ service: 'alpha', weight: 0 }];
-    t.equal(statusOf(putConfig({}, { trafficSplit: weightless })), 400, 'no weight');
-    t.equal(statusOf(putConfig({ version: 0 })), 400, 'no version');
-    t.equal(statusOf(putConfig({ version: 1 }, { timeoutMs: 0 })), 400, 'old and invalid');
-    t.equal(statusOf(putConfig({})), 0, 'the whole one is taken');
-  },
-);
-
-t.test('what is no call is told so', async (t) => {
+t.test('invalid configurations are refused, even with an old version', async (t) => {
+  const whole = JSON.stringify(CONFIG);
+  t.equal(statusOf(translate('POST', '/Config.Put', whole.slice(0, -9))), 400, 'cut short');
+  t.equal(statusOf(putConfig({}, { service: 'gamma', trafficSplit: undefined })), 400, 'service');
+  t.equal(statusOf(putConfig({}, { host: '198.18.0.2' })), 400, 'duplicate address');
+  t.equal(statusOf(putConfig({}, { timeoutMs: 0 })), 400, 'no time-out');
+  const weightless = [{ service: 'alpha', weight: 0 }];
+  t.equal(statusOf(putConfig({}, { trafficSplit: weightless })), 400, 'no weight');
+  t.equal(statusOf(putConfig({ version: 0 })), 400, 'no version');
+  t.equal(statusOf(putConfig({ version: 1 }, { timeoutMs: 0 })), 400, 'old and invalid');
+  t.equal(statusOf(putConfig({})), 0, 'the valid one is accepted');
+});
+
+t.test('unknown paths and malformed heartbeats are refused', async (t) => {
   t.equal(statusOf(translate('GET', '/', '')), 404);
-  t.equal(statusOf(translate('POST', '/Backends.Heartbeat/', JSON.stringify(BEAT))), 400);
-  t.equal(statusOf(translate('POST', '/Backends.Heartbeat/%E0', JSON.stringify(BEAT))), 400);
+  t.equal(statusOf(translate('POST', '/Backends.Heartbeat/', JSON.stringify(HEARTBEAT))), 400);
+  t.equal(statusOf(translate('POST', '/Backends.Heartbeat/%E0', JSON.stringify(HEARTBEAT))), 400);
   t.equal(statusOf(translate('POST', '/Backends.Heartbeat/i-1', '{}')), 400);
 });
 
@@ -227,7 +220,7 @@
   t.pass();
 });
 
-t.test('the number of an instance is the hexadecimal digits of its ID', async (t) => {
+t.test('the instance number consists of the hexadecimal digits of the ID', async (t) => {
   t.equal(instanceNumberOf('i-7f3a91c2'), '000000007f3a91c2');
   t.equal(instanceNumberOf('i-8d5f354dd3'), '0000008d5f354dd3');
 });
--- a/test/platform/missing-address.test.ts
+++ b/test/platform/missing-address.test.ts
@@ -1,4 +1,4 @@
-/** @file A program whose settings lack an address that it needs ends with the exit code of wrong settings. */
+/** @file A program must exit with the code for invalid settings if a required address is missing. */
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -7,7 +7,7 @@
 import t from 'tap';
 import { exitCodes } from '../../src/shared/common/error-kinds.js';
 
-t.test('a balancer without an address for packets refuses its settings', async (t) => {
+t.test('a balancer refuses settings without a packet address', async (t) => {
   const folder = mkdtempSync(join(tmpdir(), 'amberlift-missing-address-'));
   t.teardown(() => rmSync(folder, { recursive: true, force: true }));
   const settings = {
--- a/test/platform/programs.test.ts
+++ b/test/platform/programs.test.ts
@@ -1,4 +1,4 @@
-/** @file The programs as they are built: from a snapshot of the runtime that every process begins with. */
+/** @file The built programs, which start from a V8 startup snapshot, must behave as without one and share no state. */
 import { spawn, execFileSync, type ChildProcessWithoutNullStreams } from 'node:child_process';
 import { once } from 'node:events';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
@@ -14,45 +14,45 @@
 
 t.before(() => execFileSync('sh', ['deploy/build.sh'], { stdio: 'ignore' }));
 
-t.test('a balancer serves and ends as it would without a snapshot', async (t) => {
+t.test('a balancer started from a snapshot serves, handles signals and ends', async (t) => {
   const { child, port, nextLine } = await start(t, 'balancer');
   t.match(
     await nextLine(),
     /\[balancer\] started name=balancer-a/,
-    'its settings are those of now',
+    'settings are read at the start, not at the build',
   );
   t.equal(await statusOf(port, '/ready'), 503, 'not ready without any control machine');
   child.kill('SIGHUP');
-  t.match(await lineWith(nextLine, 'settings'), /settings taken/, 'signals reach it');
+  t.match(await nextLineWith(nextLine, 'settings'), /settings taken/, 'signals are handled');
   child.kill('SIGTERM');
   const [code] = (await once(child, 'exit')) as [number | null];
   t.equal(code, 0);
 });
 
-t.test('processes of one snapshot share nothing that must be their own', async (t) => {
+t.test('processes started from one snapshot draw different member IDs', async (t) => {
   const first = await start(t, 'control');
   const second = await start(t, 'control');
   const [one, other] = await Promise.all([first, second].map(memberIdOf));
   t.type(one, 'string');
-  t.not(one, other, 'member IDs are drawn by each process');
-  t.equal(await statusOf(first.port, '/Config.Get'), 503, 'HTTP is served, and no group is joined');
+  t.not(one, other, 'each process draws its own member ID');
+  t.equal(await statusOf(first.port, '/Config.Get'), 503, 'HTTP is served without joining a group');
 });
 
-/** Newcomers draw an ID of their own. */
+/** The content of the identity file, which holds a randomly drawn ID. */
 async function memberIdOf({ name, nextLine }: Started): Promise<string> {
-  await lineWith(nextLine, 'started');
+  await nextLineWith(nextLine, 'started');
   return readFileSync(join(folder, name, 'identity'), 'utf8');
 }
 
 interface Started {
   readonly name: string;
   readonly child: ChildProcessWithoutNullStreams;
-  /** Of `ready` or of `control`. */
+  /** Port of the readiness check or of the control API. */
   readonly port: number;
   readonly nextLine: () => Promise<string>;
 }
 
-/** Starts a program by the very words of the deploy file. */
+/** Starts a program with the command line of the deployment file. */
 async function start(t: Test, program: 'balancer' | 'control'): Promise<Started> {
   const [packetPort, port, linkPort, seedPort] = await freePorts();
   const isControl = program === 'control';
@@ -86,8 +86,8 @@
   const path = join(folder, `${name}.json`);
   writeFileSync(path, JSON.stringify(settings));
   const deploy = readFileSync('deploy/system.toml', 'utf8');
-  const words = new RegExp(`run = "node (.*target/${program}\\.blob)"`).exec(deploy)?.[1] ?? '';
-  const child = spawn(process.execPath, words.split(' '), {
+  const args = new RegExp(`run = "node (.*target/${program}\\.blob)"`).exec(deploy)?.[1] ?? '';
+  const child = spawn(process.execPath, args.split(' '), {
     env: { PATH: process.env.PATH, AMBERLIFT_NODE_FILE: path },
   });
   t.teardown(() => child.kill('SIGKILL'));
@@ -102,7 +102,7 @@
   return { name, child, port, nextLine };
 }
 
-async function lineWith(nextLine: () => Promise<string>, text: string): Promise<string> {
+async function nextLineWith(nextLine: () => Promise<string>, text: string): Promise<string> {
   let line = '';
   while (!line.includes(text)) {
     line = await nextLine();
@@ -120,10 +120,10 @@
 
 const RETRY_AFTER_MS = 50;
 
-/** The server comes up some turns after the first line. */
+/** Retries until the server listens, which may be after the first log line. */
 async function statusOf(port: number, path: string): Promise<number> {
   for (;;) {
-    const status = await askOnce(port, path);
+    const status = await requestStatus(port, path);
     if (status !== undefined) {
       return status;
     }
@@ -131,7 +131,7 @@
   }
 }
 
-function askOnce(port: number, path: string): Promise<number | undefined> {
+function requestStatus(port: number, path: string): Promise<number | undefined> {
   return new Promise((resolve) => {
     const outgoing = request({ host: '127.0.0.1', port, path, agent: false });
     outgoing.on('response', (incoming) => {
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -1,4 +1,4 @@
-/** @file The settings of the platform are checked, unknown fields passed over. */
+/** @file Platform settings are validated and translated; unknown fields are ignored. */
 import fc from 'fast-check';
 import t from 'tap';
 import { parseSettings } from '../../platform/settings.js';
@@ -29,7 +29,7 @@
   somethingNew: { a: 1 },
 };
 
-t.test('good settings', async (t) => {
+t.test('valid settings are translated', async (t) => {
   const settings = parseSettings(SETTINGS)._unsafeUnwrap();
   t.same(settings.internalAddress, { host: '10.1.0.10', port: 7_720 });
   t.same(settings.controlSeeds, [
@@ -38,7 +38,7 @@
   ]);
 });
 
-t.test('narrow bounds make times shorter, wide ones none longer', async (t) => {
+t.test('tight bounds shorten timeouts, loose bounds do not extend them', async (t) => {
   const timingOf = (bounds: object) =>
     parseSettings({ ...SETTINGS, bounds: { ...SETTINGS.bounds, ...bounds } })._unsafeUnwrap()
       .timing;
@@ -47,15 +47,18 @@
   t.equal(timingOf({ contactMs: 2_000 }).links.silentAfterMs, usual.links.silentAfterMs / 2);
   t.equal(timingOf({ configApplyMs: 1_500 }).feed.silentAfterMs, usual.feed.silentAfterMs / 2);
   t.equal(timingOf({ drainMs: 1_500 }).feed.freshMs, usual.feed.freshMs / 2);
-  t.ok(timingOf({ drainMs: 1 }).consensus.electionTimeoutMs >= 150, 'no election at every pause');
+  t.ok(
+    timingOf({ drainMs: 1 }).consensus.electionTimeoutMs >= 150,
+    'short pauses do not cause an election',
+  );
 });
 
-t.test('parts of the rules that are not known are named', async (t) => {
+t.test('unsupported contracts are reported', async (t) => {
   const settings = parseSettings({ ...SETTINGS, contracts: ['base', 'tides'] })._unsafeUnwrap();
-  t.same(settings.unknownRules, ['tides']);
+  t.same(settings.unknownContracts, ['tides']);
 });
 
-t.test('bad settings name the field', async (t) => {
+t.test('invalid settings name the field', async (t) => {
   const cases: readonly (readonly [string, object])[] = [
     ['seeds', { seeds: ['somewhere'] }],
     ['heartbeatMs', { heartbeatMs: 0 }],
@@ -71,7 +74,7 @@
   }
 });
 
-t.test('no content makes the check throw', async (t) => {
+t.test('arbitrary content does not make the validation throw', async (t) => {
   fc.assert(
     fc.property(fc.jsonValue(), (content) => parseSettings(content).isErr()),
     { seed: 1 },
--- a/test/registered/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -4,7 +4,7 @@
  * cold: its back ends bear few new flows a second from all balancers together.
  */
 import t from 'tap';
-import { createStallGuard } from '../../../src/shared/common/stall-guard.js';
+import { createStallDetector } from '../../../src/shared/common/stall-guard.js';
 import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import { DrawnFaults } from '../../../src/proof/sim-registered/drawn-faults.js';
 import type { IngressCheck } from '../../../src/proof/sim-registered/ingress-oracle.js';
@@ -232,8 +232,8 @@
   const violations = await lateOrder((world) =>
     world.controls.forEach(({ process }) => {
       if (process !== undefined) {
-        const guard = createStallGuard({ stallMs: 300, rememberedMs: 0 });
-        process.state.stallGuard.trustAt = (nowMs) => guard.trustAt(nowMs);
+        const guard = createStallDetector({ stallThresholdMs: 300, peerRetentionMs: 0 });
+        process.state.stallGuard.freshnessAt = (nowMs) => guard.freshnessAt(nowMs);
         const { zones } = process.state.replicated;
         const apply = zones.apply.bind(zones);
         zones.apply = (order) =>
--- a/test/registered/ingress/frozen-balancer.test.ts
+++ b/test/registered/ingress/frozen-balancer.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
-import { createStallGuard } from '../../../src/shared/common/stall-guard.js';
+import { createStallDetector } from '../../../src/shared/common/stall-guard.js';
 
 const SEEDS = 6;
 const FAULTS = 10;
@@ -11,7 +11,7 @@
 function trustAll(world: IngressWorld): void {
   for (const { process } of world.balancers) {
     if (process !== undefined) {
-      process.state.stallGuard.trustAt = () => 'fresh';
+      process.state.stallGuard.freshnessAt = () => 'fresh';
     }
   }
 }
@@ -40,11 +40,11 @@
 
 t.test('opens are doubted after a stall, and stale after a long one', async (t) => {
   const trustAfter = (pauseMs: number, laterMs = 0) => {
-    const guard = createStallGuard({ stallMs: 300, rememberedMs: 2_000 });
-    guard.recordTurn(1_000);
-    guard.recordTurn(1_100);
-    guard.recordTurn(1_100 + pauseMs);
-    return guard.trustAt(1_100 + pauseMs + laterMs);
+    const guard = createStallDetector({ stallThresholdMs: 300, peerRetentionMs: 2_000 });
+    guard.recordActivity(1_000);
+    guard.recordActivity(1_100);
+    guard.recordActivity(1_100 + pauseMs);
+    return guard.freshnessAt(1_100 + pauseMs + laterMs);
   };
   t.equal(trustAfter(100), 'fresh');
   t.equal(trustAfter(299), 'fresh', 'a tick that is late');
@@ -54,7 +54,7 @@
   t.equal(trustAfter(5_000, 299), 'stale');
   t.equal(trustAfter(5_000, 300), 'fresh', 'the backlog has been read');
   t.equal(
-    createStallGuard({ stallMs: 300, rememberedMs: 2_000 }).trustAt(9_000),
+    createStallDetector({ stallThresholdMs: 300, peerRetentionMs: 2_000 }).freshnessAt(9_000),
     'fresh',
     'a fresh start',
   );
--- a/test/shared/common/frame-compression.test.ts
+++ b/test/shared/common/frame-compression.test.ts
@@ -1,4 +1,4 @@
-/** @file Long frames travel compressed, short ones as they are, and what is no frame is refused. */
+/** @file Compression of long frames, decoding of a stream in arbitrary chunks, and rejection of malformed frames. */
 import fc from 'fast-check';
 import t from 'tap';
 import { encodeFrame, FrameDecoder } from '../../../src/shared/common/frame-codec.js';
@@ -8,7 +8,7 @@
   Array.from({ length: 1_640 }, (_, at) => ({ name: `r-${at}`, host: `198.18.0.${at % 256}` })),
 );
 
-t.test('a configuration of many routes takes a fifth', async (t) => {
+t.test('a configuration of many routes compresses to less than a fifth', async (t) => {
   const message = { type: 'document', text: longText };
   const frame = encodeFrame(message);
   t.comment(`${longText.length} bytes of text, ${frame.length} bytes of frame`);
@@ -16,7 +16,7 @@
   t.same(new FrameDecoder().push(frame), { type: 'messages', messages: [message] });
 });
 
-t.test('a short message, and one that does not get shorter, is sent as it is', async (t) => {
+t.test('short and incompressible messages are sent uncompressed', async (t) => {
   t.equal(encodeFrame({ a: 1 }).readUInt8(0), 0);
   const noise = Buffer.from(
     Array.from({ length: 9_000 }, (_, at) => (at * at * 2_654_435_761) >>> 13),
@@ -34,7 +34,7 @@
   });
 }
 
-t.test('frames come out in order, wherever the stream is cut', async (t) => {
+t.test('frames are decoded in order, wherever the stream is split', async (t) => {
   const messages = [{ n: 1 }, { text: longText }, { n: 2 }];
   const stream = Buffer.concat(messages.map((message) => encodeFrame(message)));
   fc.assert(
@@ -48,7 +48,7 @@
 });
 
 t.test(
-  'what inflates beyond the bound, or is not compressed at all, ends the stream',
+  'a payload that inflates beyond the limit or is not valid DEFLATE data ends the stream',
   async (t) => {
     const frame = encodeFrame({ text: longText });
     t.equal(new FrameDecoder(longText.length / 2).push(frame).type, 'malformed');
@@ -58,12 +58,12 @@
   },
 );
 
-t.test('a decoder tells whether it is inside a frame', async (t) => {
+t.test('a decoder reports whether it has part of a payload', async (t) => {
   const decoder = new FrameDecoder();
   const frame = encodeFrame({ text: longText });
   t.notOk(decoder.isInsideFrame);
   decoder.push(frame.subarray(0, LENGTH_BYTES));
-  t.notOk(decoder.isInsideFrame, 'a length alone is no progress');
+  t.notOk(decoder.isInsideFrame, 'the header alone does not count');
   decoder.push(frame.subarray(LENGTH_BYTES, 100));
   t.ok(decoder.isInsideFrame);
   decoder.push(frame.subarray(100));
--- a/test/shared/common/keyed-hash.test.ts
+++ b/test/shared/common/keyed-hash.test.ts
@@ -1,8 +1,8 @@
-/** @file The keyed hash gives what the published algorithm gives. */
+/** @file The keyed hash matches the test vectors of SipHash-2-4. */
 import t from 'tap';
 import { keyedHash } from '../../../src/shared/common/keyed-hash.js';
 
-/** From the reference implementation: key 00..0f, message 00..n-1, by n; little-endian. */
+/** Vectors of the reference implementation by message length n: key 00..0f, message 00..n-1, little-endian. */
 const vectors = new Map([
   [0, '310e0edd47db6f72'],
   [1, 'fd67dc93c539f874'],
@@ -20,7 +20,7 @@
   });
 }
 
-t.test('the hash is that of the bytes, wherever they lie', async (t) => {
+t.test('the hash does not depend on the offset of the bytes in their buffer', async (t) => {
   const bytes = Uint8Array.from({ length: 32 }, (_, index) => index * 7);
   for (let start = 0; start < bytes.length; start += 1) {
     const view = bytes.subarray(start);
--- a/test/shared/common/links.test.ts
+++ b/test/shared/common/links.test.ts
@@ -1,9 +1,12 @@
-/** @file The links of a process: their IDs, and how broken ones are opened again. */
+/** @file Link IDs must not be reused, and broken outbound links must be reopened with exponential backoff. */
 import t from 'tap';
-import { createDialedLinks, type DialedLink } from '../../../src/shared/common/dialed-links.js';
+import {
+  createOutboundLinks,
+  type OutboundLink,
+} from '../../../src/shared/common/outbound-links.js';
 import { createLinkTable } from '../../../src/shared/common/link-table.js';
 
-t.test('a link keeps its ID until it is removed, and no ID is used again', async (t) => {
+t.test('a link keeps its ID until it is removed, and IDs are not reused', async (t) => {
   const table = createLinkTable<object>();
   const first = {};
   const second = {};
@@ -19,21 +22,21 @@
   t.not(table.idOf(first), firstId);
 });
 
-const TO = { host: '127.0.0.1', port: 1 };
+const TARGET = { host: '127.0.0.1', port: 1 };
 
-/** Links whose opening and closing the test controls. */
+/** Creates links that the test can make fail to open or close. */
 function createDialer(firstRetryDelayMs: number, maxRetryDelayMs: number) {
   const dialer = {
     nowMs: 0,
-    dialed: 0,
+    dialCount: 0,
     canOpen: true,
     sent: [] as object[],
     breakLink: (): void => undefined,
   };
-  const links = createDialedLinks<DialedLink>({
+  const links = createOutboundLinks<OutboundLink>({
     nowMs: () => dialer.nowMs,
     dial: (_to, onClose) => {
-      dialer.dialed += 1;
+      dialer.dialCount += 1;
       dialer.breakLink = onClose;
       return dialer.canOpen ? { send: (message) => dialer.sent.push(message) } : undefined;
     },
@@ -45,57 +48,54 @@
 
 t.test('one link serves all messages to an address', async (t) => {
   const { dialer, links } = createDialer(50, 1_000);
-  links.send(TO, { number: 1 });
-  links.send(TO, { number: 2 });
-  t.equal(dialer.dialed, 1);
+  links.send(TARGET, { number: 1 });
+  links.send(TARGET, { number: 2 });
+  t.equal(dialer.dialCount, 1);
   t.strictSame(dialer.sent, [{ number: 1 }, { number: 2 }]);
 });
 
-t.test(
-  'a link that can not be opened is tried after delays that double up to a bound',
-  async (t) => {
-    const { dialer, links } = createDialer(50, 200);
-    dialer.canOpen = false;
-    const dialedAtMs: number[] = [];
-    for (dialer.nowMs = 0; dialer.nowMs <= 800; dialer.nowMs += 10) {
-      const before = dialer.dialed;
-      links.send(TO, {});
-      if (dialer.dialed > before) {
-        dialedAtMs.push(dialer.nowMs);
-      }
+t.test('opening a link is retried after delays that double up to a limit', async (t) => {
+  const { dialer, links } = createDialer(50, 200);
+  dialer.canOpen = false;
+  const attemptsAtMs: number[] = [];
+  for (dialer.nowMs = 0; dialer.nowMs <= 800; dialer.nowMs += 10) {
+    const dialCountBefore = dialer.dialCount;
+    links.send(TARGET, {});
+    if (dialer.dialCount > dialCountBefore) {
+      attemptsAtMs.push(dialer.nowMs);
     }
-    t.strictSame(dialedAtMs, [0, 50, 150, 350, 550, 750]);
-  },
-);
+  }
+  t.strictSame(attemptsAtMs, [0, 50, 150, 350, 550, 750]);
+});
 
-t.test('a link that lasted begins anew with the first delay', async (t) => {
+t.test('a link that stayed open resets the retry delay', async (t) => {
   const { dialer, links } = createDialer(50, 200);
   dialer.canOpen = false;
-  links.send(TO, {});
+  links.send(TARGET, {});
   dialer.nowMs = 50;
-  links.send(TO, {});
+  links.send(TARGET, {});
   dialer.nowMs = 150;
   dialer.canOpen = true;
-  links.send(TO, {});
+  links.send(TARGET, {});
   dialer.nowMs = 1_000;
   dialer.breakLink();
   dialer.nowMs = 1_049;
-  links.send(TO, {});
-  t.equal(dialer.dialed, 3, 'the delay has not passed');
+  links.send(TARGET, {});
+  t.equal(dialer.dialCount, 3, 'the delay has not passed');
   dialer.nowMs = 1_050;
-  links.send(TO, {});
-  t.equal(dialer.dialed, 4);
+  links.send(TARGET, {});
+  t.equal(dialer.dialCount, 4);
 });
 
-t.test('closed links are handed over to be ended, and none opens again', async (t) => {
+t.test('closing passes on the open links, and none is opened again', async (t) => {
   const { dialer, links } = createDialer(50, 200);
-  links.send(TO, {});
+  links.send(TARGET, {});
   let ended = 0;
   links.close(() => {
     ended += 1;
   });
   dialer.nowMs = 10_000;
-  links.send(TO, {});
+  links.send(TARGET, {});
   t.equal(ended, 1);
-  t.equal(dialer.dialed, 1);
+  t.equal(dialer.dialCount, 1);
 });
--- a/test/shared/daemon/consensus-storage.test.ts
+++ b/test/shared/daemon/consensus-storage.test.ts
@@ -1,4 +1,4 @@
-/** @file The disk of a control machine: what is found again after a crash, and what is refused. */
+/** @file Recovery of consensus storage after crashes, and refusal of damaged or foreign files. */
 import { mkdtemp, readFile, rm, truncate, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -21,7 +21,7 @@
   return { type: 'persist', writeId, records: [{ type: 'entries', entries }] };
 }
 
-async function opened(folder: StorageFolder): Promise<ConsensusStorage> {
+async function openStorage(folder: StorageFolder): Promise<ConsensusStorage> {
   const storage = await ConsensusStorage.open(folder, 'c1', () => 'disk-1');
   if (storage.isErr()) {
     throw new Error(storage.error.message);
@@ -29,60 +29,60 @@
   return storage.value;
 }
 
-/** The entries that a member starts with. */
+/** The log entries that a member recovers. */
 async function recoveredEntries(folder: StorageFolder): Promise<LogEntry[]> {
-  const storage = await opened(folder);
+  const storage = await openStorage(folder);
   await storage.close();
   const { log } = createConsensusState('c1', storage.recovered);
   return log.slice(log.base.index + 1, log.last.index);
 }
 
-async function withThreeWrites(): Promise<MemoryFolder> {
+async function folderWithThreeWrites(): Promise<MemoryFolder> {
   const folder = new MemoryFolder();
-  const storage = await opened(folder);
+  const storage = await openStorage(folder);
   await storage.persist(append(1, entry(1)));
   await storage.persist(append(2, entry(2), entry(3)));
   await storage.persist(append(3, entry(4)));
   return folder;
 }
 
-async function logOf(folder: StorageFolder): Promise<Buffer> {
+async function readLog(folder: StorageFolder): Promise<Buffer> {
   return (await folder.read('log')) ?? Buffer.alloc(0);
 }
 
-t.test('a log that is torn at any byte of its last write holds all writes before', async (t) => {
-  const whole = await logOf(await withThreeWrites());
+t.test('a log whose last write is torn at any byte keeps all earlier writes', async (t) => {
+  const whole = await readLog(await folderWithThreeWrites());
   const lastStart = whole.lastIndexOf('ALR1');
   for (let length = lastStart; length < whole.length; length += 1) {
-    const folder = await withThreeWrites();
+    const folder = await folderWithThreeWrites();
     folder.put('log', whole.subarray(0, length));
     t.strictSame(await recoveredEntries(folder), [entry(1), entry(2), entry(3)], `${length}`);
   }
 });
 
-t.test('a record appended after a torn tail is found again after reopening', async (t) => {
-  const whole = await logOf(await withThreeWrites());
+t.test('a record appended after a torn write is recovered', async (t) => {
+  const whole = await readLog(await folderWithThreeWrites());
   const lastStart = whole.lastIndexOf('ALR1');
   for (let length = lastStart; length < whole.length; length += 1) {
-    const folder = await withThreeWrites();
+    const folder = await folderWithThreeWrites();
     folder.put('log', whole.subarray(0, length));
-    const storage = await opened(folder);
+    const storage = await openStorage(folder);
     await storage.persist(append(1, entry(4, 2)));
     const entries = await recoveredEntries(folder.crashed());
     t.strictSame(entries, [entry(1), entry(2), entry(3), entry(4, 2)], `cut at byte ${length}`);
   }
 });
 
-t.test('the same on a real disk', async (t) => {
+t.test('recovery after a torn write on disk', async (t) => {
   const path = await mkdtemp(join(tmpdir(), 'amberlift-storage-'));
   t.teardown(() => rm(path, { recursive: true }));
-  const first = await opened(await openStorageFolder(path));
+  const first = await openStorage(await openStorageFolder(path));
   await first.persist(append(1, entry(1)));
   await first.persist(append(2, entry(2)));
   await first.close();
   const log = join(path, 'log');
   await truncate(log, (await readFile(log)).length - 3);
-  const second = await opened(await openStorageFolder(path));
+  const second = await openStorage(await openStorageFolder(path));
   await second.persist(append(1, entry(2, 2)));
   await second.close();
   t.strictSame(await recoveredEntries(await openStorageFolder(path)), [entry(1), entry(2, 2)]);
@@ -90,25 +90,25 @@
   t.strictSame(await recoveredEntries(await openStorageFolder(path)), [entry(1), entry(2, 2)]);
 });
 
-t.test('damage before the last write is refused as storage-failed, at any byte', async (t) => {
-  const whole = await logOf(await withThreeWrites());
+t.test('damage at any byte before the last write is refused as storage-failed', async (t) => {
+  const whole = await readLog(await folderWithThreeWrites());
   const lastStart = whole.lastIndexOf('ALR1');
   for (let offset = 0; offset < lastStart; offset += 1) {
-    const folder = await withThreeWrites();
+    const folder = await folderWithThreeWrites();
     const damaged = Buffer.from(whole);
     damaged[offset] = (damaged[offset] ?? 0) ^ 0x10;
     folder.put('log', damaged);
     const storage = await ConsensusStorage.open(folder, 'c1');
     t.match(storage, { error: { kind: 'storage-failed' } }, `byte ${offset}`);
-    t.ok(damaged.equals(await logOf(folder)), 'and left as it is');
+    t.ok(damaged.equals(await readLog(folder)), 'the log is left unchanged');
   }
 });
 
-t.test('a file of another machine, or a missing one, is refused', async (t) => {
-  const folder = await withThreeWrites();
+t.test('files of another machine and missing files are refused', async (t) => {
+  const folder = await folderWithThreeWrites();
   t.match(await ConsensusStorage.open(folder, 'c2'), { error: { kind: 'storage-failed' } });
   for (const name of ['identity', 'log']) {
-    const partial = await withThreeWrites();
+    const partial = await folderWithThreeWrites();
     await partial.remove(name);
     t.match(
       await ConsensusStorage.open(partial, 'c1'),
@@ -118,9 +118,9 @@
   }
 });
 
-t.test('a damaged log without an identity is not taken for an empty disk', async (t) => {
-  const folder = await withThreeWrites();
-  const log = await logOf(folder);
+t.test('a damaged log without an identity is not treated as an empty disk', async (t) => {
+  const folder = await folderWithThreeWrites();
+  const log = await readLog(folder);
   log[0] = 0;
   folder.put('log', log);
   await folder.remove('identity');
@@ -133,36 +133,41 @@
   membership: { members: [] },
   data: Buffer.from('the state'),
 };
-const rest: LogRecord[] = [
+const retainedRecords: LogRecord[] = [
   { type: 'base', base: { index: 2, term: 1 } },
   { type: 'vote', term: 5, votedFor: undefined },
   { type: 'entries', entries: [entry(3), entry(4)] },
 ];
-const replaceAll: PersistEffect = { type: 'persist-snapshot', writeId: 4, snapshot, records: rest };
+const replaceAll: PersistEffect = {
+  type: 'persist-snapshot',
+  writeId: 4,
+  snapshot,
+  records: retainedRecords,
+};
 
-t.test('a crash at any operation of a snapshot loses nothing that was synced', async (t) => {
-  const counted = await withThreeWrites();
-  const storage = await opened(counted);
-  counted.operationsLeft = 100;
+t.test('a crash during any operation of a snapshot loses no synced data', async (t) => {
+  const countingFolder = await folderWithThreeWrites();
+  const storage = await openStorage(countingFolder);
+  countingFolder.operationsLeft = 100;
   await storage.persist(replaceAll);
-  const operations = 100 - counted.operationsLeft;
+  const operations = 100 - countingFolder.operationsLeft;
   t.ok(operations >= 8);
   for (let count = 0; count <= operations; count += 1) {
-    const folder = await withThreeWrites();
-    const crashing = await opened(folder);
+    const folder = await folderWithThreeWrites();
+    const crashing = await openStorage(folder);
     folder.operationsLeft = count;
     await crashing.persist(replaceAll).catch(() => undefined);
-    const { recovered } = await opened(folder.crashed());
+    const { recovered } = await openStorage(folder.crashed());
     const { log, snapshot: found } = createConsensusState('c1', recovered);
     t.equal(log.last.index, 4, `after ${count} operations`);
     t.ok(found !== undefined || log.base.index === 0, 'the log begins where the snapshot ends');
-    const next = await opened(folder.crashed());
+    const next = await openStorage(folder.crashed());
     await next.persist(append(5, entry(5)));
     t.equal(next.recovered.storageId, 'disk-1');
   }
 });
 
-t.test('a crash at any operation of the first start leaves a disk that can be used', async (t) => {
+t.test('a crash during any operation of the first start leaves a usable disk', async (t) => {
   for (let count = 0; count < 10; count += 1) {
     const folder = new MemoryFolder();
     folder.operationsLeft = count;
@@ -172,32 +177,32 @@
   }
 });
 
-t.test('a snapshot of a later term that came before a crash keeps its term', async (t) => {
-  const folder = await withThreeWrites();
-  const storage = await opened(folder);
+t.test('a snapshot of a later term keeps its term after a crash', async (t) => {
+  const folder = await folderWithThreeWrites();
+  const storage = await openStorage(folder);
   folder.operationsLeft = 4;
   const later = { ...snapshot, index: 90, term: 7 };
   await storage.persist({ ...replaceAll, snapshot: later }).catch(() => undefined);
-  const { recovered } = await opened(folder.crashed());
+  const { recovered } = await openStorage(folder.crashed());
   const state = createConsensusState('c1', recovered);
   t.strictSame(state.log.last, { index: 90, term: 7 });
   t.equal(state.term, 7);
 });
 
-t.test('after a failed write nothing is written any more', async (t) => {
-  const folder = await withThreeWrites();
-  const storage = await opened(folder);
+t.test('no write is accepted after a failed one', async (t) => {
+  const folder = await folderWithThreeWrites();
+  const storage = await openStorage(folder);
   folder.operationsLeft = 1;
   await t.rejects(storage.persist(append(5, entry(5))), 'the sync fails');
   folder.operationsLeft = Infinity;
-  await t.rejects(storage.persist(append(6, entry(6))), 'so the next one must not go');
+  await t.rejects(storage.persist(append(6, entry(6))), 'so later writes must fail, too');
   t.strictSame((await recoveredEntries(folder.crashed())).length, 4);
 });
 
-t.test('what a crash leaves of an unsynced write is taken or dropped as a whole', async (t) => {
+t.test('an unsynced write is recovered as a whole or not at all after a crash', async (t) => {
   for (let kept = 0; kept < 80; kept += 1) {
-    const folder = await withThreeWrites();
-    const storage = await opened(folder);
+    const folder = await folderWithThreeWrites();
+    const storage = await openStorage(folder);
     folder.operationsLeft = 1;
     await storage.persist(append(5, entry(5), entry(6))).catch(() => undefined);
     const entries = await recoveredEntries(folder.crashed(kept));
@@ -205,34 +210,37 @@
   }
 });
 
-t.test('closing waits for the write under way', async (t) => {
+t.test('closing waits for the write in progress', async (t) => {
   const path = await mkdtemp(join(tmpdir(), 'amberlift-storage-'));
   t.teardown(() => rm(path, { recursive: true }));
-  const storage = await opened(await openStorageFolder(path));
+  const storage = await openStorage(await openStorageFolder(path));
   const write = storage.persist(append(1, entry(1)));
   await storage.close();
   await t.resolves(write);
   t.strictSame(await recoveredEntries(await openStorageFolder(path)), [entry(1)]);
 });
 
-t.test('with a pause, writes are tried until they last, wherever the disk filled up', async (t) => {
-  const whole = await withThreeWrites();
-  const wholeLog = await logOf(whole);
-  for (let operations = 0; operations < 6; operations += 1) {
-    const folder = new MemoryFolder();
-    let pauses = 0;
-    const pause = async () => {
-      pauses += 1;
-      folder.operationsLeft = pauses < 3 ? 0 : Infinity;
-    };
-    const storage = await ConsensusStorage.open(folder, 'c1', () => 'disk-1', pause);
-    folder.operationsLeft = operations;
-    await storage._unsafeUnwrap().persist(append(1, entry(1)));
-    await storage._unsafeUnwrap().persist(append(2, entry(2), entry(3)));
-    await storage._unsafeUnwrap().persist(append(3, entry(4)));
-    t.ok(pauses >= 3, `full after ${operations} operations`);
-    t.same(await logOf(folder), wholeLog, 'nothing of the failed tries is left');
-    const left = folder.crashed(0);
-    t.equal((await recoveredEntries(left)).length, 4);
-  }
-});
+t.test(
+  'with a pause, writes are retried until they succeed, whichever operation found the disk full',
+  async (t) => {
+    const whole = await folderWithThreeWrites();
+    const wholeLog = await readLog(whole);
+    for (let operations = 0; operations < 6; operations += 1) {
+      const folder = new MemoryFolder();
+      let pauses = 0;
+      const pause = async () => {
+        pauses += 1;
+        folder.operationsLeft = pauses < 3 ? 0 : Infinity;
+      };
+      const storage = await ConsensusStorage.open(folder, 'c1', () => 'disk-1', pause);
+      folder.operationsLeft = operations;
+      await storage._unsafeUnwrap().persist(append(1, entry(1)));
+      await storage._unsafeUnwrap().persist(append(2, entry(2), entry(3)));
+      await storage._unsafeUnwrap().persist(append(3, entry(4)));
+      t.ok(pauses >= 3, `full after ${operations} operations`);
+      t.same(await readLog(folder), wholeLog, 'nothing of the failed attempts is left');
+      const crashedFolder = folder.crashed(0);
+      t.equal((await recoveredEntries(crashedFolder)).length, 4);
+    }
+  },
+);
--- a/test/shared/daemon/line-writer.test.ts
+++ b/test/shared/daemon/line-writer.test.ts
@@ -1,10 +1,10 @@
-/** @file A reader that does not read costs lines, which are counted, and nothing else. */
+/** @file A log reader that does not read must not block the process; lines are dropped and counted instead. */
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import t from 'tap';
 import { LineWriter } from '../../../src/shared/daemon/line-writer.js';
 
-t.test('lines gather while a write is under way', async (t) => {
+t.test('lines are buffered while a write is in progress', async (t) => {
   const written: string[] = [];
   const ends: (() => void)[] = [];
   const writer = new LineWriter((text, ended) => {
@@ -19,7 +19,7 @@
   t.same(written, ['one\n', 'two\nthree\n']);
 });
 
-t.test('a pipe that nobody reads', async (t) => {
+t.test('lines beyond the limit are dropped and reported', async (t) => {
   const written: string[] = [];
   let end: (() => void) | undefined;
   const writer = new LineWriter((text, ended) => {
@@ -29,7 +29,7 @@
   for (let index = 0; index < 1_000; index += 1) {
     writer.writeLine(`line ${String(index).padStart(4, '0')}\n`);
   }
-  t.equal(written.length, 1, 'one write waits');
+  t.equal(written.length, 1, 'one write is in progress');
   t.equal(writer.droppedLines, 995);
   end?.();
   t.match(written[1], /995 lines were dropped here\n$/);
@@ -48,13 +48,13 @@
   turn();
 `;
 
-t.test('a process goes on where nobody reads the pipe of its lines', async (t) => {
+t.test('a process keeps running if nobody reads its log pipe', async (t) => {
   const child = spawn(process.execPath, ['--input-type=module', '--eval', FLOOD], {
     stdio: ['ignore', 'pipe', 'pipe'],
   });
   // Nobody reads child.stderr: its pipe is full after 64 KB.
   const [text] = (await once(child.stdout, 'data')) as [Buffer];
-  const told = JSON.parse(text.toString('utf8')) as { turns: number; dropped: number };
-  t.equal(told.turns, 100, 'every turn of the event loop came');
-  t.ok(told.dropped > 5_000, 'lines were dropped and counted');
+  const report = JSON.parse(text.toString('utf8')) as { turns: number; dropped: number };
+  t.equal(report.turns, 100, 'the event loop was not blocked');
+  t.ok(report.dropped > 5_000, 'lines were dropped and counted');
 });
--- a/test/shared/daemon/memory-folder.ts
+++ b/test/shared/daemon/memory-folder.ts
@@ -1,7 +1,7 @@
-/** @file A folder in memory with what is written and what is synced kept apart, for crashes at any write. */
+/** @file An in-memory storage folder that tracks written and synced content separately and can fail at any operation. */
 import type { StorageFolder } from '../../../src/shared/daemon/storage-folder.js';
 
-/** Thrown in place of an operation once the folder has crashed or is full. */
+/** Thrown by operations once the folder has failed. */
 export class FolderFailure extends Error {}
 
 interface MemoryFile {
@@ -9,13 +9,14 @@
   synced: Buffer;
 }
 
-/** Files of one folder; `crash` leaves what was synced. */
+/** Files of one folder; `crashed` returns what survives a crash. */
 export class MemoryFolder implements StorageFolder {
-  /** Operations until the folder fails; unbounded by default. */
+  /** Number of operations until the folder fails; unlimited by default. */
   operationsLeft = Infinity;
-  /** Names as they are now, and as they last. */
+  /** Directory entries, including unsynced changes. */
   private files = new Map<string, MemoryFile>();
-  private lastingFiles = new Map<string, MemoryFile>();
+  /** Directory entries as of the last sync of the folder. */
+  private durableFiles = new Map<string, MemoryFile>();
 
   async read(name: string): Promise<Buffer | undefined> {
     const file = this.files.get(name);
@@ -23,21 +24,21 @@
   }
 
   async write(name: string, content: Uint8Array): Promise<void> {
-    this.count();
+    this.countOperation();
     const file = this.files.get(name) ?? { content: Buffer.alloc(0), synced: Buffer.alloc(0) };
     file.content = Buffer.from(content);
     this.files.set(name, file);
   }
 
   async append(name: string, content: Uint8Array): Promise<void> {
-    this.count();
+    this.countOperation();
     const file = this.files.get(name) ?? { content: Buffer.alloc(0), synced: Buffer.alloc(0) };
     file.content = Buffer.concat([file.content, content]);
     this.files.set(name, file);
   }
 
   async truncate(name: string, length: number): Promise<void> {
-    this.count();
+    this.countOperation();
     const file = this.files.get(name);
     if (file !== undefined) {
       file.content = file.content.subarray(0, length);
@@ -45,7 +46,7 @@
   }
 
   async sync(name: string): Promise<void> {
-    this.count();
+    this.countOperation();
     const file = this.files.get(name);
     if (file !== undefined) {
       file.synced = Buffer.from(file.content);
@@ -53,7 +54,7 @@
   }
 
   async rename(from: string, to: string): Promise<void> {
-    this.count();
+    this.countOperation();
     const file = this.files.get(from);
     if (file !== undefined) {
       this.files.delete(from);
@@ -62,13 +63,13 @@
   }
 
   async remove(name: string): Promise<void> {
-    this.count();
+    this.countOperation();
     this.files.delete(name);
   }
 
   async syncFolder(): Promise<void> {
-    this.count();
-    this.lastingFiles = new Map(this.files);
+    this.countOperation();
+    this.durableFiles = new Map(this.files);
   }
 
   async close(): Promise<void> {
@@ -76,29 +77,31 @@
   }
 
   /**
-   * @param unsyncedBytes how many bytes of each file's unsynced end are kept
-   * @returns the folder as it is found after a crash
+   * @param unsyncedBytes number of unsynced bytes at the end of each file that survive
+   * @returns the folder after a crash
    */
   crashed(unsyncedBytes = 0): MemoryFolder {
-    const after = new MemoryFolder();
-    for (const [name, { content, synced }] of this.lastingFiles) {
-      const extends_ = content.subarray(0, synced.length).equals(synced);
-      const kept = extends_ ? content.subarray(0, synced.length + unsyncedBytes) : synced;
-      after.put(name, kept);
+    const folder = new MemoryFolder();
+    for (const [name, { content, synced }] of this.durableFiles) {
+      const extendsSynced = content.subarray(0, synced.length).equals(synced);
+      const durableContent = extendsSynced
+        ? content.subarray(0, synced.length + unsyncedBytes)
+        : synced;
+      folder.put(name, durableContent);
     }
-    return after;
+    return folder;
   }
 
-  /** Sets the content of a file, as if it had always been there. */
+  /** Sets the content of a file, already synced. */
   put(name: string, content: Buffer): void {
     const file = { content: Buffer.from(content), synced: Buffer.from(content) };
     this.files.set(name, file);
-    this.lastingFiles.set(name, file);
+    this.durableFiles.set(name, file);
   }
 
-  private count(): void {
+  private countOperation(): void {
     if (this.operationsLeft <= 0) {
-      throw new FolderFailure('No space is left.');
+      throw new FolderFailure('No space left.');
     }
     this.operationsLeft -= 1;
   }
--- a/test/shared/daemon/record-file.test.ts
+++ b/test/shared/daemon/record-file.test.ts
@@ -1,4 +1,4 @@
-/** @file The form of record files. */
+/** @file Scanning of record files must distinguish torn writes from corruption. */
 import t from 'tap';
 import {
   encodeRecord,
@@ -10,7 +10,7 @@
 const two = encodeRecord(Buffer.from('two'));
 const whole = Buffer.concat([one, two]);
 
-t.test('a torn tail at any byte leaves the whole records before it', async (t) => {
+t.test('a tail torn at any byte leaves the complete records before it', async (t) => {
   for (let length = 0; length <= whole.length; length += 1) {
     const scanned = scanRecords(whole.subarray(0, length));
     const expected = length === whole.length ? 2 : length >= RECORD_HEADER_BYTES + 3 ? 1 : 0;
@@ -20,12 +20,15 @@
   }
 });
 
-t.test('a changed byte anywhere in a record with another after it is damage', async (t) => {
-  for (let offset = 0; offset < one.length; offset += 1) {
-    const damaged = Buffer.from(whole);
-    damaged[offset] = (damaged[offset] ?? 0) ^ 0x10;
-    const scanned = scanRecords(damaged);
-    t.equal(scanned.records.length, 0, `byte ${offset}`);
-    t.equal(scanned.laterRecordAt, one.length);
-  }
-});
+t.test(
+  'a changed byte in a record that is followed by another is reported as damage',
+  async (t) => {
+    for (let offset = 0; offset < one.length; offset += 1) {
+      const damaged = Buffer.from(whole);
+      damaged[offset] = (damaged[offset] ?? 0) ^ 0x10;
+      const scanned = scanRecords(damaged);
+      t.equal(scanned.records.length, 0, `byte ${offset}`);
+      t.equal(scanned.laterRecordAt, one.length);
+    }
+  },
+);
