--- a/src/shared/common/frame-codec.ts
+++ b/src/shared/common/frame-codec.ts
@@ -72,7 +72,7 @@
       const isCompressed = header >= COMPRESSED_FLAG;
       const length = isCompressed ? header - COMPRESSED_FLAG : header;
       if (length > this.maxFrameBytes) {
-        return { type: 'malformed', reason: `A frame of ${length} bytes is too long.` };
+        return { type: 'malformed', reason: `Frame of ${length} bytes exceeds the size limit.` };
       }
       const end = LENGTH_BYTES + length;
       if (bytes.length < end) {
@@ -86,7 +86,7 @@
           messages.push(packr.unpack(isCompressed ? this.inflate(content) : content));
         } catch {
           // The cause is omitted: the caller closes the link, and details of the invalid bytes don't help its operator.
-          return { type: 'malformed', reason: 'A frame is no MessagePack.' };
+          return { type: 'malformed', reason: 'Frame payload is not valid MessagePack.' };
         }
       }
     }
--- a/src/shared/common/outbound-links.ts
+++ b/src/shared/common/outbound-links.ts
@@ -1,6 +1,6 @@
 /**
- * @file Outbound links, one per address: opened on the first send, and reopened on a later send, with exponential backoff after failures.
- * Messages are dropped while a link is down; the protocols above retransmit.
+ * @file Outbound links, one per address, opened when there is a message to send. Failed links are reopened with exponential
+ * backoff; messages are dropped meanwhile, and the protocols above retransmit.
  */
 import { formatAddress, type Address } from './address.js';
 
--- a/src/shared/daemon/consensus-storage.ts
+++ b/src/shared/daemon/consensus-storage.ts
@@ -194,11 +194,11 @@
   storageId: string,
 ): Promise<Recovery<RecoveredState>> {
   if ((await folder.read(SNAPSHOT_FILE)) !== undefined) {
-    return err(storageFailed(`The file ${IDENTITY_FILE} is missing beside a ${SNAPSHOT_FILE}.`));
+    return err(storageFailed(`The file ${IDENTITY_FILE} is missing, but ${SNAPSHOT_FILE} exists.`));
   }
   const log = await folder.read(LOG_FILE);
   if (log !== undefined && !log.equals(encodeRecord(packr.pack(EMPTY_LOG)))) {
-    return err(storageFailed(`The file ${IDENTITY_FILE} is missing beside a ${LOG_FILE}.`));
+    return err(storageFailed(`The file ${IDENTITY_FILE} is missing, but ${LOG_FILE} exists.`));
   }
   await replaceFile(folder, LOG_FILE, EMPTY_LOG);
   const identity: Identity = { nodeId, storageId };
@@ -217,7 +217,7 @@
   const { records, validBytes, laterRecordAt } = scanRecords(content);
   if (laterRecordAt !== undefined) {
     const message = `The file ${LOG_FILE} is damaged at byte ${validBytes}`;
-    return err(storageFailed(`${message}: a whole record follows at byte ${laterRecordAt}.`));
+    return err(storageFailed(`${message}: a valid record follows at byte ${laterRecordAt}.`));
   }
   const first = records[0] && (packr.unpack(records[0]) as LogRecord[])[0];
   if (first?.type !== 'base') {
@@ -225,7 +225,7 @@
   }
   if (first.base.index > (snapshot?.index ?? 0)) {
     return err(
-      storageFailed(`The file ${SNAPSHOT_FILE} that the ${LOG_FILE} follows on is missing.`),
+      storageFailed(`The file ${SNAPSHOT_FILE} that precedes the ${LOG_FILE} is missing.`),
     );
   }
   if (validBytes < content.length) {
--- a/src/shared/daemon/metrics/metrics-listener.ts
+++ b/src/shared/daemon/metrics/metrics-listener.ts
@@ -53,6 +53,8 @@
     const { ready, state } = health();
     respondJson(response, ready ? OK : UNAVAILABLE, { state });
   } else {
-    respondJson(response, NOT_FOUND, { error: 'There are /metrics and /health.' });
+    respondJson(response, NOT_FOUND, {
+      error: 'Unknown path; available are /metrics and /health.',
+    });
   }
 }
--- a/src/shared/settings/load-settings.ts
+++ b/src/shared/settings/load-settings.ts
@@ -42,7 +42,7 @@
   )().andThen((value) =>
     isPlainObject(value)
       ? ok(value)
-      : err(amberliftError('invalid-settings', `${file}: a map of options is expected.`)),
+      : err(amberliftError('invalid-settings', `${file}: expected a mapping of options.`)),
   );
 }
 
@@ -54,7 +54,7 @@
   for (const override of overrides) {
     const separator = override.indexOf('=');
     if (separator < 1) {
-      const message = `--set ${override}: allowed is path.to.option=value.`;
+      const message = `--set ${override}: expected path.to.option=value.`;
       return err(amberliftError('invalid-settings', message));
     }
     const value = parse(override.slice(separator + 1)) as unknown;
