--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -4,12 +4,12 @@
  * alone would notice a network partition only after minutes.
  *
  * Messages are dropped while too many bytes are queued: the protocols above retransmit. Reconnecting is left to
- * `shared/common/dialed-links.ts` and `decisions/feed-source.ts`.
+ * `shared/common/outbound-links.ts` and `decisions/feed-source.ts`.
  */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import type { Address } from '../../shared/common/address.js';
-import { encodeFrame, FrameDecoder, pulseFrame } from '../../shared/common/frame-codec.js';
+import { encodeFrame, FrameDecoder, keepAliveFrame } from '../../shared/common/frame-codec.js';
 import type { Timing } from '../group/timing.js';
 
 /** Timeouts and limits of links. */
@@ -195,7 +195,7 @@
         link.abort(`no data received for ${this.options.silentAfterMs} ms`);
       } else if (now - link.sentAtMs >= this.options.pulseIntervalMs / 2 && link.socket.writable) {
         link.sentAtMs = now;
-        link.socket.write(pulseFrame);
+        link.socket.write(keepAliveFrame);
       }
     }
   }
--- a/src/registered/egress/sent-copies.ts
+++ b/src/registered/egress/sent-copies.ts
@@ -3,7 +3,7 @@
  * earlier packet is still queued, and the receiver already has these. A packet lost after the link is repaired by a
  * later copy.
  */
-import { createPeriodMap } from '../../shared/common/period-map.js';
+import { createExpiringMap } from '../../shared/common/expiring-map.js';
 import type { WaitingPacket } from './flow-queues.js';
 
 /** Packets sent recently. */
@@ -19,7 +19,7 @@
 
 /** @returns an empty record */
 export function createSentCopies(): SentCopies {
-  const sentAtMs = createPeriodMap<string, number>({
+  const sentAtMs = createExpiringMap<string, number>({
     periodMs: SUPPRESSION_PERIOD_MS,
     maxEntries: MAX_ENTRIES,
   });
--- a/src/registered/group/calls/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -26,7 +26,7 @@
   if (!hasZone(state, zone)) {
     return [{ type: 'reply', requestId, reply: unknownZone(state, zone, nowMs) }];
   }
-  if (state.stallGuard.trustAt(nowMs) !== 'fresh') {
+  if (state.stallGuard.freshnessAt(nowMs) !== 'fresh') {
     const reason = 'This process was paused a moment ago, so the order may be outdated.';
     return [{ type: 'reply', requestId, reply: { type: 'unavailable', reason } }];
   }
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -4,7 +4,7 @@
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { LinkId } from '../../shared/common/link-table.js';
-import type { StallGuard } from '../../shared/common/stall-guard.js';
+import type { StallDetector } from '../../shared/common/stall-guard.js';
 import {
   createConsensusState,
   type ConsensusOptions,
@@ -71,7 +71,7 @@
   /** Times at which this machine observed zone readmissions (zone-readmissions.ts). */
   readonly readmissions: ZoneReadmissions;
   /** Detects pauses of this process, after which queued orders may be outdated (calls/order-guard.ts). */
-  readonly stallGuard: StallGuard;
+  readonly stallGuard: StallDetector;
 }
 
 /**
--- a/src/registered/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -14,7 +14,7 @@
  *
  * Nothing is persisted; after a restart the balancer receives everything through its feed.
  */
-import type { StallGuard } from '../../shared/common/stall-guard.js';
+import type { StallDetector } from '../../shared/common/stall-guard.js';
 import type { MechanismSwitches } from '../decisions/mechanism-switches.js';
 import { createOpenStallGuard } from '../decisions/open-admission.js';
 import { createPlacement, type Placement } from '../decisions/placement.js';
@@ -67,7 +67,7 @@
   readonly placement: Placement;
   /** Last logged liveness of back ends. */
   readonly livenessLog: LivenessLog;
-  readonly stallGuard: StallGuard;
+  readonly stallGuard: StallDetector;
   /** True once a graceful shutdown has begun. */
   readonly isStopping: boolean;
   beginStop(): void;
--- a/src/registered/ingress/open-memory.ts
+++ b/src/registered/ingress/open-memory.ts
@@ -3,7 +3,7 @@
  * a flow that reached two back ends would break. Not persisted, but the holders of an open keep it as well.
  */
 import type { FlowKey } from './packet-view.js';
-import { createPeriodMap, type PeriodMap } from '../../shared/common/period-map.js';
+import { createExpiringMap, type ExpiringMap } from '../../shared/common/expiring-map.js';
 
 /** Maximum delay of a copy after the first open, in milliseconds. */
 export const OPEN_LIFETIME_MS = 2_000;
@@ -13,10 +13,10 @@
 
 /** Back end tokens of recent opens, kept for one to two periods. */
 export class OpenMemory {
-  private readonly tokens: PeriodMap<FlowKey, number>;
+  private readonly tokens: ExpiringMap<FlowKey, number>;
 
   constructor(periodMs: number) {
-    this.tokens = createPeriodMap({ periodMs, maxEntries: MAX_OPENS });
+    this.tokens = createExpiringMap({ periodMs, maxEntries: MAX_OPENS });
   }
 
   remember(key: FlowKey, token: number, nowMs: number): void {
