--- a/src/tools/client/command-ids.ts
+++ b/src/tools/client/command-ids.ts
@@ -1,5 +1,5 @@
 /**
- * @file Command IDs that the client generates: a time and a random part, so that a command that is sent again is recognised.
+ * @file Generates command IDs from a timestamp and a random suffix. The cluster uses them to deduplicate retries.
  */
 import { randomBytes } from 'node:crypto';
 import { timedCommandId } from '../../managed/control/command-id.js';
@@ -7,7 +7,7 @@
 const SUFFIX_BYTES = 8;
 
 /**
- * @returns a command ID with the present time, which no other client makes
+ * @returns a unique command ID that carries the current time
  */
 export function newCommandId(): string {
   return timedCommandId(Date.now(), randomBytes(SUFFIX_BYTES).toString('hex'));
--- a/src/tools/client/declared-client.ts
+++ b/src/tools/client/declared-client.ts
@@ -1,7 +1,6 @@
 /**
- * @file The client of a group that takes declared configurations: declares one, reads the one in force, orders zones to be evacuated or
- * readmitted, at any control machine that answers. What is sent again is acknowledged again. Relies on `ask-in-turn` and the schemas of
- * `src/registered`.
+ * @file Client of a control group with declared configurations: applies and reads the configuration, evacuates and
+ * readmits zones. All requests are idempotent, so that they can be retried at another control machine.
  */
 import { err, ok, type Result } from 'neverthrow';
 import * as z from 'zod/mini';
@@ -14,11 +13,11 @@
 import type { ZoneReport } from '../../registered/group/group-messages.js';
 import type { ZoneOrderKind } from '../../registered/group/zone-orders.js';
 import {
-  askInTurn,
+  requestWithFailover,
   defaultRetryOptions,
-  interpretAnswer,
+  parseResponse,
   type RetryOptions,
-} from './ask-in-turn.js';
+} from './request-with-failover.js';
 
 const CONFIG_PATH = '/v1/config';
 const ZONES_PATH = '/v1/zones';
@@ -36,33 +35,33 @@
   ),
 });
 
-/** How to reach the group. */
+/** Addresses and credentials of the control group. */
 export interface DeclaredClientOptions {
-  /** Call addresses of control machines. */
+  /** Addresses at which control machines accept calls. */
   readonly controlAddresses: readonly Address[];
   readonly operatorToken: string | undefined;
   readonly retry?: RetryOptions;
 }
 
-/** Talks to a control group. */
+/** Operations on a control group. */
 export interface DeclaredClient {
   /**
-   * @returns once the configuration holds or a higher version does; after `peer-unreachable` or
-   *   `no-quorum` it may or may not hold
+   * Resolves once this or a higher version is in force. After `peer-unreachable` or `no-quorum` the
+   * configuration may or may not have been applied.
    */
   declare(config: DeclaredConfig): Promise<Result<void, AmberliftError>>;
-  /** @returns the configuration that holds, confirmed by a quorum; `not-found` before the first one */
+  /** @returns the configuration in force, confirmed by a quorum; `not-found` if there is none yet */
   read(): Promise<Result<DeclaredConfig, AmberliftError>>;
   /**
-   * @returns once the zone stands as ordered, `not-found` for a zone that the deployment does not have; after
-   *   `peer-unreachable` or `no-quorum` it may or may not stand so
+   * Resolves once the order is in force; `not-found` for an unknown zone. After `peer-unreachable` or
+   * `no-quorum` the order may or may not have been applied.
    */
   orderZone(zone: string, kind: ZoneOrderKind): Promise<Result<void, AmberliftError>>;
-  /** @returns how each zone stands and what works there, confirmed by a quorum */
+  /** @returns the status and capacity of each zone, confirmed by a quorum */
   readZones(): Promise<Result<readonly ZoneReport[], AmberliftError>>;
 }
 
-/** @returns the reports of zones that a value holds, or `invalid-command` with what is wrong */
+/** @returns the zone reports in a decoded JSON value, or `invalid-command` with the validation errors */
 export function parseZoneReports(content: unknown): Result<readonly ZoneReport[], AmberliftError> {
   const parsed = zonesSchema.safeParse(content);
   return parsed.success
@@ -71,7 +70,7 @@
 }
 
 /**
- * @returns a client, which holds no connection
+ * @returns a client, which keeps no connection open
  */
 export function createDeclaredClient(options: DeclaredClientOptions): DeclaredClient {
   const { controlAddresses, operatorToken, retry = defaultRetryOptions } = options;
@@ -107,7 +106,7 @@
     path: string,
     body?: DeclaredConfig,
   ): Promise<Result<unknown, AmberliftError>> {
-    return askInTurn(controlAddresses, retry, async (to) => {
+    return requestWithFailover(controlAddresses, retry, async (to) => {
       const response = await sendJson({
         to,
         method,
@@ -116,7 +115,7 @@
         bearerToken: operatorToken,
         timeoutMs: retry.requestTimeoutMs,
       });
-      return response.mapErr((error) => ({ error })).andThen(interpretAnswer);
+      return response.mapErr((error) => ({ error })).andThen(parseResponse);
     });
   }
 }
--- a/src/tools/client/interactive.ts
+++ b/src/tools/client/interactive.ts
@@ -11,11 +11,11 @@
 const PROMPT = 'amberlift> ';
 const HISTORY_SIZE = 500;
 
-/** Where the interactive client reads and writes. */
+/** Input, output and history of an interactive session. */
 export interface Terminal {
   readonly input: NodeJS.ReadableStream;
   readonly output: NodeJS.WritableStream;
-  /** True where a person types, with cursor keys and completion; false for a pipe. */
+  /** Enables cursor keys and completion; false for a pipe. */
   readonly isTerminal: boolean;
   /** Lines of earlier sessions, newest first. */
   readonly history: readonly string[];
@@ -50,7 +50,7 @@
       break;
     }
     if (text !== '') {
-      print(terminal, await answer(options, text));
+      print(terminal, await runLine(options, text));
     }
     prompt.prompt();
   }
@@ -58,7 +58,7 @@
   return history;
 }
 
-async function answer(options: RunnerOptions, text: string): Promise<StatementOutput> {
+async function runLine(options: RunnerOptions, text: string): Promise<StatementOutput> {
   if (text === 'help') {
     const { words } = completeStatement('');
     const output = `Statements begin with ${words.join(', ')}; the tab key completes; exit ends.`;
@@ -74,24 +74,25 @@
 
 /**
  * @param line the line up to the cursor
- * @returns the words that may come next, in the form that readline takes
+ * @returns the words that may come next, as readline's completer expects them
  */
 export async function complete(client: OperatorClient, line: string): Promise<CompleterResult> {
   const { placeholders } = completeStatement(line);
-  const known = placeholders.length === 0 ? new Map() : await knownValues(client, placeholders);
-  const { partialWord, words } = completeStatement(line, known);
+  const values =
+    placeholders.length === 0 ? new Map() : await fetchPlaceholderValues(client, placeholders);
+  const { partialWord, words } = completeStatement(line, values);
   return [words.map((word) => `${word} `), partialWord];
 }
 
-async function knownValues(
+async function fetchPlaceholderValues(
   client: OperatorClient,
   placeholders: readonly string[],
 ): Promise<KnownValues> {
-  const known = new Map<string, readonly string[]>();
+  const values = new Map<string, readonly string[]>();
   if (placeholders.includes('<service>')) {
     const answer = await client.query({ type: 'services' });
     const services = answer.map((result) => result.services).unwrapOr([]);
-    known.set(
+    values.set(
       '<service>',
       services.map(({ name }) => name),
     );
@@ -99,7 +100,7 @@
   if (placeholders.includes('<back end ID>')) {
     const answer = await client.query({ type: 'backends' });
     const backends = answer.map((result) => result.backends).unwrapOr([]);
-    known.set(
+    values.set(
       '<back end ID>',
       backends.map(({ id }) => String(id)),
     );
@@ -107,10 +108,10 @@
   if (placeholders.includes('<plan ID>')) {
     const answer = await client.query({ type: 'changes' });
     const planned = answer.map((result) => result.planned).unwrapOr([]);
-    known.set(
+    values.set(
       '<plan ID>',
       planned.map(({ id }) => String(id)),
     );
   }
-  return known;
+  return values;
 }
--- a/src/tools/client/operator-client.ts
+++ b/src/tools/client/operator-client.ts
@@ -1,6 +1,6 @@
 /**
- * @file The operators' client: sends commands and queries to control machines; asks the next machine
- * when an answer is lost, with the same command ID, and follows the leader's address.
+ * @file Operator client: sends commands and queries to control machines. Retries reuse the command ID, so that a
+ * command is applied at most once.
  */
 import type { Result } from 'neverthrow';
 import type { Address } from '../../shared/common/address.js';
@@ -13,39 +13,39 @@
 import { sendJson } from '../../managed/daemon/http-json.js';
 import type { AmberliftError } from '../../shared/common/error-kinds.js';
 import {
-  askInTurn,
+  requestWithFailover,
   defaultRetryOptions,
-  interpretAnswer,
-  type AskError,
+  parseResponse,
+  type ErrorResponse,
   type RetryOptions,
-} from './ask-in-turn.js';
+} from './request-with-failover.js';
 
-/** How to reach the cluster. */
+/** Addresses and credentials of the cluster. */
 export interface OperatorClientOptions {
   readonly controlAddresses: readonly Address[];
   readonly bearerToken: string;
-  /** Certificate of the authority that signed the control machines' (PEM); with it TLS is used. */
+  /** CA certificate of the control machines (PEM); enables TLS. */
   readonly ca?: string | undefined;
   readonly retry?: RetryOptions;
 }
 
-/** What an accepted command gave. */
+/** Outcome of an accepted command. */
 export type AcceptedCommand = VisibleAcceptedOutcome;
 
-/** The answer to one type of query. */
+/** Result type of one type of query. */
 export type QueryResultOf<Query extends OperatorQuery> = Extract<
   QueryResult,
   { readonly type: Query['type'] }
 >;
 
-/** Talks to the operator interface. */
+/** Client of the operator interface. */
 export class OperatorClient {
   constructor(private readonly options: OperatorClientOptions) {}
 
   /**
-   * Sends a command; where no answer comes, the same ID again to the next control machine.
-   * @returns the outcome. After `peer-unreachable`, `no-quorum` and the like the command may have been
-   *   applied; sent again with the same ID it is applied once
+   * Sends a command, and retries it under the same ID at the next control machine.
+   * @returns the outcome; after a retryable error, such as `peer-unreachable` or `no-quorum`, the command may
+   *   have been applied, and can safely be sent again under the same ID
    */
   async send(
     commandId: string,
@@ -55,7 +55,7 @@
     return answer.map((body) => body as AcceptedCommand);
   }
 
-  /** Asks; the answer was confirmed by a quorum. */
+  /** Runs a query; the result is confirmed by a quorum. */
   async query<Query extends OperatorQuery>(
     query: Query,
   ): Promise<Result<QueryResultOf<Query>, AmberliftError>> {
@@ -65,19 +65,19 @@
 
   private exchange(path: string, body: object): Promise<Result<unknown, AmberliftError>> {
     const { controlAddresses, retry = defaultRetryOptions } = this.options;
-    return askInTurn(controlAddresses, retry, (to) =>
-      this.ask(to, path, body, retry.requestTimeoutMs),
+    return requestWithFailover(controlAddresses, retry, (to) =>
+      this.sendTo(to, path, body, retry.requestTimeoutMs),
     );
   }
 
-  private async ask(
+  private async sendTo(
     to: Address,
     path: string,
     body: object,
     timeoutMs: number,
-  ): Promise<Result<unknown, AskError>> {
+  ): Promise<Result<unknown, ErrorResponse>> {
     const { bearerToken, ca } = this.options;
     const response = await sendJson({ to, method: 'POST', path, body, bearerToken, timeoutMs, ca });
-    return response.mapErr((error) => ({ error })).andThen(interpretAnswer);
+    return response.mapErr((error) => ({ error })).andThen(parseResponse);
   }
 }
--- a/src/tools/client/ask-in-turn.ts
+++ b/src/tools/client/request-with-failover.ts
@@ -1,6 +1,6 @@
 /**
- * @file Asks control machines one after the other until one answers: the next one where no answer comes or the machine can't answer now, the
- * leader where its address is given. Owns nothing; both clients rely on it.
+ * @file Sends a request to control machines in turn until one answers, and follows the leader's address if a machine
+ * returns it. Shared by both operator clients.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { err, ok, type Result } from 'neverthrow';
@@ -15,48 +15,47 @@
   type AmberliftError,
 } from '../../shared/common/error-kinds.js';
 
-/** How often and how long is tried; times in milliseconds. */
+/** Limits of the retries; times in milliseconds. */
 export interface RetryOptions {
   readonly requestTimeoutMs: number;
   readonly maxAttempts: number;
-  /** Time before the next control machine is asked. */
+  /** Delay before the next control machine is tried. */
   readonly retryDelayMs: number;
 }
 
-/** An election takes a few of these attempts. */
+/** Enough attempts to outlast a leader election. */
 export const defaultRetryOptions: RetryOptions = {
   requestTimeoutMs: 3_000,
   maxAttempts: 12,
   retryDelayMs: 250,
 };
 
-const askErrorSchema = z.object({
+const errorResponseSchema = z.object({
   error: z.object({ kind: z.enum(errorKinds), message: z.string() }),
-  /** Where the leader is, from a control machine that does not lead. */
+  /** Address of the leader, as reported by a follower. */
   leader: addressSchema.optional(),
 });
 
-/** Why one control machine gave no answer. */
-export type AskError = z.infer<typeof askErrorSchema>;
+/** Error returned by one control machine. */
+export type ErrorResponse = z.infer<typeof errorResponseSchema>;
 
 /**
- * @param ask asks one control machine
- * @returns the first answer, or the error of the last one asked; an error that the same question would
- *   meet again ends the search
+ * @param send sends the request to one control machine
+ * @returns the first successful response, or the error of the last attempt; a non-retryable error ends the loop
  */
-export async function askInTurn(
+export async function requestWithFailover(
   controlAddresses: readonly Address[],
   retry: RetryOptions,
-  ask: (to: Address) => Promise<Result<unknown, AskError>>,
+  send: (to: Address) => Promise<Result<unknown, ErrorResponse>>,
 ): Promise<Result<unknown, AmberliftError>> {
-  let lastError = amberliftError('peer-unreachable', 'No control machine is known.');
+  let lastError = amberliftError('peer-unreachable', 'No control machine address is configured.');
   let leader: Address | undefined;
   for (let attempt = 0; attempt < retry.maxAttempts; attempt += 1) {
     const to = leader ?? controlAddresses[attempt % controlAddresses.length];
     if (to === undefined) {
       break;
     }
-    const answer = await ask(to);
+    const answer = await send(to);
     if (answer.isOk()) {
       return ok(answer.value);
     }
@@ -73,13 +72,16 @@
 }
 
 /**
- * @returns the body of a good response, or the error that another one names
+ * @returns the body of a response with status 200, or the error that the response carries
  */
-export function interpretAnswer(response: JsonResponse): Result<unknown, AskError> {
+export function parseResponse(response: JsonResponse): Result<unknown, ErrorResponse> {
   if (response.status === 200) {
     return ok(response.body);
   }
-  const answer = askErrorSchema.safeParse(response.body);
-  const unnamed = amberliftError('internal', `Status ${response.status} without a reason.`);
-  return err(answer.success ? answer.data : { error: unnamed });
+  const answer = errorResponseSchema.safeParse(response.body);
+  const unknownError = amberliftError(
+    'internal',
+    `The control machine responded with status ${response.status} and no valid error body.`,
+  );
+  return err(answer.success ? answer.data : { error: unknownError });
 }
--- a/src/tools/client/result-tables.ts
+++ b/src/tools/client/result-tables.ts
@@ -1,5 +1,5 @@
 /**
- * @file Answers to queries as tables for people.
+ * @file Formats query results as text tables.
  */
 import Table from 'cli-table3';
 import { match } from 'ts-pattern';
@@ -16,10 +16,10 @@
 } from '../../managed/control/views/view-types.js';
 import { formatLimits, formatTime } from '../../managed/language/format-command.js';
 
-const NOT_KNOWN = 'not known';
+const UNKNOWN = 'unknown';
 
 /**
- * @returns the answer as text, without a line break at its end
+ * @returns the result as text, without a trailing line break
  */
 export function formatResult(result: QueryResult): string {
   return match(result)
@@ -47,7 +47,7 @@
       lines(`${lagging.length} of ${balancerCount} balancers lag.`, lagTable(lagging)),
     )
     .with({ type: 'capacity' }, ({ balancerCount, totalConnections }) =>
-      table(['Balancers', 'Connections of all'], [[balancerCount, totalConnections ?? NOT_KNOWN]]),
+      table(['Balancers', 'Total connections'], [[balancerCount, totalConnections ?? UNKNOWN]]),
     )
     .with({ type: 'audit' }, ({ entries }) => auditTable(entries))
     .with({ type: 'explain-backend' }, ({ backend, service, planned, history }) =>
@@ -69,7 +69,7 @@
 }
 
 /**
- * @returns the outcome in a line
+ * @returns the outcome on one line
  */
 export function describeOutcome(outcome: VisibleOutcome): string {
   return outcome.accepted
@@ -112,7 +112,7 @@
       formatAddress(backend.healthAddress),
       backend.zone,
       backend.adminState,
-      backend.load?.connections ?? NOT_KNOWN,
+      backend.load?.connections ?? UNKNOWN,
     ]),
   );
 }
@@ -152,12 +152,12 @@
 function summaryText(summary: InForceSummary): string {
   const { committedRevision, revisionInForceEverywhere, balancerCount, isComplete } = summary;
   if (balancerCount === 0) {
-    return `Committed: revision ${committedRevision}. No balancer is known.`;
+    return `Committed: revision ${committedRevision}. No balancers are known.`;
   }
-  const doubt = isComplete ? '' : ' Some balancers may not have reported yet.';
+  const incompleteNote = isComplete ? '' : ' Some balancers may not have reported yet.';
   return (
     `Committed: revision ${committedRevision}. ` +
-    `In force on all ${balancerCount} balancers: revision ${revisionInForceEverywhere}.${doubt}`
+    `In force on all ${balancerCount} balancers: revision ${revisionInForceEverywhere}.${incompleteNote}`
   );
 }
 
@@ -166,7 +166,7 @@
 }
 
 function table(head: string[], rows: readonly (string | number)[][]): string {
-  // Without colours, so that the output may go into a file.
+  // No colours: the output may be redirected to a file.
   const cells = new Table({ head, style: { head: [], border: [] } });
   cells.push(...rows);
   return rows.length === 0 ? `${head[0] ?? ''}: none.` : cells.toString();
--- a/src/tools/client/script.ts
+++ b/src/tools/client/script.ts
@@ -1,21 +1,18 @@
 /**
- * @file Runs a script: one statement a line; empty lines and lines that begin with `#` are left out.
+ * @file Runs a script of one statement per line. Empty lines and lines that begin with `#` are skipped.
  */
 import { exitCodes } from '../../shared/common/error-kinds.js';
 import { parseStatement } from '../../managed/language/parse-statement.js';
 import { runStatement, type RunnerOptions, type StatementOutput } from './statement-runner.js';
 
-/** A statement of a script. */
+/** A statement with its line number. */
 export interface ScriptLine {
   /** Counts from 1. */
   readonly number: number;
   readonly text: string;
 }
 
-/**
- * @returns the statements of the script
- */
-function scriptLines(script: string): ScriptLine[] {
+function parseScript(script: string): ScriptLine[] {
   return script
     .split('\n')
     .map((line, position) => ({ number: position + 1, text: line.trim() }))
@@ -23,10 +20,10 @@
 }
 
 /**
- * Runs a script, up to the first statement that fails. Nothing is run where one line is no statement.
- * @param commandId each command is sent as `commandId-LINE`, so that the script can be run again
- * @param print called with what each statement gave
- * @returns the exit code of the last statement
+ * Runs a script up to the first statement that fails. Runs nothing if a line does not parse.
+ * @param commandId prefix of the command IDs, `commandId-LINE`; a second run with it applies nothing twice
+ * @param print called with the output of each statement
+ * @returns the exit code of the last statement that ran
  */
 export async function runScript(
   options: RunnerOptions,
@@ -34,9 +31,9 @@
   commandId: string,
   print: (output: StatementOutput) => void,
 ): Promise<number> {
-  const lines = scriptLines(script);
-  const wrong = lines.find(({ text }) => parseStatement(text).isErr());
-  for (const line of wrong === undefined ? lines : [wrong]) {
+  const lines = parseScript(script);
+  const invalidLine = lines.find(({ text }) => parseStatement(text).isErr());
+  for (const line of invalidLine === undefined ? lines : [invalidLine]) {
     const output = await runStatement(options, line.text, `${commandId}-${line.number}`);
     if (output.exitCode !== exitCodes.success) {
       print({ ...output, error: `Line ${line.number}:\n${output.error}` });
--- a/src/tools/client/statement-runner.ts
+++ b/src/tools/client/statement-runner.ts
@@ -1,5 +1,5 @@
 /**
- * @file Runs single statements against the cluster and gives what to print.
+ * @file Runs single statements against the cluster and formats their output.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { OperatorCommand } from '../../managed/control/commands.js';
@@ -12,27 +12,27 @@
 
 const WAIT_POLL_INTERVAL_MS = 100;
 
-/** How statements are run. */
+/** Client and output options of a statement. */
 export interface RunnerOptions {
   readonly client: OperatorClient;
-  /** Prints JSON, one value a statement, in place of text and tables. */
+  /** Prints one JSON value per statement instead of text and tables. */
   readonly json: boolean;
-  /** How long an accepted command is waited for until it is in force everywhere; 0 for not at all. */
+  /** How long to wait until an accepted command is in force on all balancers; 0 to return at once. */
   readonly waitMs: number;
 }
 
-/** What a statement gave. */
+/** Output and exit code of a statement. */
 export interface StatementOutput {
-  /** For standard output; without a line break at its end. */
+  /** Text for standard output, without a trailing line break. */
   readonly output: string;
-  /** For standard error; empty where all went well. */
+  /** Text for standard error; empty on success. */
   readonly error: string;
   readonly exitCode: number;
 }
 
 /**
  * Runs a statement.
- * @param commandId the ID under which it is sent where it is a command
+ * @param commandId used if the statement is a command
  */
 export async function runStatement(
   options: RunnerOptions,
@@ -53,7 +53,7 @@
 async function runQuery(options: RunnerOptions, query: OperatorQuery): Promise<StatementOutput> {
   const answer = await options.client.query(query);
   return answer.match(
-    (result) => printed(options.json ? JSON.stringify(result) : formatResult(result)),
+    (result) => succeeded(options.json ? JSON.stringify(result) : formatResult(result)),
     (error) => failedWith(options, error, { error }),
   );
 }
@@ -68,24 +68,24 @@
     const { error } = outcome;
     const hint = answerFor(error.kind).surelyNotRun
       ? ''
-      : ` It may have been applied; send it again with --command-id ${commandId}.`;
+      : ` The command may have been applied; send it again with --command-id ${commandId}.`;
     return failedWith(options, error, { commandId, error }, hint);
   }
   if (options.waitMs === 0) {
-    return printed(describeAccepted(options, commandId, outcome.value));
+    return succeeded(describeAccepted(options, commandId, outcome.value));
   }
   return waitUntilInForce(options, commandId, outcome.value);
 }
 
-/** Asks until the command is in force on every balancer; there must be at least one. */
+/** Polls until the command is in force on every balancer, with at least one balancer present. */
 async function waitUntilInForce(
   options: RunnerOptions,
   commandId: string,
   accepted: VisibleAcceptedOutcome,
 ): Promise<StatementOutput> {
-  const endsAtMs = performance.now() + options.waitMs;
+  const deadlineMs = performance.now() + options.waitMs;
   let lagging: readonly string[] = [];
-  while (performance.now() < endsAtMs) {
+  while (performance.now() < deadlineMs) {
     const answer = await options.client.query({ type: 'in-force' });
     if (answer.isOk()) {
       lagging = answer.value.lagging
@@ -93,14 +93,14 @@
         .map(({ balancerId }) => balancerId);
       const balancers = answer.value.balancerCount;
       if (lagging.length === 0 && balancers > 0 && answer.value.isComplete) {
-        return printed(describeAccepted(options, commandId, accepted, balancers));
+        return succeeded(describeAccepted(options, commandId, accepted, balancers));
       }
     }
     await sleep(WAIT_POLL_INTERVAL_MS);
   }
   const text = describeAccepted(options, commandId, accepted);
-  const names = lagging.length === 0 ? 'not known' : lagging.join(', ');
-  const errorText = `amberlift: not in force everywhere in time; balancers that lag: ${names}.`;
+  const names = lagging.length === 0 ? 'unknown' : lagging.join(', ');
+  const errorText = `amberlift: timed out before the command was in force on all balancers; balancers that lag: ${names}.`;
   return { output: text, error: errorText, exitCode: exitCodes.unavailable };
 }
 
@@ -118,7 +118,7 @@
   return `${describeOutcome(accepted)}${inForce} Command ${commandId}.`;
 }
 
-function printed(output: string): StatementOutput {
+function succeeded(output: string): StatementOutput {
   return { output, error: '', exitCode: exitCodes.success };
 }
 
--- a/src/tools/settings-reference/settings-reference.ts
+++ b/src/tools/settings-reference/settings-reference.ts
@@ -1,5 +1,5 @@
 /**
- * @file The text of docs/SETTINGS.md, made from the schema of settings files and the exit codes.
+ * @file Generates the text of docs/SETTINGS.md from the settings schemas and the exit codes.
  */
 import { z } from 'zod';
 import { exitCodes } from '../../shared/common/error-kinds.js';
@@ -9,7 +9,7 @@
   ingressSettingsSchema,
 } from '../../registered/settings/token-settings.js';
 
-/** The parts of a JSON schema that the reference shows. */
+/** The JSON schema keywords that the reference shows. */
 interface OptionSchema {
   readonly type?: string;
   readonly description?: string;
@@ -34,7 +34,7 @@
 };
 
 /**
- * @returns the reference in Markdown
+ * @returns the settings reference in Markdown
  */
 export function settingsReference(): string {
   const codes = Object.entries(exitCodes).map(([name, code]) => {
--- a/test/tools/client/operator-client.test.ts
+++ b/test/tools/client/operator-client.test.ts
@@ -1,4 +1,4 @@
-/** @file The operators' client against control machines that lose answers, follow or are cut off. */
+/** @file Guards the operator client's retries against lost responses, followers and machines without a quorum. */
 import { readFileSync } from 'node:fs';
 import { PassThrough } from 'node:stream';
 import t, { type Test } from 'tap';
@@ -29,7 +29,7 @@
   return world;
 }
 
-t.test('a command whose answer is lost is sent again with its ID and applied once', async (t) => {
+t.test('a command whose response is lost is retried under its ID and applied once', async (t) => {
   const world = await worldFor(t, 'loses-answers', 'leads');
   const outcome = await world.client().send('c1', defineAuthd);
   t.match(outcome._unsafeUnwrap(), { accepted: true, revision: 1, version: 1 });
@@ -40,7 +40,7 @@
   t.equal(world.state.owners.get('tarjeta')?.revision, 1);
 });
 
-t.test('sent again after a change of leader and a restart, it has the same outcome', async (t) => {
+t.test('a command retried after a leader change and a restart has the same outcome', async (t) => {
   const world = await worldFor(t, 'leads', 'follows');
   const first = await world.client().send('c1', defineAuthd);
   for (const machine of world.machines) {
@@ -61,39 +61,42 @@
   );
 });
 
-t.test('a machine that is cut off answers no query from the past', async (t) => {
+t.test('a machine without a quorum answers no query from stale state', async (t) => {
   const world = await worldFor(t, 'is-cut-off');
   const answer = await world.client().query({ type: 'services' });
   t.equal(answer._unsafeUnwrapErr().kind, 'no-quorum');
 });
 
-t.test('a refusal is not tried again', async (t) => {
+t.test('a refused command is not retried', async (t) => {
   const world = await worldFor(t, 'leads', 'leads');
   const outcome = await world.client().send('c1', { type: 'retire-service', service: 'authd' });
   t.equal(outcome._unsafeUnwrapErr().kind, 'not-found');
   t.strictSame(world.machines[1]?.sentIds, []);
 });
 
-t.test('a wrong token, a bad body and an unknown page are refused by kind', async (t) => {
-  const world = await worldFor(t, 'leads');
-  const to = world.machines[0]?.address ?? { host: '127.0.0.1', port: 0 };
-  const request = { to, method: 'POST' as const, timeoutMs: 2_000 };
-  const kindOf = async (path: string, bearerToken: string, body: unknown) => {
-    const answer = (await sendJson({ ...request, path, bearerToken, body }))._unsafeUnwrap();
-    return (answer.body as { error: { kind: string } }).error.kind;
-  };
-  const command = { commandId: 'c1', command: defineAuthd };
-  t.equal(await kindOf('/v1/command', 'another token', command), 'unauthorized');
-  t.equal(await kindOf('/v1/command', TOKENS.hara, { command }), 'invalid-command');
-  t.equal(
-    await kindOf('/v1/command', TOKENS.hara, { ...command, operator: 'tarjeta' }),
-    'invalid-command',
-  );
-  t.equal(await kindOf('/v1/query', TOKENS.hara, { query: { type: 'all' } }), 'invalid-command');
-  t.equal(await kindOf('/v1/state', TOKENS.hara, {}), 'not-found');
-});
+t.test(
+  'a wrong token, an invalid body and an unknown path each return their error kind',
+  async (t) => {
+    const world = await worldFor(t, 'leads');
+    const to = world.machines[0]?.address ?? { host: '127.0.0.1', port: 0 };
+    const request = { to, method: 'POST' as const, timeoutMs: 2_000 };
+    const kindOf = async (path: string, bearerToken: string, body: unknown) => {
+      const answer = (await sendJson({ ...request, path, bearerToken, body }))._unsafeUnwrap();
+      return (answer.body as { error: { kind: string } }).error.kind;
+    };
+    const command = { commandId: 'c1', command: defineAuthd };
+    t.equal(await kindOf('/v1/command', 'another token', command), 'unauthorized');
+    t.equal(await kindOf('/v1/command', TOKENS.hara, { command }), 'invalid-command');
+    t.equal(
+      await kindOf('/v1/command', TOKENS.hara, { ...command, operator: 'tarjeta' }),
+      'invalid-command',
+    );
+    t.equal(await kindOf('/v1/query', TOKENS.hara, { query: { type: 'all' } }), 'invalid-command');
+    t.equal(await kindOf('/v1/state', TOKENS.hara, {}), 'not-found');
+  },
+);
 
-t.test('tokens are stored as hashes only', async (t) => {
+t.test('tokens are stored only as hashes', async (t) => {
   const { state } = new OperatorWorld();
   const stored = JSON.stringify([...state.operators.values()]);
   t.notMatch(stored, TOKENS.tarjeta);
@@ -101,7 +104,7 @@
 });
 
 t.test(
-  'the operator interface is reached over TLS with its certificate, and only so',
+  'with TLS the operator interface is reached with its certificate, and not over plain HTTP',
   async (t) => {
     const world = await worldFor(t);
     const cert = readFileSync(`${TLS_FOLDER}/test-only-certificate.pem`, 'utf8');
@@ -113,42 +116,42 @@
   },
 );
 
+t.test('a statement prints an outcome, a table or an error, each with its exit code', async (t) => {
+  const world = await worldFor(t, 'leads');
+  const options = { client: world.client(), json: false, waitMs: 0 };
+  const run = (text: string) => runStatement(options, text, 'c1');
+  t.strictSame(await run(DEFINE), {
+    output: 'Accepted: revision 1, service version 1. Command c1.',
+    error: '',
+    exitCode: 0,
+  });
+  t.match((await run('show services')).output, /authd .* 127\.1\.0\.1:7000/);
+  t.match(await run('drain backend 9'), { error: /command-id-reused/, exitCode: 4 });
+  t.match(await run('drane backend 9'), { error: /\^{5}/, exitCode: 2 });
+  const json = await runStatement({ ...options, json: true }, 'show in force', 'c2');
+  t.match(JSON.parse(json.output), { type: 'in-force', committedRevision: 1 });
+  const [machine] = world.machines;
+  if (machine !== undefined) {
+    machine.mode = 'is-cut-off';
+  }
+  t.match(await run(DEFINE), { error: /send it again with --command-id c1/, exitCode: 5 });
+});
+
 t.test(
-  'a statement prints its outcome, its table or its error, each with an exit code',
+  'waiting ends once the command is in force everywhere, or names the lagging balancers',
   async (t) => {
     const world = await worldFor(t, 'leads');
-    const options = { client: world.client(), json: false, waitMs: 0 };
-    const run = (text: string) => runStatement(options, text, 'c1');
-    t.strictSame(await run(DEFINE), {
-      output: 'Accepted: revision 1, service version 1. Command c1.',
-      error: '',
-      exitCode: 0,
-    });
-    t.match((await run('show services')).output, /authd .* 127\.1\.0\.1:7000/);
-    t.match(await run('drain backend 9'), { error: /command-id-reused/, exitCode: 4 });
-    t.match(await run('drane backend 9'), { error: /\^{5}/, exitCode: 2 });
-    const json = await runStatement({ ...options, json: true }, 'show in force', 'c2');
-    t.match(JSON.parse(json.output), { type: 'in-force', committedRevision: 1 });
-    const [machine] = world.machines;
-    if (machine !== undefined) {
-      machine.mode = 'is-cut-off';
-    }
-    t.match(await run(DEFINE), { error: /send it again with --command-id c1/, exitCode: 5 });
+    world.balancers = [{ balancerId: 'b1', zone: 'z1', index: 0 }];
+    const client = world.client();
+    const late = await runStatement({ client, json: false, waitMs: 20 }, DEFINE, 'c1');
+    t.match(late, { error: /lag: b1/, exitCode: 5 });
+    world.balancers = [{ balancerId: 'b1', zone: 'z1', index: world.state.index }];
+    const inTime = await runStatement({ client, json: false, waitMs: 5_000 }, DEFINE, 'c1');
+    t.match(inTime, { output: /In force on all 1 balancers/, exitCode: 0 });
   },
 );
 
-t.test('waiting ends once the command is in force everywhere, or tells who lags', async (t) => {
-  const world = await worldFor(t, 'leads');
-  world.balancers = [{ balancerId: 'b1', zone: 'z1', index: 0 }];
-  const client = world.client();
-  const late = await runStatement({ client, json: false, waitMs: 20 }, DEFINE, 'c1');
-  t.match(late, { error: /lag: b1/, exitCode: 5 });
-  world.balancers = [{ balancerId: 'b1', zone: 'z1', index: world.state.index }];
-  const inTime = await runStatement({ client, json: false, waitMs: 5_000 }, DEFINE, 'c1');
-  t.match(inTime, { output: /In force on all 1 balancers/, exitCode: 0 });
-});
-
-t.test('a script runs up to its first failure, and run again applies nothing twice', async (t) => {
+t.test('a script stops at its first failure, and a second run applies nothing twice', async (t) => {
   const world = await worldFor(t, 'leads');
   const options = { client: world.client(), json: false, waitMs: 0 };
   const script = `# Sets up authd.\n${DEFINE}\n\n${ADD}\nretire service settled\nshow services\n`;
@@ -160,7 +163,7 @@
   t.equal(world.state.routing.backends.size, 1);
 });
 
-t.test('of a script with a line that is no statement nothing is run', async (t) => {
+t.test('a script with an invalid line runs nothing', async (t) => {
   const world = await worldFor(t, 'leads');
   const options = { client: world.client(), json: false, waitMs: 0 };
   t.equal(await runScript(options, `${DEFINE}\nretire servic authd`, 's1', () => undefined), 2);
--- a/test/tools/client/operator-world.ts
+++ b/test/tools/client/operator-world.ts
@@ -1,4 +1,4 @@
-/** @file Control machines over loopback HTTP around one cluster state, for tests of the client. */
+/** @file Control machines over loopback HTTP that share one cluster state, for tests of the operator client. */
 import { operatorApi, type QueryAnswer } from '../../../src/managed/daemon/operator-api.js';
 import {
   listenHttp,
@@ -22,20 +22,20 @@
 import type { BalancerInForce } from '../../../src/managed/control/views/in-force.js';
 import type { Address } from '../../../src/shared/common/address.js';
 
-/** How a machine treats the next requests. */
+/** How a machine responds to requests. */
 export type MachineMode = 'leads' | 'loses-answers' | 'follows' | 'is-cut-off';
 
 export interface Machine {
   readonly address: Address;
   mode: MachineMode;
-  /** Command IDs that it was sent. */
+  /** IDs of the commands that the machine received. */
   readonly sentIds: string[];
 }
 
 /** Operators and their tokens. */
 export const TOKENS = { tarjeta: 'token-of-tarjeta', hara: 'token-of-hara' } as const;
 
-/** Machines that share one replicated state, as after perfect replication. */
+/** Machines that share one state object, which stands for instant replication. */
 export class OperatorWorld {
   readonly state = emptyClusterState();
   readonly machines: Machine[] = [];
@@ -43,10 +43,10 @@
   private readonly servers: HttpServer[] = [];
 
   constructor() {
-    const operators = Object.entries(TOKENS).map(([name, token], position) => ({
+    const operators = Object.entries(TOKENS).map(([name, token], index) => ({
       name,
       tokenHash: operatorTokenHash(token),
-      addressRanges: [`127.${position + 1}.0.0/16`],
+      addressRanges: [`127.${index + 1}.0.0/16`],
     }));
     this.apply({
       commandId: 'operators',
@@ -55,7 +55,6 @@
     });
   }
 
-  /** Starts a machine. */
   async start(mode: MachineMode, tls?: TlsIdentity): Promise<Machine> {
     const sentIds: string[] = [];
     const api = operatorApi({
@@ -87,7 +86,7 @@
     return machine;
   }
 
-  /** All machines stop and start again from a snapshot of the state. */
+  /** Restarts all machines from a snapshot of the state. */
   restart(): void {
     Object.assign(this.state, decodeClusterState(encodeClusterState(this.state)));
   }
@@ -113,7 +112,10 @@
   private refusal(machine: Machine) {
     const leader = this.machines.find(({ mode }) => mode === 'leads')?.address;
     return machine.mode === 'follows' && leader !== undefined
-      ? { error: { kind: 'not-leader' as const, message: 'Another leads.' }, leader }
+      ? {
+          error: { kind: 'not-leader' as const, message: 'Another machine is the leader.' },
+          leader,
+        }
       : { error: { kind: 'no-quorum' as const, message: 'No quorum.' } };
   }
 }
--- a/test/tools/settings-reference/reference-source.ts
+++ b/test/tools/settings-reference/reference-source.ts
@@ -1,4 +1,4 @@
-/** @file Makes docs/SETTINGS.md as it is committed: the reference text in the formatter's layout. */
+/** @file Generates docs/SETTINGS.md as committed: the reference text, formatted by Prettier. */
 import { format, resolveConfig } from 'prettier';
 import { settingsReference } from '../../../src/tools/settings-reference/settings-reference.js';
 
--- a/test/tools/settings-reference/settings-reference.test.ts
+++ b/test/tools/settings-reference/settings-reference.test.ts
@@ -1,4 +1,4 @@
-/** @file The settings reference says what the schema says. */
+/** @file Guards against a settings reference that differs from the schemas. */
 import { readFileSync } from 'node:fs';
 import t from 'tap';
 import { exitCodes } from '../../../src/shared/common/error-kinds.js';
@@ -6,11 +6,11 @@
 import { settingsSchema } from '../../../src/managed/settings/settings-schema.js';
 import { SETTINGS_REFERENCE_FILE, settingsReferenceSource } from './reference-source.js';
 
-t.test('docs/SETTINGS.md is what the schema gives; else run npm run generate', async (t) => {
+t.test('docs/SETTINGS.md matches the schemas; if not, run npm run generate', async (t) => {
   t.equal(readFileSync(SETTINGS_REFERENCE_FILE, 'utf8'), await settingsReferenceSource());
 });
 
-t.test('every option has a line with a meaning', async (t) => {
+t.test('every option has a row with a description', async (t) => {
   const lines = settingsReference().split('\n');
   const settings = settingsSchema.parse({ nodeId: 'a', clusterKey: 'cluster-key' });
   for (const section of ['balancer', 'control'] as const) {
@@ -22,7 +22,7 @@
   t.notOk(lines.some((line) => line.includes('undefined')));
 });
 
-t.test('every exit code is listed once', async (t) => {
+t.test('every exit code is listed exactly once', async (t) => {
   for (const code of Object.values(exitCodes)) {
     t.equal(settingsReference().split(`\n| ${code} |`).length, 2);
   }
