--- a/src/tools/cli/check.ts
+++ b/src/tools/cli/check.ts
@@ -8,7 +8,7 @@
 import { exitCodes } from '../../shared/common/error-kinds.js';
 import { loadSettings } from '../../managed/settings/load-settings.js';
 import { checkStatements, type StatementCheck } from '../toolbox/check.js';
-import { parseStateExport, stateOf } from '../toolbox/state-export.js';
+import { parseStateExport, rebuildState } from '../toolbox/state-export.js';
 import { reportError } from './daemon-command.js';
 import { readDeclaredFile } from './declared-command.js';
 
@@ -79,7 +79,7 @@
     reportError(exported.error);
     return undefined;
   }
-  return checkStatements(readFileSync(file, 'utf8'), stateOf(exported.value));
+  return checkStatements(readFileSync(file, 'utf8'), rebuildState(exported.value));
 }
 
 function describe(statements: readonly StatementCheck[]): string {
--- a/src/tools/cli/explain.ts
+++ b/src/tools/cli/explain.ts
@@ -3,7 +3,7 @@
  */
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
-import { explain, type Story } from '../toolbox/explain.js';
+import { explain, type Explanation } from '../toolbox/explain.js';
 import { readLogs } from './log-files.js';
 
 const MS_PER_SECOND = 1_000;
@@ -34,7 +34,7 @@
   process.exitCode = story.subject === undefined ? exitCodes.refused : exitCodes.success;
 }
 
-function jsonOf({ subject, lines, findings, gaps, skews }: Story): string {
+function jsonOf({ subject, lines, findings, gaps, skews }: Explanation): string {
   const printed = lines.map(({ line: { source, name, fields }, atMs }) => ({
     at: new Date(atMs).toISOString(),
     source,
@@ -44,7 +44,7 @@
   return JSON.stringify({ subject, lines: printed, findings, gaps, skews });
 }
 
-function describe(story: Story, id: string, lineCount: number): string {
+function describe(story: Explanation, id: string, lineCount: number): string {
   const { subject, lines, findings, gaps, skews } = story;
   if (subject === undefined) {
     return [
--- a/src/tools/cli/replay.ts
+++ b/src/tools/cli/replay.ts
@@ -7,7 +7,7 @@
 import type { CAC } from 'cac';
 import { amberliftError } from '../../shared/common/error-kinds.js';
 import { parseTrace, selectEvents, type RecordedTrace } from '../toolbox/replay-trace.js';
-import { describeEvent } from '../toolbox/replay-story.js';
+import { describeEvent } from '../toolbox/describe-event.js';
 import { reportError } from './daemon-command.js';
 
 interface ReplayFlags {
--- a/src/tools/cli/timeline.ts
+++ b/src/tools/cli/timeline.ts
@@ -3,7 +3,7 @@
  */
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
-import { timelineOf, type ProcessStart, type Return } from '../toolbox/timeline.js';
+import { timelineOf, type ProcessStart, type Recovery } from '../toolbox/timeline.js';
 import { readLogs } from './log-files.js';
 
 interface TimelineFlags {
@@ -42,7 +42,7 @@
   process.exitCode = printed.length > 0 ? exitCodes.success : exitCodes.refused;
 }
 
-function describeReturn({ starts, groupPhases, longestWait }: Return): string {
+function describeReturn({ starts, groupPhases, longestWait }: Recovery): string {
   const startMs = groupPhases[0]?.atMs ?? 0;
   const width = Math.max(...starts.map(({ source }) => source.length));
   return [
--- a/src/tools/toolbox/align-clocks.ts
+++ b/src/tools/toolbox/align-clocks.ts
@@ -1,48 +1,48 @@
 /**
- * @file One time for the lines of several processes whose clocks differ and jump. Within a process the monotonic clock gives the order;
- * between processes, configurations that came into force show how far their clocks are apart. Pure; used by `explain` and `timeline`.
+ * @file Aligns the log lines of several processes whose wall clocks differ or jump. The monotonic clock orders the lines
+ * of one process; configurations that come into force at about the same time show the skew between processes.
  */
 import type { LogLine } from './log-line.js';
 
-/** A line with its time on the common clock. */
+/** A log line with its time on the common clock. */
 export interface TimedLine {
   readonly line: LogLine;
   /** In milliseconds since 1970, on the clock of most processes. */
   readonly atMs: number;
 }
 
-/** All lines of one start of a process. */
-type Life = readonly TimedLine[];
+/** The lines of one process from its start to its next start. */
+type ProcessRun = readonly TimedLine[];
 
-/** The clock of a process that is off. */
+/** The clock skew of one process. */
 export interface ClockSkew {
   readonly source: string;
-  /** How far it is ahead of most others, in milliseconds; negative where it is behind. */
+  /** Offset from the median clock in milliseconds; negative if the clock is behind. */
   readonly aheadMs: number;
 }
 
-/** All lines on one clock. */
+/** The lines of all processes on one clock. */
 export interface AlignedLines {
   /** In order of time. */
   readonly lines: readonly TimedLine[];
   readonly skews: readonly ClockSkew[];
 }
 
-/** Propagation of a configuration takes less than this; what is more is a clock. */
+/** Longer than the propagation of a configuration takes. */
 const MIN_SKEW_MS = 500;
-/** Marks by which clocks are compared. */
-const MARK_NAME = 'config in force';
+/** Lines that all processes write at about the same time, by which clocks are compared. */
+const REFERENCE_LINE_NAME = 'config in force';
 
 /**
- * @returns the lines in order of time, and the clocks that were off
+ * @returns the lines in order of time, and the clocks with a skew
  */
 export function alignClocks(lines: readonly LogLine[]): AlignedLines {
-  const lives = [...groupBy(lines, ({ source }) => source).values()]
-    .flatMap(livesOf)
-    .map(steadyLife);
-  const skews = findSkews(lives);
+  const runs = [...groupBy(lines, ({ source }) => source).values()]
+    .flatMap(splitIntoRuns)
+    .map(placeOnMonotonicClock);
+  const skews = findSkews(runs);
   const aheadMs = new Map(skews.map((skew) => [skew.source, skew.aheadMs]));
-  const aligned = lives.flat().map(({ line, atMs }) => ({
+  const aligned = runs.flat().map(({ line, atMs }) => ({
     line,
     atMs: atMs - (aheadMs.get(line.source) ?? 0),
   }));
@@ -50,8 +50,8 @@
   return { lines: aligned, skews };
 }
 
-/** The start of a life is where most of its lines put it, however its clock jumped. */
-function steadyLife(lines: readonly LogLine[]): Life {
+/** Derives the start time from the median of wall time minus uptime, which is robust against clock jumps. */
+function placeOnMonotonicClock(lines: readonly LogLine[]): ProcessRun {
   const starts = lines.flatMap(({ wallMs, upMs }) => (upMs === undefined ? [] : [wallMs - upMs]));
   const startMs = median(starts);
   return lines.map((line) => ({
@@ -60,35 +60,35 @@
   }));
 }
 
-/** A process that starts anew counts its time from the beginning. */
-function livesOf(lines: readonly LogLine[]): LogLine[][] {
-  const lives: LogLine[][] = [];
+/** Splits the lines of a process at each restart, where its uptime decreases. */
+function splitIntoRuns(lines: readonly LogLine[]): LogLine[][] {
+  const runs: LogLine[][] = [];
   let lastUpMs = Number.POSITIVE_INFINITY;
   for (const line of lines) {
     const upMs = line.upMs ?? lastUpMs;
-    const current = lives.at(-1);
+    const current = runs.at(-1);
     if (current === undefined || upMs < lastUpMs) {
-      lives.push([line]);
+      runs.push([line]);
     } else {
       current.push(line);
     }
     lastUpMs = upMs;
   }
-  return lives;
+  return runs;
 }
 
-function findSkews(lives: readonly Life[]): ClockSkew[] {
-  // What comes into force first after a start shows when that was, not when the version was accepted.
-  const marks = lives.flatMap((life) =>
-    life.filter(({ line }) => line.name === MARK_NAME).slice(1),
+function findSkews(runs: readonly ProcessRun[]): ClockSkew[] {
+  // The first configuration after a start is a catch-up and not an update that all processes get at once.
+  const referenceLines = runs.flatMap((run) =>
+    run.filter(({ line }) => line.name === REFERENCE_LINE_NAME).slice(1),
   );
-  const byVersion = groupBy(marks, ({ line }) => line.fields.get('version') ?? '');
+  const byVersion = groupBy(referenceLines, ({ line }) => line.fields.get('version') ?? '');
   const differences = new Map<string, number[]>();
   for (const ofVersion of byVersion.values()) {
-    const usualMs = median(ofVersion.map(({ atMs }) => atMs)) ?? 0;
+    const medianMs = median(ofVersion.map(({ atMs }) => atMs)) ?? 0;
     for (const { line, atMs } of ofVersion) {
-      const known = differences.get(line.source) ?? [];
-      differences.set(line.source, [...known, atMs - usualMs]);
+      const group = differences.get(line.source) ?? [];
+      differences.set(line.source, [...group, atMs - medianMs]);
     }
   }
   return [...differences].flatMap(([source, ofSource]) => {
@@ -101,11 +101,11 @@
   const groups = new Map<string, Item[]>();
   for (const item of items) {
     const key = keyOf(item);
-    const known = groups.get(key);
-    if (known === undefined) {
+    const group = groups.get(key);
+    if (group === undefined) {
       groups.set(key, [item]);
     } else {
-      known.push(item);
+      group.push(item);
     }
   }
   return groups;
--- a/src/tools/toolbox/check.ts
+++ b/src/tools/toolbox/check.ts
@@ -1,6 +1,6 @@
 /**
- * @file Checks a list of operator statements against an export of the state, before they are sent:
- * each is applied to a copy by the replicated step itself, so that later ones see earlier ones.
+ * @file Dry run of operator statements against an exported state. Each is applied by the replicated state machine's own
+ * code, so that later statements see the effect of earlier ones.
  */
 import { applyCommand } from '../../managed/control/apply-command.js';
 import type { ClusterState } from '../../managed/control/cluster-state.js';
@@ -8,36 +8,40 @@
 import { describeStatementError, parseStatement } from '../../managed/language/parse-statement.js';
 import { EXPORT_OPERATOR } from './state-export.js';
 
-/** What came of one statement. */
+/** Result of one statement. */
 export interface StatementCheck {
-  /** Line in the list, from 1. */
+  /** Line number in the script, from 1. */
   readonly line: number;
   readonly statement: string;
   readonly accepted: boolean;
-  /** Why it would be refused. */
+  /** Error kind with which the statement would be refused. */
   readonly kind?: ErrorKind;
   readonly message?: string;
 }
 
 /**
- * @param script one statement a line; empty lines and lines that begin with `#` are left out
- * @param state changed by the statements that would be accepted
- * @returns one check a statement; queries are accepted without effect
+ * @param script one statement per line; empty lines and lines that begin with `#` are skipped
+ * @param state modified by the accepted statements
+ * @returns one result per statement; queries are accepted and have no effect
  */
 export function checkStatements(script: string, state: ClusterState): StatementCheck[] {
   const checks: StatementCheck[] = [];
-  for (const [position, text] of script.split('\n').entries()) {
+  for (const [lineIndex, text] of script.split('\n').entries()) {
     const statement = text.trim();
     if (statement !== '' && !statement.startsWith('#')) {
-      checks.push({ line: position + 1, statement, ...checkStatement(statement, state, position) });
+      checks.push({
+        line: lineIndex + 1,
+        statement,
+        ...checkStatement(statement, state, lineIndex),
+      });
     }
   }
   return checks;
 }
 
-type Verdict = Pick<StatementCheck, 'accepted' | 'kind' | 'message'>;
+type CheckResult = Pick<StatementCheck, 'accepted' | 'kind' | 'message'>;
 
-function checkStatement(text: string, state: ClusterState, position: number): Verdict {
+function checkStatement(text: string, state: ClusterState, lineIndex: number): CheckResult {
   const parsed = parseStatement(text);
   if (parsed.isErr()) {
     const message = describeStatementError(text, parsed.error);
@@ -47,7 +51,7 @@
     return { accepted: true };
   }
   const entry = {
-    commandId: `check-${position + 1}`,
+    commandId: `check-${lineIndex + 1}`,
     operator: EXPORT_OPERATOR,
     command: parsed.value.command,
   };
--- a/src/tools/toolbox/replay-story.ts
+++ b/src/tools/toolbox/describe-event.ts
@@ -1,5 +1,5 @@
 /**
- * @file Describes each event of a trace of the simulator in one sentence.
+ * @file Formats an event of a simulator trace as one sentence.
  */
 import { match } from 'ts-pattern';
 import type { TraceEvent, TraceFact } from '../../proof/sim-managed/trace.js';
@@ -7,7 +7,7 @@
 const TIME_WIDTH = 10;
 
 /**
- * @returns the event as one line, with its time in milliseconds in front
+ * @returns the event on one line, preceded by its time in milliseconds
  */
 export function describeEvent(event: TraceEvent): string {
   return `${event.atMs.toFixed(1).padStart(TIME_WIDTH)} ms  ${sentence(event)}`;
@@ -17,7 +17,7 @@
   return match(event)
     .with({ type: 'process' }, ({ process, status, unfinished }) =>
       status === 'stopped'
-        ? `${process} stopped with ${unfinished ?? 0} in progress.`
+        ? `${process} stopped with ${unfinished ?? 0} requests in progress.`
         : `${process} ${status}.`,
     )
     .with(
@@ -25,14 +25,17 @@
       ({ fault, targets, phase }) =>
         `Fault ${fault} ${phase}${targets.length > 0 ? `: ${targets.join(', ')}` : ''}.`,
     )
-    .with({ type: 'list' }, ({ balancers }) => `The fabric sprays over ${balancers.join(', ')}.`)
+    .with(
+      { type: 'list' },
+      ({ balancers }) => `The fabric distributes packets to ${balancers.join(', ')}.`,
+    )
     .with({ type: 'packet' }, ({ from, to, flowId, message, requestId }) => {
       const request = requestId === undefined ? '' : ` ${requestId}`;
       return `${from} -> ${to}: ${message}${request} of ${flowId}.`;
     })
     .with(
       { type: 'flow-accepted' },
-      ({ backend, flowId, via }) => `${backend} took ${flowId}, which ${via} placed there.`,
+      ({ backend, flowId, via }) => `${backend} accepted ${flowId}, placed by ${via}.`,
     )
     .with(
       { type: 'run' },
@@ -44,11 +47,14 @@
       { type: 'flow-broken' },
       ({ caller, flowId, backend }) => `${caller} lost ${flowId} to ${backend}.`,
     )
-    .with({ type: 'published' }, ({ service, number }) => `Notice ${number} of ${service} is out.`)
+    .with(
+      { type: 'published' },
+      ({ service, number }) => `Notice ${number} of ${service} was published.`,
+    )
     .with(
       { type: 'notice' },
       ({ caller, number, intact }) =>
-        `${caller} got notice ${number}${intact ? '' : ', with wrong bytes'}.`,
+        `${caller} received notice ${number}${intact ? '' : ', corrupted'}.`,
     )
     .with(
       { type: 'notices-missed' },
@@ -61,15 +67,15 @@
     )
     .with({ type: 'command-answered' }, ({ operator, commandId, accepted, index, errorKind }) =>
       accepted
-        ? `${operator} was told: ${commandId} accepted at index ${index ?? 0}.`
-        : `${operator} was told: ${commandId} refused, ${errorKind ?? ''}.`,
+        ? `${operator} received the outcome of ${commandId}: accepted at index ${index ?? 0}.`
+        : `${operator} received the outcome of ${commandId}: refused, ${errorKind ?? ''}.`,
     )
     .with({ type: 'applied' }, ({ control, index }) => `${control} applied index ${index}.`)
     .with({ type: 'in-force' }, ({ balancer, index }) => `${balancer} has index ${index} in force.`)
     .with(
       { type: 'final-config' },
       ({ balancer, services }) =>
-        `${balancer} ends with ${Object.entries(services)
+        `${balancer} ends the run with ${Object.entries(services)
           .map(([name, version]) => `${name} version ${version}`)
           .join(', ')}.`,
     )
@@ -84,6 +90,6 @@
 function describeOutcome(event: Extract<TraceFact, { type: 'outcome' }>): string {
   const { caller, requestNumber, outcome, errorKind, intact } = event;
   const kind = errorKind === undefined ? '' : `, ${errorKind}`;
-  const bytes = intact ? '' : ', with wrong bytes';
-  return `${caller} was told of request ${requestNumber}: ${outcome}${kind}${bytes}.`;
+  const corruption = intact ? '' : ', corrupted';
+  return `${caller} received the outcome of request ${requestNumber}: ${outcome}${kind}${corruption}.`;
 }
--- a/src/tools/toolbox/explain-findings.ts
+++ b/src/tools/toolbox/explain-findings.ts
@@ -1,11 +1,11 @@
 /**
- * @file The rules by which `explain` names what may be the cause of a failed request: decisions on its back end, refusals and resets of its
- * flow, processes that restarted, overload, an old configuration, resends, placements that came late. Each rule reads the lines of the story alone.
+ * @file Rules of `explain` that report possible causes of a failed request, such as resets, restarts, overload, a stale
+ * configuration or retransmissions. Each rule reads only the selected log lines.
  */
 import { valuesOf, type Span } from './line-spans.js';
 import type { TimedLine } from './align-clocks.js';
 
-/** Decisions on back ends. */
+/** Names of log lines about the state of a back end. */
 export const BACKEND_DECISIONS: ReadonlySet<string> = new Set([
   'backend registered',
   'backend judged',
@@ -13,18 +13,18 @@
 ]);
 
 /**
- * @param story all lines of the story
- * @param ofFlow those of the flow itself
- * @param asked when what is asked for happened
- * @returns sentences, most telling first
+ * @param lines the lines of the flow, its back ends and its processes
+ * @param ofFlow the lines of the flow only
+ * @param subjectSpan time span of the request or flow that is explained
+ * @returns sentences, most likely cause first
  */
 export function findingsOfFlow(
-  story: readonly TimedLine[],
+  lines: readonly TimedLine[],
   ofFlow: readonly TimedLine[],
-  asked: Span,
+  subjectSpan: Span,
 ): string[] {
   const refusals = ofFlow.filter(({ line }) => line.name === 'reset' || line.name === 'dropped');
-  const beliefs = story.filter(({ line }) => BACKEND_DECISIONS.has(line.name));
+  const decisions = lines.filter(({ line }) => BACKEND_DECISIONS.has(line.name));
   const backends = valuesOf(ofFlow, 'backend');
   const hasRequest = ofFlow.some(({ line }) => line.name === 'request');
   return [
@@ -32,42 +32,43 @@
       ({ line }) => `${line.source} ${line.name} it: ${line.fields.get('reason') ?? ''}.`,
     ),
     ...(backends.size > 1
-      ? [`It was sent to several back ends: ${[...backends].join(', ')}.`]
+      ? [`The flow was sent to several back ends: ${[...backends].join(', ')}.`]
       : []),
-    ...beliefFindings(beliefs, asked.fromMs),
-    ...processFindings(story, asked),
+    ...backendFindings(decisions, subjectSpan.fromMs),
+    ...processFindings(lines, subjectSpan),
     ...(hasRequest || refusals.length > 0
       ? []
       : ['No request followed the open: the back end did not accept it, or the client gave up.']),
     ...overloadFindings(ofFlow),
     ...staleFindings(ofFlow),
-    ...resendFindings(ofFlow, asked),
+    ...resendFindings(ofFlow, subjectSpan),
   ];
 }
 
 /**
- * @param askedAtMs the time from which distances are given; undefined for none
- * @returns what was said of back ends, each thing once
+ * @param referenceMs time to which the times are relative; undefined omits them
+ * @returns one sentence per state that a back end reported or was judged to be in
  */
-export function beliefFindings(beliefs: readonly TimedLine[], askedAtMs?: number): string[] {
+export function backendFindings(decisions: readonly TimedLine[], referenceMs?: number): string[] {
   const reported = new Set<string>();
-  return beliefs.flatMap(({ line, atMs }) => {
-    const what = line.fields.get('kind') ?? line.fields.get('to') ?? '';
+  return decisions.flatMap(({ line, atMs }) => {
+    const state = line.fields.get('kind') ?? line.fields.get('to') ?? '';
     const backend = line.fields.get('backend') ?? line.fields.get('backendId') ?? '';
-    const key = `${line.name} ${backend} ${what}`;
-    if (line.name === 'backend registered' || what === 'heard' || reported.has(key)) {
+    const key = `${line.name} ${backend} ${state}`;
+    if (line.name === 'backend registered' || state === 'heard' || reported.has(key)) {
       return [];
     }
     reported.add(key);
-    const when = askedAtMs === undefined ? '' : `, ${describeDistance(atMs - askedAtMs)}`;
-    const how = line.name === 'departure' ? `said that it is ${what}` : `was judged ${what}`;
-    return [`Back end ${backend} ${how}${when}.`];
+    const when = referenceMs === undefined ? '' : `, ${describeDistance(atMs - referenceMs)}`;
+    const event =
+      line.name === 'departure' ? `announced that it is ${state}` : `was judged ${state}`;
+    return [`Back end ${backend} ${event}${when}.`];
   });
 }
 
-function processFindings(story: readonly TimedLine[], { fromMs }: Span): string[] {
+function processFindings(lines: readonly TimedLine[], { fromMs }: Span): string[] {
   const reported = new Set<string>();
-  return story.flatMap(({ line, atMs }) => {
+  return lines.flatMap(({ line, atMs }) => {
     const key = `${line.source} ${line.name}`;
     if (reported.has(key)) {
       return [];
@@ -78,20 +79,20 @@
       case 'started':
         return [`${line.source} started ${when}.`];
       case 'stopping':
-        return [`${line.source} was told to stop ${when}.`];
+        return [`${line.source} was asked to stop ${when}.`];
       case 'feed lost':
         return [
-          `${line.source} lost its control machine ${when}: ${line.fields.get('reason') ?? ''}`,
+          `${line.source} lost the connection to its control machine ${when}: ${line.fields.get('reason') ?? ''}`,
         ];
       case 'error':
-        return [`${line.source} had an error ${when}.`];
+        return [`${line.source} logged an error ${when}.`];
       default:
         return [];
     }
   });
 }
 
-/** From here on a balancer was cut off from the control machines, or had not found one yet. */
+/** Feed age above which a balancer counts as disconnected from the control machines. */
 const STALE_FEED_MS = 1_500;
 
 function staleFindings(ofFlow: readonly TimedLine[]): string[] {
@@ -105,51 +106,49 @@
   const age = fields.get('feedAgeMs') ?? '';
   const config = fields.get('config') ?? 'none';
   return [
-    `${source} had heard from no current control machine for ${age} ms, and went by configuration ${config}.`,
+    `${source} had no update from a current control machine for ${age} ms and used configuration ${config}.`,
   ];
 }
 
-/** Copies that come closer together were not sent for want of an acknowledgement. */
-const SMALLEST_RESEND_MS = 100;
+/** Copies sent closer together than this are not retransmissions. */
+const MIN_RESEND_INTERVAL_MS = 100;
 
-/** A client sends again what is not acknowledged. */
+/** Reports a request that the client retransmitted because no acknowledgement came. */
 function resendFindings(ofFlow: readonly TimedLine[], { fromMs }: Span): string[] {
-  const asked = ofFlow.find(({ line, atMs }) => line.name === 'request' && atMs >= fromMs);
-  const request = asked?.line.fields.get('request');
+  const firstSend = ofFlow.find(({ line, atMs }) => line.name === 'request' && atMs >= fromMs);
+  const request = firstSend?.line.fields.get('request');
   const sends = ofFlow.filter(({ line }) => line.fields.get('request') === request);
   const lastMs = sends.at(-1)?.atMs ?? 0;
-  const isResent = sends.some(({ atMs }) => lastMs - atMs >= SMALLEST_RESEND_MS);
+  const isResent = sends.some(({ atMs }) => lastMs - atMs >= MIN_RESEND_INTERVAL_MS);
   return request === undefined || !isResent
     ? []
-    : [
-        `Its first packet was sent ${sends.length} times: the back end acknowledged none of them in time.`,
-      ];
+    : [`Its first packet was sent ${sends.length} times: the back end acknowledged none in time.`];
 }
 
-/** From here on a back end had more requests than it works on at once. */
-const FULL_LOAD = 1;
+/** Requests per slot at which a back end is at capacity. */
+const FULL_LOAD_PER_SLOT = 1;
 
 function overloadFindings(ofFlow: readonly TimedLine[]): string[] {
   return ofFlow.flatMap(({ line }) => {
     const load = Number(line.fields.get('load') ?? 0);
-    return line.name === 'placed' && load >= FULL_LOAD
-      ? [`Even the best back end had ${load} requests for each that it works on at once.`]
+    return line.name === 'placed' && load >= FULL_LOAD_PER_SLOT
+      ? [`The chosen back end already had ${load} requests per slot.`]
       : [];
   });
 }
 
-/** @returns how long after its departure a back end was still given opens */
+/** @returns a sentence on opens that were placed on a back end after its departure, or none */
 export function latePlacements(
   placed: readonly TimedLine[],
-  beliefs: readonly TimedLine[],
+  decisions: readonly TimedLine[],
 ): string[] {
-  const departure = beliefs.find(({ line }) => line.name === 'departure');
+  const departure = decisions.find(({ line }) => line.name === 'departure');
   const late = placed.filter(({ atMs }) => departure !== undefined && atMs > departure.atMs);
   const lastMs = late.at(-1)?.atMs ?? 0;
   return departure === undefined || late.length === 0
     ? []
     : [
-        `${late.length} of them after its departure, the last ${Math.round(lastMs - departure.atMs)} ms after.`,
+        `${late.length} of the opens were placed after its departure, the last ${Math.round(lastMs - departure.atMs)} ms after.`,
       ];
 }
 
--- a/src/tools/toolbox/explain.ts
+++ b/src/tools/toolbox/explain.ts
@@ -1,46 +1,45 @@
 /**
- * @file The story of one request, flow, back end or configuration, out of the logs of several processes: the lines that name it, those
- * on the back ends and processes that it met, findings that may be the cause, and gaps where lines are missing. Pure: owns nothing. Relies
- * on `log-line` for the fields of lines, `align-clocks` for their order, and `explain-findings` for the rules on what is worth a finding.
+ * @file Explains one request, flow, back end or configuration from the logs of several processes: selects the lines about
+ * it and about the back ends and processes involved, possible causes, and gaps in the logs.
  */
 import { match } from 'ts-pattern';
 import { alignClocks, type ClockSkew, type TimedLine } from './align-clocks.js';
 import {
   BACKEND_DECISIONS,
-  beliefFindings,
+  backendFindings,
   findingsOfFlow,
   latePlacements,
 } from './explain-findings.js';
 import { spanOf, valuesOf, type Span } from './line-spans.js';
 import type { LogLine } from './log-line.js';
 
-/** What an ID names. */
+/** The entity that an ID names. */
 export type Subject =
   | { readonly type: 'request'; readonly id: string }
   | { readonly type: 'flow'; readonly id: string }
   | { readonly type: 'backend'; readonly id: string }
   | { readonly type: 'config'; readonly id: string };
 
-/** A story in order of time. */
-export interface Story {
-  /** Undefined where no line names the ID. */
+/** The selected log lines in order of time, and conclusions from them. */
+export interface Explanation {
+  /** Undefined if no line names the ID. */
   readonly subject: Subject | undefined;
   readonly lines: readonly TimedLine[];
-  /** What in it may be the cause, most telling first. */
+  /** Possible causes, most likely first. */
   readonly findings: readonly string[];
-  /** Where lines are missing. */
+  /** Known gaps in the logs. */
   readonly gaps: readonly string[];
   readonly skews: readonly ClockSkew[];
 }
 
-/** Decisions on a process count from this time before a flow, and a start explains a line up to this time after it. */
-const BEFORE_FLOW_MS = 3_000;
-/** Decisions on a process count up to this time after a flow. */
-const AFTER_FLOW_MS = 5_000;
-/** Decisions on a back end count from this time before a flow to the same time after it: some take many seconds to matter. */
-const LONG_BEFORE_MS = 15_000;
+/** How long before a flow process events are included; also the time that a start takes at most. */
+const PROCESS_WINDOW_BEFORE_MS = 3_000;
+/** How long after a flow process events are included. */
+const PROCESS_WINDOW_AFTER_MS = 5_000;
+/** How long before and after a flow back end events are included: some take effect only after many seconds. */
+const BACKEND_WINDOW_MS = 15_000;
 
-/** Decisions on a process itself that may explain what happened to its flows. */
+/** Names of log lines about a process that may explain what happened to its flows. */
 const PROCESS_DECISIONS: ReadonlySet<string> = new Set([
   'started',
   'stopping',
@@ -52,21 +51,21 @@
 ]);
 
 /**
- * @param id of a request, flow or back end, or the version of a configuration
+ * @param id ID of a request, flow or back end, or the version of a configuration
  */
-export function explain(logLines: readonly LogLine[], id: string): Story {
+export function explain(logLines: readonly LogLine[], id: string): Explanation {
   const { lines, skews } = alignClocks(logLines);
   const subject = subjectOf(lines, id);
   if (subject === undefined) {
     return { subject, lines: [], findings: [], gaps: gapsOf(lines, undefined), skews };
   }
-  const story = match(subject)
-    .with({ type: 'request' }, (request) => storyOfRequest(lines, request.id))
-    .with({ type: 'flow' }, (flow) => storyOfFlow(lines, flow.id, undefined))
-    .with({ type: 'backend' }, (backend) => storyOfBackend(lines, backend.id))
-    .with({ type: 'config' }, (config) => storyOfConfig(lines, config.id))
+  const explanation = match(subject)
+    .with({ type: 'request' }, (request) => explainRequest(lines, request.id))
+    .with({ type: 'flow' }, (flow) => explainFlow(lines, flow.id, undefined))
+    .with({ type: 'backend' }, (backend) => explainBackend(lines, backend.id))
+    .with({ type: 'config' }, (config) => explainConfig(lines, config.id))
     .exhaustive();
-  return { subject, skews, ...story, gaps: gapsOf(lines, spanOf(story.lines)) };
+  return { subject, skews, ...explanation, gaps: gapsOf(lines, spanOf(explanation.lines)) };
 }
 
 function subjectOf(lines: readonly TimedLine[], id: string): Subject | undefined {
@@ -84,52 +83,59 @@
   return isNamedBy('version', 'config') ? { type: 'config', id } : undefined;
 }
 
-type StoryParts = Pick<Story, 'lines' | 'findings'>;
+type ExplanationParts = Pick<Explanation, 'lines' | 'findings'>;
 
-function storyOfRequest(lines: readonly TimedLine[], id: string): StoryParts {
-  const tie = lines.find(({ line }) => line.fields.get('request') === id);
-  const flow = tie?.line.fields.get('flow');
-  return tie === undefined || flow === undefined
+function explainRequest(lines: readonly TimedLine[], id: string): ExplanationParts {
+  const requestLine = lines.find(({ line }) => line.fields.get('request') === id);
+  const flow = requestLine?.line.fields.get('flow');
+  return requestLine === undefined || flow === undefined
     ? { lines: [], findings: [] }
-    : storyOfFlow(lines, flow, tie);
+    : explainFlow(lines, flow, requestLine);
 }
 
 /**
- * @param tie the line of the request that is asked for; undefined for the whole flow
+ * @param requestLine the line of the request to explain; undefined for the whole flow
  */
-function storyOfFlow(
+function explainFlow(
   lines: readonly TimedLine[],
   flow: string,
-  tie: TimedLine | undefined,
-): StoryParts {
-  const ofFlow = linesOfOneUse(
+  requestLine: TimedLine | undefined,
+): ExplanationParts {
+  const ofFlow = linesOfOneConnection(
     lines.filter(({ line }) => line.fields.get('flow') === flow),
-    tie,
+    requestLine,
   );
   const span = spanOf(ofFlow);
-  const asked = tie === undefined ? span : { fromMs: tie.atMs, untilMs: tie.atMs };
+  const subjectSpan =
+    requestLine === undefined ? span : { fromMs: requestLine.atMs, untilMs: requestLine.atMs };
   const backends = valuesOf(ofFlow, 'backend');
   const sources = new Set(ofFlow.map(({ line }) => line.source));
-  const around = lines.filter(
-    (timed) => isOnBackends(timed, backends, asked) || isOnProcess(timed, sources, span),
+  const related = lines.filter(
+    (timed) => isOnBackends(timed, backends, subjectSpan) || isOnProcess(timed, sources, span),
   );
-  const chosen = inOrder([...ofFlow, ...around]);
-  return { lines: chosen, findings: findingsOfFlow(chosen, ofFlow, asked) };
+  const selected = sortByTime([...ofFlow, ...related]);
+  return { lines: selected, findings: findingsOfFlow(selected, ofFlow, subjectSpan) };
 }
 
-/** Ports are used again: a flow ends where the next first open of the same ends begins. */
-function linesOfOneUse(
+/** Ports are reused: a connection ends at the next initial open with the same addresses and ports. */
+function linesOfOneConnection(
   ofFlow: readonly TimedLine[],
-  tie: TimedLine | undefined,
+  requestLine: TimedLine | undefined,
 ): readonly TimedLine[] {
-  if (tie === undefined) {
+  if (requestLine === undefined) {
     return ofFlow;
   }
   const isFirstOpen = ({ line }: TimedLine) =>
     line.fields.get('copy') === '0' && line.fields.get('how') !== 'remembered';
   const starts = ofFlow.filter(isFirstOpen).map(({ atMs }) => atMs);
-  const fromMs = Math.max(Number.NEGATIVE_INFINITY, ...starts.filter((atMs) => atMs <= tie.atMs));
-  const untilMs = Math.min(Number.POSITIVE_INFINITY, ...starts.filter((atMs) => atMs > tie.atMs));
+  const fromMs = Math.max(
+    Number.NEGATIVE_INFINITY,
+    ...starts.filter((atMs) => atMs <= requestLine.atMs),
+  );
+  const untilMs = Math.min(
+    Number.POSITIVE_INFINITY,
+    ...starts.filter((atMs) => atMs > requestLine.atMs),
+  );
   return ofFlow.filter(({ atMs }) => atMs >= fromMs && atMs < untilMs);
 }
 
@@ -139,7 +145,7 @@
   { fromMs, untilMs }: Span,
 ): boolean {
   const backend = line.fields.get('backend') ?? line.fields.get('backendId') ?? '';
-  const isNear = atMs >= fromMs - LONG_BEFORE_MS && atMs <= untilMs + LONG_BEFORE_MS;
+  const isNear = atMs >= fromMs - BACKEND_WINDOW_MS && atMs <= untilMs + BACKEND_WINDOW_MS;
   return isNear && BACKEND_DECISIONS.has(line.name) && backends.has(backend);
 }
 
@@ -148,27 +154,28 @@
   sources: ReadonlySet<string>,
   { fromMs, untilMs }: Span,
 ): boolean {
-  const isNear = atMs >= fromMs - BEFORE_FLOW_MS && atMs <= untilMs + AFTER_FLOW_MS;
+  const isNear =
+    atMs >= fromMs - PROCESS_WINDOW_BEFORE_MS && atMs <= untilMs + PROCESS_WINDOW_AFTER_MS;
   return isNear && PROCESS_DECISIONS.has(line.name) && sources.has(line.source);
 }
 
-function storyOfBackend(lines: readonly TimedLine[], id: string): StoryParts {
-  const isOf = ({ line }: TimedLine) =>
+function explainBackend(lines: readonly TimedLine[], id: string): ExplanationParts {
+  const concernsBackend = ({ line }: TimedLine) =>
     line.fields.get('backend') === id || line.fields.get('backendId') === id;
-  const ofBackend = lines.filter(isOf);
-  const beliefs = ofBackend.filter(({ line }) => BACKEND_DECISIONS.has(line.name));
+  const ofBackend = lines.filter(concernsBackend);
+  const decisions = ofBackend.filter(({ line }) => BACKEND_DECISIONS.has(line.name));
   const placed = ofBackend.filter(({ line }) => line.name === 'placed');
   const last = placed.at(-1);
-  const edges = [placed[0], last].filter((timed) => timed !== undefined);
+  const firstAndLast = [placed[0], last].filter((timed) => timed !== undefined);
   const findings = [
-    `${placed.length} opens were placed on it in these logs; the first and the last are shown.`,
-    ...beliefFindings(beliefs),
-    ...latePlacements(placed, beliefs),
+    `${placed.length} opens were placed on the back end in these logs; the first and the last are shown.`,
+    ...backendFindings(decisions),
+    ...latePlacements(placed, decisions),
   ];
-  return { lines: inOrder([...beliefs, ...edges]), findings };
+  return { lines: sortByTime([...decisions, ...firstAndLast]), findings };
 }
 
-function storyOfConfig(lines: readonly TimedLine[], version: string): StoryParts {
+function explainConfig(lines: readonly TimedLine[], version: string): ExplanationParts {
   const ofVersion = lines.filter(({ line }) => line.fields.get('version') === version);
   const inForce = ofVersion.filter(
     (timed) => timed.line.name === 'config in force' && !isAtStart(lines, timed),
@@ -182,37 +189,38 @@
   return {
     lines: ofVersion,
     findings: [
-      `It came into force in ${sources.size} processes within ${Math.round(last - first)} ms.`,
-      ...(others.size > 0 ? [`No line says so of: ${[...others].sort().join(', ')}.`] : []),
+      `The configuration came into force in ${sources.size} processes within ${Math.round(last - first)} ms.`,
+      ...(others.size > 0 ? [`No such line from: ${[...others].sort().join(', ')}.`] : []),
     ],
   };
 }
 
-/** A process that has just started gets what is in force: that says nothing of how fast changes travel. */
+/** A process that has just started fetches the current configuration, which says nothing about propagation time. */
 function isAtStart(lines: readonly TimedLine[], { line, atMs }: TimedLine): boolean {
   return lines.some(
     (other) =>
       other.line.name === 'started' &&
       other.line.source === line.source &&
       other.atMs <= atMs &&
-      atMs - other.atMs <= BEFORE_FLOW_MS,
+      atMs - other.atMs <= PROCESS_WINDOW_BEFORE_MS,
   );
 }
 
-/** Lines that were left out, and processes that ended without a last line. */
+/** Reports suppressed log lines, and processes that ended without a `stopping` line. */
 function gapsOf(lines: readonly TimedLine[], span: Span | undefined): string[] {
   const gaps: string[] = [];
   const running = new Set<string>();
   for (const { line, atMs } of lines) {
     const isNear =
       span === undefined ||
-      (atMs >= span.fromMs - BEFORE_FLOW_MS && atMs <= span.untilMs + AFTER_FLOW_MS);
+      (atMs >= span.fromMs - PROCESS_WINDOW_BEFORE_MS &&
+        atMs <= span.untilMs + PROCESS_WINDOW_AFTER_MS);
     if (line.name === 'skipped' && isNear) {
       const kind = line.fields.get('kind') ?? '';
-      gaps.push(`${line.source} left out ${line.fields.get('lines') ?? ''} lines of ${kind}.`);
+      gaps.push(`${line.source} suppressed ${line.fields.get('lines') ?? ''} lines of ${kind}.`);
     }
     if (line.name === 'started' && running.has(line.source) && isNear) {
-      gaps.push(`${line.source} ended without a word before it started again.`);
+      gaps.push(`${line.source} ended without a final log line before it started again.`);
     }
     if (line.name === 'stopping') {
       running.delete(line.source);
@@ -223,6 +231,6 @@
   return gaps;
 }
 
-function inOrder(lines: readonly TimedLine[]): TimedLine[] {
+function sortByTime(lines: readonly TimedLine[]): TimedLine[] {
   return [...new Set(lines)].sort((one, other) => one.atMs - other.atMs);
 }
--- a/src/tools/toolbox/log-line.ts
+++ b/src/tools/toolbox/log-line.ts
@@ -1,17 +1,17 @@
 /**
- * @file Reads the log lines of daemons back: what `src/registered/daemon/decision-log.ts` writes, with or without the
- * time and machine that a collector of logs put before it.
+ * @file Parses the log lines that `src/registered/daemon/decision-log.ts` writes, with or without a prefix (time and
+ * machine) added by a log collector.
  */
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface LogLine {
-  /** The process that wrote it: the machine that a collector names, else the file. */
+  /** Name of the process: the machine from the collector's prefix, otherwise the file name. */
   readonly source: string;
-  /** Number of the line in its file, from 1. */
+  /** Line number in the file, from 1. */
   readonly number: number;
-  /** The time of day that the process believed, in milliseconds since 1970. */
+  /** Wall-clock time of the process, in milliseconds since the Unix epoch. */
   readonly wallMs: number;
-  /** Time since the process started, in milliseconds, on a clock that never jumps. */
+  /** Monotonic time since the process started, in milliseconds. */
   readonly upMs: number | undefined;
   readonly part: string;
   /** Name of the decision, such as `placed`. */
@@ -25,8 +25,8 @@
 const FIELD_PATTERN = /([A-Za-z]\w*)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
 /**
- * @param fileName names the process where the line does not
- * @returns the line, or undefined where it is none of a daemon
+ * @param fileName used as the source if the line has no collector prefix
+ * @returns the parsed line, or undefined if no daemon wrote it
  */
 export function parseLogLine(text: string, fileName: string, number: number): LogLine | undefined {
   const groups = LINE_PATTERN.exec(text)?.groups;
@@ -61,7 +61,7 @@
   try {
     return JSON.parse(value) as string;
   } catch {
-    // A line that was cut off ends within a quoted value: the rest is still of use as it stands.
+    // A truncated line may end inside a quoted value: keep the raw text.
     return value;
   }
 }
--- a/src/tools/toolbox/plan-declared.ts
+++ b/src/tools/toolbox/plan-declared.ts
@@ -1,5 +1,5 @@
 /**
- * @file What a declared configuration would change against the one in force: routes, services and weights. Pure; used by `plan --declared`.
+ * @file Compares a declared configuration with the one in force: changes of routes, services and weights.
  */
 import type {
   DeclaredConfig,
@@ -7,10 +7,10 @@
   WeightedTarget,
 } from '../../registered/declared/declared-config.js';
 
-/** One route that would change. */
+/** Change of one route. */
 export type RouteChange =
   | { readonly type: 'added'; readonly route: DeclaredRoute }
-  /** Its open flows are cut. */
+  /** Its open flows are reset. */
   | { readonly type: 'removed'; readonly route: DeclaredRoute }
   | {
       readonly type: 'changed';
@@ -22,36 +22,39 @@
       readonly movedShare: number;
     };
 
-/** What a configuration would change. */
+/** Changes that a configuration would make. */
 export interface DeclaredPlan {
   readonly heldVersion: number | undefined;
   readonly version: number;
-  /** False where the version does not exceed the one that holds: it would be acknowledged, and ignored. */
+  /** False if the version is not higher than the one in force: it would be acknowledged and ignored. */
   readonly takesEffect: boolean;
   readonly routes: readonly RouteChange[];
   readonly servicesAdded: readonly string[];
   readonly servicesRemoved: readonly string[];
 }
 
-/** Shares closer than this are equal but for rounding. */
-const SMALLEST_SHARE = 1e-9;
+/** Tolerance for rounding errors. */
+const SHARE_EPSILON = 1e-9;
 
 /**
- * @param held the configuration that holds; undefined for none
- * @returns what would change
+ * @param current the configuration in force; undefined if there is none
+ * @returns the changes that `next` would make
  */
-export function planDeclared(held: DeclaredConfig | undefined, next: DeclaredConfig): DeclaredPlan {
-  const before = new Map((held?.routes ?? []).map((route) => [placeOf(route), route]));
-  const after = new Map(next.routes.map((route) => [placeOf(route), route]));
-  const removed = [...before.values()].filter((route) => !after.has(placeOf(route)));
-  const heldServices = (held?.services ?? []).map(({ name }) => name);
+export function planDeclared(
+  current: DeclaredConfig | undefined,
+  next: DeclaredConfig,
+): DeclaredPlan {
+  const before = new Map((current?.routes ?? []).map((route) => [routeKey(route), route]));
+  const after = new Map(next.routes.map((route) => [routeKey(route), route]));
+  const removed = [...before.values()].filter((route) => !after.has(routeKey(route)));
+  const heldServices = (current?.services ?? []).map(({ name }) => name);
   const nextServices = next.services.map(({ name }) => name);
   return {
-    heldVersion: held?.version,
+    heldVersion: current?.version,
     version: next.version,
-    takesEffect: held === undefined || next.version > held.version,
+    takesEffect: current === undefined || next.version > current.version,
     routes: [
-      ...[...after].flatMap(([place, route]) => changeOf(before.get(place), route)),
+      ...[...after].flatMap(([key, route]) => changeOf(before.get(key), route)),
       ...removed.map((route): RouteChange => ({ type: 'removed', route })),
     ],
     servicesAdded: nextServices.filter((name) => !heldServices.includes(name)),
@@ -59,7 +62,7 @@
   };
 }
 
-function placeOf({ host, port }: DeclaredRoute): string {
+function routeKey({ host, port }: DeclaredRoute): string {
   return `${host}:${port}`;
 }
 
@@ -70,12 +73,12 @@
   const movedShare = movedShareOf(before.targets, after.targets);
   const fields = [
     ...(['name', 'kind', 'timeoutMs'] as const).filter((name) => before[name] !== after[name]),
-    ...(movedShare > SMALLEST_SHARE ? ['targets'] : []),
+    ...(movedShare > SHARE_EPSILON ? ['targets'] : []),
   ];
   return fields.length === 0 ? [] : [{ type: 'changed', before, after, fields, movedShare }];
 }
 
-/** Half of the sum of differences: what leaves some services arrives at others. */
+/** Half the sum of absolute differences, since each moved share is counted at both services. */
 function movedShareOf(before: readonly WeightedTarget[], after: readonly WeightedTarget[]): number {
   const sharesBefore = sharesOf(before);
   const sharesAfter = sharesOf(after);
--- a/src/tools/toolbox/plan.ts
+++ b/src/tools/toolbox/plan.ts
@@ -1,7 +1,6 @@
 /**
- * @file What one change of back ends would do: flows that move, connections per back end while they
- * move and afterwards, how long a drain takes, and whether the loss of a third of the back ends would
- * still fit.
+ * @file Predicts the effect of adding, draining or retiring a back end: flows that move, connections per back end, drain
+ * time, and whether capacity would still suffice after the loss of a third of the back ends.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { match } from 'ts-pattern';
@@ -9,11 +8,11 @@
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { ExportedBackend, ExportedService, StateExport } from './state-export.js';
 
-/** What an export doesn't hold. */
+/** Assumptions that an export doesn't contain. */
 export interface PlanOptions {
-  /** Connections that one back end holds, where the service sets no limit. */
+  /** Connections per back end if the service sets no limit. */
   readonly connectionLimit: number;
-  /** Flows that a draining back end lets go a second. */
+  /** Flows per second that leave a draining back end. */
   readonly movesPerSecond: number;
 }
 
@@ -23,12 +22,12 @@
   readonly backendId: number | undefined;
   readonly zone: string;
   readonly before: number;
-  /** Highest while flows move: each opens elsewhere before it leaves. */
+  /** Peak during the change: each flow is opened elsewhere before it leaves. */
   readonly during: number;
   readonly after: number;
 }
 
-/** What the change would do. */
+/** Predicted effect of a change. */
 export interface ChangePlan {
   readonly service: string;
   /** Flows that leave their back end. */
@@ -36,22 +35,22 @@
   readonly timeToDrainMs: number;
   readonly connectionLimit: number;
   readonly loads: readonly PlannedLoad[];
-  /** True where all fit into their limits while flows move and afterwards. */
+  /** True if every back end stays within its limit during and after the change. */
   readonly fits: boolean;
-  /** Back ends that are a third of those left, rounded up. */
+  /** A third of the remaining back ends, rounded up. */
   readonly lostBackends: number;
-  /** True where the others would still hold all connections without those. */
+  /** True if the others could take all connections after the loss of that third. */
   readonly fitsWithoutThird: boolean;
-  /** Connections of each of the others then, if spread evenly. */
+  /** Connections per surviving back end after that loss, spread evenly. */
   readonly connectionsWithoutThird: number;
 }
 
-const LOST_PART = 1 / 3;
+const LOST_FRACTION = 1 / 3;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * @returns what the change would do, or `not-found` or `invalid-command` where it names no back end
- *   of the export or changes none
+ * @returns the predicted effect; `not-found` if the export lacks the service or back end, `invalid-command` for other
+ *   changes
  */
 export function planChange(
   exported: StateExport,
@@ -61,23 +60,23 @@
   return match(change)
     .with({ type: 'add-backend' }, ({ service, zone }) =>
       findService(exported, service).map((found) =>
-        planFor(exported, found, undefined, zone, options),
+        planForService(exported, found, undefined, zone, options),
       ),
     )
     .with({ type: 'drain-backend' }, { type: 'retire-backend' }, ({ backendId }) =>
       findBackend(exported, backendId).andThen((backend) =>
         findService(exported, backend.service).map((service) =>
-          planFor(exported, service, backend, undefined, options),
+          planForService(exported, service, backend, undefined, options),
         ),
       ),
     )
     .otherwise(() => {
-      const message = 'A plan is made for adding, draining or retiring a back end.';
+      const message = 'Only adding, draining or retiring a back end can be planned.';
       return err(amberliftError('invalid-command', message));
     });
 }
 
-function planFor(
+function planForService(
   exported: StateExport,
   service: ExportedService,
   leaving: ExportedBackend | undefined,
@@ -90,7 +89,7 @@
     (backend) => backend.adminState === 'active' && backend.id !== leaving?.id,
   );
   const flowsMoved = connectionsOf(leaving);
-  const afterwards = spread(active.map(connectionsOf), flowsMoved);
+  const afterwards = spreadFlows(active.map(connectionsOf), flowsMoved);
   const loads: PlannedLoad[] = active.map((backend, index) => {
     const after = afterwards[index] ?? 0;
     return { ...loadBefore(backend), during: after, after };
@@ -99,47 +98,48 @@
     loads.push({ ...loadBefore(leaving), during: flowsMoved, after: 0 });
   }
   if (joiningZone !== undefined) {
-    // Adding moves no flow: the new back end is filled by new ones.
+    // Adding moves no flow: only new flows go to the new back end.
     loads.push({ backendId: undefined, zone: joiningZone, before: 0, during: 0, after: 0 });
   }
   const remaining = active.length + Number(joiningZone !== undefined);
-  const placed = remaining > 0 || flowsMoved === 0;
+  const hasTarget = remaining > 0 || flowsMoved === 0;
   return {
     service: service.name,
     flowsMoved,
     timeToDrainMs: Math.ceil((flowsMoved * MILLISECONDS_PER_SECOND) / options.movesPerSecond),
     connectionLimit: limit,
     loads,
-    fits: placed && loads.every(({ during }) => during <= limit),
+    fits: hasTarget && loads.every(({ during }) => during <= limit),
     ...lossOfThird(remaining, sum(active.map(connectionsOf)) + flowsMoved, limit),
   };
 }
 
 function lossOfThird(remaining: number, connections: number, limit: number) {
-  const lostBackends = Math.ceil(remaining * LOST_PART);
-  const left = remaining - lostBackends;
-  const connectionsWithoutThird = left === 0 ? connections : Math.ceil(connections / left);
+  const lostBackends = Math.ceil(remaining * LOST_FRACTION);
+  const survivors = remaining - lostBackends;
+  const connectionsWithoutThird =
+    survivors === 0 ? connections : Math.ceil(connections / survivors);
   return {
     lostBackends,
     connectionsWithoutThird,
-    fitsWithoutThird: left > 0 ? connectionsWithoutThird <= limit : connections === 0,
+    fitsWithoutThird: survivors > 0 ? connectionsWithoutThird <= limit : connections === 0,
   };
 }
 
-/** Gives each flow to the least loaded; returns the loads afterwards, in the same order. */
-function spread(loads: readonly number[], flows: number): number[] {
-  const level = levelFor(loads, flows);
+/** Assigns each flow to the least loaded back end; returns the resulting loads in the same order. */
+function spreadFlows(loads: readonly number[], flows: number): number[] {
+  const level = fillLevel(loads, flows);
   const filled = loads.map((load) => Math.max(load, level));
-  let left = flows - (sum(filled) - sum(loads));
+  let unassigned = flows - (sum(filled) - sum(loads));
   return filled.map((load) => {
-    const takesOne = left > 0 && load === level;
-    left -= Number(takesOne);
+    const takesOne = unassigned > 0 && load === level;
+    unassigned -= Number(takesOne);
     return takesOne ? load + 1 : load;
   });
 }
 
-/** The highest whole level to which all lower loads can be filled with so many flows. */
-function levelFor(loads: readonly number[], flows: number): number {
+/** @returns the highest integer level to which `flows` can raise all lower loads */
+function fillLevel(loads: readonly number[], flows: number): number {
   let low = 0;
   let high = Math.max(0, ...loads) + flows;
   while (low < high) {
@@ -169,13 +169,13 @@
 function findService(exported: StateExport, name: string): Result<ExportedService, AmberliftError> {
   const service = exported.services.find((one) => one.name === name);
   return service === undefined
-    ? err(amberliftError('not-found', `There is no service ${name} in the export.`))
+    ? err(amberliftError('not-found', `The export has no service ${name}.`))
     : ok(service);
 }
 
 function findBackend(exported: StateExport, id: number): Result<ExportedBackend, AmberliftError> {
   const backend = exported.backends.find((one) => one.id === id);
   return backend === undefined
-    ? err(amberliftError('not-found', `There is no back end ${id} in the export.`))
+    ? err(amberliftError('not-found', `The export has no back end ${id}.`))
     : ok(backend);
 }
--- a/src/tools/toolbox/state-export.ts
+++ b/src/tools/toolbox/state-export.ts
@@ -1,6 +1,6 @@
 /**
- * @file An operator's services and back ends as read from a file: the lines that `amberlift ctl --json` prints for `show services` and `show
- * backends`. Relies on the schemas of these answers; `check` and `plan` work on what it returns.
+ * @file Parses an export of an operator's services and back ends: the JSON lines that `amberlift ctl --json` prints for
+ * `show services` and `show backends`.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
@@ -15,7 +15,7 @@
 import { idInBlock } from '../../managed/control/id-blocks.js';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 
-/** Name under which the export's operator stands in the rebuilt state. */
+/** Operator name used in the rebuilt state. */
 export const EXPORT_OPERATOR = 'exported';
 
 const positive = z.number().int().positive();
@@ -60,27 +60,27 @@
 /** A back end of an export. */
 export type ExportedBackend = z.infer<typeof backendsSchema>['backends'][number];
 
-/** What one operator owns. */
+/** Services and back ends of one operator. */
 export interface StateExport {
   readonly services: readonly ExportedService[];
   readonly backends: readonly ExportedBackend[];
 }
 
 /**
- * @param text one JSON value a line; the last answer to each of the two queries counts
- * @returns the export, or `invalid-settings` naming the line or what is missing
+ * @param text one JSON value per line; the last result of each of the two queries is used
+ * @returns the export, or `invalid-settings` with the line number or the missing part
  */
 export function parseStateExport(text: string): Result<StateExport, AmberliftError> {
   let services: readonly ExportedService[] | undefined;
   let backends: readonly ExportedBackend[] | undefined;
   const lines = text.split('\n');
-  for (const [position, line] of lines.entries()) {
+  for (const [lineIndex, line] of lines.entries()) {
     if (line.trim() === '') {
       continue;
     }
     const parsed = lineSchema.safeParse(parseJson(line));
     if (!parsed.success) {
-      const message = `Line ${position + 1} is no answer to "show services" or "show backends".`;
+      const message = `Line ${lineIndex + 1} is not a JSON answer to "show services" or "show backends".`;
       return err(amberliftError('invalid-settings', message));
     }
     if (parsed.data.type === 'services') {
@@ -90,17 +90,17 @@
     }
   }
   if (services === undefined || backends === undefined) {
-    const message = 'The export needs the answers to "show services" and to "show backends".';
+    const message = 'The export needs the answers to both "show services" and "show backends".';
     return err(amberliftError('invalid-settings', message));
   }
   return ok({ services, backends });
 }
 
 /**
- * @returns a cluster state with this operator alone. What an operator can't see is not in it: other
- *   operators' addresses, addresses in quarantine, and results of earlier commands.
+ * @returns a cluster state with this operator only. It lacks what an operator can't see: other operators'
+ *   addresses, quarantined addresses and outcomes of earlier commands.
  */
-export function stateOf(exported: StateExport): ClusterState {
+export function rebuildState(exported: StateExport): ClusterState {
   const state = emptyClusterState();
   const owner = emptyOwnerState(EXPORT_OPERATOR, 0);
   state.operators.set(EXPORT_OPERATOR, { name: EXPORT_OPERATOR, tokenHash: '' });
@@ -117,14 +117,14 @@
       state.routing.backends.set(id, backend);
     }
   }
-  owner.nextServiceNumber = numberAfter(exported.services);
-  owner.nextBackendNumber = numberAfter(exported.backends);
+  owner.nextServiceNumber = nextNumberAfter(exported.services);
+  owner.nextBackendNumber = nextNumberAfter(exported.backends);
   state.lookup = buildConfigLookup(state.routing);
   return state;
 }
 
-/** IDs are given from the operator's own block; any that follow those in use will do. */
-function numberAfter(items: readonly { readonly id: number }[]): number {
+/** @returns the next free number within the operator's ID block */
+function nextNumberAfter(items: readonly { readonly id: number }[]): number {
   const highest = items.reduce((high, { id }) => Math.max(high, id), 0);
   const blockSize = idInBlock(1, 0).unwrapOr(1);
   return (highest % blockSize) + 1;
@@ -134,7 +134,7 @@
   try {
     return JSON.parse(line);
   } catch {
-    // What is no JSON fails the check of the schema that follows, with the number of its line.
+    // The schema check that follows reports the line number.
     return undefined;
   }
 }
--- a/src/tools/toolbox/timeline.ts
+++ b/src/tools/toolbox/timeline.ts
@@ -1,32 +1,31 @@
 /**
- * @file The starts of processes out of their logs: which phases each went through and when, what the group as a whole waited for, and
- * which wait was the longest. For the return after a restart or a loss of power of many processes. Pure; relies on `align-clocks`
- * for one time and on the names of decision lines of `src/registered/daemon`.
+ * @file Reconstructs from logs how processes started again after a restart or a power loss: the phases of each process,
+ * the phases of the group, and the longest wait between them.
  */
 import { alignClocks, type ClockSkew, type TimedLine } from './align-clocks.js';
 import type { LogLine } from './log-line.js';
 
-/** A step of the start of one process. */
+/** A phase in the start of one process. */
 export type PhaseName =
-  /** The process was created; its code was not loaded yet. */
+  /** The operating system created the process. */
   | 'created'
-  /** Settings and storage were read, and it listened. */
+  /** It had read its settings and storage and was listening. */
   | 'started'
-  /** A control machine asked for votes first. */
+  /** A control machine became a pre-candidate. */
   | 'campaigned'
-  /** A control machine led, or followed a leader. */
+  /** A control machine was the leader or followed one. */
   | 'had a leader'
-  /** It knew which configuration holds. */
+  /** The current configuration was in force. */
   | 'had the configuration'
-  /** A balancer could take new flows. */
+  /** A balancer could accept new flows. */
   | 'ready'
   /** A balancer placed its first open. */
   | 'placed an open';
 
-/** One step with its time. */
+/** A phase with the time at which it was reached. */
 export interface Phase {
   readonly name: PhaseName;
-  /** In milliseconds since 1970, on the time of most processes. */
+  /** In milliseconds since the Unix epoch, on the common clock. */
   readonly atMs: number;
 }
 
@@ -34,44 +33,44 @@
 export interface ProcessStart {
   readonly source: string;
   readonly part: string;
-  /** In order of time; steps that the log does not show are left out. */
+  /** In order of time; phases that the log does not show are omitted. */
   readonly phases: readonly Phase[];
-  /** How often it tried in vain to reach a control machine before it was ready. */
+  /** Failed attempts to reach a control machine before the process was ready. */
   readonly failedTries: number;
 }
 
-/** What several processes had to have done before the next of them could go on. */
+/** A phase of the group, such as a majority of control machines having started. */
 export interface GroupPhase {
   readonly text: string;
   readonly atMs: number;
 }
 
-/** Starts that came close together. */
-export interface Return {
+/** Starts of several processes within a short time. */
+export interface Recovery {
   readonly starts: readonly ProcessStart[];
   /** In order of time. */
   readonly groupPhases: readonly GroupPhase[];
-  /** The longest time between two steps of the group. */
+  /** The longest time between two consecutive group phases. */
   readonly longestWait: Wait | undefined;
 }
 
-/** A time between two steps. */
+/** Time between two consecutive group phases. */
 export interface Wait {
   readonly from: GroupPhase;
   readonly until: GroupPhase;
   readonly tookMs: number;
 }
 
-/** All returns in logs, in order of time, and clocks that were off. */
+/** All recoveries in order of time, and the clocks with a skew. */
 export interface Timeline {
-  readonly returns: readonly Return[];
+  readonly returns: readonly Recovery[];
   readonly skews: readonly ClockSkew[];
 }
 
-/** Starts that are further apart than this belong to different returns. */
-const SAME_RETURN_MS = 2_000;
-/** Steps of a start are looked for until so long after it. */
-const START_LASTS_MS = 10_000;
+/** Starts further apart than this belong to different recoveries. */
+const MAX_START_GAP_MS = 2_000;
+/** Phases are searched for up to this time after a start. */
+const START_WINDOW_MS = 10_000;
 const CONTROL_PART = 'control';
 const BALANCER_PART = 'balancer';
 
@@ -80,14 +79,14 @@
   readonly lines: readonly TimedLine[];
 }
 
-/** @returns the returns that the lines of some processes show */
+/** @returns the recoveries found in the lines of several processes */
 export function timelineOf(logLines: readonly LogLine[]): Timeline {
   const { lines, skews } = alignClocks(logLines);
   const starts = startsOf(lines).map(describeStart);
-  return { returns: returnsOf(starts).map(describeReturn), skews };
+  return { returns: groupRecoveries(starts).map(describeRecovery), skews };
 }
 
-/** The lines from each `started` of a process to its next one. */
+/** Groups the lines of each process from one `started` line to the next. */
 function startsOf(lines: readonly TimedLine[]): LinesOfStart[] {
   const starts: { source: string; lines: TimedLine[] }[] = [];
   const current = new Map<string, TimedLine[]>();
@@ -106,9 +105,9 @@
 function describeStart({ source, lines }: LinesOfStart): ProcessStart {
   const [first] = lines;
   const startedAtMs = first?.atMs ?? 0;
-  const near = lines.filter(({ atMs }) => atMs - startedAtMs <= START_LASTS_MS);
-  const firstOf = (name: PhaseName, isIt: (timed: TimedLine) => boolean): Phase[] => {
-    const found = near.find(isIt);
+  const near = lines.filter(({ atMs }) => atMs - startedAtMs <= START_WINDOW_MS);
+  const firstPhase = (name: PhaseName, matches: (timed: TimedLine) => boolean): Phase[] => {
+    const found = near.find(matches);
     return found === undefined ? [] : [{ name, atMs: found.atMs }];
   };
   const upMs = first?.line.upMs;
@@ -116,12 +115,12 @@
     upMs === undefined ? [] : [{ name: 'created', atMs: startedAtMs - upMs }];
   const phases = [
     ...created,
-    ...firstOf('started', ({ line }) => line.name === 'started'),
-    ...firstOf('campaigned', ({ line }) => line.fields.get('role') === 'pre-candidate'),
-    ...firstOf('had a leader', ({ line }) => line.name === 'role' && line.fields.has('leader')),
-    ...firstOf('had the configuration', ({ line }) => line.name === 'config in force'),
-    ...firstOf('ready', ({ line }) => line.name === 'ready'),
-    ...firstOf('placed an open', ({ line }) => line.name === 'placed'),
+    ...firstPhase('started', ({ line }) => line.name === 'started'),
+    ...firstPhase('campaigned', ({ line }) => line.fields.get('role') === 'pre-candidate'),
+    ...firstPhase('had a leader', ({ line }) => line.name === 'role' && line.fields.has('leader')),
+    ...firstPhase('had the configuration', ({ line }) => line.name === 'config in force'),
+    ...firstPhase('ready', ({ line }) => line.name === 'ready'),
+    ...firstPhase('placed an open', ({ line }) => line.name === 'placed'),
   ];
   const readyAtMs = phaseOf(phases, 'ready')?.atMs ?? Number.POSITIVE_INFINITY;
   return {
@@ -138,25 +137,25 @@
   return phases.find((phase) => phase.name === name);
 }
 
-function startOf({ phases }: ProcessStart): number {
+function firstPhaseMs({ phases }: ProcessStart): number {
   return phases[0]?.atMs ?? 0;
 }
 
-function returnsOf(starts: readonly ProcessStart[]): ProcessStart[][] {
-  const inOrder = [...starts].sort((one, other) => startOf(one) - startOf(other));
-  const returns: ProcessStart[][] = [];
+function groupRecoveries(starts: readonly ProcessStart[]): ProcessStart[][] {
+  const inOrder = [...starts].sort((one, other) => firstPhaseMs(one) - firstPhaseMs(other));
+  const recoveries: ProcessStart[][] = [];
   let lastMs = Number.NEGATIVE_INFINITY;
   for (const start of inOrder) {
-    if (startOf(start) - lastMs > SAME_RETURN_MS) {
-      returns.push([]);
+    if (firstPhaseMs(start) - lastMs > MAX_START_GAP_MS) {
+      recoveries.push([]);
     }
-    returns.at(-1)?.push(start);
-    lastMs = startOf(start);
+    recoveries.at(-1)?.push(start);
+    lastMs = firstPhaseMs(start);
   }
-  return returns;
+  return recoveries;
 }
 
-function describeReturn(starts: readonly ProcessStart[]): Return {
+function describeRecovery(starts: readonly ProcessStart[]): Recovery {
   const groupPhases = groupPhasesOf(starts);
   return { starts, groupPhases, longestWait: longestWaitOf(groupPhases) };
 }
@@ -166,25 +165,25 @@
   const balancers = starts.filter(({ part }) => part === BALANCER_PART);
   const majority = Math.floor(controls.length / 2) + 1;
   const phases = [
-    nthOf('the first process was created', starts, 'created', 1),
-    nthOf('the first control machine had started', controls, 'started', 1),
-    nthOf(
+    whenNthReached('the first process was created', starts, 'created', 1),
+    whenNthReached('the first control machine had started', controls, 'started', 1),
+    whenNthReached(
       `control machine ${majority} of ${controls.length} had started`,
       controls,
       'started',
       majority,
     ),
-    nthOf('the first control machine had a leader', controls, 'had a leader', 1),
-    nthOf('the first balancer had started', balancers, 'started', 1),
-    nthOf('the first balancer was ready', balancers, 'ready', 1),
-    nthOf('the first open was placed', balancers, 'placed an open', 1),
-    nthOf('the last balancer was ready', balancers, 'ready', balancers.length),
+    whenNthReached('the first control machine had a leader', controls, 'had a leader', 1),
+    whenNthReached('the first balancer had started', balancers, 'started', 1),
+    whenNthReached('the first balancer was ready', balancers, 'ready', 1),
+    whenNthReached('the first open was placed', balancers, 'placed an open', 1),
+    whenNthReached('the last balancer was ready', balancers, 'ready', balancers.length),
   ].flat();
   return phases.sort((one, other) => one.atMs - other.atMs);
 }
 
-/** When `count` processes had gone through a phase; nothing where fewer have. */
-function nthOf(
+/** @returns when the `count`-th process reached a phase; empty if fewer did */
+function whenNthReached(
   text: string,
   starts: readonly ProcessStart[],
   name: PhaseName,
--- a/test/tools/toolbox/plan-declared.test.ts
+++ b/test/tools/toolbox/plan-declared.test.ts
@@ -1,4 +1,4 @@
-/** @file What a declared configuration would change. */
+/** @file Guards the comparison of a declared configuration with the one in force. */
 import t from 'tap';
 import type {
   DeclaredConfig,
@@ -17,7 +17,7 @@
   kind: 'repeatable',
   timeoutMs: 800,
 };
-const HELD: DeclaredConfig = {
+const CURRENT: DeclaredConfig = {
   version: 4,
   routes: [ROUTE, { ...ROUTE, name: 'second', port: 444 }],
   services: [{ name: 'alpha' }, { name: 'beta' }],
@@ -25,7 +25,7 @@
 };
 
 t.test('the first configuration adds everything', async (t) => {
-  const plan = planDeclared(undefined, HELD);
+  const plan = planDeclared(undefined, CURRENT);
   t.ok(plan.takesEffect);
   t.same(
     plan.routes.map(({ type }) => type),
@@ -34,10 +34,10 @@
   t.same(plan.servicesAdded, ['alpha', 'beta']);
 });
 
-t.test('a version that does not exceed the one that holds takes no effect', async (t) => {
-  t.notOk(planDeclared(HELD, HELD).takesEffect);
-  t.notOk(planDeclared(HELD, { ...HELD, version: 3 }).takesEffect);
-  t.same(planDeclared(HELD, { ...HELD, version: 5 }).routes, [], 'the same content');
+t.test('a version that is not higher than the one in force takes no effect', async (t) => {
+  t.notOk(planDeclared(CURRENT, CURRENT).takesEffect);
+  t.notOk(planDeclared(CURRENT, { ...CURRENT, version: 3 }).takesEffect);
+  t.same(planDeclared(CURRENT, { ...CURRENT, version: 5 }).routes, [], 'the same content');
 });
 
 t.test('weights are compared by the share of flows that they move', async (t) => {
@@ -45,9 +45,9 @@
     { service: 'alpha', weight: 3 },
     { service: 'beta', weight: 1 },
   ];
-  const [first, second] = HELD.routes;
-  const plan = planDeclared(HELD, {
-    ...HELD,
+  const [first, second] = CURRENT.routes;
+  const plan = planDeclared(CURRENT, {
+    ...CURRENT,
     version: 5,
     routes: [
       { ...ROUTE, ...first, targets, timeoutMs: 900 },
@@ -62,13 +62,13 @@
 
 t.test('weights in the same proportion move nothing', async (t) => {
   const targets = ROUTE.targets.map(({ service, weight }) => ({ service, weight: weight / 30 }));
-  const routes = HELD.routes.map((route) => ({ ...route, targets }));
-  t.same(planDeclared(HELD, { ...HELD, version: 5, routes }).routes, []);
+  const routes = CURRENT.routes.map((route) => ({ ...route, targets }));
+  t.same(planDeclared(CURRENT, { ...CURRENT, version: 5, routes }).routes, []);
 });
 
-t.test('routes and services that are left out are removed', async (t) => {
-  const plan = planDeclared(HELD, {
-    ...HELD,
+t.test('omitted routes and services are removed', async (t) => {
+  const plan = planDeclared(CURRENT, {
+    ...CURRENT,
     version: 5,
     routes: [{ ...ROUTE, targets: [{ service: 'alpha', weight: 1 }] }],
     services: [{ name: 'alpha' }],
--- a/test/tools/toolbox/plan.test.ts
+++ b/test/tools/toolbox/plan.test.ts
@@ -1,17 +1,18 @@
+/** @file Guards the predicted effect of back end changes and the dry run of statements. */
 import { test } from 'tap';
 import type { ChangeCommand } from '../../../src/managed/control/commands.js';
 import { checkStatements } from '../../../src/tools/toolbox/check.js';
 import { planChange, type ChangePlan } from '../../../src/tools/toolbox/plan.js';
 import {
   parseStateExport,
-  stateOf,
+  rebuildState,
   type StateExport,
 } from '../../../src/tools/toolbox/state-export.js';
 
 const options = { connectionLimit: 100, movesPerSecond: 10 };
 const address = (port: number) => ({ host: '10.0.0.1', port });
 
-/** One service with a back end for each number of connections. */
+/** @returns an export of one service with one back end per entry of `connections` */
 function exportOf(connections: readonly number[]): StateExport {
   const services = {
     type: 'services',
@@ -48,14 +49,14 @@
   );
 }
 
-test('an export of the state', async (t) => {
+test('an export is parsed, an incomplete one refused', async (t) => {
   t.equal(exportOf([5]).backends[0]?.load?.connections, 5);
   const wrong = parseStateExport('{"type":"audit","entries":[]}');
   t.match(wrong._unsafeUnwrapErr(), { kind: 'invalid-settings', message: /Line 1 / });
   t.match(parseStateExport('')._unsafeUnwrapErr().message, /needs the answers/);
 });
 
-test('the plan of a drain', async (t) => {
+test('a drain moves flows to the least loaded back ends', async (t) => {
   const plan = planOf([50, 40, 60, 30], { type: 'drain-backend', backendId: 1 });
   t.equal(plan.flowsMoved, 50);
   t.equal(plan.timeToDrainMs, 5_000);
@@ -67,10 +68,10 @@
       [4, 30, 60, 60],
       [1, 50, 50, 0],
     ],
-    'the least loaded take the flows, each opened there before it leaves',
+    'each flow is opened elsewhere before it leaves',
   );
   t.ok(plan.fits);
-  t.equal(plan.lostBackends, 1, 'a third of the three that are left');
+  t.equal(plan.lostBackends, 1, 'a third of the three remaining back ends');
   t.equal(plan.connectionsWithoutThird, 90);
   t.ok(plan.fitsWithoutThird);
 });
@@ -80,10 +81,10 @@
   t.notOk(plan.fits);
   t.notOk(plan.fitsWithoutThird);
   const last = planOf([10], { type: 'drain-backend', backendId: 1 });
-  t.notOk(last.fits, 'the last back end has nowhere to move its flows');
+  t.notOk(last.fits, 'no other back end can take the flows');
 });
 
-test('the plan of an addition', async (t) => {
+test('an added back end takes over no existing flow', async (t) => {
   const plan = planOf([90, 90], {
     type: 'add-backend',
     service: 'authd',
@@ -91,12 +92,12 @@
     healthAddress: address(301),
     zone: 'zone-2',
   });
-  t.equal(plan.flowsMoved, 0, 'flows stay; new ones fill it');
+  t.equal(plan.flowsMoved, 0, 'only new flows go to it');
   t.equal(plan.loads.length, 3);
   t.ok(plan.fitsWithoutThird);
 });
 
-test('changes that have no plan', async (t) => {
+test('a change that cannot be planned is refused', async (t) => {
   const exported = exportOf([1]);
   const planned = (change: ChangeCommand) => planChange(exported, change, options);
   t.equal(planned({ type: 'drain-backend', backendId: 9 })._unsafeUnwrapErr().kind, 'not-found');
@@ -106,7 +107,7 @@
   );
 });
 
-test('statements are checked as the control machines would', async (t) => {
+test('statements are checked as control machines would apply them', async (t) => {
   const script = [
     '# a comment',
     'show services',
@@ -117,7 +118,7 @@
     'drain the swamp',
   ].join('\n');
   t.same(
-    checkStatements(script, stateOf(exportOf([1, 2]))).map(({ line, accepted, kind }) => [
+    checkStatements(script, rebuildState(exportOf([1, 2]))).map(({ line, accepted, kind }) => [
       line,
       accepted,
       kind,
--- a/test/tools/toolbox/timeline.test.ts
+++ b/test/tools/toolbox/timeline.test.ts
@@ -1,10 +1,10 @@
-/** @file How processes came back, out of logs: of a recorded loss of everything, and of written ones. */
+/** @file Guards the phases that are reconstructed from logs of a recovery, recorded and written. */
 import { readFileSync } from 'node:fs';
 import t from 'tap';
 import { parseLogLine, type LogLine } from '../../../src/tools/toolbox/log-line.js';
 import { timelineOf } from '../../../src/tools/toolbox/timeline.js';
 
-/** All machines of a day lost power: journal entry 8a50b81a, with other names for machines and zones. */
+/** Recorded log of a recovery after all machines lost power, with anonymised names. */
 const RECORDED = 'test/tools/toolbox/recorded-return.txt';
 const START_MS = 1_700_000_000_000;
 
@@ -12,7 +12,7 @@
   return text.split('\n').flatMap((line, index) => parseLogLine(line, fileName, index + 1) ?? []);
 }
 
-/** Lines of one process that was created `createdMs` after the others: `upMs decision fields`. */
+/** Lines of one process that was created `createdMs` after START_MS, given as `upMs name fields`. */
 function linesOf(source: string, part: string, createdMs: number, lines: readonly string[]) {
   const text = lines.map((line) => {
     const [upMs = '0', ...rest] = line.split(' ');
@@ -22,14 +22,14 @@
   return parseAll(text.join('\n'), source);
 }
 
-t.test('a recorded return after a loss of power of everything', async (t) => {
+t.test('a recorded recovery after a total power loss', async (t) => {
   const { returns } = timelineOf(parseAll(readFileSync(RECORDED, 'utf8'), 'file'));
   t.equal(returns.length, 1);
-  const [whole] = returns;
-  t.equal(whole?.starts.length, 16, '5 control machines and 11 balancers');
+  const [recovery] = returns;
+  t.equal(recovery?.starts.length, 16, '5 control machines and 11 balancers');
   const since = (text: string) => {
-    const firstMs = whole?.groupPhases[0]?.atMs ?? 0;
-    const phase = whole?.groupPhases.find((candidate) => candidate.text === text);
+    const firstMs = recovery?.groupPhases[0]?.atMs ?? 0;
+    const phase = recovery?.groupPhases.find((candidate) => candidate.text === text);
     return phase === undefined ? undefined : Math.round(phase.atMs - firstMs);
   };
   const quorumMs = since('control machine 3 of 5 had started') ?? 0;
@@ -38,12 +38,12 @@
   t.ok(quorumMs > 300 && quorumMs < 420, `${quorumMs}`);
   t.ok(leaderMs > quorumMs && leaderMs - quorumMs < 120, `${leaderMs}`);
   t.ok(readyMs >= leaderMs && readyMs - leaderMs < 40, `${readyMs}`);
-  t.equal(whole?.longestWait?.until.text, 'control machine 3 of 5 had started');
-  const tries = whole?.starts.reduce((sum, { failedTries }) => sum + failedTries, 0) ?? 0;
-  t.ok(tries >= 10, 'balancers met machines that were off');
+  t.equal(recovery?.longestWait?.until.text, 'control machine 3 of 5 had started');
+  const tries = recovery?.starts.reduce((sum, { failedTries }) => sum + failedTries, 0) ?? 0;
+  t.ok(tries >= 10, 'balancers tried to reach machines that were off');
 });
 
-t.test('phases of one process, and the wait that took longest', async (t) => {
+t.test('phases of one process, and the longest wait of the group', async (t) => {
   const { returns } = timelineOf([
     ...linesOf('c1', 'control', 0, [
       '100 started name=c1',
@@ -60,8 +60,8 @@
       '980 feed not reached reason=later',
     ]),
   ]);
-  const [only] = returns;
-  const b1 = only?.starts.find(({ source }) => source === 'b1');
+  const [recovery] = returns;
+  const b1 = recovery?.starts.find(({ source }) => source === 'b1');
   t.same(
     b1?.phases.map(({ name, atMs }) => [name, Math.round(atMs - START_MS)]),
     [
@@ -72,13 +72,13 @@
       ['placed an open', 970],
     ],
   );
-  t.equal(b1?.failedTries, 1, 'tries after it was ready do not count');
-  t.equal(only?.longestWait?.until.text, 'the first control machine had a leader');
-  t.equal(only?.longestWait?.tookMs, 730);
+  t.equal(b1?.failedTries, 1, 'attempts after it was ready do not count');
+  t.equal(recovery?.longestWait?.until.text, 'the first control machine had a leader');
+  t.equal(recovery?.longestWait?.tookMs, 730);
 });
 
 t.test(
-  'starts that are far apart are returns of their own, phases that never came are left out',
+  'starts that are far apart are separate recoveries, and phases that were not reached are omitted',
   async (t) => {
     const { returns } = timelineOf([
       ...linesOf('b1', 'balancer', 0, ['100 started name=b1', '200 ready backends=1']),
