--- a/src/tools/cli/address-flag.ts
+++ b/src/tools/cli/address-flag.ts
@@ -1,12 +1,13 @@
 /**
- * @file Parses a flag that is an address, `host:port`; refuses anything else with the name of the flag.
+ * @file Parses command-line flags whose value is an address.
  */
 import { parseAddress, type Address } from '../../shared/common/address.js';
 
 /**
  * @param flag name of the flag, for the error message
  * @param text `IP:PORT`
- * @returns the address; throws where the text is none, which ends the command as a usage error
+ * @returns the address
+ * @throws TypeError if the text is not an address; `main` reports it as a usage error
  */
 export function addressFlag(flag: string, text: string): Address {
   const address = parseAddress(text);
--- a/src/tools/cli/backend.ts
+++ b/src/tools/cli/backend.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift backend`: runs a stand-in back end, which the demo and trials use in place of a real one.
+ * @file `amberlift backend`: runs a simulated back end for demos and tests.
  */
 import type { CAC } from 'cac';
 import { faultNames, parseFaultFlags } from '../../proof/standins/backend-fault-flags.js';
@@ -25,9 +25,7 @@
 
 const HALF_OPEN_TIMEOUT_MS = 10_000;
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `backend` subcommand. */
 export function registerBackend(cli: CAC): void {
   cli
     .command('backend', 'Run a stand-in back end')
--- a/src/tools/cli/balancer.ts
+++ b/src/tools/cli/balancer.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift balancer`: runs a balancer of the managed pair.
+ * @file `amberlift balancer`: runs a balancer whose back ends are configured by operators.
  */
 import type { CAC } from 'cac';
 import { startBalancerDaemon } from '../../managed/daemon/balancer-daemon.js';
@@ -13,9 +13,7 @@
   type SettingsFlags,
 } from './daemon-command.js';
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `balancer` subcommand. */
 export function registerBalancer(cli: CAC): void {
   withSettingsFlags(cli, 'balancer', 'Run a balancer').action(run);
 }
--- a/src/tools/cli/bench.ts
+++ b/src/tools/cli/bench.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift bench <name>`: runs one of the benches and prints its figures.
+ * @file `amberlift bench <name>`: runs a benchmark and prints its results.
  */
 import { execFileSync } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
@@ -11,7 +11,7 @@
 import { placementBench } from '../../proof/bench/bench-placement.js';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 
-/** Every bench, in the order of the help. */
+/** All benchmarks, in the order of the help text. */
 const benches: readonly Bench[] = [placementBench, forwardBench, inForceBench];
 
 const DEFAULT_SEED = 1;
@@ -25,9 +25,7 @@
   readonly set?: string[];
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `bench` subcommand. */
 export function registerBench(cli: CAC): void {
   const names = benches.map(({ name, summary }) => `${name}: ${summary}`).join('; ');
   cli
@@ -43,20 +41,23 @@
 async function run(name: string, flags: BenchFlags): Promise<void> {
   const bench = benches.find((candidate) => candidate.name === name);
   if (bench === undefined) {
-    const known = benches.map((candidate) => candidate.name).join(', ');
-    throw new RangeError(`there is no bench ${name}; there are: ${known}.`);
+    const benchNames = benches.map((candidate) => candidate.name).join(', ');
+    throw new RangeError(`there is no bench ${name}; there are: ${benchNames}.`);
   }
   const commit = currentCommit();
   const result = await bench.run({
     rounds: optionalRounds(flags.rounds),
-    seed: wholeSeed(flags.seed ?? DEFAULT_SEED),
+    seed: integerSeed(flags.seed ?? DEFAULT_SEED),
     settings: parseSettings(flags.set ?? []),
     progress: (message) => process.stderr.write(`${message}\n`),
   });
   process.stdout.write(`${describe(result.table)}\n`);
   result.missed.forEach((target) => process.stdout.write(`Not reached: ${target}\n`));
   if (flags.out !== undefined) {
-    writeFileSync(flags.out, `${JSON.stringify(withOrigin(name, commit, result), undefined, 2)}\n`);
+    writeFileSync(
+      flags.out,
+      `${JSON.stringify(withProvenance(name, commit, result), undefined, 2)}\n`,
+    );
   }
   if (flags.json === true) {
     process.stdout.write(`${JSON.stringify(result.figures)}\n`);
@@ -71,7 +72,7 @@
   return value;
 }
 
-function wholeSeed(value: number): number {
+function integerSeed(value: number): number {
   if (!Number.isInteger(value)) {
     throw new RangeError('--seed is a whole number.');
   }
@@ -80,7 +81,7 @@
 
 function parseSettings(texts: readonly string[]): Map<string, string> {
   const settings = new Map<string, string>();
-  for (const text of texts.filter((given) => given !== 'undefined')) {
+  for (const text of texts.filter((value) => value !== 'undefined')) {
     const separator = text.indexOf('=');
     if (separator < 1) {
       throw new RangeError(`--set takes name=value, not ${text}.`);
@@ -96,8 +97,8 @@
   return table.toString();
 }
 
-/** The commit is the one that stood checked out when the run began. */
-function withOrigin(name: string, commit: string, result: BenchResult): object {
+/** Adds the command line and the commit that was checked out at the start of the run. */
+function withProvenance(name: string, commit: string, result: BenchResult): object {
   const flags = process.argv.slice(process.argv.indexOf(name) + 1).join(' ');
   return {
     command: `amberlift bench ${name} ${flags}`.trim(),
@@ -107,12 +108,12 @@
   };
 }
 
-/** The commit that stands checked out; `unknown` outside of a repository. */
+/** @returns the checked-out commit, or `unknown` outside a repository */
 function currentCommit(): string {
   try {
     return execFileSync('git', ['rev-parse', 'HEAD'], { encoding: 'utf8' }).trim();
   } catch {
-    // Without git, or outside of a repository, figures are kept all the same.
+    // Results are still written without git or outside a repository.
     return 'unknown';
   }
 }
--- a/src/tools/cli/callers.ts
+++ b/src/tools/cli/callers.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift callers`: runs stand-in callers against one service, and prints what came of each
+ * @file `amberlift callers`: runs simulated callers against one service and prints the outcome of each
  * request.
  */
 import type { CAC } from 'cac';
@@ -28,9 +28,7 @@
 
 const OPEN_DEADLINE_MS = 2_000;
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `callers` subcommand. */
 export function registerCallers(cli: CAC): void {
   cli
     .command('callers', 'Run stand-in callers; prints one JSON line per event')
--- a/src/tools/cli/check.ts
+++ b/src/tools/cli/check.ts
@@ -1,6 +1,6 @@
 /**
- * @file `amberlift check`: checks a settings file, a declared configuration, or operator statements against
- * an export of the state, before they are used.
+ * @file `amberlift check`: validates a settings file, a declared configuration, or operator statements against
+ * an export of the state.
  */
 import { readFileSync } from 'node:fs';
 import type { CAC } from 'cac';
@@ -20,9 +20,7 @@
   readonly json?: boolean;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `check` subcommand. */
 export function registerCheck(cli: CAC): void {
   cli
     .command('check', 'Check settings, or statements against an export of the state')
--- a/src/tools/cli/control.ts
+++ b/src/tools/cli/control.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift control`: runs a control machine of the managed pair.
+ * @file `amberlift control`: runs a control machine whose back ends are configured by operators.
  */
 import type { CAC } from 'cac';
 import { startControlDaemon } from '../../managed/daemon/control-daemon.js';
@@ -14,9 +14,7 @@
   type SettingsFlags,
 } from './daemon-command.js';
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `control` subcommand. */
 export function registerControl(cli: CAC): void {
   withSettingsFlags(cli, 'control', 'Run a control machine').action(run);
 }
--- a/src/tools/cli/ctl.ts
+++ b/src/tools/cli/ctl.ts
@@ -1,6 +1,6 @@
 /**
- * @file `amberlift ctl`: the operators' client. Runs one statement, a script, or an interactive prompt; `apply
- * FILE`, `show config`, `evacuate ZONE`, `readmit ZONE` and `show zones` speak to a group that takes declared
+ * @file `amberlift ctl`: the operator client. Runs one statement, a script, or an interactive prompt. `apply FILE`,
+ * `show config`, `evacuate ZONE`, `readmit ZONE` and `show zones` call the API of a control group with declared
  * configurations.
  */
 import { readFile, writeFile } from 'node:fs/promises';
@@ -26,7 +26,7 @@
 
 interface CtlFlags {
   readonly control?: string | string[];
-  /** The command line's parser makes a number of what looks like one. */
+  /** The command-line parser converts numeric text to a number. */
   readonly token?: string | number;
   readonly tokenFile?: string;
   readonly ca?: string;
@@ -37,9 +37,7 @@
   readonly wait?: number | string;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `ctl` subcommand. */
 export function registerCtl(cli: CAC): void {
   const command = cli.command(
     'ctl [...statement]',
@@ -55,9 +53,9 @@
     await runDeclaredCommand(declared, await declaredClientFromFlags(flags), flags.json ?? false);
     return;
   }
-  const ofZones = parseZoneCommand(words);
-  if (ofZones !== undefined) {
-    await runZoneCommand(ofZones, await declaredClientFromFlags(flags), flags.json ?? false);
+  const zoneCommand = parseZoneCommand(words);
+  if (zoneCommand !== undefined) {
+    await runZoneCommand(zoneCommand, await declaredClientFromFlags(flags), flags.json ?? false);
     return;
   }
   const options: RunnerOptions = {
@@ -80,28 +78,28 @@
 
 async function declaredClientFromFlags(flags: CtlFlags): Promise<DeclaredClient> {
   return createDeclaredClient({
-    controlAddresses: controlAddressesOf(flags),
-    operatorToken: await tokenOf(flags),
+    controlAddresses: controlAddressesFromFlags(flags),
+    operatorToken: await readToken(flags),
   });
 }
 
-function controlAddressesOf(flags: CtlFlags): Address[] {
-  const controls = [flags.control ?? []].flat();
-  if (controls.length === 0) {
+function controlAddressesFromFlags(flags: CtlFlags): Address[] {
+  const controlTexts = [flags.control ?? []].flat();
+  if (controlTexts.length === 0) {
     throw new TypeError('--control: the operator address of a control machine is needed.');
   }
-  return controls.map((text) => addressFlag('control', text));
+  return controlTexts.map((text) => addressFlag('control', text));
 }
 
-async function tokenOf(flags: CtlFlags): Promise<string | undefined> {
+async function readToken(flags: CtlFlags): Promise<string | undefined> {
   const token =
     flags.tokenFile === undefined ? flags.token : await readFile(flags.tokenFile, 'utf8');
   return token === undefined ? undefined : String(token).trim();
 }
 
 async function clientFromFlags(flags: CtlFlags): Promise<OperatorClient> {
-  const controlAddresses = controlAddressesOf(flags);
-  const bearerToken = await tokenOf(flags);
+  const controlAddresses = controlAddressesFromFlags(flags);
+  const bearerToken = await readToken(flags);
   if (bearerToken === undefined) {
     throw new TypeError('--token-file or --token is needed.');
   }
@@ -142,7 +140,7 @@
 }
 
 async function readHistory(file: string): Promise<string[]> {
-  // A history that isn't there yet, or can't be read, begins empty: it is a convenience of the prompt only.
+  // Start with an empty history if the file is missing or unreadable.
   const text = await readFile(file, 'utf8').catch(() => '');
   return text.split('\n').filter((line) => line !== '');
 }
--- a/src/tools/cli/daemon-command.ts
+++ b/src/tools/cli/daemon-command.ts
@@ -1,6 +1,6 @@
 /**
- * @file What all subcommands that run a process have in common: settings by file and flags, a line
- * on standard output once ready, and stopping on a signal.
+ * @file Shared code of the subcommands that run a daemon: settings from file and flags, the ready line
+ * on standard output, and graceful stop on a signal.
  */
 import type { CAC, Command } from 'cac';
 import type { z } from 'zod';
@@ -11,15 +11,13 @@
 import { loadSettingsAs } from '../../shared/settings/load-settings.js';
 import { settingsSchema, type Settings } from '../../managed/settings/settings-schema.js';
 
-/** Flags by which settings are given. */
+/** Command-line flags for settings. */
 export interface SettingsFlags {
   readonly config?: string;
   readonly set?: string[];
 }
 
-/**
- * Adds the flags by which settings are given.
- */
+/** Adds a subcommand with the `--config` and `--set` flags. */
 export function withSettingsFlags(cli: CAC, name: string, description: string): Command {
   return cli
     .command(name, description)
@@ -30,7 +28,7 @@
 }
 
 /**
- * Loads the settings and sets the log level; on an error reports it and sets the exit code.
+ * Loads the settings and sets the log level; reports errors and sets the exit code.
  * @returns the settings, or undefined after an error
  */
 export function settingsFromFlags(flags: SettingsFlags): Settings | undefined {
@@ -38,7 +36,7 @@
 }
 
 /**
- * The same for processes with settings of another form.
+ * Like `settingsFromFlags`, for a daemon with its own settings schema.
  * @returns the settings, or undefined after an error
  */
 export function settingsFromFlagsAs<Schema extends z.ZodType<{ logLevel: LogLevel }>>(
@@ -55,32 +53,26 @@
   return settings.value;
 }
 
-/**
- * Writes log lines without waiting for their reader, from now on.
- */
-export function logWithoutWaiting(): void {
+/** Switches the log to non-blocking writes, so that a slow reader of standard error cannot stall the daemon. */
+export function useNonBlockingLog(): void {
   const lines = new LineWriter(writeTo(STANDARD_ERROR));
   setLogSink((line) => lines.writeLine(line));
 }
 
-/**
- * Reports an error on standard error and sets the exit code that belongs to its kind.
- */
+/** Prints an error to standard error and sets the exit code of its kind. */
 export function reportError(error: AmberliftError): void {
   process.stderr.write(`amberlift: ${error.kind}: ${error.message}\n`);
   process.exitCode = answerFor(error.kind).exitCode;
 }
 
-/**
- * Prints the line that says that a process is ready, with the addresses that it listens at.
- */
+/** Prints the ready line, a JSON object with the addresses the daemon listens on. */
 export function announceReady(addresses: object): void {
   process.stdout.write(`${JSON.stringify({ ready: true, ...addresses })}\n`);
 }
 
 /**
- * Stops on the first SIGTERM or SIGINT, ends at once on the second.
- * @param stop the graceful stop
+ * Stops gracefully on the first SIGTERM or SIGINT and exits immediately on the second.
+ * @param stop graceful shutdown; a rejection sets the failure exit code
  */
 export function stopOnSignal(stop: () => Promise<void>): void {
   onStopSignal({
--- a/src/tools/cli/declared-command.ts
+++ b/src/tools/cli/declared-command.ts
@@ -1,6 +1,6 @@
 /**
- * @file Declared configurations on the command line: `ctl apply FILE`, `ctl show config`, and what `check` and
- * `plan` say of a file.
+ * @file Commands on declared configurations: `ctl apply FILE`, `ctl show config`, and the `--declared` flag of
+ * `check` and `plan`.
  */
 import { readFileSync } from 'node:fs';
 import Table from 'cli-table3';
@@ -14,14 +14,14 @@
 import { planDeclared, type DeclaredPlan, type RouteChange } from '../toolbox/plan-declared.js';
 import { reportError } from './daemon-command.js';
 
-/** What `ctl` may do with declared configurations. */
+/** A `ctl` command on declared configurations. */
 export type DeclaredCommand =
   { readonly type: 'apply'; readonly file: string } | { readonly type: 'show' };
 
 const PERCENT = 100;
 
 /**
- * @returns the command that the words are, or undefined where they are an operator statement
+ * @returns the parsed command, or undefined if the words are an operator statement
  */
 export function parseDeclaredCommand(words: readonly string[]): DeclaredCommand | undefined {
   const [verb, object, ...rest] = words;
@@ -31,7 +31,7 @@
   return verb === 'show' && object === 'config' && rest.length === 0 ? { type: 'show' } : undefined;
 }
 
-/** Runs a command and sets the exit code. */
+/** Runs the command, prints its result and sets the exit code. */
 export async function runDeclaredCommand(
   command: DeclaredCommand,
   client: DeclaredClient,
@@ -45,8 +45,8 @@
 }
 
 /**
- * Reads a declared configuration, YAML or JSON.
- * @returns the configuration, or `invalid-command` with the file and what is wrong in it
+ * Reads a declared configuration in YAML or JSON.
+ * @returns the configuration, or an `invalid-command` error with the file name and the reason
  */
 export function readDeclaredFile(file: string): Result<DeclaredConfig, AmberliftError> {
   const content = Result.fromThrowable(
@@ -58,16 +58,16 @@
     .mapErr(({ kind, message }) => amberliftError(kind, `${file}: ${message}`));
 }
 
-/** Prints what a file would change and sets the exit code. */
-export function planDeclaredFile(
+/** Prints the changes a declared configuration would make and sets the exit code. */
+export function printDeclaredPlan(
   file: string,
-  heldFile: string | undefined,
+  currentFile: string | undefined,
   asJson: boolean,
 ): void {
-  const held: Result<DeclaredConfig | undefined, AmberliftError> =
-    heldFile === undefined ? ok(undefined) : readDeclaredFile(heldFile);
-  const plan = held.andThen((before) =>
-    readDeclaredFile(file).map((next) => planDeclared(before, next)),
+  const current: Result<DeclaredConfig | undefined, AmberliftError> =
+    currentFile === undefined ? ok(undefined) : readDeclaredFile(currentFile);
+  const plan = current.andThen((currentConfig) =>
+    readDeclaredFile(file).map((next) => planDeclared(currentConfig, next)),
   );
   plan.match((value) => {
     process.stdout.write(`${asJson ? JSON.stringify(value) : describePlan(value)}\n`);
@@ -88,10 +88,10 @@
   if (declared.isErr()) {
     return err(declared.error);
   }
-  // An older version is acknowledged as well: what is in force is known only by reading it.
-  const held = await client.read();
+  // The group also acknowledges older versions, so read back which version is in force.
+  const current = await client.read();
   const { version } = config.value;
-  return held.map(({ version: heldVersion }) => {
+  return current.map(({ version: heldVersion }) => {
     const sentence =
       heldVersion === version
         ? `Version ${version} holds.`
@@ -104,8 +104,8 @@
   client: DeclaredClient,
   asJson: boolean,
 ): Promise<Result<string, AmberliftError>> {
-  const held = await client.read();
-  return held.map((config) => (asJson ? JSON.stringify(config) : describeConfig(config)));
+  const current = await client.read();
+  return current.map((config) => (asJson ? JSON.stringify(config) : describeConfig(config)));
 }
 
 function describeConfig({ version, routes }: DeclaredConfig): string {
@@ -121,10 +121,11 @@
 }
 
 function describePlan(plan: DeclaredPlan): string {
-  const held = plan.heldVersion === undefined ? 'no version' : `version ${plan.heldVersion}`;
+  const currentVersion =
+    plan.heldVersion === undefined ? 'no version' : `version ${plan.heldVersion}`;
   const effect = plan.takesEffect
-    ? `Version ${plan.version} would follow ${held}.`
-    : `Version ${plan.version} would change nothing: ${held} holds.`;
+    ? `Version ${plan.version} would follow ${currentVersion}.`
+    : `Version ${plan.version} would change nothing: ${currentVersion} holds.`;
   const table = new Table({ head: ['route', 'at', 'what changes'] });
   for (const change of plan.routes) {
     const { name, host, port } = change.type === 'changed' ? change.after : change.route;
--- a/src/tools/cli/demo.ts
+++ b/src/tools/cli/demo.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift demo`: runs the whole path of the managed pair on this machine and prints the counts of harm.
+ * @file `amberlift demo`: runs callers, fabric, balancers, back ends and a control machine locally and prints the failure counts.
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
@@ -12,9 +12,7 @@
   readonly json?: boolean;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `demo` subcommand. */
 export function registerDemo(cli: CAC): void {
   cli
     .command('demo', 'Run callers, fabric, balancers, back ends and control on this machine')
@@ -34,7 +32,7 @@
       : exitCodes.failure;
 }
 
-/** A progress bar on a terminal, lines elsewhere. */
+/** Shows a progress bar on a terminal; otherwise prints progress messages. */
 function terminalProgress(): DemoProgress {
   const bar = new SingleBar({ format: 'Requests {bar} {value}/{total}' }, Presets.legacy);
   let barStarted = false;
--- a/src/tools/cli/explain.ts
+++ b/src/tools/cli/explain.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift explain`: prints the story of one request, flow, back end or configuration from logs.
+ * @file `amberlift explain`: prints the history of one request, flow, back end or configuration from logs.
  */
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
@@ -12,9 +12,7 @@
   readonly json?: boolean;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `explain` subcommand. */
 export function registerExplain(cli: CAC): void {
   cli
     .command(
@@ -29,12 +27,12 @@
 function run(id: string | number, files: readonly string[], flags: ExplainFlags): void {
   const lines = readLogs(files);
   const story = explain(lines, String(id));
-  const text = flags.json === true ? jsonOf(story) : describe(story, String(id), lines.length);
+  const text = flags.json === true ? toJson(story) : describe(story, String(id), lines.length);
   process.stdout.write(`${text}\n`);
   process.exitCode = story.subject === undefined ? exitCodes.refused : exitCodes.success;
 }
 
-function jsonOf({ subject, lines, findings, gaps, skews }: Story): string {
+function toJson({ subject, lines, findings, gaps, skews }: Story): string {
   const printed = lines.map(({ line: { source, name, fields }, atMs }) => ({
     at: new Date(atMs).toISOString(),
     source,
--- a/src/tools/cli/fabric.ts
+++ b/src/tools/cli/fabric.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift fabric`: runs the stand-in fabric, which sprays the packets of callers over balancers in the demo and in trials.
+ * @file `amberlift fabric`: runs a simulated network fabric that spreads packets of callers over the balancers.
  */
 import type { CAC } from 'cac';
 import { startFabric } from '../../proof/standins/fabric-process.js';
@@ -13,9 +13,7 @@
   readonly callerDelay: number;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `fabric` subcommand. */
 export function registerFabric(cli: CAC): void {
   cli
     .command('fabric', 'Run the stand-in fabric')
--- a/src/tools/cli/figures-table.ts
+++ b/src/tools/cli/figures-table.ts
@@ -1,11 +1,9 @@
 /**
- * @file The table in which figures are printed.
+ * @file Formats results as a table for the terminal.
  */
 import Table from 'cli-table3';
 
-/**
- * @returns a table with one line for each figure
- */
+/** @returns a table with one row per property */
 export function describeFigures(figures: object): string {
   const table = new Table({ head: ['figure', 'value'] });
   for (const [figure, value] of Object.entries(figures) as [string, unknown][]) {
--- a/src/tools/cli/group.ts
+++ b/src/tools/cli/group.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift group`: runs a control machine of the registered pair, which takes declared configurations and heartbeats.
+ * @file `amberlift group`: runs a control machine that accepts declared configurations and heartbeats of back ends.
  */
 import type { CAC } from 'cac';
 import { createCallListener } from '../../registered/daemon/call-listener.js';
@@ -13,7 +13,7 @@
 import { groupSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
   announceReady,
-  logWithoutWaiting,
+  useNonBlockingLog,
   reportError,
   settingsFromFlagsAs,
   stopOnSignal,
@@ -21,12 +21,10 @@
   type SettingsFlags,
 } from './daemon-command.js';
 
-/** A caller has gone on to another control machine after this time, in milliseconds. */
+/** Callers retry at another control machine after this time. */
 const REQUEST_DEADLINE_MS = 2_000;
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `group` subcommand. */
 export function registerGroup(cli: CAC): void {
   withSettingsFlags(
     cli,
@@ -40,7 +38,7 @@
   if (settings === undefined) {
     return;
   }
-  logWithoutWaiting();
+  useNonBlockingLog();
   const { linkAddress, callAddress, operatorToken } = settings;
   const daemon = await GroupDaemon.start(
     {
@@ -53,7 +51,7 @@
       heartbeatIntervalMs: settings.heartbeatIntervalMs,
       forgetBackendAfterMs: settings.flowLifetimeMs,
       requestDeadlineMs: REQUEST_DEADLINE_MS,
-      // The text was checked and written by `declared-api.ts` before it came into the log.
+      // `declared-api.ts` validated the text before it was appended to the log.
       readDocument: ({ text }) => JSON.parse(text) as DeclaredConfig,
       timing: timingFor(settings.bounds),
     },
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift ingress`: runs a balancer of the registered pair, which forwards by 32-bit tokens.
+ * @file `amberlift ingress`: runs a balancer that forwards packets by 32-bit tokens to back ends that register themselves.
  */
 import type { CAC } from 'cac';
 import { bytesPerMsOf } from '../../shared/common/bandwidth.js';
@@ -13,16 +13,14 @@
 import { ingressSettingsSchema } from '../../registered/settings/token-settings.js';
 import {
   announceReady,
-  logWithoutWaiting,
+  useNonBlockingLog,
   settingsFromFlagsAs,
   stopOnSignal,
   withSettingsFlags,
   type SettingsFlags,
 } from './daemon-command.js';
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `ingress` subcommand. */
 export function registerIngress(cli: CAC): void {
   withSettingsFlags(
     cli,
@@ -36,7 +34,7 @@
   if (settings === undefined) {
     return;
   }
-  logWithoutWaiting();
+  useNonBlockingLog();
   const { name, zone, packetAddress, peerAddress, readyAddress } = settings;
   const timing = timingFor(settings.bounds);
   const daemon = await IngressDaemon.start(
--- a/src/tools/cli/log-files.ts
+++ b/src/tools/cli/log-files.ts
@@ -1,5 +1,5 @@
 /**
- * @file The logs that a command is given: files, one a process, or standard input.
+ * @file Reads the logs given to a command: one file per process, or standard input.
  */
 import { readFileSync } from 'node:fs';
 import { basename } from 'node:path';
@@ -7,7 +7,7 @@
 
 const STANDARD_INPUT = 0;
 
-/** @returns the lines of all files, or of standard input where there are none */
+/** @returns the lines of all files, or of standard input if no files are given */
 export function readLogs(files: readonly string[]): LogLine[] {
   return files.length === 0
     ? readLines(STANDARD_INPUT, 'standard input')
--- a/src/tools/cli/main.ts
+++ b/src/tools/cli/main.ts
@@ -1,16 +1,15 @@
 /**
- * @file The entry of the `amberlift` command: one subcommand per file, parsed by cac. Sets the exit code of usage errors; each subcommand
- * sets its own otherwise (the table stands in docs/SETTINGS.md).
+ * @file Entry point of the `amberlift` command. Dispatches to one module per subcommand and sets the exit code of usage
+ * errors; subcommands set the others (listed in docs/SETTINGS.md).
  */
 import { cac, type CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 
 const ARGUMENTS_BEFORE_COMMAND = 2;
 
-/** Registers one subcommand. */
 type Register = (cli: CAC) => void;
 
-/** A subcommand; its code is loaded only where it is needed, which spares each process the others'. */
+/** A subcommand, loaded on demand so that a daemon does not load the code of the others. */
 interface Subcommand {
   readonly name: string;
   load(): Promise<Register>;
@@ -37,21 +36,21 @@
 ];
 
 /**
- * Runs the command line; sets the exit code.
+ * Parses the command line, runs the subcommand and sets the exit code.
  * @param argv as in `process.argv`
  */
 export async function main(argv: readonly string[]): Promise<void> {
   const cli = cac('amberlift');
-  const named = subcommands.filter(({ name }) => name === argv[ARGUMENTS_BEFORE_COMMAND]);
+  const requested = subcommands.filter(({ name }) => name === argv[ARGUMENTS_BEFORE_COMMAND]);
   const registers = await Promise.all(
-    (named.length > 0 ? named : subcommands).map((subcommand) => subcommand.load()),
+    (requested.length > 0 ? requested : subcommands).map((subcommand) => subcommand.load()),
   );
   registers.forEach((register) => register(cli));
   cli.help();
   try {
     cli.parse([...argv], { run: false });
     if (cli.matchedCommand === undefined) {
-      refuseUnlessHelp(cli, argv);
+      printUsageUnlessHelp(cli, argv);
       return;
     }
     await cli.runMatchedCommand();
@@ -62,7 +61,7 @@
   }
 }
 
-function refuseUnlessHelp(cli: CAC, argv: readonly string[]): void {
+function printUsageUnlessHelp(cli: CAC, argv: readonly string[]): void {
   const first = argv[ARGUMENTS_BEFORE_COMMAND];
   if (cli.options.help === true) {
     return;
--- a/src/tools/cli/plan.ts
+++ b/src/tools/cli/plan.ts
@@ -1,6 +1,6 @@
 /**
- * @file `amberlift plan`: shows what adding, draining or retiring a back end would do, what a declared configuration
- * would change, or what emptying a zone would leave.
+ * @file `amberlift plan`: previews adding, draining or retiring a back end, applying a declared configuration, or
+ * evacuating a zone.
  */
 import { readFileSync } from 'node:fs';
 import type { CAC } from 'cac';
@@ -12,8 +12,8 @@
 import { planChange, type ChangePlan } from '../toolbox/plan.js';
 import { parseStateExport } from '../toolbox/state-export.js';
 import { reportError } from './daemon-command.js';
-import { planDeclaredFile } from './declared-command.js';
-import { planEvacuationOf } from './zone-command.js';
+import { printDeclaredPlan } from './declared-command.js';
+import { printEvacuationPlan } from './zone-command.js';
 
 const DEFAULT_CONNECTION_LIMIT = 2_000;
 const DEFAULT_MOVES_PER_SECOND = 100;
@@ -29,9 +29,7 @@
   readonly json?: boolean;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `plan` subcommand. */
 export function registerPlan(cli: CAC): void {
   cli
     .command('plan [...statement]', 'Show what a change of back ends would do')
@@ -54,19 +52,19 @@
 
 function run(words: readonly string[], flags: PlanFlags): void {
   if (flags.declared !== undefined) {
-    planDeclaredFile(flags.declared, flags.against, flags.json ?? false);
+    printDeclaredPlan(flags.declared, flags.against, flags.json ?? false);
     return;
   }
   if (flags.zones !== undefined) {
-    planEvacuationOf(flags.zones, words, flags.json ?? false);
+    printEvacuationPlan(flags.zones, words, flags.json ?? false);
     return;
   }
   if (flags.state === undefined) {
     throw new RangeError('plan needs --state, --declared or --zones.');
   }
   const options = {
-    connectionLimit: positive('connection-limit', flags.connectionLimit),
-    movesPerSecond: positive('moves-per-second', flags.movesPerSecond),
+    connectionLimit: positiveInteger('connection-limit', flags.connectionLimit),
+    movesPerSecond: positiveInteger('moves-per-second', flags.movesPerSecond),
   };
   const plan = parseStateExport(readFileSync(flags.state, 'utf8')).andThen((exported) =>
     parseChange(words.join(' ')).andThen((change) => planChange(exported, change, options)),
@@ -80,7 +78,7 @@
   process.exitCode = plan.value.fits ? exitCodes.success : exitCodes.refused;
 }
 
-function positive(name: string, value: number): number {
+function positiveInteger(name: string, value: number): number {
   if (!Number.isInteger(value) || value < 1) {
     throw new RangeError(`--${name} is a whole number over 0.`);
   }
--- a/src/tools/cli/replay.ts
+++ b/src/tools/cli/replay.ts
@@ -1,6 +1,6 @@
 /**
- * @file `amberlift replay`: prints a recorded trace of the simulator as the story of one flow, one process,
- * one command or one request, all at once or step by step.
+ * @file `amberlift replay`: prints the events of a recorded simulator trace, filtered by flow, process, command or
+ * request, all at once or step by step.
  */
 import { readFile } from 'node:fs/promises';
 import { createInterface } from 'node:readline';
@@ -22,9 +22,7 @@
   readonly json?: boolean;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `replay` subcommand. */
 export function registerReplay(cli: CAC): void {
   cli
     .command('replay <file>', 'Tell a recorded trace of the simulator')
@@ -66,7 +64,7 @@
   }
   const { scenario, seed, violations } = header;
   process.stdout.write(`Scenario ${scenario}, seed ${seed}: ${selected.length} events.\n`);
-  const lines = flags.step === true ? enterPresses() : undefined;
+  const lines = flags.step === true ? readInputLines() : undefined;
   for (const event of selected) {
     process.stdout.write(`${describeEvent(event)}\n`);
     if (lines !== undefined && (await lines.next()).done === true) {
@@ -78,6 +76,6 @@
   }
 }
 
-function enterPresses(): AsyncIterator<string> {
+function readInputLines(): AsyncIterator<string> {
   return createInterface({ input: process.stdin })[Symbol.asyncIterator]();
 }
--- a/src/tools/cli/simulate.ts
+++ b/src/tools/cli/simulate.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift simulate`: runs scenarios on the simulator, and has the oracle check them.
+ * @file `amberlift simulate`: runs scenarios in the simulator and checks their invariants.
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
@@ -28,9 +28,7 @@
 const ALL = 'all';
 const MAX_TRACE_FILES = 3;
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `simulate` subcommand. */
 export function registerSimulate(cli: CAC): void {
   const names = [...scenarios, ...longScenarios].map(({ name }) => name).join(', ');
   cli
@@ -46,8 +44,8 @@
 }
 
 async function run(flags: SimulateFlags): Promise<void> {
-  const chosen = chooseScenarios(flags.scenario);
-  const requests = planRuns(chosen, flags.runs, flags.seed);
+  const selected = selectScenarios(flags.scenario);
+  const requests = planRuns(selected, flags.runs, flags.seed);
   const report = await simulate(requests, flags.jobs, terminalProgress());
   process.stdout.write(`${describe(report)}\n`);
   await writeTraces(flags, report);
@@ -57,7 +55,7 @@
   process.exitCode = report.violations === 0 ? exitCodes.success : exitCodes.failure;
 }
 
-function chooseScenarios(name: string): readonly Scenario[] {
+function selectScenarios(name: string): readonly Scenario[] {
   if (name === ALL) {
     return scenarios;
   }
@@ -70,7 +68,7 @@
 
 async function writeTraces(flags: SimulateFlags, report: SimulationReport): Promise<void> {
   const failed = report.failedRuns.slice(0, MAX_TRACE_FILES);
-  const first = { scenario: chooseScenarios(flags.scenario)[0]?.name ?? '', seed: flags.seed };
+  const first = { scenario: selectScenarios(flags.scenario)[0]?.name ?? '', seed: flags.seed };
   for (const { scenario, seed } of flags.record === true ? [first, ...failed] : failed) {
     const found = findScenario(scenario);
     if (found !== undefined) {
@@ -90,8 +88,8 @@
   for (const [check, count] of Object.entries(report.violationsByCheck)) {
     table.push([`violations of ${check}`, count]);
   }
-  const failed = report.failedRuns.flatMap(({ scenario, seed, violations: found }) =>
-    found
+  const failed = report.failedRuns.flatMap(({ scenario, seed, violations: runViolations }) =>
+    runViolations
       .slice(0, MAX_TRACE_FILES)
       .map(
         ({ check, atMs, text }) =>
@@ -101,7 +99,7 @@
   return [table.toString(), ...failed].join('\n');
 }
 
-/** A progress bar on a terminal, nothing elsewhere. */
+/** Shows a progress bar on a terminal and nothing otherwise. */
 function terminalProgress(): SimulationProgress {
   if (!process.stderr.isTTY) {
     return () => undefined;
--- a/src/tools/cli/soak.ts
+++ b/src/tools/cli/soak.ts
@@ -1,6 +1,6 @@
 /**
- * @file `amberlift soak`: real processes on this machine under faults from outside them, checked by what
- * clients, back ends and the operator see.
+ * @file `amberlift soak`: runs real processes locally under injected faults and checks invariants as observed by
+ * clients, back ends and the operator.
  */
 import { join } from 'node:path';
 import type { CAC } from 'cac';
@@ -21,9 +21,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `soak` subcommand. */
 export function registerSoak(cli: CAC): void {
   cli
     .command('soak', 'Run real processes under faults drawn from a seed and check what must hold')
@@ -45,11 +43,11 @@
 
 async function run(flags: SoakFlags): Promise<void> {
   const verdicts: SoakVerdict[] = [];
-  for (let at = 0; at < flags.runs; at += 1) {
-    const seed = flags.seed + at;
+  for (let runIndex = 0; runIndex < flags.runs; runIndex += 1) {
+    const seed = flags.seed + runIndex;
     const folder = join(flags.into, `seed-${seed}`);
     const durationMs = flags.seconds * MS_PER_SECOND;
-    const verdict = await runSoak({ seed, durationMs, folder, place: placeOf(flags) });
+    const verdict = await runSoak({ seed, durationMs, folder, place: soakPlaceFromFlags(flags) });
     verdicts.push(verdict);
     process.stdout.write(`${describe(verdict, folder)}\n`);
   }
@@ -59,7 +57,7 @@
   process.exitCode = verdicts.every(isClean) ? exitCodes.success : exitCodes.failure;
 }
 
-function placeOf({ balancers, clients, block }: SoakFlags): SoakPlace {
+function soakPlaceFromFlags({ balancers, clients, block }: SoakFlags): SoakPlace {
   return { sizes: { ...smallSoak.sizes, balancers, clients }, block };
 }
 
@@ -69,10 +67,10 @@
 
 function describe(verdict: SoakVerdict, folder: string): string {
   const { seed, violations, servedRequests, failedRequests, faults, unaskedEnds } = verdict;
-  const struck = Object.entries(faults).map(([kind, count]) => `${kind} ${count}`);
+  const faultCounts = Object.entries(faults).map(([kind, count]) => `${kind} ${count}`);
   return [
     `Seed ${seed}: ${servedRequests} requests served, ${failedRequests} failed, ${violations.length} violations; see ${folder}.`,
-    `  Faults: ${struck.join(', ') || 'none'}.`,
+    `  Faults: ${faultCounts.join(', ') || 'none'}.`,
     ...violations.map(
       ({ check, atMs, detail }) => `  ${check} at ${Math.round(atMs)} ms: ${detail}`,
     ),
--- a/src/tools/cli/timeline.ts
+++ b/src/tools/cli/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift timeline`: shows from logs how processes came back, and what they waited for.
+ * @file `amberlift timeline`: shows from logs how processes restarted and which step took longest.
  */
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
@@ -11,18 +11,16 @@
   readonly least?: number;
 }
 
-/** Single restarts are planned work; what is looked for is the return of several. */
-const LEAST_STARTS = 3;
+/** Hides single planned restarts. */
+const DEFAULT_MIN_STARTS = 3;
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `timeline` subcommand. */
 export function registerTimeline(cli: CAC): void {
   cli
     .command('timeline [...logs]', 'Tell how processes came back and what they waited for')
     .option('--json', 'Print one line of JSON')
     .option('--least <count>', 'Show returns of at least so many processes', {
-      default: LEAST_STARTS,
+      default: DEFAULT_MIN_STARTS,
     })
     .example('amberlift timeline balancer-*.log control-*.log')
     .action(run);
@@ -30,16 +28,18 @@
 
 function run(files: readonly string[], flags: TimelineFlags): void {
   const { returns, skews } = timelineOf(readLogs(files));
-  const printed = returns.filter(({ starts }) => starts.length >= (flags.least ?? LEAST_STARTS));
+  const shownReturns = returns.filter(
+    ({ starts }) => starts.length >= (flags.least ?? DEFAULT_MIN_STARTS),
+  );
   const text =
     flags.json === true
-      ? JSON.stringify({ returns: printed, skews })
+      ? JSON.stringify({ returns: shownReturns, skews })
       : [
-          ...printed.map(describeReturn),
+          ...shownReturns.map(describeReturn),
           ...skews.map(({ source, aheadMs }) => `The clock of ${source} is off by ${aheadMs} ms.`),
         ].join('\n\n');
   process.stdout.write(`${text === '' ? 'No such return.' : text}\n`);
-  process.exitCode = printed.length > 0 ? exitCodes.success : exitCodes.refused;
+  process.exitCode = shownReturns.length > 0 ? exitCodes.success : exitCodes.refused;
 }
 
 function describeReturn({ starts, groupPhases, longestWait }: Return): string {
@@ -47,7 +47,7 @@
   const width = Math.max(...starts.map(({ source }) => source.length));
   return [
     `${starts.length} processes came back, from ${new Date(startMs).toISOString()}:`,
-    ...groupPhases.map(({ text, atMs }) => `${sinceMs(startMs, atMs)}  ${text}`),
+    ...groupPhases.map(({ text, atMs }) => `${formatElapsed(startMs, atMs)}  ${text}`),
     ...(longestWait === undefined
       ? []
       : [
@@ -59,12 +59,14 @@
 }
 
 function describeStart(start: ProcessStart, startMs: number, width: number): string {
-  const phases = start.phases.map(({ name, atMs }) => `${name} ${sinceMs(startMs, atMs).trim()}`);
+  const phases = start.phases.map(
+    ({ name, atMs }) => `${name} ${formatElapsed(startMs, atMs).trim()}`,
+  );
   const { failedTries } = start;
   const tries = failedTries === 0 ? [] : [`${failedTries} tries reached no control machine`];
   return `  ${start.source.padEnd(width)}  ${[...phases, ...tries].join(', ')}`;
 }
 
-function sinceMs(startMs: number, atMs: number): string {
+function formatElapsed(startMs: number, atMs: number): string {
   return `+${Math.round(atMs - startMs)} ms`.padStart(10);
 }
--- a/src/tools/cli/zone-command.ts
+++ b/src/tools/cli/zone-command.ts
@@ -1,5 +1,5 @@
 /**
- * @file Zones on the command line: `ctl evacuate ZONE`, `ctl readmit ZONE`, `ctl show zones`, and `plan --zones FILE
+ * @file Commands on zones: `ctl evacuate ZONE`, `ctl readmit ZONE`, `ctl show zones`, and `plan --zones FILE
  * evacuate ZONE`.
  */
 import { readFileSync } from 'node:fs';
@@ -12,13 +12,13 @@
 import { describeEvacuation, planEvacuation } from '../toolbox/plan-evacuation.js';
 import { reportError } from './daemon-command.js';
 
-/** What `ctl` may do with zones. */
+/** A `ctl` command on zones. */
 export type ZoneCommand =
   | { readonly type: 'evacuate' | 'readmit'; readonly zone: string }
   | { readonly type: 'show-zones' };
 
 /**
- * @returns the command that the words are, or undefined where they are something else
+ * @returns the parsed command, or undefined if the words are not a zone command
  */
 export function parseZoneCommand(words: readonly string[]): ZoneCommand | undefined {
   const [verb, object, ...rest] = words;
@@ -31,7 +31,7 @@
   return verb === 'show' && object === 'zones' ? { type: 'show-zones' } : undefined;
 }
 
-/** Runs a command and sets the exit code. */
+/** Runs the command, prints its result and sets the exit code. */
 export async function runZoneCommand(
   command: ZoneCommand,
   client: DeclaredClient,
@@ -45,8 +45,8 @@
   output.match((text) => process.stdout.write(`${text}\n`), reportError);
 }
 
-/** Prints what an evacuation would leave, from a file that `ctl --json show zones` gave, and sets the exit code. */
-export function planEvacuationOf(file: string, words: readonly string[], asJson: boolean): void {
+/** Prints the effect of an evacuation, from saved output of `ctl --json show zones`, and sets the exit code. */
+export function printEvacuationPlan(file: string, words: readonly string[], asJson: boolean): void {
   const [verb, zone, ...rest] = words;
   if (verb !== 'evacuate' || zone === undefined || rest.length > 0) {
     throw new RangeError('plan --zones needs: evacuate ZONE.');
@@ -62,7 +62,7 @@
   }, reportError);
 }
 
-/** An operator knows why a zone must be emptied: what would not fit is printed, and is no refusal. */
+/** Evacuates the zone even if the remaining capacity is too small; the shortfall is only reported. */
 async function evacuate(
   client: DeclaredClient,
   zone: string,
@@ -73,9 +73,9 @@
   if (plan.isErr()) {
     return plan.map(() => '');
   }
-  const ordered = await client.orderZone(zone, 'evacuate');
+  const result = await client.orderZone(zone, 'evacuate');
   const sentence = `Zone ${zone} is evacuated. ${describeEvacuation(plan.value)}`;
-  return ordered.map(() => (asJson ? JSON.stringify({ ...plan.value }) : sentence));
+  return result.map(() => (asJson ? JSON.stringify({ ...plan.value }) : sentence));
 }
 
 async function readmit(
