--- a/src/tools/cli/address-flag.ts
+++ b/src/tools/cli/address-flag.ts
@@ -12,7 +12,7 @@
 export function addressFlag(flag: string, text: string): Address {
   const address = parseAddress(text);
   if (address === undefined) {
-    throw new TypeError(`--${flag} ${text}: allowed is IP:PORT, such as 127.0.0.1:7000.`);
+    throw new TypeError(`--${flag} ${text}: expected IP:PORT, such as 127.0.0.1:7000.`);
   }
   return address;
 }
--- a/src/tools/cli/backend.ts
+++ b/src/tools/cli/backend.ts
@@ -28,23 +28,31 @@
 /** Registers the `backend` subcommand. */
 export function registerBackend(cli: CAC): void {
   cli
-    .command('backend', 'Run a stand-in back end')
+    .command('backend', 'Run a simulated back end')
     .option('--service <name>', 'Name of its service')
     .option('--service-address <address>', 'Address that callers use')
-    .option('--fabric <address>', 'Where answers go')
+    .option('--fabric <address>', 'Address of the fabric, which receives the answers')
     .option('--host <ip>', 'IP number to bind', { default: '127.0.0.1' })
-    .option('--slots <count>', 'Requests that run at the same time', { default: 2 })
-    .option('--connections <count>', 'Open flows that it holds', { default: 2000 })
-    .option('--queue <count>', 'Requests that may wait for a slot', { default: 200 })
-    .option('--service-time <ms>', 'Mean time that a request runs', { default: 5 })
-    .option('--warm-up <ms>', 'Time after the start before it is ready', { default: 0 })
-    .option('--go-away-spread <ms>', 'Time within which a drain tells flows with requests to go', {
-      default: defaultBackendTuning.goAwaySpreadMs,
-    })
-    .option('--feed-moves <count>', 'Flows with a feed that a drain tells to go, a second', {
-      default: defaultBackendTuning.feedMovesPerSecond,
-    })
-    .option('--fault <name=value>', `Misbehave: ${faultNames.join(', ')}; may be repeated`, {
+    .option('--slots <count>', 'Maximum number of concurrent requests', { default: 2 })
+    .option('--connections <count>', 'Maximum number of open flows', { default: 2000 })
+    .option('--queue <count>', 'Maximum number of queued requests', { default: 200 })
+    .option('--service-time <ms>', 'Mean service time of a request', { default: 5 })
+    .option('--warm-up <ms>', 'Time from start until ready', { default: 0 })
+    .option(
+      '--go-away-spread <ms>',
+      'Time over which a drain sends go-away to flows with requests',
+      {
+        default: defaultBackendTuning.goAwaySpreadMs,
+      },
+    )
+    .option(
+      '--feed-moves <count>',
+      'Maximum rate of go-aways to flows with only a feed, per second',
+      {
+        default: defaultBackendTuning.feedMovesPerSecond,
+      },
+    )
+    .option('--fault <name=value>', `Inject a fault: ${faultNames.join(', ')}; may be repeated`, {
       type: [String],
     })
     .action(run);
--- a/src/tools/cli/bench.ts
+++ b/src/tools/cli/bench.ts
@@ -29,12 +29,14 @@
 export function registerBench(cli: CAC): void {
   const names = benches.map(({ name, summary }) => `${name}: ${summary}`).join('; ');
   cli
-    .command('bench <name>', `Measure one part (${names})`)
+    .command('bench <name>', `Run a benchmark (${names})`)
     .option('--json', 'Print the figures as one line of JSON, last')
-    .option('--rounds <count>', 'How many rounds each figure is the median of')
-    .option('--seed <number>', 'Seed of all that is random', { default: DEFAULT_SEED })
-    .option('--out <file>', 'Keep the figures in this file, with command and commit')
-    .option('--set <name=value>', 'An option of this bench; may be repeated', { type: [String] })
+    .option('--rounds <count>', 'Number of rounds; each figure is their median')
+    .option('--seed <number>', 'Random seed', { default: DEFAULT_SEED })
+    .option('--out <file>', 'Write the figures to this file, with command and commit')
+    .option('--set <name=value>', 'Set an option of the benchmark; may be repeated', {
+      type: [String],
+    })
     .action(run);
 }
 
@@ -42,7 +44,7 @@
   const bench = benches.find((candidate) => candidate.name === name);
   if (bench === undefined) {
     const benchNames = benches.map((candidate) => candidate.name).join(', ');
-    throw new RangeError(`there is no bench ${name}; there are: ${benchNames}.`);
+    throw new RangeError(`unknown benchmark ${name}; available: ${benchNames}.`);
   }
   const commit = currentCommit();
   const result = await bench.run({
@@ -52,7 +54,7 @@
     progress: (message) => process.stderr.write(`${message}\n`),
   });
   process.stdout.write(`${describe(result.table)}\n`);
-  result.missed.forEach((target) => process.stdout.write(`Not reached: ${target}\n`));
+  result.missed.forEach((target) => process.stdout.write(`Target missed: ${target}\n`));
   if (flags.out !== undefined) {
     writeFileSync(
       flags.out,
@@ -67,14 +69,14 @@
 
 function optionalRounds(value: number | undefined): number | undefined {
   if (value !== undefined && !(Number.isInteger(value) && value >= 1 && value <= MAX_ROUNDS)) {
-    throw new RangeError(`--rounds is a whole number from 1 to ${MAX_ROUNDS}.`);
+    throw new RangeError(`--rounds must be an integer from 1 to ${MAX_ROUNDS}.`);
   }
   return value;
 }
 
 function integerSeed(value: number): number {
   if (!Number.isInteger(value)) {
-    throw new RangeError('--seed is a whole number.');
+    throw new RangeError('--seed must be an integer.');
   }
   return value;
 }
@@ -84,7 +86,7 @@
   for (const text of texts.filter((value) => value !== 'undefined')) {
     const separator = text.indexOf('=');
     if (separator < 1) {
-      throw new RangeError(`--set takes name=value, not ${text}.`);
+      throw new RangeError(`--set ${text}: expected name=value.`);
     }
     settings.set(text.slice(0, separator), text.slice(separator + 1));
   }
--- a/src/tools/cli/callers.ts
+++ b/src/tools/cli/callers.ts
@@ -31,23 +31,25 @@
 /** Registers the `callers` subcommand. */
 export function registerCallers(cli: CAC): void {
   cli
-    .command('callers', 'Run stand-in callers; prints one JSON line per event')
+    .command('callers', 'Run simulated callers; prints one JSON line per event')
     .option('--service <name>', 'Name of the service')
     .option('--service-address <address>', 'Address of the service')
     .option('--host <ip>', 'IP number to bind', { default: '127.0.0.1' })
-    .option('--sessions <count>', 'Sessions', { default: 50 })
-    .option('--requests <count>', 'Requests of each session', { default: 20 })
+    .option('--sessions <count>', 'Number of sessions', { default: 50 })
+    .option('--requests <count>', 'Requests per session', { default: 20 })
     .option('--first-number <n>', 'Number of the first request', { default: 0 })
     .option('--pause <ms>', 'Pause between two requests of a session', { default: 200 })
     .option('--spread <ms>', 'Time over which the sessions start', { default: 1000 })
-    .option('--answer-bytes <count>', 'Length of each answer', { default: 3000 })
+    .option('--answer-bytes <count>', 'Size of each answer', { default: 3000 })
     .option('--feeds <count>', 'Sessions that also hold a feed', { default: 0 })
-    .option('--notices <n>', 'The notice with which a feed ends', { default: 0 })
-    .option('--feed-time <ms>', 'Longest time of a feed', { default: 30000 })
-    .option('--stop-after <ms>', 'Begin no request later than this; without it, until all are made')
-    .option('--request-deadline <ms>', 'Time for one request, its open included', { default: 5000 })
+    .option('--notices <n>', 'Number of the last notice of a feed', { default: 0 })
+    .option('--feed-time <ms>', 'Maximum duration of a feed', { default: 30000 })
+    .option('--stop-after <ms>', 'Start no request after this time; default: no limit')
+    .option('--request-deadline <ms>', 'Timeout of one request, including its open', {
+      default: 5000,
+    })
     .option('--retransmit <ms>', 'Time until an unanswered packet is sent again', { default: 250 })
-    .option('--retransmit-max <ms>', 'Longest time between two copies', { default: 2000 })
+    .option('--retransmit-max <ms>', 'Maximum time between retransmissions', { default: 2000 })
     .action(run);
 }
 
--- a/src/tools/cli/check.ts
+++ b/src/tools/cli/check.ts
@@ -25,8 +25,8 @@
   cli
     .command('check', 'Check settings, or statements against an export of the state')
     .option('--config <file>', 'Settings file (YAML) to check')
-    .option('--statements <file>', 'Operator statements to check, one a line')
-    .option('--state <file>', 'What "amberlift ctl --json" printed for show services and backends')
+    .option('--statements <file>', 'Operator statements to check, one per line')
+    .option('--state <file>', 'Output of "amberlift ctl --json" for show services and backends')
     .option('--declared <file>', 'Declared configuration (YAML or JSON) to check')
     .option('--json', 'Print one line of JSON')
     .action(run);
@@ -38,7 +38,7 @@
     return;
   }
   if (flags.config === undefined && flags.statements === undefined) {
-    throw new RangeError('check needs --config, --declared, or --statements with --state.');
+    throw new RangeError('check requires --config, --declared, or --statements with --state.');
   }
   if (flags.config !== undefined) {
     const settings = loadSettings({ file: flags.config, overrides: [] });
@@ -70,7 +70,7 @@
 
 function checkFile(file: string, stateFile: string | undefined): StatementCheck[] | undefined {
   if (stateFile === undefined) {
-    throw new RangeError('--statements needs --state.');
+    throw new RangeError('--statements requires --state.');
   }
   const exported = parseStateExport(readFileSync(stateFile, 'utf8'));
   if (exported.isErr()) {
@@ -84,7 +84,7 @@
   if (statements.length === 0) {
     return 'The settings are valid.';
   }
-  const table = new Table({ head: ['line', 'statement', 'would be'] });
+  const table = new Table({ head: ['line', 'statement', 'result'] });
   for (const { line, statement, accepted, kind, message } of statements) {
     table.push([
       line,
--- a/src/tools/cli/ctl.ts
+++ b/src/tools/cli/ctl.ts
@@ -41,7 +41,7 @@
 export function registerCtl(cli: CAC): void {
   const command = cli.command(
     'ctl [...statement]',
-    'Run an operator statement; without one, prompt for them',
+    'Run an operator statement, or start an interactive prompt',
   );
   ctlOptions.forEach(({ flag, meaning }) => command.option(flag, meaning));
   command.action(run);
@@ -86,7 +86,7 @@
 function controlAddressesFromFlags(flags: CtlFlags): Address[] {
   const controlTexts = [flags.control ?? []].flat();
   if (controlTexts.length === 0) {
-    throw new TypeError('--control: the operator address of a control machine is needed.');
+    throw new TypeError('--control is required: the operator address of a control machine.');
   }
   return controlTexts.map((text) => addressFlag('control', text));
 }
@@ -101,7 +101,7 @@
   const controlAddresses = controlAddressesFromFlags(flags);
   const bearerToken = await readToken(flags);
   if (bearerToken === undefined) {
-    throw new TypeError('--token-file or --token is needed.');
+    throw new TypeError('--token-file or --token is required.');
   }
   return new OperatorClient({
     controlAddresses,
@@ -113,7 +113,7 @@
 function secondsFlag(flag: string, value: number | string = 0): number {
   const seconds = Number(value);
   if (!(seconds >= 0)) {
-    throw new TypeError(`--${flag} ${value}: allowed is a number of seconds.`);
+    throw new TypeError(`--${flag} ${value}: expected a number of seconds, 0 or more.`);
   }
   return seconds;
 }
@@ -124,7 +124,9 @@
   }
   const text = String(value);
   if (!/^[!-~]+$/.test(text) || text.length > MAX_COMMAND_ID_LENGTH) {
-    throw new TypeError('--command-id: allowed are up to 128 printable characters, no spaces.');
+    throw new TypeError(
+      '--command-id: expected 1 to 128 printable ASCII characters without spaces.',
+    );
   }
   return text;
 }
--- a/src/tools/cli/explain.ts
+++ b/src/tools/cli/explain.ts
@@ -17,7 +17,7 @@
   cli
     .command(
       'explain <id> [...logs]',
-      'Tell the story of a request, flow, back end or configuration',
+      'Show the history of a request, flow, back end or configuration',
     )
     .option('--json', 'Print one line of JSON')
     .example('amberlift explain 853dc276e3b37f50 balancer-*.log control-*.log')
@@ -46,8 +46,8 @@
   const { subject, lines, findings, gaps, skews } = story;
   if (subject === undefined) {
     return [
-      `None of ${lineCount} lines names ${id}.`,
-      'Its first packet reached no balancer whose log is here, or its line was left out.',
+      `None of the ${lineCount} log lines mentions ${id}.`,
+      'Its first packet reached no balancer among these logs, or its log line was omitted.',
       ...section('Missing', gaps),
     ].join('\n');
   }
@@ -65,7 +65,7 @@
       'Clocks',
       skews.map(({ source, aheadMs }) => {
         const direction = aheadMs > 0 ? 'ahead' : 'behind';
-        return `${source} is ${Math.abs(aheadMs)} ms ${direction}; its lines are shown on the others' time.`;
+        return `${source} is ${Math.abs(aheadMs)} ms ${direction}; its times are corrected for this.`;
       }),
     ),
   ].join('\n');
--- a/src/tools/cli/fabric.ts
+++ b/src/tools/cli/fabric.ts
@@ -16,11 +16,11 @@
 /** Registers the `fabric` subcommand. */
 export function registerFabric(cli: CAC): void {
   cli
-    .command('fabric', 'Run the stand-in fabric')
-    .option('--service <address>', 'Address of a service; may be repeated; port 0 for a free one')
-    .option('--zone <zone>', 'Zone where callers enter', { default: 'zone-a' })
-    .option('--cross-zone-delay <ms>', 'Delay between zones, one way', { default: 0.5 })
-    .option('--caller-delay <ms>', 'Delay to callers, one way', { default: 1 })
+    .command('fabric', 'Run the simulated fabric')
+    .option('--service <address>', 'Address of a service; may be repeated; port 0 picks a free one')
+    .option('--zone <zone>', 'Zone of the callers', { default: 'zone-a' })
+    .option('--cross-zone-delay <ms>', 'One-way delay between zones', { default: 0.5 })
+    .option('--caller-delay <ms>', 'One-way delay to callers', { default: 1 })
     .action(run);
 }
 
--- a/src/tools/cli/group.ts
+++ b/src/tools/cli/group.ts
@@ -29,7 +29,7 @@
   withSettingsFlags(
     cli,
     'group',
-    'Run a control machine that takes declared configurations',
+    'Run a control machine that accepts declared configurations',
   ).action(run);
 }
 
--- a/src/tools/cli/ingress.ts
+++ b/src/tools/cli/ingress.ts
@@ -22,11 +22,9 @@
 
 /** Registers the `ingress` subcommand. */
 export function registerIngress(cli: CAC): void {
-  withSettingsFlags(
-    cli,
-    'ingress',
-    'Run a balancer of a deployment with back ends that register',
-  ).action(run);
+  withSettingsFlags(cli, 'ingress', 'Run a balancer for back ends that register themselves').action(
+    run,
+  );
 }
 
 async function run(flags: SettingsFlags): Promise<void> {
--- a/src/tools/cli/main.ts
+++ b/src/tools/cli/main.ts
@@ -67,7 +67,7 @@
     return;
   }
   if (first !== undefined) {
-    process.stderr.write(`amberlift: there is no subcommand ${first}.\n`);
+    process.stderr.write(`amberlift: unknown subcommand ${first}.\n`);
   }
   cli.outputHelp();
   process.exitCode = exitCodes.usage;
--- a/src/tools/cli/plan.ts
+++ b/src/tools/cli/plan.ts
@@ -32,20 +32,24 @@
 /** Registers the `plan` subcommand. */
 export function registerPlan(cli: CAC): void {
   cli
-    .command('plan [...statement]', 'Show what a change of back ends would do')
-    .option('--state <file>', 'What "amberlift ctl --json" printed for show services and backends')
-    .option('--connection-limit <count>', 'Connections that a back end holds, unless limited', {
-      default: DEFAULT_CONNECTION_LIMIT,
-    })
-    .option('--moves-per-second <count>', 'Flows that a draining back end lets go a second', {
+    .command('plan [...statement]', 'Preview a change of back ends')
+    .option('--state <file>', 'Output of "amberlift ctl --json" for show services and backends')
+    .option(
+      '--connection-limit <count>',
+      'Connection limit of a back end if its service sets none',
+      {
+        default: DEFAULT_CONNECTION_LIMIT,
+      },
+    )
+    .option('--moves-per-second <count>', 'Flows that a draining back end moves per second', {
       default: DEFAULT_MOVES_PER_SECOND,
     })
-    .option('--declared <file>', 'Declared configuration (YAML or JSON) that would be applied')
+    .option('--declared <file>', 'Declared configuration (YAML or JSON) to preview')
     .option(
       '--against <file>',
-      'What "amberlift ctl --json show config" printed; without it, nothing holds',
+      'Output of "amberlift ctl --json show config"; default: no current configuration',
     )
-    .option('--zones <file>', 'What "amberlift ctl --json show zones" printed; for "evacuate ZONE"')
+    .option('--zones <file>', 'Output of "amberlift ctl --json show zones"; for "evacuate ZONE"')
     .option('--json', 'Print one line of JSON')
     .action(run);
 }
@@ -60,7 +64,7 @@
     return;
   }
   if (flags.state === undefined) {
-    throw new RangeError('plan needs --state, --declared or --zones.');
+    throw new RangeError('plan requires --state, --declared or --zones.');
   }
   const options = {
     connectionLimit: positiveInteger('connection-limit', flags.connectionLimit),
@@ -80,7 +84,7 @@
 
 function positiveInteger(name: string, value: number): number {
   if (!Number.isInteger(value) || value < 1) {
-    throw new RangeError(`--${name} is a whole number over 0.`);
+    throw new RangeError(`--${name} must be a positive integer.`);
   }
   return value;
 }
--- a/src/tools/cli/replay.ts
+++ b/src/tools/cli/replay.ts
@@ -25,14 +25,14 @@
 /** Registers the `replay` subcommand. */
 export function registerReplay(cli: CAC): void {
   cli
-    .command('replay <file>', 'Tell a recorded trace of the simulator')
-    .option('--flow <name>', 'Only the story of this flow, such as flow-3')
+    .command('replay <file>', 'Print a recorded trace of the simulator')
+    .option('--flow <name>', 'Only events of this flow, such as flow-3')
     .option('--process <name>', 'Only events of this process, such as authd-2 or balancer-1')
-    .option('--command <id>', 'Only the story of this command, such as tarjeta-4')
-    .option('--request <number>', 'Only the story of this request')
+    .option('--command <id>', 'Only events of this command, such as tarjeta-4')
+    .option('--request <number>', 'Only events of this request')
     .option('--type <type>', 'Only events of this type, such as run')
-    .option('--from <ms>', 'Only from this time on')
-    .option('--to <ms>', 'Only up to this time')
+    .option('--from <ms>', 'Only events from this time on')
+    .option('--to <ms>', 'Only events up to this time')
     .option('--step', 'Wait for Enter after each event')
     .option('--json', 'Print the events as JSON lines')
     .action(run);
--- a/src/tools/cli/simulate.ts
+++ b/src/tools/cli/simulate.ts
@@ -32,13 +32,13 @@
 export function registerSimulate(cli: CAC): void {
   const names = [...scenarios, ...longScenarios].map(({ name }) => name).join(', ');
   cli
-    .command('simulate', 'Run scenarios in the simulator and check what must always hold')
-    .option('--seed <n>', 'Seed of the first run; each run takes the next one', { default: 1 })
-    .option('--runs <count>', 'Runs', { default: 20 })
-    .option('--scenario <name>', `One of ${names}, or all but the long ones`, { default: ALL })
+    .command('simulate', 'Run scenarios in the simulator and check invariants')
+    .option('--seed <n>', 'Seed of the first run; incremented for each further run', { default: 1 })
+    .option('--runs <count>', 'Number of runs', { default: 20 })
+    .option('--scenario <name>', `One of ${names}, or all except the long ones`, { default: ALL })
     .option('--jobs <count>', 'Worker threads', { default: 3 })
-    .option('--traces <folder>', 'Where traces of failed runs go', { default: 'simulate-traces' })
-    .option('--record', 'Write the trace of the first run whatever came of it')
+    .option('--traces <folder>', 'Folder for traces of failed runs', { default: 'simulate-traces' })
+    .option('--record', 'Always write the trace of the first run')
     .option('--json', 'Print the figures as one line of JSON, last')
     .action(run);
 }
@@ -61,7 +61,7 @@
   }
   const found = findScenario(name);
   if (found === undefined) {
-    throw new Error(`--scenario: there is no scenario ${name}.`);
+    throw new Error(`--scenario: unknown scenario ${name}.`);
   }
   return [found];
 }
--- a/src/tools/cli/soak.ts
+++ b/src/tools/cli/soak.ts
@@ -24,18 +24,24 @@
 /** Registers the `soak` subcommand. */
 export function registerSoak(cli: CAC): void {
   cli
-    .command('soak', 'Run real processes under faults drawn from a seed and check what must hold')
-    .option('--seed <n>', 'Seed of the first run; each run takes the next one', { default: 1 })
-    .option('--runs <count>', 'Runs, one after the other', { default: 1 })
-    .option('--seconds <count>', 'How long faults come in each run', { default: 60 })
-    .option('--balancers <count>', 'Balancer processes', { default: smallSoak.sizes.balancers })
-    .option('--clients <count>', 'Clients, one flow at a time each', {
-      default: smallSoak.sizes.clients,
+    .command('soak', 'Run real processes under seeded random faults and check invariants')
+    .option('--seed <n>', 'Seed of the first run; incremented for each further run', { default: 1 })
+    .option('--runs <count>', 'Number of runs, one after the other', { default: 1 })
+    .option('--seconds <count>', 'Duration of fault injection in each run', { default: 60 })
+    .option('--balancers <count>', 'Number of balancer processes', {
+      default: smallSoak.sizes.balancers,
     })
-    .option('--block <n>', 'Second number of its loopback addresses, for runs beside each other', {
-      default: smallSoak.block,
+    .option('--clients <count>', 'Number of clients, each with one flow at a time', {
+      default: smallSoak.sizes.clients,
     })
-    .option('--into <folder>', 'Where logs, schedules and verdicts go', { default: 'soak-runs' })
+    .option(
+      '--block <n>',
+      'Second octet of the loopback addresses; use different ones for parallel runs',
+      {
+        default: smallSoak.block,
+      },
+    )
+    .option('--into <folder>', 'Folder for logs, schedules and verdicts', { default: 'soak-runs' })
     .option('--json', 'Print the verdicts as one line of JSON, last')
     .example('amberlift soak --seed 7 --seconds 120')
     .action(run);
@@ -75,7 +81,7 @@
       ({ check, atMs, detail }) => `  ${check} at ${Math.round(atMs)} ms: ${detail}`,
     ),
     ...Object.entries(unaskedEnds).map(
-      ([name, count]) => `  ${name} ended by itself ${count} times.`,
+      ([name, count]) => `  ${name} exited unexpectedly ${count} times.`,
     ),
   ].join('\n');
 }
--- a/src/tools/cli/timeline.ts
+++ b/src/tools/cli/timeline.ts
@@ -17,9 +17,9 @@
 /** Registers the `timeline` subcommand. */
 export function registerTimeline(cli: CAC): void {
   cli
-    .command('timeline [...logs]', 'Tell how processes came back and what they waited for')
+    .command('timeline [...logs]', 'Show how processes restarted and what they waited for')
     .option('--json', 'Print one line of JSON')
-    .option('--least <count>', 'Show returns of at least so many processes', {
+    .option('--least <count>', 'Show only restarts of at least this many processes', {
       default: DEFAULT_MIN_STARTS,
     })
     .example('amberlift timeline balancer-*.log control-*.log')
@@ -38,7 +38,7 @@
           ...shownReturns.map(describeReturn),
           ...skews.map(({ source, aheadMs }) => `The clock of ${source} is off by ${aheadMs} ms.`),
         ].join('\n\n');
-  process.stdout.write(`${text === '' ? 'No such return.' : text}\n`);
+  process.stdout.write(`${text === '' ? 'No matching restarts.' : text}\n`);
   process.exitCode = shownReturns.length > 0 ? exitCodes.success : exitCodes.refused;
 }
 
--- a/src/tools/cli/zone-command.ts
+++ b/src/tools/cli/zone-command.ts
@@ -49,7 +49,7 @@
 export function printEvacuationPlan(file: string, words: readonly string[], asJson: boolean): void {
   const [verb, zone, ...rest] = words;
   if (verb !== 'evacuate' || zone === undefined || rest.length > 0) {
-    throw new RangeError('plan --zones needs: evacuate ZONE.');
+    throw new RangeError('plan --zones requires the statement: evacuate ZONE.');
   }
   const content = Result.fromThrowable(
     () => JSON.parse(readFileSync(file, 'utf8')) as unknown,
