--- a/src/tools/cli/explain.ts
+++ b/src/tools/cli/explain.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift explain`: prints the story of one request, flow, back end or configuration from logs.
+ * @file `amberlift explain`: prints the history of one request, flow, back end or configuration from logs.
  */
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
@@ -12,14 +12,12 @@
   readonly json?: boolean;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `explain` subcommand. */
 export function registerExplain(cli: CAC): void {
   cli
     .command(
       'explain <id> [...logs]',
-      'Tell the story of a request, flow, back end or configuration',
+      'Show the history of a request, flow, back end or configuration',
     )
     .option('--json', 'Print one line of JSON')
     .example('amberlift explain 853dc276e3b37f50 balancer-*.log control-*.log')
@@ -29,12 +27,12 @@
 function run(id: string | number, files: readonly string[], flags: ExplainFlags): void {
   const lines = readLogs(files);
   const story = explain(lines, String(id));
-  const text = flags.json === true ? jsonOf(story) : describe(story, String(id), lines.length);
+  const text = flags.json === true ? toJson(story) : describe(story, String(id), lines.length);
   process.stdout.write(`${text}\n`);
   process.exitCode = story.subject === undefined ? exitCodes.refused : exitCodes.success;
 }
 
-function jsonOf({ subject, lines, findings, gaps, skews }: Explanation): string {
+function toJson({ subject, lines, findings, gaps, skews }: Explanation): string {
   const printed = lines.map(({ line: { source, name, fields }, atMs }) => ({
     at: new Date(atMs).toISOString(),
     source,
@@ -48,8 +46,8 @@
   const { subject, lines, findings, gaps, skews } = story;
   if (subject === undefined) {
     return [
-      `None of ${lineCount} lines names ${id}.`,
-      'Its first packet reached no balancer whose log is here, or its line was left out.',
+      `None of the ${lineCount} log lines mentions ${id}.`,
+      'Its first packet reached no balancer among these logs, or its log line was omitted.',
       ...section('Missing', gaps),
     ].join('\n');
   }
@@ -67,7 +65,7 @@
       'Clocks',
       skews.map(({ source, aheadMs }) => {
         const direction = aheadMs > 0 ? 'ahead' : 'behind';
-        return `${source} is ${Math.abs(aheadMs)} ms ${direction}; its lines are shown on the others' time.`;
+        return `${source} is ${Math.abs(aheadMs)} ms ${direction}; its times are corrected for this.`;
       }),
     ),
   ].join('\n');
--- a/src/tools/cli/fabric.ts
+++ b/src/tools/cli/fabric.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift fabric`: runs the stand-in fabric, which sprays the packets of callers over balancers in the demo and in trials.
+ * @file `amberlift fabric`: runs a simulated network fabric that spreads packets of callers over the balancers.
  */
 import type { CAC } from 'cac';
 import { startFabric } from '../../proof/standins/fabric-process.js';
@@ -13,16 +13,14 @@
   readonly callerDelay: number;
 }
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `fabric` subcommand. */
 export function registerFabric(cli: CAC): void {
   cli
-    .command('fabric', 'Run the stand-in fabric')
-    .option('--service <address>', 'Address of a service; may be repeated; port 0 for a free one')
-    .option('--zone <zone>', 'Zone where callers enter', { default: 'zone-a' })
-    .option('--cross-zone-delay <ms>', 'Delay between zones, one way', { default: 0.5 })
-    .option('--caller-delay <ms>', 'Delay to callers, one way', { default: 1 })
+    .command('fabric', 'Run the simulated fabric')
+    .option('--service <address>', 'Address of a service; may be repeated; port 0 picks a free one')
+    .option('--zone <zone>', 'Zone of the callers', { default: 'zone-a' })
+    .option('--cross-zone-delay <ms>', 'One-way delay between zones', { default: 0.5 })
+    .option('--caller-delay <ms>', 'One-way delay to callers', { default: 1 })
     .action(run);
 }
 
--- a/src/tools/cli/simulate.ts
+++ b/src/tools/cli/simulate.ts
@@ -1,5 +1,5 @@
 /**
- * @file `amberlift simulate`: runs scenarios on the simulator, and has the oracle check them.
+ * @file `amberlift simulate`: runs scenarios in the simulator and checks their invariants.
  */
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
@@ -28,26 +28,24 @@
 const ALL = 'all';
 const MAX_TRACE_FILES = 3;
 
-/**
- * Registers the subcommand.
- */
+/** Registers the `simulate` subcommand. */
 export function registerSimulate(cli: CAC): void {
   const names = [...scenarios, ...longScenarios].map(({ name }) => name).join(', ');
   cli
-    .command('simulate', 'Run scenarios in the simulator and check what must always hold')
-    .option('--seed <n>', 'Seed of the first run; each run takes the next one', { default: 1 })
-    .option('--runs <count>', 'Runs', { default: 20 })
-    .option('--scenario <name>', `One of ${names}, or all but the long ones`, { default: ALL })
+    .command('simulate', 'Run scenarios in the simulator and check invariants')
+    .option('--seed <n>', 'Seed of the first run; incremented for each further run', { default: 1 })
+    .option('--runs <count>', 'Number of runs', { default: 20 })
+    .option('--scenario <name>', `One of ${names}, or all except the long ones`, { default: ALL })
     .option('--jobs <count>', 'Worker threads', { default: 3 })
-    .option('--traces <folder>', 'Where traces of failed runs go', { default: 'simulate-traces' })
-    .option('--record', 'Write the trace of the first run whatever came of it')
+    .option('--traces <folder>', 'Folder for traces of failed runs', { default: 'simulate-traces' })
+    .option('--record', 'Always write the trace of the first run')
     .option('--json', 'Print the figures as one line of JSON, last')
     .action(run);
 }
 
 async function run(flags: SimulateFlags): Promise<void> {
-  const chosen = chooseScenarios(flags.scenario);
-  const requests = planRuns(chosen, flags.runs, flags.seed);
+  const selected = selectScenarios(flags.scenario);
+  const requests = planRuns(selected, flags.runs, flags.seed);
   const report = await simulate(requests, flags.jobs, terminalProgress());
   process.stdout.write(`${describe(report)}\n`);
   await writeTraces(flags, report);
@@ -57,20 +55,20 @@
   process.exitCode = report.violations === 0 ? exitCodes.success : exitCodes.failure;
 }
 
-function chooseScenarios(name: string): readonly Scenario[] {
+function selectScenarios(name: string): readonly Scenario[] {
   if (name === ALL) {
     return scenarios;
   }
   const found = findScenario(name);
   if (found === undefined) {
-    throw new Error(`--scenario: there is no scenario ${name}.`);
+    throw new Error(`--scenario: unknown scenario ${name}.`);
   }
   return [found];
 }
 
 async function writeTraces(flags: SimulateFlags, report: SimulationReport): Promise<void> {
   const failed = report.failedRuns.slice(0, MAX_TRACE_FILES);
-  const first = { scenario: chooseScenarios(flags.scenario)[0]?.name ?? '', seed: flags.seed };
+  const first = { scenario: selectScenarios(flags.scenario)[0]?.name ?? '', seed: flags.seed };
   for (const { scenario, seed } of flags.record === true ? [first, ...failed] : failed) {
     const found = findScenario(scenario);
     if (found !== undefined) {
@@ -90,8 +88,8 @@
   for (const [check, count] of Object.entries(report.violationsByCheck)) {
     table.push([`violations of ${check}`, count]);
   }
-  const failed = report.failedRuns.flatMap(({ scenario, seed, violations: found }) =>
-    found
+  const failed = report.failedRuns.flatMap(({ scenario, seed, violations: runViolations }) =>
+    runViolations
       .slice(0, MAX_TRACE_FILES)
       .map(
         ({ check, atMs, text }) =>
@@ -101,7 +99,7 @@
   return [table.toString(), ...failed].join('\n');
 }
 
-/** A progress bar on a terminal, nothing elsewhere. */
+/** Shows a progress bar on a terminal and nothing otherwise. */
 function terminalProgress(): SimulationProgress {
   if (!process.stderr.isTTY) {
     return () => undefined;
