--- a/src/proof/bench/bench-forward.ts
+++ b/src/proof/bench/bench-forward.ts
@@ -14,7 +14,7 @@
   SendResult,
 } from './bench-forward-messages.js';
 import { processorTimeMs, residentBytes, startPeer, type Peer } from './bench-forward-process.js';
-import { startProcess, type ManagedProcess } from '../processes/child-process.js';
+import { startProcess, type AmberliftProcess } from '../processes/child-process.js';
 
 const MS_PER_SECOND = 1_000;
 const MICROSECONDS_PER_MS = 1_000;
@@ -171,8 +171,8 @@
     return [
       { name: 'relay', pid: relay.pid, address: { host: '127.0.0.1', port: relay.port } },
       { name: 'connectedRelay', pid: connected.pid, address: { ...to, port: connected.port } },
-      { name: 'fewBackends', pid: few.pid, address: few.ready.frontAddress as Address },
-      { name: 'manyBackends', pid: many.pid, address: many.ready.frontAddress as Address },
+      { name: 'fewBackends', pid: few.pid, address: few.announcement.frontAddress as Address },
+      { name: 'manyBackends', pid: many.pid, address: many.announcement.frontAddress as Address },
     ];
   }
 
@@ -259,7 +259,7 @@
     const opener = await this.peer({ type: 'opener' });
     const request = {
       type: 'open',
-      to: balancer.ready.frontAddress as Address,
+      to: balancer.announcement.frontAddress as Address,
       opensPerSecond: this.options.opensPerSecond,
     } as const;
     await opener.ask<OpenResult>({ ...request, durationMs: this.options.roundMs });
@@ -283,7 +283,7 @@
   }
 
   /** Starts a balancer process and waits until its configuration is in force. */
-  private async balancer(backendCount: number, backendPort: number): Promise<ManagedProcess> {
+  private async balancer(backendCount: number, backendPort: number): Promise<AmberliftProcess> {
     const control = await startBenchControl(backendCount, backendPort);
     this.stops.push(() => control.close());
     const balancer = await startProcess('balancer', balancerArgs(control));
--- a/src/proof/bench/in-force-cluster.ts
+++ b/src/proof/bench/in-force-cluster.ts
@@ -11,7 +11,7 @@
 import { OperatorClient } from '../../tools/client/operator-client.js';
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { InForceSummary } from '../../managed/control/views/in-force.js';
-import { startProcess, type ManagedProcess } from '../processes/child-process.js';
+import { startProcess, type AmberliftProcess } from '../processes/child-process.js';
 
 const CLUSTER_KEY = 'in-force-cluster-key';
 const OPERATOR_TOKEN = 'in-force-operator-token';
@@ -32,10 +32,10 @@
 
 /** A running cluster. */
 export class InForceCluster {
-  private readonly processes: ManagedProcess[] = [];
+  private readonly processes: AmberliftProcess[] = [];
   private folder = '';
-  readonly balancers: ManagedProcess[] = [];
-  readonly controls: ManagedProcess[] = [];
+  readonly balancers: AmberliftProcess[] = [];
+  readonly controls: AmberliftProcess[] = [];
   private clientOrNone: OperatorClient | undefined;
 
   /** The operators' client. */
@@ -50,7 +50,9 @@
     this.folder = await mkdtemp(join(tmpdir(), 'amberlift-in-force-'));
     const linkAddresses = await freeAddresses(ZONES.length);
     await Promise.all(linkAddresses.map((_, number) => this.startControl(number, linkAddresses)));
-    const controlAddresses = this.controls.map(({ ready }) => ready.operatorAddress as Address);
+    const controlAddresses = this.controls.map(
+      ({ announcement }) => announcement.operatorAddress as Address,
+    );
     this.clientOrNone = new OperatorClient({ controlAddresses, bearerToken: OPERATOR_TOKEN });
     for (let first = 0; first < balancerCount; first += START_BATCH) {
       const batch = Array.from(
--- a/src/proof/demo/cluster.ts
+++ b/src/proof/demo/cluster.ts
@@ -8,7 +8,7 @@
 import { OperatorClient } from '../../tools/client/operator-client.js';
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { sendJson } from '../../managed/daemon/http-json.js';
-import { startProcess, type ManagedProcess } from '../processes/child-process.js';
+import { startProcess, type AmberliftProcess } from '../processes/child-process.js';
 import type { DeployedService, Deployment } from './deployment.js';
 import { findFreeAddress } from '../processes/free-address.js';
 
@@ -27,7 +27,7 @@
   readonly linkAddress: Address;
   readonly operatorAddress: Address;
   readonly dataFolder: string;
-  readonly process: ManagedProcess;
+  readonly process: AmberliftProcess;
 }
 
 /** A balancer. */
@@ -35,14 +35,14 @@
   readonly nodeId: string;
   readonly zone: string;
   readonly address: Address;
-  readonly process: ManagedProcess;
+  readonly process: AmberliftProcess;
 }
 
 /** A back end. */
 export interface ClusterBackend {
   readonly name: string;
   readonly service: DeployedService;
-  readonly process: ManagedProcess;
+  readonly process: AmberliftProcess;
   readonly healthAddress: Address;
   readonly id: number;
   /** Revision of its operator's configuration that has it first. */
@@ -67,10 +67,10 @@
   readonly backends: ClusterBackend[] = [];
   readonly serviceAddresses = new Map<string, Address>();
   /** Every process that was started, for the end. */
-  private readonly processes: ManagedProcess[] = [];
+  private readonly processes: AmberliftProcess[] = [];
   private readonly clients = new Map<string, OperatorClient>();
   private readonly started = new Map<string, number>();
-  private fabric: ManagedProcess | undefined;
+  private fabric: AmberliftProcess | undefined;
 
   constructor(readonly options: ClusterOptions) {}
 
@@ -212,7 +212,7 @@
     name: string,
     args: readonly string[],
     onLine?: (line: string) => void,
-  ): Promise<ManagedProcess> {
+  ): Promise<AmberliftProcess> {
     const started = await startProcess(name, args, onLine);
     this.processes.push(started);
     this.options.onEvent(`Started ${name}.`);
@@ -242,7 +242,7 @@
       ...['--cross-zone-delay', String(deployment.crossZoneDelayMs)],
       ...['--caller-delay', String(deployment.callerDelayMs)],
     ]);
-    const addresses = this.fabric.ready.serviceAddresses as Address[];
+    const addresses = this.fabric.announcement.serviceAddresses as Address[];
     services.forEach((service, position) => {
       const address = addresses[position];
       if (address !== undefined) {
@@ -284,7 +284,7 @@
   private spawnControl(
     control: Omit<ClusterControl, 'process'>,
     all: readonly Omit<ClusterControl, 'process'>[],
-  ): Promise<ManagedProcess> {
+  ): Promise<AmberliftProcess> {
     const peers = all
       .filter(({ nodeId }) => nodeId !== control.nodeId)
       .map(({ nodeId, linkAddress }) => ({ nodeId, linkAddress: formatAddress(linkAddress) }));
@@ -317,8 +317,8 @@
     return { name: `${kind}-${number}`, zone };
   }
 
-  private readyAddress(process: ManagedProcess | undefined, key: string): Address {
-    return process?.ready[key] as Address;
+  private readyAddress(process: AmberliftProcess | undefined, key: string): Address {
+    return process?.announcement[key] as Address;
   }
 }
 
--- a/src/proof/demo/demo.ts
+++ b/src/proof/demo/demo.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { formatAddress } from '../../shared/common/address.js';
 import { settingsSchema } from '../../managed/settings/settings-schema.js';
-import { runToEnd } from '../processes/child-process.js';
+import { runToCompletion } from '../processes/child-process.js';
 import { Cluster } from './cluster.js';
 import { revisionsOf, waitUntilInForce } from './cluster-status.js';
 import type { DeployedService, Deployment } from './deployment.js';
@@ -98,7 +98,7 @@
   };
   sampler.start();
   const callers = services.map((service, position) =>
-    runToEnd(callerArgs(cluster, service, position), onLine),
+    runToCompletion(callerArgs(cluster, service, position), onLine),
   );
   const publishing = services.map((service) => publishNotices(cluster, service));
   await Promise.all([...callers, ...publishing]);
--- a/src/proof/processes/free-address.ts
+++ b/src/proof/processes/free-address.ts
@@ -1,5 +1,5 @@
 /**
- * @file Free addresses on loopback, for processes that must know each other's before they start.
+ * @file Finds free loopback addresses for processes that need the addresses of others at startup.
  */
 import { once } from 'node:events';
 import { createServer, type AddressInfo } from 'node:net';
@@ -8,7 +8,7 @@
 const LOOPBACK = '127.0.0.1';
 
 /**
- * @returns an address whose TCP port was free just now
+ * @returns an address whose TCP port is currently free; another process may take it first
  */
 export async function findFreeAddress(): Promise<Address> {
   const server = createServer();
--- a/src/proof/sim-managed/simulated-backend.ts
+++ b/src/proof/sim-managed/simulated-backend.ts
@@ -115,7 +115,7 @@
 
   private step(event: BackendEvent, sender = ''): void {
     this.perform(() => {
-      const { runs, flows } = this.state;
+      const { executedRequests: runs, flows } = this.state;
       const runsBefore = runs.length;
       const flowsBefore = flows.size;
       const context = this.simulation.contextFor(this.random);
@@ -139,7 +139,7 @@
   }
 
   private recordRuns(before: number): void {
-    const { runs, running } = this.state;
+    const { executedRequests: runs, running } = this.state;
     for (const requestNumber of runs.slice(before)) {
       const record = [...running].find(({ work }) => work?.requestNumber === requestNumber);
       const flowId = Buffer.from(record?.flow.flowId ?? []).toString('hex');
--- a/src/proof/sim-managed/simulated-caller.ts
+++ b/src/proof/sim-managed/simulated-caller.ts
@@ -155,8 +155,8 @@
 
   /** Notes which established flows are gone though the session did not end them. */
   private recordFlows(isBroken: boolean): void {
-    const { flow, oldFlows, closedFlows } = this.state;
-    const present = flow.phase === 'open' ? [...oldFlows, flow] : oldFlows;
+    const { flow, retiringFlows, closedFlows } = this.state;
+    const present = flow.phase === 'open' ? [...retiringFlows, flow] : retiringFlows;
     for (const [known, { sinceMs }] of this.standing) {
       if (present.includes(known)) {
         continue;
--- a/src/proof/standins/backend-drain.ts
+++ b/src/proof/standins/backend-drain.ts
@@ -1,8 +1,6 @@
 /**
- * @file The drain of a stand-in back end. Established flows get a go-away at a bounded rate, so that
- * the other back ends meet no herd: flows that make requests within seconds, since their requests
- * are new work; flows that only hold a feed more slowly. What runs ends here. A flow that does not
- * leave is refused new work soon, and closed only after a long grace time.
+ * @file Drains a stand-in back end. It sends go-away to established flows at a bounded rate to avoid
+ * a thundering herd, finishes running requests, and closes remaining flows after a grace period.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { closeFlow } from './backend-flows.js';
@@ -18,7 +16,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * The platform, an operator or a balancer asks it to drain. Asked again, it goes on as before.
+ * Schedules the drain. Idempotent: a repeated request does not restart it.
  */
 export function requestDrain(state: BackendState, context: StepContext): BackendEffect[] {
   const { faults } = state.options;
@@ -30,8 +28,8 @@
 }
 
 /**
- * Time has passed: sends go-away to further flows, again to those that have not left, and closes those
- * whose grace time is over and for which nothing runs.
+ * Starts a due drain, sends and retransmits go-away, and closes flows without unfinished requests
+ * once the grace period has ended.
  */
 export function drainTick(state: BackendState, context: StepContext): BackendEffect[] {
   if (state.drain === undefined && context.nowMs >= (state.drainDueAtMs ?? Infinity)) {
@@ -42,7 +40,7 @@
   if (drain === undefined) {
     return [];
   }
-  const effects = [...repeatGoAways(state, context), ...sendNextGoAways(state, drain, context)];
+  const effects = [...retransmitGoAways(state, context), ...sendNextGoAways(state, drain, context)];
   const isGraceOver = context.nowMs >= drain.startedAtMs + state.tuning.drainGraceMs;
   return isGraceOver ? [...effects, ...closeIdleFlows(state, context)] : effects;
 }
@@ -53,8 +51,8 @@
   const requestFlows = flows.filter((flow) => flow.feeds.size === 0 || flow.makesRequests);
   return {
     startedAtMs: context.nowMs,
-    requestFlows,
-    feedFlows,
+    pendingRequestFlows: requestFlows,
+    pendingFeedFlows: feedFlows,
     requestFlowCount: requestFlows.length,
     feedFlowCount: feedFlows.length,
   };
@@ -69,11 +67,11 @@
   const elapsedMs = context.nowMs - drain.startedAtMs;
   const requestFlowsDue = 1 + Math.floor((drain.requestFlowCount * elapsedMs) / goAwaySpreadMs);
   const feedFlowsDue = 1 + Math.floor((feedMovesPerSecond * elapsedMs) / MILLISECONDS_PER_SECOND);
-  const requestFlowsTold = drain.requestFlowCount - drain.requestFlows.length;
-  const feedFlowsTold = drain.feedFlowCount - drain.feedFlows.length;
+  const requestFlowsNotified = drain.requestFlowCount - drain.pendingRequestFlows.length;
+  const feedFlowsNotified = drain.feedFlowCount - drain.pendingFeedFlows.length;
   const next = [
-    ...drain.requestFlows.splice(0, Math.max(0, requestFlowsDue - requestFlowsTold)),
-    ...drain.feedFlows.splice(0, Math.max(0, feedFlowsDue - feedFlowsTold)),
+    ...drain.pendingRequestFlows.splice(0, Math.max(0, requestFlowsDue - requestFlowsNotified)),
+    ...drain.pendingFeedFlows.splice(0, Math.max(0, feedFlowsDue - feedFlowsNotified)),
   ];
   return next.filter((flow) => state.flows.has(flow.tokenKey)).map(sendGoAway);
 
@@ -87,7 +85,7 @@
   }
 }
 
-function repeatGoAways(state: BackendState, context: StepContext): BackendEffect[] {
+function retransmitGoAways(state: BackendState, context: StepContext): BackendEffect[] {
   const effects: BackendEffect[] = [];
   for (const flow of state.flows.values()) {
     if (flow.goAway?.isDue(context.nowMs) === true) {
--- a/src/proof/standins/backend-fault-flags.ts
+++ b/src/proof/standins/backend-fault-flags.ts
@@ -1,35 +1,35 @@
 /**
- * @file Parses the `--fault` flags of a stand-in back end: the ways in which it misbehaves.
+ * @file Parses the `--fault` flags, which inject faults into a stand-in back end.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
 import { amberliftError, type AmberliftError } from '../../shared/common/error-kinds.js';
 import type { BackendFaults } from './backend-options.js';
 
-const flag = z.enum(['true', 'false']).transform((text) => text === 'true');
-const amount = z.coerce.number().min(0);
+const booleanValue = z.enum(['true', 'false']).transform((text) => text === 'true');
+const nonNegativeNumber = z.coerce.number().min(0);
 
 const faultsSchema = z.strictObject({
-  coldStartMs: amount.optional(),
-  coldStartFactor: amount.optional(),
-  refusesAll: flag.optional(),
-  ignoresOpens: flag.optional(),
-  reportsIdle: flag.optional(),
-  freezesLoadAfterMs: amount.optional(),
-  flapPeriodMs: amount.optional(),
-  drainDelayMs: amount.optional(),
-  ignoresDrain: flag.optional(),
+  coldStartMs: nonNegativeNumber.optional(),
+  coldStartFactor: nonNegativeNumber.optional(),
+  refusesAll: booleanValue.optional(),
+  ignoresOpens: booleanValue.optional(),
+  reportsIdle: booleanValue.optional(),
+  freezesLoadAfterMs: nonNegativeNumber.optional(),
+  flapPeriodMs: nonNegativeNumber.optional(),
+  drainDelayMs: nonNegativeNumber.optional(),
+  ignoresDrain: booleanValue.optional(),
 });
 
-/** The names of all faults. */
+/** Names that `--fault` accepts. */
 export const faultNames = Object.keys(faultsSchema.shape);
 
 /**
- * @param texts each `name=value`
+ * @param flags each in the form `name=value`
  * @returns the faults, or `invalid-settings`
  */
-export function parseFaultFlags(texts: readonly string[]): Result<BackendFaults, AmberliftError> {
-  const entries = texts.map((text) => {
+export function parseFaultFlags(flags: readonly string[]): Result<BackendFaults, AmberliftError> {
+  const entries = flags.map((text) => {
     const [name = '', value = ''] = text.split('=', 2);
     return [name, value] as const;
   });
@@ -38,6 +38,6 @@
     return ok(parsed.data);
   }
   const allowed = faultNames.join(', ');
-  const message = `--fault ${texts.join(' ')}: allowed is name=value with one of ${allowed}.`;
+  const message = `--fault ${flags.join(' ')}: allowed is name=value with one of ${allowed}.`;
   return err(amberliftError('invalid-settings', message));
 }
--- a/src/proof/standins/backend-feed.ts
+++ b/src/proof/standins/backend-feed.ts
@@ -1,33 +1,32 @@
 /**
- * @file Feeds at a stand-in back end: each is a reader of the notice log with a window of notices
- * that wait for an acknowledgement. Notices are sent again with backoff until they are acknowledged;
- * a gap that the log no longer covers is reported to the caller, never skipped.
+ * @file Feeds of a stand-in back end. Each feed reads the notice log with a window of unacknowledged
+ * notices, retransmits them with backoff, and reports notices that the log no longer holds.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { Message, RequestMessage } from '../../managed/flow/messages.js';
 import { closeFlow } from './backend-flows.js';
 import {
   addRecord,
-  isForgotten,
+  isOutsideWindow,
   recordRequestId,
-  refuseForgotten,
+  outcomeUnknownRefusal,
   refuseRequest,
   repeatAnswer,
 } from './backend-requests.js';
 import { sendOnFlow, type BackendEffect } from './backend-send.js';
 import {
-  refusesWork,
+  refusesNewWork,
   type BackendFeed,
   type BackendFlow,
   type BackendState,
 } from './backend-state.js';
 import { RetransmitTimer } from './retransmit-timer.js';
 
-/** Copies of notices that are sent at one time. */
+/** Maximum number of notices that one retransmission sends. */
 const RETRANSMIT_BURST = 8;
 
 /**
- * Takes a request for a feed, or a copy of one, which asks whether the feed still stands.
+ * Handles a subscription, or a copy of one, which callers also send as a keep-alive.
  */
 export function handleSubscribe(
   state: BackendState,
@@ -36,31 +35,32 @@
   context: StepContext,
 ): BackendEffect[] {
   const { requestId } = request;
-  const standing = flow.feeds.get(requestId);
-  if (standing !== undefined) {
-    return [sendOnFlow(state, flow, subscribed(standing))];
+  const existing = flow.feeds.get(requestId);
+  if (existing !== undefined) {
+    return [sendOnFlow(state, flow, subscribedMessage(existing))];
   }
-  const ended = flow.requests.get(requestId);
-  if (ended !== undefined) {
-    return repeatAnswer(state, ended, context);
+  const endedRecord = flow.requests.get(requestId);
+  if (endedRecord !== undefined) {
+    return repeatAnswer(state, endedRecord, context);
   }
-  if (isForgotten(flow, requestId)) {
-    return [sendOnFlow(state, flow, refuseForgotten(requestId))];
+  if (isOutsideWindow(flow, requestId)) {
+    return [sendOnFlow(state, flow, outcomeUnknownRefusal(requestId))];
   }
-  if (refusesWork(state, context.nowMs)) {
+  if (refusesNewWork(state, context.nowMs)) {
     const record = addRecord(flow, requestId, undefined, 0);
     return refuseRequest(state, record, 'backend-draining', context);
   }
   recordRequestId(flow, requestId);
   const feed = createFeed(state, flow, request, context);
   flow.feeds.set(requestId, feed);
-  flow.hasRun = true;
+  flow.hasExecutedWork = true;
   state.feeds.add(feed);
-  return [sendOnFlow(state, flow, subscribed(feed)), ...sendNotices(state, feed, context)];
+  return [sendOnFlow(state, flow, subscribedMessage(feed)), ...sendNotices(state, feed, context)];
 }
 
 /**
- * Takes an acknowledgement: all notices up to this number have arrived.
+ * Handles a cumulative acknowledgement.
+ * @param number of the last notice that the caller received in order
  */
 export function handleAcknowledge(
   state: BackendState,
@@ -70,12 +70,12 @@
   context: StepContext,
 ): BackendEffect[] {
   const feed = flow.feeds.get(requestId);
-  if (feed === undefined || number <= feed.acknowledged || number > feed.sent) {
+  if (feed === undefined || number <= feed.lastAcknowledged || number > feed.lastSent) {
     return [];
   }
-  feed.acknowledged = number;
-  feed.progressAtMs = context.nowMs;
-  if (feed.sent > feed.acknowledged) {
+  feed.lastAcknowledged = number;
+  feed.lastProgressAtMs = context.nowMs;
+  if (feed.lastSent > feed.lastAcknowledged) {
     feed.timer.restart(context);
   } else {
     feed.timer.stop();
@@ -84,8 +84,8 @@
 }
 
 /**
- * Ends a feed that its caller no longer wants; a late copy of its request does not bring it back.
- * @returns true where there was such a feed
+ * Ends a feed. Its request stays recorded, so that a late copy does not start the feed again.
+ * @returns false if the flow has no feed with this request ID
  */
 export function cancelFeed(state: BackendState, flow: BackendFlow, requestId: number): boolean {
   const feed = flow.feeds.get(requestId);
@@ -98,8 +98,8 @@
 }
 
 /**
- * Takes a notice from the publisher and sends it to all feeds.
- * @param number from 1 on, the same at every back end of the service
+ * Appends a notice to the log and sends it to all feeds.
+ * @param number consecutive from 1, and the same at every back end of the service
  */
 export function publishNotice(
   state: BackendState,
@@ -112,7 +112,7 @@
 }
 
 /**
- * Time has passed: sends unacknowledged notices again, and closes feeds that acknowledge nothing.
+ * Retransmits unacknowledged notices, and closes the flows of feeds whose caller stopped acknowledging.
  */
 export function feedsTick(state: BackendState, context: StepContext): BackendEffect[] {
   const effects: BackendEffect[] = [];
@@ -120,7 +120,7 @@
     if (!feed.timer.isDue(context.nowMs)) {
       continue;
     }
-    if (context.nowMs - feed.progressAtMs > state.tuning.feedTimeoutMs) {
+    if (context.nowMs - feed.lastProgressAtMs > state.tuning.feedTimeoutMs) {
       closeFlow(state, feed.flow, context);
       effects.push(sendOnFlow(state, feed.flow, { type: 'close', kind: 'deadline-exceeded' }));
     } else {
@@ -141,10 +141,10 @@
   return {
     flow,
     requestId: request.requestId,
-    beginsAtOldest: position === 0,
-    acknowledged: position,
-    sent: position,
-    progressAtMs: context.nowMs,
+    startsAtOldest: position === 0,
+    lastAcknowledged: position,
+    lastSent: position,
+    lastProgressAtMs: context.nowMs,
     timer: new RetransmitTimer({
       initialDelayMs: tuning.noticeRetransmitMs,
       maxDelayMs: tuning.noticeRetransmitMaxMs,
@@ -152,9 +152,9 @@
   };
 }
 
-function subscribed(feed: BackendFeed): Message {
-  const { requestId, acknowledged } = feed;
-  return { type: 'subscribed', requestId, afterNotice: acknowledged };
+function subscribedMessage(feed: BackendFeed): Message {
+  const { requestId, lastAcknowledged } = feed;
+  return { type: 'subscribed', requestId, afterNotice: lastAcknowledged };
 }
 
 function sendNotices(
@@ -162,31 +162,31 @@
   feed: BackendFeed,
   context: StepContext,
 ): BackendEffect[] {
-  const effects = beginAtOldest(state, feed);
-  if (!state.notices.covers(feed.acknowledged)) {
+  const effects = startAtOldest(state, feed);
+  if (!state.notices.covers(feed.lastAcknowledged)) {
     return refuseGap(state, feed, context);
   }
-  const end = Math.min(state.notices.lastNumber, feed.acknowledged + state.tuning.noticeWindow);
-  if (feed.sent < end && !feed.timer.isRunning) {
-    feed.progressAtMs = context.nowMs;
+  const end = Math.min(state.notices.lastNumber, feed.lastAcknowledged + state.tuning.noticeWindow);
+  if (feed.lastSent < end && !feed.timer.isRunning) {
+    feed.lastProgressAtMs = context.nowMs;
     feed.timer.restart(context);
   }
-  for (; feed.sent < end; feed.sent += 1) {
-    effects.push(...sendNotice(state, feed, feed.sent + 1));
+  for (; feed.lastSent < end; feed.lastSent += 1) {
+    effects.push(...sendNotice(state, feed, feed.lastSent + 1));
   }
   return effects;
 }
 
-/** A caller without any notice begins at the oldest that the log holds; the answer has its number. */
-function beginAtOldest(state: BackendState, feed: BackendFeed): BackendEffect[] {
+/** Positions a new feed at the oldest notice in the log and sends the position to the caller. */
+function startAtOldest(state: BackendState, feed: BackendFeed): BackendEffect[] {
   const first = state.notices.firstNumber;
-  if (!feed.beginsAtOldest || first === undefined) {
+  if (!feed.startsAtOldest || first === undefined) {
     return [];
   }
-  feed.beginsAtOldest = false;
-  feed.acknowledged = first - 1;
-  feed.sent = first - 1;
-  return [sendOnFlow(state, feed.flow, subscribed(feed))];
+  feed.startsAtOldest = false;
+  feed.lastAcknowledged = first - 1;
+  feed.lastSent = first - 1;
+  return [sendOnFlow(state, feed.flow, subscribedMessage(feed))];
 }
 
 function retransmitNotices(
@@ -194,13 +194,13 @@
   feed: BackendFeed,
   context: StepContext,
 ): BackendEffect[] {
-  if (!state.notices.covers(feed.acknowledged)) {
+  if (!state.notices.covers(feed.lastAcknowledged)) {
     return refuseGap(state, feed, context);
   }
   feed.timer.backOff(context);
-  const effects = [sendOnFlow(state, feed.flow, subscribed(feed))];
-  const end = Math.min(feed.sent, feed.acknowledged + RETRANSMIT_BURST);
-  for (let number = feed.acknowledged + 1; number <= end; number += 1) {
+  const effects = [sendOnFlow(state, feed.flow, subscribedMessage(feed))];
+  const end = Math.min(feed.lastSent, feed.lastAcknowledged + RETRANSMIT_BURST);
+  for (let number = feed.lastAcknowledged + 1; number <= end; number += 1) {
     effects.push(...sendNotice(state, feed, number));
   }
   return effects;
--- a/src/proof/standins/backend-flows.ts
+++ b/src/proof/standins/backend-flows.ts
@@ -1,6 +1,6 @@
 /**
- * @file The flows of a stand-in back end: opens, ends, and the memory of ended flows. A token that
- * was used once is never taken again, so that late copies of an open and its requests run nothing.
+ * @file Flows of a stand-in back end. Tokens of closed flows are retained, so that late copies of an
+ * open or a request do not run again.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
@@ -15,8 +15,8 @@
 const NO_REQUEST_ID = -1;
 
 /**
- * Takes an open that a balancer placed here.
- * @param from the balancer, which gets the answer
+ * Accepts or refuses an open that a balancer forwarded.
+ * @param from the balancer, to which the reply is sent
  */
 export function handleOpen(
   state: BackendState,
@@ -34,9 +34,9 @@
   const token = Uint8Array.from(packet.value.destinationId);
   const fields = readToken(token);
   const tokenKey = tokenKeyOf(token);
-  const kind = openRefusal(state, fields, tokenKey, envelope.client, context);
+  const kind = openRefusalKind(state, fields, tokenKey, envelope.client, context);
   if (kind !== undefined) {
-    return [openReply(envelope, from, token, fields, refuseOpen(state, kind))];
+    return [openReply(envelope, from, token, fields, openRefusalMessage(state, kind))];
   }
   if (!state.flows.has(tokenKey)) {
     state.flows.set(tokenKey, createFlow(tokenKey, fields.flowId, envelope.client, context));
@@ -46,15 +46,14 @@
 }
 
 /**
- * @returns the key of a flow in the tables
+ * @returns the token in hex, the key of `flows` and `closedFlows`
  */
 export function tokenKeyOf(token: Uint8Array): string {
   return Buffer.from(token).toString('hex');
 }
 
 /**
- * Ends a flow: its waiting requests are dropped, since no one waits for them, and its token is
- * remembered.
+ * Closes a flow: drops its queued requests and feeds, and retains its token.
  */
 export function closeFlow(state: BackendState, flow: BackendFlow, context: StepContext): void {
   state.flows.delete(flow.tokenKey);
@@ -62,15 +61,17 @@
   const others = state.queue.filter((record) => record.flow !== flow);
   state.queue.splice(0, state.queue.length, ...others);
   state.closedFlows.set(flow.tokenKey, {
-    forgetAtMs: context.nowMs + state.tuning.closedFlowMemoryMs,
-    mayHaveRunUpTo: flow.hasRun ? (flow.highestRequestId ?? NO_REQUEST_ID) : NO_REQUEST_ID,
+    expiresAtMs: context.nowMs + state.tuning.closedFlowRetentionMs,
+    lastPossiblyRunRequestId: flow.hasExecutedWork
+      ? (flow.highestRequestId ?? NO_REQUEST_ID)
+      : NO_REQUEST_ID,
   });
 }
 
 /**
- * Answers a packet of a flow that does not stand here. Only where it is remembered that
- * the request can't have come before may "not run" be said.
- * @param requestId of the request that the packet carries, if it does
+ * Answers a packet of an unknown or closed flow. A request is reported as not run only if the record
+ * of the closed flow rules out that an earlier copy ran.
+ * @param requestId of the request in the packet; undefined for other messages
  */
 export function answerUnknownFlow(
   state: BackendState,
@@ -80,7 +81,11 @@
 ): BackendEffect[] {
   const fields = readToken(token);
   const closed = state.closedFlows.get(tokenKeyOf(token));
-  if (closed !== undefined && requestId !== undefined && requestId > closed.mayHaveRunUpTo) {
+  if (
+    closed !== undefined &&
+    requestId !== undefined &&
+    requestId > closed.lastPossiblyRunRequestId
+  ) {
     const refusal: Message = {
       type: 'refuse',
       requestId,
@@ -96,8 +101,8 @@
 }
 
 /**
- * Ends half-open flows and silent ones whose time is up, and forgets closed flows whose packets are
- * all gone.
+ * Closes half-open and idle flows that timed out, and deletes records of closed flows whose retention
+ * has ended.
  */
 export function expireFlows(state: BackendState, context: StepContext): BackendEffect[] {
   const { nowMs } = context;
@@ -107,13 +112,13 @@
       if (nowMs - flow.openedAtMs > state.options.halfOpenTimeoutMs) {
         closeFlow(state, flow, context);
       }
-    } else if (isIdle(flow) && nowMs - flow.heardAtMs > state.tuning.flowIdleTimeoutMs) {
+    } else if (isIdle(flow) && nowMs - flow.lastReceivedAtMs > state.tuning.flowIdleTimeoutMs) {
       closeFlow(state, flow, context);
       effects.push(sendToClient(state, flow.client, flow.flowId, { type: 'close' }));
     }
   }
   for (const [tokenKey, closed] of state.closedFlows) {
-    if (closed.forgetAtMs > nowMs) {
+    if (closed.expiresAtMs > nowMs) {
       break;
     }
     state.closedFlows.delete(tokenKey);
@@ -136,17 +141,17 @@
     flowId,
     client,
     openedAtMs: context.nowMs,
-    heardAtMs: context.nowMs,
+    lastReceivedAtMs: context.nowMs,
     requests: new Map(),
     feeds: new Map(),
     highestRequestId: undefined,
-    hasRun: false,
+    hasExecutedWork: false,
     makesRequests: false,
     goAway: undefined,
   };
 }
 
-function openRefusal(
+function openRefusalKind(
   state: BackendState,
   fields: TokenFields,
   tokenKey: string,
@@ -162,7 +167,7 @@
   }
   const existing = state.flows.get(tokenKey);
   if (existing !== undefined) {
-    // Two callers that chose the same flow ID never share a flow.
+    // Two callers with the same flow ID must not share a flow.
     const isSameCaller = formatAddress(existing.client) === formatAddress(client);
     return isSameCaller ? undefined : 'backend-refused';
   }
@@ -194,7 +199,7 @@
   );
 }
 
-function refuseOpen(state: BackendState, kind: ErrorKind): Message {
+function openRefusalMessage(state: BackendState, kind: ErrorKind): Message {
   const { incarnation } = state;
   return { type: 'refuse', kind, surelyNotRun: true, incarnation, retryAfterMs: RETRY_AFTER_MS };
 }
--- a/src/proof/standins/backend-options.ts
+++ b/src/proof/standins/backend-options.ts
@@ -1,69 +1,69 @@
 /**
- * @file Options of a stand-in back end: its size, its times, and the ways in which it may misbehave.
+ * @file Options of a stand-in back end: capacity, timing and injected faults.
  */
 import type { Address } from '../../shared/common/address.js';
 
 /** Options of a stand-in back end; times in milliseconds. */
 export interface BackendOptions {
-  /** Name of its service; work for another one counts as misrouted. */
+  /** Requests for another service count as misrouted. */
   readonly serviceName: string;
-  /** The service address that callers use; packets for another one are not served. */
+  /** Address that callers use; packets for another address count as misrouted. */
   readonly serviceAddress: Address;
-  /** Where answers go: the fabric. */
+  /** Fabric address to which answers are sent. */
   readonly fabricAddress: Address;
-  /** Requests that run at the same time. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** Open flows that it holds. */
+  /** Maximum number of open flows. */
   readonly connectionLimit: number;
-  /** Requests that wait for a slot; more are refused. */
+  /** Maximum number of queued requests; further ones are refused. */
   readonly queueLimit: number;
-  /** Mean time that a request runs; the times are exponential. */
+  /** Mean of the exponentially distributed service time. */
   readonly meanServiceTimeMs: number;
-  /** Time after the start in which it reports `starting`. */
+  /** Time after the start during which the back end reports `starting`. */
   readonly warmUpMs: number;
-  /** Half-open flows without a request end after this time. */
+  /** Flows that have received no request are closed after this time. */
   readonly halfOpenTimeoutMs: number;
-  /** Times and bounds that differ from the defaults. */
+  /** Overrides of the defaults. */
   readonly tuning?: Partial<BackendTuning> | undefined;
-  /** How it misbehaves; absent for a good back end. */
+  /** Faults to inject; absent for a back end that works correctly. */
   readonly faults?: BackendFaults | undefined;
 }
 
-/** Times and bounds; in milliseconds where not said otherwise. */
+/** Timing and limits of a stand-in back end. */
 export interface BackendTuning {
-  /** A drain sends go-away to flows that make requests within this time. */
+  /** Time over which a drain sends go-away to the flows that make requests. */
   readonly goAwaySpreadMs: number;
-  /** A drain sends go-away to at most this many flows a second that only hold a feed. */
+  /** Rate at which a drain sends go-away to the flows that only hold a feed. */
   readonly feedMovesPerSecond: number;
-  /** From this time after the start of a drain, new requests are refused as "not run". */
-  readonly drainAcceptWorkMs: number;
-  /** Flows that have not left this long after the start of a drain are closed. */
+  /** New requests are still accepted for this time after the start of a drain. */
+  readonly drainAcceptRequestsMs: number;
+  /** Time from the start of a drain until remaining flows are closed. */
   readonly drainGraceMs: number;
-  /** First and longest time until go-away is sent again. */
+  /** Initial and maximum retransmission delay of a go-away. */
   readonly goAwayRetransmitMs: number;
   readonly goAwayRetransmitMaxMs: number;
-  /** First and longest time until unacknowledged notices are sent again. */
+  /** Initial and maximum retransmission delay of unacknowledged notices. */
   readonly noticeRetransmitMs: number;
   readonly noticeRetransmitMaxMs: number;
-  /** Notices of one feed that may be unacknowledged at a time. */
+  /** Maximum number of unacknowledged notices of a feed. */
   readonly noticeWindow: number;
-  /** Notices that the log holds. */
+  /** Maximum number of notices in the log. */
   readonly noticeLogCapacity: number;
-  /** A feed that acknowledges nothing for this time is closed. */
+  /** A feed without an acknowledgement for this time is closed. */
   readonly feedTimeoutMs: number;
-  /** A flow without feed and unfinished request that is silent for this time is ended. */
+  /** An idle flow, without feeds and unfinished requests, is closed after this time. */
   readonly flowIdleTimeoutMs: number;
-  /** How long the token of a closed flow is remembered: no packet may be older than this. */
-  readonly closedFlowMemoryMs: number;
-  /** Closed flows that are remembered at a time; opens beyond it are refused. */
+  /** Retention of the token of a closed flow; longer than the maximum lifetime of a packet. */
+  readonly closedFlowRetentionMs: number;
+  /** Maximum number of retained closed flows; at the limit, opens are refused. */
   readonly closedFlowLimit: number;
 }
 
-/** Times and bounds that apply where the options give none. */
+/** Defaults, which `BackendOptions.tuning` overrides. */
 export const defaultBackendTuning: BackendTuning = {
   goAwaySpreadMs: 2_000,
   feedMovesPerSecond: 100,
-  drainAcceptWorkMs: 3_000,
+  drainAcceptRequestsMs: 3_000,
   drainGraceMs: 60_000,
   goAwayRetransmitMs: 500,
   goAwayRetransmitMaxMs: 4_000,
@@ -73,27 +73,27 @@
   noticeLogCapacity: 4_096,
   feedTimeoutMs: 60_000,
   flowIdleTimeoutMs: 3_600_000,
-  closedFlowMemoryMs: 60_000,
+  closedFlowRetentionMs: 60_000,
   closedFlowLimit: 100_000,
 };
 
-/** Ways to misbehave; each may be combined with the others. */
+/** Faults to inject, in any combination; times in milliseconds. */
 export interface BackendFaults {
-  /** Service times are longer by `coldStartFactor` for this time after the start. */
+  /** Service times are multiplied by `coldStartFactor` for this time after the start. */
   readonly coldStartMs?: number | undefined;
   readonly coldStartFactor?: number | undefined;
   /** Refuses every open and request as overloaded. */
   readonly refusesAll?: boolean | undefined;
-  /** Answers no open, though its health says `ready`. */
+  /** Ignores opens while reporting `ready`. */
   readonly ignoresOpens?: boolean | undefined;
-  /** Its load report says that it is idle. */
+  /** Reports zero load. */
   readonly reportsIdle?: boolean | undefined;
-  /** Its load report no longer changes from this time after the start. */
+  /** The load report stops changing this long after the start. */
   readonly freezesLoadAfterMs?: number | undefined;
-  /** Its health turns between `ready` and `starting` each time this period has passed. */
+  /** The health state changes between `ready` and `starting` after each such period. */
   readonly flapPeriodMs?: number | undefined;
-  /** Starts its drain only this long after it was asked to. */
+  /** Delay between a drain request and the start of the drain. */
   readonly drainDelayMs?: number | undefined;
-  /** Goes on as if it had not been asked to drain. */
+  /** Ignores drain requests. */
   readonly ignoresDrain?: boolean | undefined;
 }
--- a/src/proof/standins/backend-process.ts
+++ b/src/proof/standins/backend-process.ts
@@ -1,8 +1,7 @@
 /**
- * @file The stand-in back end as a process: a UDP socket for packets, and HTTP endpoints for health
- * (`GET /health`, whose query may carry `serviceId` and `backendId`), load (`GET /load`), drain
- * (`POST /drain`), notices (`POST /publish`), a crash (`POST /crash`) and the oracle (`GET /runs`, and
- * `GET /observe` for what it really holds, whatever its load report says).
+ * @file Runs a stand-in back end with a UDP socket for packets and HTTP endpoints: `GET /health` (query
+ * `serviceId` and `backendId`), `GET /load`, `POST /drain`, `POST /publish`, `POST /crash`, and for
+ * test oracles `GET /runs` and `GET /observe`, which returns the true load even if `/load` is faulty.
  */
 import { randomInt } from 'node:crypto';
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
@@ -19,7 +18,7 @@
   healthReport,
   isDown,
   loadReport,
-  recordBusySlots,
+  updateBusySlotMs,
   type BackendState,
 } from './backend-state.js';
 import { backendStep, type BackendEvent } from './backend-step.js';
@@ -38,14 +37,14 @@
 export interface BackendProcess {
   readonly address: Address;
   readonly healthAddress: Address;
-  /** The state; to be read only. */
+  /** For observation only; callers must not modify it. */
   readonly state: BackendState;
   stop(): Promise<void>;
 }
 
 /**
  * Starts a back end.
- * @param host IP number to bind; the ports are chosen by the system
+ * @param host IP address to bind; the system chooses the ports
  */
 export async function startBackend(options: BackendOptions, host: string): Promise<BackendProcess> {
   const contexts = systemContextSource();
@@ -105,11 +104,11 @@
         });
         break;
       case '/observe':
-        recordBusySlots(state, performance.now());
+        updateBusySlotMs(state, performance.now());
         respondJson(response, 200, { connections: state.flows.size, busySlotMs: state.busySlotMs });
         break;
       case '/runs':
-        respondJson(response, 200, { runs: state.runs, misrouted: state.misrouted });
+        respondJson(response, 200, { runs: state.executedRequests, misrouted: state.misrouted });
         break;
       default:
         respondJson(response, 404, {});
--- a/src/proof/standins/backend-requests.ts
+++ b/src/proof/standins/backend-requests.ts
@@ -1,7 +1,6 @@
 /**
- * @file Requests at a stand-in back end: each (flow, request ID) runs at most once, in a bounded
- * number of slots, behind a bounded queue. "Not run" is said only of a request that has not started,
- * and is kept, so that no later copy runs.
+ * @file Request execution of a stand-in back end: a bounded number of slots and a bounded queue. Each
+ * (flow, request ID) runs at most once; a refusal is recorded, so that no later copy runs.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { ErrorKind } from '../../shared/common/error-kinds.js';
@@ -12,19 +11,19 @@
 } from '../../managed/flow/messages.js';
 import { RETRY_AFTER_MS, sendOnFlow, type BackendEffect } from './backend-send.js';
 import {
-  recordBusySlots,
-  refusesWork,
+  updateBusySlotMs,
+  refusesNewWork,
   type BackendFlow,
   type BackendState,
   type RequestRecord,
 } from './backend-state.js';
 import { answerParts, decodeWork, type Work } from './workload.js';
 
-/** Copies of a request that come closer together than this get the whole answer only once. */
+/** Minimum time between two transmissions of the same answer. */
 const MIN_ANSWER_INTERVAL_MS = 50;
 
 /**
- * Takes a request, or a copy of one.
+ * Queues a new request; answers a copy of an earlier one from its record.
  */
 export function handleRequest(
   state: BackendState,
@@ -33,14 +32,14 @@
   context: StepContext,
 ): BackendEffect[] {
   flow.makesRequests = true;
-  const earlier = flow.requests.get(request.requestId);
-  if (earlier !== undefined) {
+  const existing = flow.requests.get(request.requestId);
+  if (existing !== undefined) {
     const deadlineAtMs = context.nowMs + request.deadlineMs;
-    earlier.deadlineAtMs = Math.min(earlier.deadlineAtMs, deadlineAtMs);
-    return repeatAnswer(state, earlier, context);
+    existing.deadlineAtMs = Math.min(existing.deadlineAtMs, deadlineAtMs);
+    return repeatAnswer(state, existing, context);
   }
-  if (isForgotten(flow, request.requestId)) {
-    return [sendOnFlow(state, flow, refuseForgotten(request.requestId))];
+  if (isOutsideWindow(flow, request.requestId)) {
+    return [sendOnFlow(state, flow, outcomeUnknownRefusal(request.requestId))];
   }
   const work = decodeWork(request.payload);
   if (work === undefined) {
@@ -51,7 +50,7 @@
     return [];
   }
   const record = addRecord(flow, request.requestId, work, context.nowMs + request.deadlineMs);
-  const refusal = requestRefusal(state, request, context);
+  const refusal = requestRefusalKind(state, request, context);
   if (refusal !== undefined) {
     return refuseRequest(state, record, refusal, context);
   }
@@ -60,8 +59,8 @@
 }
 
 /**
- * Takes a cancel. A request that waits, or that comes only later, never runs; one that runs goes on
- * to its end and is answered.
+ * Cancels a request that is queued or has not arrived yet. A running request finishes and is
+ * answered.
  */
 export function cancelRequest(
   state: BackendState,
@@ -71,8 +70,8 @@
 ): BackendEffect[] {
   const record = flow.requests.get(requestId);
   if (record === undefined) {
-    return isForgotten(flow, requestId)
-      ? [sendOnFlow(state, flow, refuseForgotten(requestId))]
+    return isOutsideWindow(flow, requestId)
+      ? [sendOnFlow(state, flow, outcomeUnknownRefusal(requestId))]
       : refuseRequest(state, addRecord(flow, requestId, undefined, 0), 'cancelled', context);
   }
   if (record.phase === 'queued') {
@@ -83,7 +82,7 @@
 }
 
 /**
- * Time has passed: ends what is finished, refuses what waited past its deadline, starts the next.
+ * Finishes completed requests, refuses queued ones past their deadline, and starts the next ones.
  */
 export function requestsTick(state: BackendState, context: StepContext): BackendEffect[] {
   const effects: BackendEffect[] = [];
@@ -102,33 +101,33 @@
 }
 
 /**
- * @returns true where the ID is too old for the back end to know what became of it
+ * @returns true if the ID is too old for a record of its outcome to be kept
  */
-export function isForgotten(flow: BackendFlow, requestId: number): boolean {
+export function isOutsideWindow(flow: BackendFlow, requestId: number): boolean {
   return requestId <= (flow.highestRequestId ?? 0) - REQUEST_ID_WINDOW;
 }
 
 /**
- * @returns the answer about a request that was forgotten: it may have run
+ * @returns the refusal of a request without a record, which may have run
  */
-export function refuseForgotten(requestId: number): Message {
+export function outcomeUnknownRefusal(requestId: number): Message {
   return { type: 'refuse', requestId, kind: 'outcome-unknown', surelyNotRun: false };
 }
 
 /**
- * Notes that an ID was used, and forgets the records that no copy may ask for any more.
+ * Advances the window of request IDs and deletes the records outside it.
  */
 export function recordRequestId(flow: BackendFlow, requestId: number): void {
   flow.highestRequestId = Math.max(flow.highestRequestId ?? 0, requestId);
   for (const id of flow.requests.keys()) {
-    if (isForgotten(flow, id)) {
+    if (isOutsideWindow(flow, id)) {
       flow.requests.delete(id);
     }
   }
 }
 
 /**
- * Records that a request never runs, and answers its caller.
+ * Marks a request as refused, so that it never runs, and sends the refusal.
  */
 export function refuseRequest(
   state: BackendState,
@@ -144,7 +143,8 @@
 }
 
 /**
- * Adds the record of a request that came for the first time.
+ * Adds a record in phase `queued`.
+ * @param work undefined for a feed, and for a request that is cancelled before it arrives
  */
 export function addRecord(
   flow: BackendFlow,
@@ -168,7 +168,7 @@
 }
 
 /**
- * Answers a copy with what was answered before; nothing while the request waits or runs.
+ * Resends the recorded answer, if any, at a limited rate.
  */
 export function repeatAnswer(
   state: BackendState,
@@ -179,7 +179,7 @@
   return isTooSoon ? [] : sendAnswer(state, record, context);
 }
 
-function requestRefusal(
+function requestRefusalKind(
   state: BackendState,
   request: RequestMessage,
   context: StepContext,
@@ -187,7 +187,7 @@
   if (request.deadlineMs <= 0) {
     return 'deadline-exceeded';
   }
-  if (refusesWork(state, context.nowMs)) {
+  if (refusesNewWork(state, context.nowMs)) {
     return 'backend-draining';
   }
   const isFull = state.queue.length >= state.options.queueLimit;
@@ -216,10 +216,10 @@
   }
   const uniform = 1 - context.random.nextFloat();
   record.phase = 'running';
-  record.flow.hasRun = true;
-  recordBusySlots(state, context.nowMs);
+  record.flow.hasExecutedWork = true;
+  updateBusySlotMs(state, context.nowMs);
   record.finishAtMs = context.nowMs - Math.log(uniform) * meanServiceTimeMs(state, context);
-  state.runs.push(record.work.requestNumber);
+  state.executedRequests.push(record.work.requestNumber);
   state.running.add(record);
 }
 
@@ -234,7 +234,7 @@
   record: RequestRecord,
   context: StepContext,
 ): BackendEffect[] {
-  recordBusySlots(state, context.nowMs);
+  updateBusySlotMs(state, context.nowMs);
   state.running.delete(record);
   record.phase = 'done';
   const parts = record.work === undefined ? [] : answerParts(record.work);
--- a/src/proof/standins/backend-send.ts
+++ b/src/proof/standins/backend-send.ts
@@ -1,5 +1,5 @@
 /**
- * @file How a stand-in back end sends: directly to the fabric, or to the balancer that placed an open.
+ * @file Sends the messages of a stand-in back end to callers through the fabric.
  */
 import type { Address } from '../../shared/common/address.js';
 import { encodeEnvelope } from '../../managed/flow/envelope.js';
@@ -7,10 +7,10 @@
 import { encodeMessage, type Message } from '../../managed/flow/messages.js';
 import type { BackendFlow, BackendState } from './backend-state.js';
 
-/** Time after which a refused caller may come back (`retryAfterMs`), in milliseconds. */
+/** Value of `retryAfterMs` in refusals. */
 export const RETRY_AFTER_MS = 200;
 
-/** Sends a datagram. */
+/** A datagram to send. */
 export interface BackendEffect {
   readonly type: 'send';
   readonly to: Address;
@@ -29,7 +29,7 @@
 }
 
 /**
- * @returns the effect that sends a message to a caller by its flow ID
+ * @returns the effect that sends a message to a caller, also without an open flow
  */
 export function sendToClient(
   state: BackendState,
--- a/src/proof/standins/backend-state.ts
+++ b/src/proof/standins/backend-state.ts
@@ -1,6 +1,6 @@
 /**
- * @file The state of a stand-in back end: slots, connections, feeds, and a record of each request,
- * by which it runs every request at most once.
+ * @file State of a stand-in back end: flows, feeds, request slots, and the request records that ensure
+ * at-most-once execution.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { Message } from '../../managed/flow/messages.js';
@@ -16,77 +16,77 @@
 
 export type { BackendOptions } from './backend-options.js';
 
-/** How far a request has come. */
+/** Phase of a request. */
 export type RequestPhase = 'queued' | 'running' | 'done' | 'refused';
 
-/** A request that came under a flow. */
+/** Record of a request on a flow. */
 export interface RequestRecord {
   readonly flow: BackendFlow;
   readonly requestId: number;
-  /** Absent where the request was cancelled before it came. */
+  /** Undefined for a feed, and for a request that was cancelled before it arrived. */
   readonly work: Work | undefined;
   deadlineAtMs: number;
   phase: RequestPhase;
   finishAtMs: number;
-  /** What was answered; sent again when the request comes again. */
+  /** Messages to resend when a copy of the request arrives. */
   answer: Message[];
   answerSentAtMs: number;
 }
 
-/** A feed that a flow has subscribed to. */
+/** Subscription of a flow to the notice log. */
 export interface BackendFeed {
   readonly flow: BackendFlow;
   readonly requestId: number;
-  /** True until the number of its first notice is known. */
-  beginsAtOldest: boolean;
-  /** The caller has all notices up to this number. */
-  acknowledged: number;
-  /** Notices up to this number have been sent at least once. */
-  sent: number;
-  /** When the caller last acknowledged something, or had nothing to acknowledge. */
-  progressAtMs: number;
+  /** True until the feed is positioned at the oldest notice of the log. */
+  startsAtOldest: boolean;
+  /** Number of the last notice acknowledged by the caller. */
+  lastAcknowledged: number;
+  /** Number of the last notice sent at least once. */
+  lastSent: number;
+  /** When the caller last acknowledged a notice, or had none to acknowledge. */
+  lastProgressAtMs: number;
   readonly timer: RetransmitTimer;
 }
 
-/** A flow. */
+/** An open flow. */
 export interface BackendFlow {
   /** The routing token in hex. */
   readonly tokenKey: string;
   readonly flowId: Uint8Array;
   client: Address;
   readonly openedAtMs: number;
-  heardAtMs: number;
+  lastReceivedAtMs: number;
   readonly requests: Map<number, RequestRecord>;
   readonly feeds: Map<number, BackendFeed>;
-  /** Highest request ID that came; IDs lower by the window are forgotten and never run. */
+  /** Upper end of the window of request IDs; IDs below the window never run. */
   highestRequestId: number | undefined;
-  /** True once any request under it has started to run, or a feed has stood. */
-  hasRun: boolean;
-  /** True once it asked for more than a feed. */
+  /** True once a request has started to run or a feed has been created. */
+  hasExecutedWork: boolean;
+  /** True once the flow has sent a request other than a subscription. */
   makesRequests: boolean;
-  /** Sends go-away again; present once go-away was sent to the flow. */
+  /** Retransmission timer; undefined until go-away has been sent. */
   goAway: RetransmitTimer | undefined;
 }
 
-/** What is remembered of a closed flow, so that late copies of its packets bring nothing back. */
+/** Record of a closed flow, which detects late copies of its packets. */
 export interface ClosedFlow {
-  readonly forgetAtMs: number;
-  /** A request with a higher ID did not run, and since the flow is closed it never will. */
-  readonly mayHaveRunUpTo: number;
+  readonly expiresAtMs: number;
+  /** Requests with higher IDs did not run and never will. */
+  readonly lastPossiblyRunRequestId: number;
 }
 
-/** The drain that is under way. */
+/** A drain in progress. */
 export interface BackendDrain {
   readonly startedAtMs: number;
-  /** Flows without a go-away yet, in the order in which they get it. */
-  readonly requestFlows: BackendFlow[];
-  readonly feedFlows: BackendFlow[];
-  /** How many had to get it at the start. */
+  /** Flows to which go-away has not been sent yet, in sending order. */
+  readonly pendingRequestFlows: BackendFlow[];
+  readonly pendingFeedFlows: BackendFlow[];
+  /** Number of flows of each kind at the start of the drain. */
   readonly requestFlowCount: number;
   readonly feedFlowCount: number;
 }
 
-/** Which back end this process is, as the control machines know it. */
+/** IDs that the control plane assigned to the back end. */
 export interface BackendAssignment {
   readonly serviceId: number;
   readonly backendId: number;
@@ -98,35 +98,35 @@
   readonly tuning: BackendTuning;
   incarnation: number;
   startedAtMs: number;
-  /** After a crash: the process is down until then. */
+  /** End of the downtime after a simulated crash. */
   downUntilMs: number;
   assignment: BackendAssignment | undefined;
   draining: boolean;
   drain: BackendDrain | undefined;
-  /** When a drain that was asked for starts. */
+  /** Start time of a requested drain; undefined without a request. */
   drainDueAtMs: number | undefined;
   readonly flows: Map<string, BackendFlow>;
-  /** By token in hex; the oldest first. */
+  /** By token in hex, in order of closing. */
   readonly closedFlows: Map<string, ClosedFlow>;
   readonly feeds: Set<BackendFeed>;
   notices: NoticeLog;
   readonly queue: RequestRecord[];
   readonly running: Set<RequestRecord>;
-  /** The load report that is given from now on. */
+  /** Load report returned from now on, for the fault `freezesLoadAfterMs`. */
   frozenLoad: LoadReport | undefined;
-  /** Request numbers in the order in which they ran; for the oracle. */
-  readonly runs: number[];
-  /** Packets or work that were meant for another service. */
+  /** Request numbers in order of execution, for test oracles. */
+  readonly executedRequests: number[];
+  /** Number of packets and requests received that belong to another service. */
   misrouted: number;
-  /** Time that requests have spent in slots up to `busyNotedAtMs`, added up, in milliseconds. */
+  /** Total time that slots were busy up to `busyUpdatedAtMs`. */
   busySlotMs: number;
-  busyNotedAtMs: number;
-  /** When every flow and feed is looked at next. */
-  sweepAtMs: number;
+  busyUpdatedAtMs: number;
+  /** Time of the next check of all flows and feeds for timeouts. */
+  nextSweepAtMs: number;
 }
 
 /**
- * @param incarnation 32 bits; differs from that of every earlier start
+ * @param incarnation 32 bits; unique among the starts of a back end
  * @returns the state of a back end that starts now
  */
 export function createBackendState(
@@ -152,18 +152,17 @@
     queue: [],
     running: new Set(),
     frozenLoad: undefined,
-    runs: [],
+    executedRequests: [],
     misrouted: 0,
     busySlotMs: 0,
-    busyNotedAtMs: nowMs,
-    sweepAtMs: nowMs,
+    busyUpdatedAtMs: nowMs,
+    nextSweepAtMs: nowMs,
   };
 }
 
 /**
- * The process dies with all that it holds in memory, and starts again at the same address. What the
- * oracle keeps stays.
- * @param incarnation of the next start
+ * Simulates a crash and a restart at the same address. Data for test oracles is kept.
+ * @param incarnation of the restarted process
  */
 export function crashBackend(
   state: BackendState,
@@ -171,7 +170,7 @@
   downMs: number,
   nowMs: number,
 ): void {
-  recordBusySlots(state, nowMs);
+  updateBusySlotMs(state, nowMs);
   state.incarnation = incarnation;
   state.downUntilMs = nowMs + downMs;
   state.startedAtMs = state.downUntilMs;
@@ -182,27 +181,29 @@
   state.frozenLoad = undefined;
   state.notices = new NoticeLog(state.tuning.noticeLogCapacity);
   state.queue.length = 0;
-  [state.flows, state.closedFlows, state.feeds, state.running].forEach((held) => held.clear());
+  [state.flows, state.closedFlows, state.feeds, state.running].forEach((collection) =>
+    collection.clear(),
+  );
 }
 
 /**
- * Adds up the time in slots; called before the number of running requests changes, and before the sum
- * is read.
+ * Adds the time since the last update to `busySlotMs`. Must be called before `running` changes and
+ * before `busySlotMs` is read.
  */
-export function recordBusySlots(state: BackendState, nowMs: number): void {
-  state.busySlotMs += state.running.size * (nowMs - state.busyNotedAtMs);
-  state.busyNotedAtMs = nowMs;
+export function updateBusySlotMs(state: BackendState, nowMs: number): void {
+  state.busySlotMs += state.running.size * (nowMs - state.busyUpdatedAtMs);
+  state.busyUpdatedAtMs = nowMs;
 }
 
 /**
- * @returns true while the process is down after a crash: it takes nothing and answers nothing
+ * @returns true during the downtime after a crash, when all input is ignored
  */
 export function isDown(state: BackendState, nowMs: number): boolean {
   return nowMs < state.downUntilMs;
 }
 
 /**
- * @returns true where a request of the flow waits or runs
+ * @returns true if a request of the flow is queued or running
  */
 export function hasUnfinishedRequest(flow: BackendFlow): boolean {
   for (const record of flow.requests.values()) {
@@ -214,16 +215,15 @@
 }
 
 /**
- * @returns true where new requests of established flows are refused, since the drain has gone on for
- *   longer than callers need to leave
+ * @returns true if a drain has lasted so long that new requests on established flows are refused
  */
-export function refusesWork(state: BackendState, nowMs: number): boolean {
+export function refusesNewWork(state: BackendState, nowMs: number): boolean {
   const { drain, tuning } = state;
-  return drain !== undefined && nowMs >= drain.startedAtMs + tuning.drainAcceptWorkMs;
+  return drain !== undefined && nowMs >= drain.startedAtMs + tuning.drainAcceptRequestsMs;
 }
 
 /**
- * @returns the answer of `GET /health`
+ * @returns the response body of `GET /health`
  */
 export function healthReport(state: BackendState, nowMs: number): HealthReport {
   const { incarnation, assignment } = state;
@@ -233,13 +233,13 @@
   }
   const ageMs = nowMs - state.startedAtMs;
   const period = state.options.faults?.flapPeriodMs ?? Infinity;
-  const flapped = Math.floor(ageMs / period) % 2 === 1;
-  const ready = ageMs >= state.options.warmUpMs && !flapped;
+  const isFlappedDown = Math.floor(ageMs / period) % 2 === 1;
+  const ready = ageMs >= state.options.warmUpMs && !isFlappedDown;
   return { ...identity, state: ready ? 'ready' : 'starting' };
 }
 
 /**
- * @returns the answer of `GET /load`
+ * @returns the response body of `GET /load`
  */
 export function loadReport(state: BackendState): LoadReport {
   if (state.frozenLoad !== undefined) {
--- a/src/proof/standins/backend-step.ts
+++ b/src/proof/standins/backend-step.ts
@@ -1,6 +1,5 @@
 /**
- * @file The decision step of a stand-in back end: accepts flows, runs each request at most once,
- * keeps feeds, drains, and answers directly to the fabric.
+ * @file Event handler of a stand-in back end, without I/O, so that it runs in processes and simulators.
  */
 import { match, P } from 'ts-pattern';
 import { formatAddress, type Address } from '../../shared/common/address.js';
@@ -37,24 +36,24 @@
 
 export type { BackendEffect } from './backend-send.js';
 
-/** Time between two looks at every flow and feed, in milliseconds. */
+/** Time between two checks of all flows and feeds for timeouts. */
 const SWEEP_INTERVAL_MS = 50;
 
-/** What can happen to a back end. */
+/** Input of a back end. */
 export type BackendEvent =
   | { readonly type: 'datagram'; readonly datagram: Uint8Array; readonly from: Address }
   | { readonly type: 'tick' }
-  /** The platform or a balancer asks it to drain. */
+  /** Drain request from the platform, an operator or a balancer. */
   | { readonly type: 'drain' }
-  /** The publisher hands over a notice; numbers run from 1 on, the same at every back end. */
+  /** A notice from the publisher; numbers are consecutive from 1 and the same at every back end. */
   | { readonly type: 'publish'; readonly number: number; readonly payload: Uint8Array }
-  /** A probe carries the ID of this back end; of two IDs, the one that was added later holds. */
+  /** IDs from a health probe; a higher back-end ID replaces a lower one. */
   | { readonly type: 'assign'; readonly assignment: BackendAssignment }
-  /** The process dies and starts again at the same address, with nothing that it held. */
+  /** Simulated crash and restart at the same address, without the state in memory. */
   | { readonly type: 'crash'; readonly incarnation: number; readonly downMs: number };
 
 /**
- * Takes one event.
+ * Handles one event.
  * @returns the effects, in order
  */
 export function backendStep(
@@ -123,7 +122,7 @@
   const flow = state.flows.get(tokenKeyOf(token));
   if (flow !== undefined) {
     flow.client = envelope.client;
-    flow.heardAtMs = context.nowMs;
+    flow.lastReceivedAtMs = context.nowMs;
     return handleFlowMessage(state, flow, message.value, context);
   }
   return match(message.value)
@@ -166,9 +165,9 @@
     state.frozenLoad ??= loadReport(state);
   }
   const effects = [...requestsTick(state, context), ...drainTick(state, context)];
-  if (context.nowMs < state.sweepAtMs) {
+  if (context.nowMs < state.nextSweepAtMs) {
     return effects;
   }
-  state.sweepAtMs = context.nowMs + SWEEP_INTERVAL_MS;
+  state.nextSweepAtMs = context.nowMs + SWEEP_INTERVAL_MS;
   return [...effects, ...feedsTick(state, context), ...expireFlows(state, context)];
 }
--- a/src/proof/standins/caller-feed.ts
+++ b/src/proof/standins/caller-feed.ts
@@ -1,7 +1,6 @@
 /**
- * @file The feed of a stand-in caller. Notices are delivered in order and once, by their number,
- * whichever flow they come on. A move subscribes on the new flow first, after the last notice that
- * the caller has; only once that is confirmed does the old subscription end.
+ * @file The feed of a stand-in caller: ordered, exactly-once delivery of notices. The feed moves to
+ * another flow make-before-break: the old subscription ends once the new one is confirmed.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type {
@@ -11,7 +10,7 @@
 } from '../../managed/flow/messages.js';
 import {
   closeFlow,
-  leaveFlow,
+  retireFlow,
   sendOnFlow,
   startRetransmitTimer,
   type CallerEffect,
@@ -21,28 +20,28 @@
   type OpenFlow,
 } from './caller-state.js';
 
-/** Notices that are kept while one that precedes them is missing. */
-const MAX_EARLY_NOTICES = 64;
-/** A feed on which nothing came for this time is asked whether it still stands. */
-const KEEP_ALIVE_MS = 5_000;
-/** A subscription that stays unanswered for this time is lost. */
-const SILENCE_LIMIT_MS = 5_000;
-/** Back ends that are asked for a notice before it counts as missed. */
+/** Maximum number of buffered notices while an earlier one is missing. */
+const MAX_OUT_OF_ORDER_NOTICES = 64;
+/** Idle time after which the caller repeats its subscription to check it. */
+const KEEP_ALIVE_INTERVAL_MS = 5_000;
+/** Time without a reply after which a subscription counts as lost. */
+const SUBSCRIBE_TIMEOUT_MS = 5_000;
+/** Refusals for a gap after which the missing notices count as missed. */
 const MAX_GAP_REFUSALS = 3;
-/** Time until another back end is asked for a notice that one no longer holds. */
+/** Delay before trying another back end after a gap. */
 const GAP_RETRY_MS = 200;
 const EMPTY_PAYLOAD = new Uint8Array(0);
 
 /**
- * Time has passed: subscribes where the feed has no flow or should move, asks again, and gives up
- * subscriptions that stay silent.
+ * Ends a completed feed; otherwise subscribes on the current flow, retransmits subscriptions, and
+ * closes the flows of those that timed out.
  */
 export function feedTick(state: CallerState, context: StepContext): CallerEffect[] {
   const { feed } = state;
   if (feed === undefined) {
     return [];
   }
-  if (feed.delivered >= feed.lastNotice || context.nowMs >= feed.deadlineAtMs) {
+  if (feed.lastDelivered >= feed.lastNotice || context.nowMs >= feed.deadlineAtMs) {
     return endFeed(state, feed);
   }
   const effects: CallerEffect[] = [];
@@ -55,7 +54,7 @@
 }
 
 /**
- * Takes the confirmation of a subscription.
+ * Handles the confirmation of a subscription, and completes a move to a new flow.
  */
 export function handleSubscribed(
   state: CallerState,
@@ -64,29 +63,30 @@
   context: StepContext,
 ): CallerEffect[] {
   const { feed } = state;
-  const subscription = subscriptionOn(feed, flow, message.requestId);
+  const subscription = findSubscription(feed, flow, message.requestId);
   if (feed === undefined || subscription === undefined) {
     return [];
   }
-  if (skipsNoticesOfCurrent(feed, subscription, message.afterNotice)) {
+  if (wouldSkipNotices(feed, subscription, message.afterNotice)) {
     feed.next = undefined;
-    leaveFlow(state, flow, context.nowMs + GAP_RETRY_MS);
+    retireFlow(state, flow, context.nowMs + GAP_RETRY_MS);
     return [];
   }
-  recordMessage(subscription, context);
+  recordConfirmation(subscription, context);
   feed.gapRefusals = 0;
   const effects = applyPosition(feed, message.afterNotice);
   if (feed.next === subscription) {
-    effects.push(...endSubscription(feed.current));
+    effects.push(...cancelSubscription(feed.current));
     feed.current = subscription;
     feed.next = undefined;
   }
-  effects.push(...deliverEarly(feed));
+  effects.push(...deliverInOrder(feed));
   return effects;
 }
 
 /**
- * Takes a notice, from whichever subscription it comes.
+ * Buffers a notice from the current or the next subscription, delivers what is in order, and
+ * acknowledges it.
  */
 export function handleNotice(
   state: CallerState,
@@ -95,25 +95,25 @@
   context: StepContext,
 ): CallerEffect[] {
   const { feed } = state;
-  const subscription = subscriptionOn(feed, flow, notice.requestId);
+  const subscription = findSubscription(feed, flow, notice.requestId);
   if (feed === undefined || subscription === undefined) {
     return [];
   }
-  subscription.heardAtMs = context.nowMs;
-  const isNew = notice.part > feed.delivered;
-  if (isNew && feed.early.size < MAX_EARLY_NOTICES) {
-    feed.early.set(notice.part, Uint8Array.from(notice.payload));
+  subscription.lastReceivedAtMs = context.nowMs;
+  const isNew = notice.part > feed.lastDelivered;
+  if (isNew && feed.outOfOrder.size < MAX_OUT_OF_ORDER_NOTICES) {
+    feed.outOfOrder.set(notice.part, Uint8Array.from(notice.payload));
   }
-  const effects = feed.positionKnown ? deliverEarly(feed) : [];
+  const effects = feed.positionKnown ? deliverInOrder(feed) : [];
   const { requestId } = subscription;
-  effects.push(sendOnFlow(flow, { type: 'acknowledge', requestId, part: feed.delivered }));
+  effects.push(sendOnFlow(flow, { type: 'acknowledge', requestId, part: feed.lastDelivered }));
   return effects;
 }
 
 /**
- * Takes the refusal of a subscription. Where the back end no longer holds the next notice, others
- * are asked before the notices count as missed.
- * @returns undefined where the refusal is about no subscription
+ * Handles the refusal of a subscription. If the back end no longer holds the next notice, others are
+ * tried before the notices count as missed.
+ * @returns undefined if the refusal belongs to no subscription
  */
 export function handleFeedRefusal(
   state: CallerState,
@@ -122,14 +122,14 @@
   context: StepContext,
 ): CallerEffect[] | undefined {
   const { feed } = state;
-  const subscription = subscriptionOn(feed, flow, refusal.requestId ?? -1);
+  const subscription = findSubscription(feed, flow, refusal.requestId ?? -1);
   if (feed === undefined || subscription === undefined) {
     return undefined;
   }
-  forgetSubscription(feed, subscription);
+  removeSubscription(feed, subscription);
   const isGap = refusal.kind === 'notices-gone';
   const retryAfterMs = refusal.retryAfterMs ?? (isGap ? GAP_RETRY_MS : 0);
-  leaveFlow(state, flow, context.nowMs + retryAfterMs);
+  retireFlow(state, flow, context.nowMs + retryAfterMs);
   if (!isGap || feed.current !== undefined) {
     return [];
   }
@@ -141,22 +141,22 @@
   return applyPosition(feed, (refusal.firstNotice ?? 1) - 1);
 }
 
-/** The old back end still holds what the new one no longer does: the move waits until it is had. */
-function skipsNoticesOfCurrent(
+/** True if the move would lose notices that the new back end lacks but the current one may deliver. */
+function wouldSkipNotices(
   feed: CallerFeed,
   subscription: FeedSubscription,
   afterNotice: number,
 ): boolean {
-  const moves = feed.next === subscription && feed.current !== undefined;
-  return moves && feed.positionKnown && afterNotice > feed.delivered;
+  const isMoving = feed.next === subscription && feed.current !== undefined;
+  return isMoving && feed.positionKnown && afterNotice > feed.lastDelivered;
 }
 
 function endFeed(state: CallerState, feed: CallerFeed): CallerEffect[] {
   state.feed = undefined;
-  return [...endSubscription(feed.current), ...endSubscription(feed.next)];
+  return [...cancelSubscription(feed.current), ...cancelSubscription(feed.next)];
 }
 
-function endSubscription(subscription: FeedSubscription | undefined): CallerEffect[] {
+function cancelSubscription(subscription: FeedSubscription | undefined): CallerEffect[] {
   if (subscription === undefined) {
     return [];
   }
@@ -164,7 +164,7 @@
   return [sendOnFlow(flow, { type: 'cancel', requestId })];
 }
 
-function forgetSubscription(feed: CallerFeed, subscription: FeedSubscription): void {
+function removeSubscription(feed: CallerFeed, subscription: FeedSubscription): void {
   if (feed.current === subscription) {
     feed.current = undefined;
   } else {
@@ -185,8 +185,8 @@
     flow,
     requestId: state.nextRequestId,
     confirmed: false,
-    askedAtMs: context.nowMs,
-    heardAtMs: context.nowMs,
+    requestedAtMs: context.nowMs,
+    lastReceivedAtMs: context.nowMs,
     timer: startRetransmitTimer(state, context),
   };
   state.nextRequestId += 1;
@@ -203,14 +203,14 @@
   const { nowMs } = context;
   const { timer } = subscription;
   if (!timer.isRunning) {
-    if (nowMs - subscription.heardAtMs < KEEP_ALIVE_MS) {
+    if (nowMs - subscription.lastReceivedAtMs < KEEP_ALIVE_INTERVAL_MS) {
       return [];
     }
-    subscription.askedAtMs = nowMs;
+    subscription.requestedAtMs = nowMs;
     timer.restart(context);
     return [sendSubscribe(feed, subscription, context)];
   }
-  if (nowMs - subscription.askedAtMs >= SILENCE_LIMIT_MS) {
+  if (nowMs - subscription.requestedAtMs >= SUBSCRIBE_TIMEOUT_MS) {
     state.brokenFlows += subscription.confirmed ? 1 : 0;
     return [closeFlow(state, subscription.flow, nowMs)];
   }
@@ -231,25 +231,25 @@
     requestId: subscription.requestId,
     deadlineMs: Math.max(0, feed.deadlineAtMs - context.nowMs),
     feed: true,
-    afterNotice: feed.delivered,
+    afterNotice: feed.lastDelivered,
     payload: EMPTY_PAYLOAD,
   });
 }
 
-function recordMessage(subscription: FeedSubscription, context: StepContext): void {
+function recordConfirmation(subscription: FeedSubscription, context: StepContext): void {
   subscription.confirmed = true;
-  subscription.heardAtMs = context.nowMs;
+  subscription.lastReceivedAtMs = context.nowMs;
   subscription.timer.stop();
 }
 
-/** The first position that is received is where the feed begins; a later jump is a gap. */
+/** The first position received is the start of the feed; a later jump is reported as missed notices. */
 function applyPosition(feed: CallerFeed, afterNotice: number): CallerEffect[] {
-  const first = feed.delivered + 1;
+  const first = feed.lastDelivered + 1;
   if (afterNotice < first) {
     feed.positionKnown = true;
     return [];
   }
-  feed.delivered = afterNotice;
+  feed.lastDelivered = afterNotice;
   if (!feed.positionKnown) {
     feed.positionKnown = true;
     return [];
@@ -257,26 +257,26 @@
   return [{ type: 'notices-missed', first, last: afterNotice }];
 }
 
-function deliverEarly(feed: CallerFeed): CallerEffect[] {
+function deliverInOrder(feed: CallerFeed): CallerEffect[] {
   const effects: CallerEffect[] = [];
-  for (const number of feed.early.keys()) {
-    if (number <= feed.delivered) {
-      feed.early.delete(number);
+  for (const number of feed.outOfOrder.keys()) {
+    if (number <= feed.lastDelivered) {
+      feed.outOfOrder.delete(number);
     }
   }
   for (
-    let payload = feed.early.get(feed.delivered + 1);
+    let payload = feed.outOfOrder.get(feed.lastDelivered + 1);
     payload !== undefined;
-    payload = feed.early.get(feed.delivered + 1)
+    payload = feed.outOfOrder.get(feed.lastDelivered + 1)
   ) {
-    feed.delivered += 1;
-    feed.early.delete(feed.delivered);
-    effects.push({ type: 'notice', number: feed.delivered, payload });
+    feed.lastDelivered += 1;
+    feed.outOfOrder.delete(feed.lastDelivered);
+    effects.push({ type: 'notice', number: feed.lastDelivered, payload });
   }
   return effects;
 }
 
-function subscriptionOn(
+function findSubscription(
   feed: CallerFeed | undefined,
   flow: OpenFlow,
   requestId: number,
--- a/src/proof/standins/caller-flows.ts
+++ b/src/proof/standins/caller-flows.ts
@@ -1,6 +1,5 @@
 /**
- * @file The flows of a stand-in caller: opening one, moving to another one make-before-break, and
- * closing what is no longer needed.
+ * @file Flows of a stand-in caller: opens, retransmissions of opens, and closes.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { answerFor, type ErrorKind } from '../../shared/common/error-kinds.js';
@@ -11,10 +10,10 @@
 } from '../../managed/flow/header.js';
 import { decodeMessage, encodeMessage, type RefuseMessage } from '../../managed/flow/messages.js';
 import { TOKEN_LENGTH_BYTES } from '../../managed/flow/token.js';
-import { endRequest, endUnknown } from './caller-request.js';
+import { endRequest, endWithUnknownOutcome } from './caller-request.js';
 import {
   closeFlow,
-  dropFlow,
+  removeFlow,
   sendOnFlow,
   startRetransmitTimer,
   type CallerEffect,
@@ -26,15 +25,15 @@
 const EMPTY_ID = new Uint8Array(0);
 
 /**
- * Time has passed: opens a flow where one is needed, sends an open again, gives up an open whose
- * time is up, and closes flows that were left and serve nothing any more.
+ * Opens a flow if one is needed, retransmits or expires a pending open, and closes retiring flows
+ * that are no longer in use.
  */
 export function flowsTick(state: CallerState, context: StepContext): CallerEffect[] {
-  return [...openTick(state, context), ...releaseOldFlows(state)];
+  return [...openTick(state, context), ...closeUnusedFlows(state)];
 }
 
 /**
- * Takes a long-header packet: the answer to an open.
+ * Handles a long-header packet, which carries the reply to an open.
  */
 export function handleOpenReply(
   state: CallerState,
@@ -56,14 +55,14 @@
   if (message.value.type === 'refuse' && state.flow.phase === 'opening') {
     const openAfterMs = context.nowMs + (message.value.retryAfterMs ?? 0);
     state.flow = { phase: 'none', openAfterMs };
-    return openRefusedForGood(state, message.value);
+    return handlePermanentOpenRefusal(state, message.value);
   }
   return [];
 }
 
 /**
- * The back end closed a flow, or does not know it: what was sent on it may have run.
- * @param kind undefined where it was the ordinary end of a silent flow
+ * Handles a close from the back end. The outcome of a request sent on the flow is unknown.
+ * @param kind undefined if an idle flow timed out
  */
 export function handleClose(
   state: CallerState,
@@ -72,10 +71,12 @@
   context: StepContext,
 ): CallerEffect[] {
   const { request } = state;
-  const cutsRequest = request?.flow === flow;
-  state.brokenFlows += kind !== undefined || cutsRequest ? 1 : 0;
-  dropFlow(state, flow, context.nowMs);
-  return cutsRequest ? [endUnknown(state, request, kind ?? 'outcome-unknown', context)] : [];
+  const interruptsRequest = request?.flow === flow;
+  state.brokenFlows += kind !== undefined || interruptsRequest ? 1 : 0;
+  removeFlow(state, flow, context.nowMs);
+  return interruptsRequest
+    ? [endWithUnknownOutcome(state, request, kind ?? 'outcome-unknown', context)]
+    : [];
 }
 
 function openTick(state: CallerState, context: StepContext): CallerEffect[] {
@@ -98,9 +99,9 @@
 }
 
 function needsFlow(state: CallerState): boolean {
-  const requestWaits = state.request !== undefined && state.request.flow === undefined;
-  const feedWaits = state.feed !== undefined && state.feed.next === undefined;
-  return requestWaits || feedWaits;
+  const requestNeedsFlow = state.request !== undefined && state.request.flow === undefined;
+  const feedNeedsFlow = state.feed !== undefined && state.feed.next === undefined;
+  return requestNeedsFlow || feedNeedsFlow;
 }
 
 function startOpen(state: CallerState, context: StepContext): CallerEffect[] {
@@ -122,14 +123,14 @@
   return { type: 'send', packet: encodeLongHeader(EMPTY_ID, flowId, body) };
 }
 
-/** Copies of one open may be placed on two back ends: the second flow is closed again. */
+/** Copies of an open may reach two back ends; the flow accepted second is closed. */
 function applyAccept(state: CallerState, flowId: Uint8Array, token: Uint8Array): CallerEffect[] {
   const accepted: OpenFlow = {
     phase: 'open',
     flowId,
     token,
-    leaving: false,
-    takesRequests: true,
+    retiring: false,
+    acceptsRequests: true,
   };
   if (state.flow.phase !== 'open') {
     state.flow = accepted;
@@ -139,7 +140,7 @@
   return isSame ? [] : [sendOnFlow(accepted, { type: 'close' })];
 }
 
-function openRefusedForGood(state: CallerState, refusal: RefuseMessage): CallerEffect[] {
+function handlePermanentOpenRefusal(state: CallerState, refusal: RefuseMessage): CallerEffect[] {
   const { request } = state;
   if (request === undefined || request.flow !== undefined || answerFor(refusal.kind).retryable) {
     return [];
@@ -150,10 +151,10 @@
   return [{ type: 'outcome', outcome: { type: 'not-run', requestNumber, kind } }];
 }
 
-function releaseOldFlows(state: CallerState): CallerEffect[] {
+function closeUnusedFlows(state: CallerState): CallerEffect[] {
   const { feed, request } = state;
-  const released = state.oldFlows.filter(
+  const unused = state.retiringFlows.filter(
     (flow) => request?.flow !== flow && feed?.current?.flow !== flow && feed?.next?.flow !== flow,
   );
-  return released.map((flow) => closeFlow(state, flow, 0));
+  return unused.map((flow) => closeFlow(state, flow, 0));
 }
--- a/src/proof/standins/caller-process.ts
+++ b/src/proof/standins/caller-process.ts
@@ -1,6 +1,6 @@
 /**
- * @file Stand-in callers in one process: many sessions that share a few UDP sockets. A packet belongs
- * to the session that opened its flow.
+ * @file Runs many stand-in callers in one process on a few shared UDP sockets. Packets are assigned to
+ * sessions by flow ID.
  */
 import { match } from 'ts-pattern';
 import type { Address } from '../../shared/common/address.js';
@@ -22,26 +22,26 @@
 import { summarizeNotices, type NoticeSummary } from './notice-summary.js';
 
 const TICK_INTERVAL_MS = 10;
-/** Sessions are ticked in every so many intervals: those that wait, and those that don't. */
-const WAITING_TICK_PERIOD = 4;
-const IDLE_TICK_PERIOD = 10;
+/** Tick intervals between two ticks of a session, to limit CPU use. */
+const ACTIVE_SESSION_TICK_INTERVALS = 4;
+const IDLE_SESSION_TICK_INTERVALS = 10;
 const MAX_SOCKETS = 32;
 
-/** What came of several sessions. */
+/** Totals over all sessions. */
 export interface SessionsReport extends NoticeSummary {
   readonly brokenFlows: number;
   readonly wrongAnswers: number;
 }
 
-/** Where and when sessions run. */
+/** Options of a group of sessions. */
 export interface SessionPoolOptions {
   /** Address of the service. */
   readonly service: Address;
-  /** IP number to bind. */
+  /** IP address to bind. */
   readonly host: string;
   /** Time over which the sessions start, in milliseconds. */
   readonly spreadMs: number;
-  /** Called with each request's outcome. */
+  /** Called once for each request. */
   onOutcome(outcome: RequestOutcome): void;
 }
 
@@ -53,7 +53,7 @@
 }
 
 /**
- * Runs sessions to their end; bounded by their options' deadlines.
+ * Runs sessions until all have finished; the deadlines in their options bound the time.
  */
 export async function runSessions(
   sessions: readonly CallerOptions[],
@@ -65,12 +65,12 @@
   return pool.report();
 }
 
-/** The sessions of one process. */
+/** Sessions that share sockets and a timer. */
 class SessionPool {
   private readonly contexts = systemContextSource();
   private readonly sockets: UdpSocket[] = [];
   private readonly sessions: Session[] = [];
-  /** By the flow ID in hex. */
+  /** By flow ID in hex. */
   private readonly sessionsByFlow = new Map<string, Session>();
   private tickNumber = 0;
 
@@ -83,20 +83,20 @@
     }
   }
 
-  async run(planned: readonly CallerOptions[]): Promise<void> {
+  async run(sessionOptions: readonly CallerOptions[]): Promise<void> {
     const startedAtMs = performance.now();
-    const intervalMs = this.options.spreadMs / planned.length;
+    const intervalMs = this.options.spreadMs / sessionOptions.length;
     await new Promise<void>((resolve) => {
       const timer = setInterval(() => {
         const elapsedMs = performance.now() - startedAtMs;
-        for (const session of planned.slice(this.sessions.length)) {
+        for (const session of sessionOptions.slice(this.sessions.length)) {
           if (this.sessions.length * intervalMs > elapsedMs) {
             break;
           }
           this.start(session);
         }
         this.tick();
-        const allStarted = this.sessions.length === planned.length;
+        const allStarted = this.sessions.length === sessionOptions.length;
         if (allStarted && this.sessions.every(({ state }) => state.finished)) {
           clearInterval(timer);
           resolve();
@@ -132,8 +132,8 @@
     this.tickNumber += 1;
     this.sessions.forEach((session, position) => {
       const { request, flow, finished } = session.state;
-      const isWaiting = request !== undefined || flow.phase === 'opening';
-      const period = isWaiting ? WAITING_TICK_PERIOD : IDLE_TICK_PERIOD;
+      const isActive = request !== undefined || flow.phase === 'opening';
+      const period = isActive ? ACTIVE_SESSION_TICK_INTERVALS : IDLE_SESSION_TICK_INTERVALS;
       if (!finished && (position + this.tickNumber) % period === 0) {
         this.step(session, { type: 'tick' });
       }
@@ -145,7 +145,7 @@
       ? parseLongHeader(packet)
       : parseShortHeader(packet, FLOW_ID_LENGTH_BYTES);
     if (header.isOk()) {
-      const session = this.sessionsByFlow.get(hexOf(header.value.destinationId));
+      const session = this.sessionsByFlow.get(toHex(header.value.destinationId));
       if (session !== undefined) {
         this.step(session, { type: 'packet', packet });
       }
@@ -166,14 +166,14 @@
   private send(session: Session, packet: Uint8Array): void {
     if (hasLongHeader(packet)) {
       parseLongHeader(packet).map(({ sourceId }) =>
-        this.sessionsByFlow.set(hexOf(sourceId), session),
+        this.sessionsByFlow.set(toHex(sourceId), session),
       );
     }
     session.socket.send(packet, this.options.service);
   }
 }
 
-function hexOf(bytes: Uint8Array): string {
+function toHex(bytes: Uint8Array): string {
   return Buffer.from(bytes).toString('hex');
 }
 
--- a/src/proof/standins/caller-request.ts
+++ b/src/proof/standins/caller-request.ts
@@ -1,14 +1,14 @@
 /**
- * @file The requests of a stand-in caller, one after the other. A request stays on the flow that it
- * was sent on; it goes to another one only after a refusal that says that it did not run there.
+ * @file Sequential requests of a stand-in caller. A request moves to another flow only after a refusal
+ * which guarantees that it did not run.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import { answerFor, type ErrorKind } from '../../shared/common/error-kinds.js';
 import type { AnswerMessage, RefuseMessage } from '../../managed/flow/messages.js';
 import {
   closeFlow,
-  hasBegunAllRequests,
-  leaveFlow,
+  hasStartedAllRequests,
+  retireFlow,
   sendOnFlow,
   startRetransmitTimer,
   type CallerEffect,
@@ -18,26 +18,26 @@
 } from './caller-state.js';
 import { answerParts, encodeWork, type Work } from './workload.js';
 
-/** A request that waits this long for a new flow goes to one that is being left, if it may. */
-const MOVE_PATIENCE_MS = 500;
-/** After its deadline a request that was sent waits this long for the word that it did not run. */
-const LAST_WORD_MS = 500;
+/** Time to wait for a new flow before a request may use a retiring one. */
+const NEW_FLOW_WAIT_MS = 500;
+/** Time past the deadline to wait for a late reply, such as a refusal, to a request that was sent. */
+const LATE_REPLY_GRACE_MS = 500;
 
 /**
- * Time has passed: begins the next request, sends the present one, or gives it up.
+ * Starts the next request if it is due; sends, retransmits, cancels or expires the current one.
  */
 export function requestTick(state: CallerState, context: StepContext): CallerEffect[] {
-  beginRequest(state, context);
+  startRequest(state, context);
   const { request } = state;
   if (request === undefined) {
     return [];
   }
-  const lastWordMs = request.flow === undefined ? 0 : LAST_WORD_MS;
-  if (context.nowMs >= request.deadlineAtMs + lastWordMs) {
+  const graceMs = request.flow === undefined ? 0 : LATE_REPLY_GRACE_MS;
+  if (context.nowMs >= request.deadlineAtMs + graceMs) {
     return expireRequest(state, request, context);
   }
   if (request.flow === undefined) {
-    return sendFirst(state, request, context);
+    return transmitFirst(state, request, context);
   }
   const { cancelAfterMs = Infinity } = state.options;
   if (!request.cancelled && context.nowMs >= request.startedAtMs + cancelAfterMs) {
@@ -53,8 +53,8 @@
 }
 
 /**
- * Takes a part of an answer. Parts may come late, twice or in any order; a part for another request
- * or another flow belongs to none.
+ * Handles a part of an answer. Parts may be late, duplicated or reordered; parts for another request
+ * or flow are ignored.
  */
 export function handleAnswer(
   state: CallerState,
@@ -62,7 +62,7 @@
   answer: AnswerMessage,
   context: StepContext,
 ): CallerEffect[] {
-  const request = requestOn(state, flow, answer.requestId);
+  const request = findRequest(state, flow, answer.requestId);
   if (request === undefined || answer.part >= answer.parts) {
     return [];
   }
@@ -70,10 +70,10 @@
   if (request.parts.size < answer.parts) {
     return [];
   }
-  const received = Array.from({ length: answer.parts }, (_, part) => request.parts.get(part));
-  const whole = Buffer.concat(received.map((part) => part ?? new Uint8Array(0)));
+  const receivedParts = Array.from({ length: answer.parts }, (_, part) => request.parts.get(part));
+  const received = Buffer.concat(receivedParts.map((part) => part ?? new Uint8Array(0)));
   const expected = Buffer.concat(answerParts(workOf(state, request)));
-  if (Buffer.compare(whole, expected) !== 0) {
+  if (Buffer.compare(received, expected) !== 0) {
     state.wrongAnswers += 1;
   }
   endRequest(state, context.nowMs + state.options.pauseMs);
@@ -83,8 +83,8 @@
 }
 
 /**
- * Handles the refusal of a request. One that is certain not to have run may go to another flow; it is the same
- * request.
+ * Handles the refusal of a request. It is retried on another flow if it did not run and the kind of
+ * error is retryable.
  */
 export function handleRequestRefusal(
   state: CallerState,
@@ -92,18 +92,18 @@
   refusal: RefuseMessage,
   context: StepContext,
 ): CallerEffect[] {
-  const request = requestOn(state, flow, refusal.requestId);
+  const request = findRequest(state, flow, refusal.requestId);
   if (request === undefined) {
     return [];
   }
   if (!refusal.surelyNotRun) {
-    return [endUnknown(state, request, refusal.kind, context)];
+    return [endWithUnknownOutcome(state, request, refusal.kind, context)];
   }
   request.flow = undefined;
   request.timer = undefined;
   request.parts.clear();
-  flow.takesRequests = false;
-  leaveFlow(state, flow, context.nowMs + (refusal.retryAfterMs ?? 0));
+  flow.acceptsRequests = false;
+  retireFlow(state, flow, context.nowMs + (refusal.retryAfterMs ?? 0));
   if (answerFor(refusal.kind).retryable) {
     return [];
   }
@@ -114,9 +114,9 @@
 }
 
 /**
- * The request may have run, and is never repeated.
+ * Ends the request without a retry, since it may have run.
  */
-export function endUnknown(
+export function endWithUnknownOutcome(
   state: CallerState,
   request: CallerRequest,
   kind: ErrorKind,
@@ -128,16 +128,16 @@
 }
 
 /**
- * The session is done with its present request.
+ * Clears the current request and schedules the next one.
  */
 export function endRequest(state: CallerState, nextRequestAtMs: number): void {
   state.request = undefined;
   state.nextRequestAtMs = nextRequestAtMs;
 }
 
-function beginRequest(state: CallerState, context: StepContext): void {
+function startRequest(state: CallerState, context: StepContext): void {
   const { options } = state;
-  const isDone = hasBegunAllRequests(state, context.nowMs);
+  const isDone = hasStartedAllRequests(state, context.nowMs);
   if (state.request !== undefined || isDone || context.nowMs < state.nextRequestAtMs) {
     return;
   }
@@ -154,7 +154,7 @@
   state.requestsStarted += 1;
 }
 
-function sendFirst(
+function transmitFirst(
   state: CallerState,
   request: CallerRequest,
   context: StepContext,
@@ -178,8 +178,8 @@
   if (state.flow.phase === 'open') {
     return state.flow;
   }
-  const isPatient = context.nowMs < request.startedAtMs + MOVE_PATIENCE_MS;
-  return isPatient ? undefined : state.oldFlows.find((flow) => flow.takesRequests);
+  const awaitsNewFlow = context.nowMs < request.startedAtMs + NEW_FLOW_WAIT_MS;
+  return awaitsNewFlow ? undefined : state.retiringFlows.find((flow) => flow.acceptsRequests);
 }
 
 function transmit(
@@ -201,7 +201,7 @@
   });
 }
 
-function requestOn(
+function findRequest(
   state: CallerState,
   flow: OpenFlow,
   requestId: number | undefined,
@@ -210,7 +210,7 @@
   return request?.flow === flow && request.requestId === requestId ? request : undefined;
 }
 
-/** Once it was sent, nobody said what became of it: the flow counts as broken. */
+/** An expired request that was sent has an unknown outcome, and its flow counts as broken. */
 function expireRequest(
   state: CallerState,
   request: CallerRequest,
@@ -223,7 +223,10 @@
     return [{ type: 'outcome', outcome: { type: 'not-run', requestNumber, kind } }];
   }
   state.brokenFlows += 1;
-  return [endUnknown(state, request, kind, context), closeFlow(state, flow, context.nowMs)];
+  return [
+    endWithUnknownOutcome(state, request, kind, context),
+    closeFlow(state, flow, context.nowMs),
+  ];
 }
 
 function workOf(state: CallerState, request: CallerRequest): Work {
--- a/src/proof/standins/caller-state.ts
+++ b/src/proof/standins/caller-state.ts
@@ -1,6 +1,6 @@
 /**
- * @file The state of a stand-in caller: one session, which opens a flow, sends requests one after
- * the other, may hold a feed, and moves to another flow after a go-away.
+ * @file State of a stand-in caller: one session with sequential requests, an optional feed and the
+ * flows that carry them.
  */
 import type { StepContext } from '../../shared/common/step.js';
 import type { ErrorKind } from '../../shared/common/error-kinds.js';
@@ -9,88 +9,88 @@
 import { RetransmitTimer } from './retransmit-timer.js';
 
 const DEFAULT_MAX_RETRANSMIT_FACTOR = 8;
-/** Closed flows whose late packets are answered by another close. */
+/** Number of recently closed flows whose late packets are answered with another close. */
 const MAX_CLOSED_FLOWS = 8;
 
 /** Options of a caller; times in milliseconds. */
 export interface CallerOptions {
   readonly serviceName: string;
-  /** How many requests the session makes at most. */
+  /** Maximum number of requests. */
   readonly requestCount: number;
-  /** No request is begun later than this after the start of the session. Default: no such bound. */
+  /** Time after the start of the session from which no request is started. Default: unlimited. */
   readonly stopAfterMs?: number | undefined;
-  /** Number of its first request; numbers are unique in a run. */
+  /** Number of the first request; numbers are unique across the sessions of a run. */
   readonly firstRequestNumber: number;
   readonly answerBytes: number;
-  /** Pause between an answer and the next request. */
+  /** Time between an answer and the next request. */
   readonly pauseMs: number;
-  /** Time for one request, its open included. */
+  /** Deadline of a request, including the time to open a flow. */
   readonly requestDeadlineMs: number;
-  /** Time for one open. */
+  /** Deadline of an open. */
   readonly openDeadlineMs: number;
-  /** Time after which an unanswered packet is sent again the first time. */
+  /** Initial retransmission delay. */
   readonly retransmitMs: number;
-  /** Longest time between two copies. Default 8 times `retransmitMs`. */
+  /** Maximum retransmission delay. Default: 8 times `retransmitMs`. */
   readonly retransmitMaxMs?: number | undefined;
-  /** The feed that the session holds besides its requests. */
+  /** Feed to hold in parallel with the requests. */
   readonly feed?: FeedOptions | undefined;
-  /** Each request is cancelled this long after it was begun. */
+  /** Time after the start of a request at which it is cancelled. Default: never. */
   readonly cancelAfterMs?: number | undefined;
-  /** A bad caller: stays on its flow whatever the back end says. */
+  /** Fault: the caller ignores go-away and stays on its flow. */
   readonly ignoresGoAway?: boolean | undefined;
 }
 
-/** The feed of a session. */
+/** Options of a feed. */
 export interface FeedOptions {
-  /** The last notice that the caller has; 0 for none. */
+  /** Number of the last notice that the caller already has; 0 for none. */
   readonly afterNotice: number;
-  /** The feed ends once this notice has been delivered, or when its time is up. */
+  /** The feed ends once this notice has been delivered, or at its deadline. */
   readonly lastNotice: number;
   readonly deadlineMs: number;
 }
 
-/** How a request ended, as far as its caller knows. */
+/** Outcome of a request as observed by its caller. */
 export type RequestOutcome =
   | { readonly type: 'answered'; readonly requestNumber: number; readonly latencyMs: number }
   | { readonly type: 'not-run'; readonly requestNumber: number; readonly kind: ErrorKind }
   | { readonly type: 'unknown'; readonly requestNumber: number; readonly kind: ErrorKind };
 
-/** What a caller does: sends a packet to its service, or reports to its application. */
+/** Output of a caller: a packet to its service, or an event for its application. */
 export type CallerEffect =
   | { readonly type: 'send'; readonly packet: Uint8Array }
   | { readonly type: 'outcome'; readonly outcome: RequestOutcome }
-  /** A notice of the feed, in order and once. */
+  /** A notice of the feed; delivered in order, exactly once. */
   | { readonly type: 'notice'; readonly number: number; readonly payload: Uint8Array }
-  /** Notices from `first` to `last` can't be had any more; the feed goes on after them. */
+  /** Notices from `first` to `last` are no longer available; the feed continues after them. */
   | { readonly type: 'notices-missed'; readonly first: number; readonly last: number };
 
-/** The request that the session works on. */
+/** A request in progress. */
 export interface CallerRequest {
   readonly requestNumber: number;
   readonly startedAtMs: number;
   readonly deadlineAtMs: number;
-  /** The flow that it was sent on, and stays on: from then on it may have run. */
+  /** Flow on which the request was sent and may have run; undefined if it has not been sent. */
   flow: OpenFlow | undefined;
-  /** Its ID under that flow. */
+  /** ID of the request on that flow. */
   requestId: number;
   cancelled: boolean;
   timer: RetransmitTimer | undefined;
-  /** Parts of the answer by number. */
+  /** Received parts of the answer, by number. */
   readonly parts: Map<number, Uint8Array>;
 }
 
-/** A flow that stands. */
+/** An established flow. */
 export interface OpenFlow {
   readonly phase: 'open';
   readonly flowId: Uint8Array;
   readonly token: Uint8Array;
-  /** True once the back end sent go-away: what comes next takes another flow. */
-  leaving: boolean;
-  /** False once the back end refused a request on it. */
-  takesRequests: boolean;
+  /** True once new requests and feeds use another flow, for example after a go-away. */
+  retiring: boolean;
+  /** False once the back end has refused a request on the flow. */
+  acceptsRequests: boolean;
 }
 
-/** The newest flow of a session: its named states. */
+/** State of the newest flow of a session. */
 export type CallerFlow =
   | { readonly phase: 'none'; readonly openAfterMs: number }
   | {
@@ -101,34 +101,34 @@
     }
   | OpenFlow;
 
-/** A subscription: a feed under one flow. */
+/** Subscription of a feed on one flow. */
 export interface FeedSubscription {
   readonly flow: OpenFlow;
   readonly requestId: number;
-  /** True once the back end has confirmed it. */
+  /** True once the back end has confirmed the subscription. */
   confirmed: boolean;
-  askedAtMs: number;
-  /** When anything last came on it. */
-  heardAtMs: number;
-  /** Sends the request again: while it is not confirmed, and to ask whether it still stands. */
+  requestedAtMs: number;
+  /** When the last message for the subscription arrived. */
+  lastReceivedAtMs: number;
+  /** Retransmits the request until it is confirmed, and for keep-alive checks. */
   readonly timer: RetransmitTimer;
 }
 
-/** The feed of a session. */
+/** State of the feed of a session. */
 export interface CallerFeed {
   readonly lastNotice: number;
   readonly deadlineAtMs: number;
-  /** All notices up to this number have been delivered. */
-  delivered: number;
-  /** True once a back end has said where the feed begins. */
+  /** Number of the last notice delivered in order. */
+  lastDelivered: number;
+  /** True once the number of the first notice of the feed has been determined. */
   positionKnown: boolean;
-  /** Notices that came before one that precedes them. */
-  readonly early: Map<number, Uint8Array>;
-  /** The subscription that notices come from. */
+  /** Notices received ahead of an earlier missing one, by number. */
+  readonly outOfOrder: Map<number, Uint8Array>;
+  /** The confirmed subscription. */
   current: FeedSubscription | undefined;
-  /** The one that takes its place: make before break. */
+  /** Its replacement, until that is confirmed. */
   next: FeedSubscription | undefined;
-  /** Back ends in a row that no longer held the next notice. */
+  /** Consecutive refusals because a back end no longer held the next notice. */
   gapRefusals: number;
 }
 
@@ -136,42 +136,42 @@
 export interface CallerState {
   readonly options: CallerOptions;
   flow: CallerFlow;
-  /** Flows that were left but still serve a request or the feed. */
-  readonly oldFlows: OpenFlow[];
-  /** Flows closed lately, the newest last. */
+  /** Flows that accept nothing new but may still carry a request or the feed. */
+  readonly retiringFlows: OpenFlow[];
+  /** Recently closed flows, the newest last. */
   readonly closedFlows: OpenFlow[];
   request: CallerRequest | undefined;
   feed: CallerFeed | undefined;
   requestsStarted: number;
   nextRequestAtMs: number;
-  /** From then on no request is begun. */
+  /** Time from which no request is started. */
   readonly stopAtMs: number;
-  /** IDs grow over all flows of the session, so that they grow in each. */
+  /** Shared by all flows of the session, so that IDs increase on each flow. */
   nextRequestId: number;
-  /** Established flows that were lost, not ended. */
+  /** Number of established flows that were lost rather than closed normally. */
   brokenFlows: number;
-  /** Answers that came whole but with wrong bytes. */
+  /** Number of complete answers with unexpected content. */
   wrongAnswers: number;
   finished: boolean;
 }
 
 /**
- * @returns a session that begins now
+ * @returns the state of a session that starts now
  */
 export function createCallerState(options: CallerOptions, nowMs: number): CallerState {
   const { feed } = options;
   return {
     options,
     flow: { phase: 'none', openAfterMs: nowMs },
-    oldFlows: [],
+    retiringFlows: [],
     closedFlows: [],
     request: undefined,
     feed: feed && {
       lastNotice: feed.lastNotice,
       deadlineAtMs: nowMs + feed.deadlineMs,
-      delivered: feed.afterNotice,
+      lastDelivered: feed.afterNotice,
       positionKnown: feed.afterNotice > 0,
-      early: new Map(),
+      outOfOrder: new Map(),
       current: undefined,
       next: undefined,
       gapRefusals: 0,
@@ -187,14 +187,14 @@
 }
 
 /**
- * @returns true where the session begins no further request
+ * @returns true if the session starts no further requests
  */
-export function hasBegunAllRequests(state: CallerState, nowMs: number): boolean {
+export function hasStartedAllRequests(state: CallerState, nowMs: number): boolean {
   return state.requestsStarted >= state.options.requestCount || nowMs >= state.stopAtMs;
 }
 
 /**
- * @returns a timer for the copies of a packet that is sent now
+ * @returns a running retransmission timer for a packet that is sent now
  */
 export function startRetransmitTimer(state: CallerState, context: StepContext): RetransmitTimer {
   const { retransmitMs, retransmitMaxMs } = state.options;
@@ -214,22 +214,22 @@
 }
 
 /**
- * @returns the flow that stands or stood lately with this ID
+ * @returns the flow with this ID, or undefined if there is none
  */
 export function findFlow(flows: readonly OpenFlow[], flowId: Uint8Array): OpenFlow | undefined {
   return flows.find((flow) => Buffer.compare(flow.flowId, flowId) === 0);
 }
 
 /**
- * Forgets a flow without a message to the back end.
+ * Removes a flow from the state without notifying the back end.
  */
-export function dropFlow(state: CallerState, flow: OpenFlow, openAfterMs: number): void {
+export function removeFlow(state: CallerState, flow: OpenFlow, openAfterMs: number): void {
   if (state.flow === flow) {
     state.flow = { phase: 'none', openAfterMs };
   }
-  const position = state.oldFlows.indexOf(flow);
+  const position = state.retiringFlows.indexOf(flow);
   if (position >= 0) {
-    state.oldFlows.splice(position, 1);
+    state.retiringFlows.splice(position, 1);
   }
   const { feed } = state;
   if (feed?.current?.flow === flow) {
@@ -241,11 +241,11 @@
 }
 
 /**
- * Ends a flow that the session no longer needs.
- * @param openAfterMs when the next one may be opened, where it was the newest
+ * Closes a flow and notifies the back end.
+ * @param openAfterMs earliest time of the next open, if this was the newest flow
  */
 export function closeFlow(state: CallerState, flow: OpenFlow, openAfterMs: number): CallerEffect {
-  dropFlow(state, flow, openAfterMs);
+  removeFlow(state, flow, openAfterMs);
   state.closedFlows.push(flow);
   if (state.closedFlows.length > MAX_CLOSED_FLOWS) {
     state.closedFlows.shift();
@@ -254,13 +254,13 @@
 }
 
 /**
- * The session leaves a flow: make before break, so it stays until nothing on it is needed.
- * @param openAfterMs when the next one may be opened
+ * Stops using a flow for new work; the flow stays open until its request and feed have finished.
+ * @param openAfterMs earliest time of the next open
  */
-export function leaveFlow(state: CallerState, flow: OpenFlow, openAfterMs: number): void {
-  flow.leaving = true;
+export function retireFlow(state: CallerState, flow: OpenFlow, openAfterMs: number): void {
+  flow.retiring = true;
   if (state.flow === flow) {
     state.flow = { phase: 'none', openAfterMs };
-    state.oldFlows.push(flow);
+    state.retiringFlows.push(flow);
   }
 }
--- a/src/proof/standins/caller-step.ts
+++ b/src/proof/standins/caller-step.ts
@@ -1,7 +1,6 @@
 /**
- * @file The decision step of a stand-in caller. It retransmits with backoff until a deadline, checks
- * that the whole answer is there, repeats a request only when it is certain that it did not run, and reports
- * each request's outcome and each notice.
+ * @file Event handler of a stand-in caller, without I/O, so that it runs in processes and simulators. It
+ * retries a request only if it did not run, and reports every outcome and notice.
  */
 import { match } from 'ts-pattern';
 import type { StepContext } from '../../shared/common/step.js';
@@ -17,8 +16,8 @@
 import {
   closeFlow,
   findFlow,
-  hasBegunAllRequests,
-  leaveFlow,
+  hasStartedAllRequests,
+  retireFlow,
   sendOnFlow,
   type CallerEffect,
   type CallerState,
@@ -27,12 +26,12 @@
 
 export type { CallerEffect } from './caller-state.js';
 
-/** What can happen to a caller. */
+/** Input of a caller. */
 export type CallerEvent =
   { readonly type: 'packet'; readonly packet: Uint8Array } | { readonly type: 'tick' };
 
 /**
- * Takes one event.
+ * Handles one event; a finished caller ignores it.
  * @returns the effects, in order
  */
 export function callerStep(
@@ -54,7 +53,7 @@
     .exhaustive();
 }
 
-/** Does whatever can be done now. */
+/** Performs all work that is due. */
 function advance(state: CallerState, context: StepContext): CallerEffect[] {
   return [
     ...requestTick(state, context),
@@ -66,12 +65,12 @@
 
 function finishIfDone(state: CallerState, context: StepContext): CallerEffect[] {
   const { request, feed, flow } = state;
-  const isDone = request === undefined && hasBegunAllRequests(state, context.nowMs);
+  const isDone = request === undefined && hasStartedAllRequests(state, context.nowMs);
   if (!isDone || feed !== undefined) {
     return [];
   }
   state.finished = true;
-  const flows = flow.phase === 'open' ? [...state.oldFlows, flow] : [...state.oldFlows];
+  const flows = flow.phase === 'open' ? [...state.retiringFlows, flow] : [...state.retiringFlows];
   return flows.map((open) => closeFlow(state, open, context.nowMs));
 }
 
@@ -90,13 +89,13 @@
   }
   const { destinationId } = header.value;
   const newest = state.flow.phase === 'open' ? [state.flow] : [];
-  const flow = findFlow([...newest, ...state.oldFlows], destinationId);
+  const flow = findFlow([...newest, ...state.retiringFlows], destinationId);
   if (flow !== undefined) {
     return handleMessage(state, flow, message.value, context);
   }
   const closed = findFlow(state.closedFlows, destinationId);
-  const saysMore = closed !== undefined && message.value.type !== 'close';
-  return saysMore ? [sendOnFlow(closed, { type: 'close' })] : [];
+  const needsClose = closed !== undefined && message.value.type !== 'close';
+  return needsClose ? [sendOnFlow(closed, { type: 'close' })] : [];
 }
 
 function handleMessage(
@@ -117,7 +116,7 @@
     )
     .with({ type: 'go-away' }, () => {
       if (state.options.ignoresGoAway !== true) {
-        leaveFlow(state, flow, context.nowMs);
+        retireFlow(state, flow, context.nowMs);
       }
       return [];
     })
--- a/src/proof/standins/fabric-process.ts
+++ b/src/proof/standins/fabric-process.ts
@@ -1,6 +1,6 @@
 /**
- * @file The stand-in fabric as a process: one UDP socket per service address, one towards balancers
- * and back ends, and an HTTP endpoint where the platform sets the list of balancers (`POST /balancers`).
+ * @file Runs the stand-in fabric with a UDP socket for each service address, one for balancers and back
+ * ends, and an HTTP endpoint that sets the list of balancers (`POST /balancers`).
  */
 import { z } from 'zod';
 import { addressSchema } from '../../shared/common/address-schema.js';
@@ -22,18 +22,18 @@
 
 /** A running fabric. */
 export interface FabricProcess {
-  /** Service addresses, in the order asked for. */
+  /** Bound service addresses, in the order of the request. */
   readonly serviceAddresses: readonly Address[];
-  /** Where balancers and back ends send answers. */
+  /** UDP address to which balancers and back ends send answers. */
   readonly returnAddress: Address;
-  /** `POST /balancers` sets the list of balancers. */
+  /** HTTP address for `POST /balancers`. */
   readonly platformAddress: Address;
   stop(): Promise<void>;
 }
 
 /**
  * Starts a fabric.
- * @param serviceAddresses one for each service; port 0 lets the system choose
+ * @param serviceAddresses one for each service; with port 0 the system chooses the port
  */
 export async function startFabric(
   options: FabricOptions,
@@ -44,15 +44,15 @@
   const serviceSockets = new Map<string, UdpSocket>();
   const step = (event: FabricEvent): void => {
     for (const effect of fabricStep(state, event, contexts.now())) {
-      performLater(effect, serviceSockets, returnSocket);
+      performAfterDelay(effect, serviceSockets, returnSocket);
     }
   };
   const anyPort = { host: serviceAddresses[0]?.host ?? '127.0.0.1', port: 0 };
   const returnSocket: UdpSocket = await bindUdp(anyPort, (datagram) =>
     step({ type: 'return-datagram', datagram }),
   );
-  for (const wanted of serviceAddresses) {
-    const socket: UdpSocket = await bindUdp(wanted, (packet, client) =>
+  for (const requestedAddress of serviceAddresses) {
+    const socket: UdpSocket = await bindUdp(requestedAddress, (packet, client) =>
       step({ type: 'caller-packet', packet, client, service: socket.address }),
     );
     serviceSockets.set(formatAddress(socket.address), socket);
@@ -84,7 +84,7 @@
   return path === '/balancers' && balancers !== undefined ? { type: 'list', balancers } : undefined;
 }
 
-function performLater(
+function performAfterDelay(
   effect: FabricEffect,
   serviceSockets: Map<string, UdpSocket>,
   returnSocket: UdpSocket,
--- a/src/proof/standins/fabric-step.ts
+++ b/src/proof/standins/fabric-step.ts
@@ -1,23 +1,23 @@
 /**
- * @file The decision step of the stand-in fabric: sprays every packet at random over the listed
- * balancers, and hands answers to callers. Its list of balancers may lag.
+ * @file Event handler of the stand-in fabric, without I/O: sends each caller packet to a random balancer
+ * and forwards answers to callers.
  */
 import { match } from 'ts-pattern';
 import type { Address } from '../../shared/common/address.js';
 import type { StepContext } from '../../shared/common/step.js';
 import { decodeEnvelope, encodeEnvelope } from '../../managed/flow/envelope.js';
 
-/** A balancer as the fabric lists it. */
+/** A balancer that may receive packets. */
 export interface FabricBalancer {
   readonly address: Address;
   readonly zone: string;
 }
 
-/** Options of the fabric; times in milliseconds, one way. */
+/** Options of the fabric; one-way delays in milliseconds. */
 export interface FabricOptions {
-  /** Zone in which callers enter. */
+  /** Zone of the callers. */
   readonly zone: string;
-  /** Delay between two zones. */
+  /** Additional delay to balancers in another zone. */
   readonly crossZoneDelayMs: number;
   /** Delay between callers and the fabric. */
   readonly callerDelayMs: number;
@@ -30,13 +30,13 @@
 }
 
 /**
- * @returns a fabric that lists no balancers
+ * @returns the state of a fabric without balancers
  */
 export function createFabricState(options: FabricOptions): FabricState {
   return { options, balancers: [] };
 }
 
-/** What can happen to the fabric. */
+/** Input of the fabric. */
 export type FabricEvent =
   /** A packet from a caller to a service. */
   | {
@@ -49,7 +49,7 @@
   | { readonly type: 'return-datagram'; readonly datagram: Uint8Array }
   | { readonly type: 'list'; readonly balancers: readonly FabricBalancer[] };
 
-/** What the fabric does, after a delay in milliseconds. */
+/** A packet to send after a delay in milliseconds. */
 export type FabricEffect =
   | {
       readonly type: 'to-balancer';
@@ -60,7 +60,7 @@
   | {
       readonly type: 'to-caller';
       readonly client: Address;
-      /** The service address from which the packet is sent. */
+      /** Source address of the packet. */
       readonly service: Address;
       readonly packet: Uint8Array;
       readonly delayMs: number;
@@ -110,6 +110,6 @@
 }
 
 function delayTo(options: FabricOptions, zone: string): number {
-  const crossing = zone === options.zone ? 0 : options.crossZoneDelayMs;
-  return options.callerDelayMs + crossing;
+  const zoneDelayMs = zone === options.zone ? 0 : options.crossZoneDelayMs;
+  return options.callerDelayMs + zoneDelayMs;
 }
--- a/src/proof/standins/notice-log.ts
+++ b/src/proof/standins/notice-log.ts
@@ -1,82 +1,81 @@
 /**
- * @file The bounded log of a service's notices at one back end. Notices carry the same numbers, from
- * 1 on, at every back end of the service, so that a caller may go on anywhere after the last notice
- * that it has.
+ * @file Bounded log of the notices of a service at one back end. Notice numbers are the same at every
+ * back end of the service, so that a caller can resume its feed at any of them.
  */
 
 /** A log of consecutive notices. */
 export class NoticeLog {
   private readonly payloads = new Map<number, Uint8Array>();
-  /** Notices that came before one that precedes them. */
-  private readonly early = new Map<number, Uint8Array>();
-  private oldest = 1;
-  private next: number | undefined;
+  /** Notices received ahead of an earlier missing one. */
+  private readonly outOfOrder = new Map<number, Uint8Array>();
+  private oldestNumber = 1;
+  private nextNumber: number | undefined;
 
   /**
-   * @param capacity how many notices are held; the oldest are dropped beyond it
+   * @param capacity maximum number of notices; beyond it the oldest are dropped
    */
   constructor(private readonly capacity: number) {}
 
-  /** Number of the oldest notice held; undefined where no notice has come yet. */
+  /** Number of the oldest notice; undefined if none has been received. */
   get firstNumber(): number | undefined {
-    return this.next === undefined ? undefined : this.oldest;
+    return this.nextNumber === undefined ? undefined : this.oldestNumber;
   }
 
-  /** Number of the newest notice held; 0 where no notice has come yet. */
+  /** Number of the newest notice; 0 if none has been received. */
   get lastNumber(): number {
-    return (this.next ?? 1) - 1;
+    return (this.nextNumber ?? 1) - 1;
   }
 
-  /** The number that the publisher should send next; undefined where any one will do. */
+  /** Number that the publisher should send next; undefined if the log accepts any. */
   get expectedNumber(): number | undefined {
-    return this.next;
+    return this.nextNumber;
   }
 
-  /** Adds a notice; the log begins with the first one. Copies change nothing. */
+  /** Adds a notice. The first one determines the start of the log; duplicates are ignored. */
   append(number: number, payload: Uint8Array): void {
-    if (this.next === undefined) {
-      this.oldest = number;
-      this.next = number;
+    if (this.nextNumber === undefined) {
+      this.oldestNumber = number;
+      this.nextNumber = number;
     }
-    if (number < this.next) {
+    if (number < this.nextNumber) {
       return;
     }
-    this.early.set(number, payload);
-    if (this.early.size > this.capacity) {
-      this.restartAtOldestEarly();
+    this.outOfOrder.set(number, payload);
+    if (this.outOfOrder.size > this.capacity) {
+      this.skipGap();
     }
     this.appendConsecutive();
   }
 
-  /** The payload of a notice, or undefined where the log does not hold it. */
+  /** The payload of a notice, or undefined if it is not in the log. */
   read(number: number): Uint8Array | undefined {
     return this.payloads.get(number);
   }
 
-  /** True where a reader at this position can go on without a gap. */
+  /** True if a reader that has all notices up to `position` can continue without a gap. */
   covers(position: number): boolean {
-    return this.next === undefined || position + 1 >= this.oldest;
+    return this.nextNumber === undefined || position + 1 >= this.oldestNumber;
   }
 
   private appendConsecutive(): void {
-    let next = this.next ?? 1;
-    for (let payload = this.early.get(next); payload; payload = this.early.get(next)) {
-      this.early.delete(next);
+    let next = this.nextNumber ?? 1;
+    for (let payload = this.outOfOrder.get(next); payload; payload = this.outOfOrder.get(next)) {
+      this.outOfOrder.delete(next);
       this.payloads.set(next, payload);
       next += 1;
     }
-    this.next = next;
+    this.nextNumber = next;
     while (this.payloads.size > this.capacity) {
-      this.payloads.delete(this.oldest);
-      this.oldest += 1;
+      this.payloads.delete(this.oldestNumber);
+      this.oldestNumber += 1;
     }
   }
 
-  /** The missing notices will not come: the log begins anew, and its readers get a message of the gap. */
-  private restartAtOldestEarly(): void {
-    const restart = Math.min(...this.early.keys());
+  /** Gives up missing notices and restarts the log after them; readers detect the gap through `covers`. */
+  private skipGap(): void {
+    const restart = Math.min(...this.outOfOrder.keys());
     this.payloads.clear();
-    this.oldest = restart;
-    this.next = restart;
+    this.oldestNumber = restart;
+    this.nextNumber = restart;
   }
 }
--- a/src/proof/standins/notice-summary.ts
+++ b/src/proof/standins/notice-summary.ts
@@ -1,21 +1,21 @@
 /**
- * @file What came of a feed: notices lost and doubled at the caller.
+ * @file Counts lost and duplicate notices of a feed.
  */
 
-/** The counts of one feed, or of several added up. */
+/** Counts for one feed, or totals over several. */
 export interface NoticeSummary {
-  /** Notices delivered, copies included. */
+  /** Notices delivered, including duplicates. */
   readonly noticesDelivered: number;
-  /** Notices that should have been delivered and were not. */
+  /** Expected notices that were not delivered. */
   readonly noticesLost: number;
   /** Notices delivered more than once. */
   readonly noticesDoubled: number;
 }
 
 /**
- * @param numbers as they were delivered
- * @param afterNotice the last notice that the caller had before
- * @param lastNotice the last one that it should have
+ * @param numbers of the delivered notices
+ * @param afterNotice number of the last notice that precedes the feed
+ * @param lastNotice number of the last notice expected
  */
 export function summarizeNotices(
   numbers: readonly number[],
--- a/src/proof/standins/retransmit-timer.ts
+++ b/src/proof/standins/retransmit-timer.ts
@@ -1,12 +1,11 @@
 /**
- * @file When a packet that no one has answered is sent again: exponential backoff with jitter, so
- * that a slow peer is not met by a storm of copies.
+ * @file Retransmission timer with exponential backoff and jitter.
  */
 import type { StepContext } from '../../shared/common/step.js';
 
-const GROWTH_FACTOR = 2;
-/** Each delay is spread by this share to both sides, so that many senders don't fall into step. */
-const JITTER_SHARE = 0.2;
+const BACKOFF_FACTOR = 2;
+/** Random deviation of each delay in both directions, so that senders do not synchronize. */
+const JITTER_FRACTION = 0.2;
 
 /** The bounds of a backoff, in milliseconds. */
 export interface BackoffBounds {
@@ -14,14 +13,14 @@
   readonly maxDelayMs: number;
 }
 
-/** Times the copies of one packet. */
+/** Schedules the retransmissions of one packet. */
 export class RetransmitTimer {
   private retransmissions = 0;
   private dueAtMs = Infinity;
 
   constructor(private readonly bounds: BackoffBounds) {}
 
-  /** True where a copy should be sent now. */
+  /** True if a retransmission is due. */
   isDue(nowMs: number): boolean {
     return nowMs >= this.dueAtMs;
   }
@@ -31,27 +30,27 @@
     return this.dueAtMs !== Infinity;
   }
 
-  /** The packet has been sent for the first time, or the peer has made progress. */
+  /** Starts or resets the backoff, after a first transmission or progress of the peer. */
   restart(context: StepContext): void {
     this.retransmissions = 0;
     this.schedule(context);
   }
 
-  /** A copy has been sent: the next one waits longer. */
+  /** Schedules the next retransmission with a longer delay. */
   backOff(context: StepContext): void {
     this.retransmissions += 1;
     this.schedule(context);
   }
 
-  /** The peer has answered. */
+  /** Stops retransmissions until the next `restart`. */
   stop(): void {
     this.dueAtMs = Infinity;
   }
 
   private schedule({ nowMs, random }: StepContext): void {
     const { initialDelayMs, maxDelayMs } = this.bounds;
-    const delayMs = Math.min(maxDelayMs, initialDelayMs * GROWTH_FACTOR ** this.retransmissions);
-    const spread = 1 + JITTER_SHARE * (2 * random.nextFloat() - 1);
-    this.dueAtMs = nowMs + delayMs * spread;
+    const delayMs = Math.min(maxDelayMs, initialDelayMs * BACKOFF_FACTOR ** this.retransmissions);
+    const jitterFactor = 1 + JITTER_FRACTION * (2 * random.nextFloat() - 1);
+    this.dueAtMs = nowMs + delayMs * jitterFactor;
   }
 }
--- a/src/proof/standins/workload.ts
+++ b/src/proof/standins/workload.ts
@@ -1,21 +1,21 @@
 /**
- * @file The work that stand-in callers ask of stand-in back ends: its payload, and the answer that a
- * caller expects, so that a wrong, mixed or incomplete answer is noticed.
+ * @file Request payloads of stand-in callers and the deterministic answers to them, which let a caller
+ * detect wrong or incomplete answers.
  */
 import { Packr } from 'msgpackr';
 import { z } from 'zod';
 import { MAX_PAYLOAD_BYTES } from '../../managed/flow/messages.js';
 
 const workSchema = z.strictObject({
-  /** Name of the service that the request is meant for. */
+  /** Name of the destination service. */
   service: z.string(),
-  /** Unique among all requests of a run. */
+  /** Unique across all requests of a run. */
   requestNumber: z.number().int().min(0),
   /** Length of the answer in bytes. */
   answerBytes: z.number().int().min(0),
 });
 
-/** One piece of work. */
+/** Payload of a request. */
 export type Work = z.infer<typeof workSchema>;
 
 const packr = new Packr({ useRecords: false });
@@ -23,26 +23,26 @@
 const MIXING_FACTOR = 31;
 
 /**
- * @returns the payload of a request
+ * @returns the request payload in MessagePack
  */
 export function encodeWork(work: Work): Buffer {
   return packr.pack(work);
 }
 
 /**
- * @returns the work, or undefined where the payload is none
+ * @returns the work, or undefined if the payload is invalid
  */
 export function decodeWork(payload: Uint8Array): Work | undefined {
   try {
     return workSchema.safeParse(packr.unpack(payload)).data;
   } catch {
-    // Bytes that are no msgpack come from another sender, and are no work: the caller refuses them.
+    // Invalid MessagePack is treated as an invalid payload.
     return undefined;
   }
 }
 
 /**
- * @returns the answer to a piece of work, in parts that fit a packet; at least one part
+ * @returns the answer, split into one or more parts that each fit into a packet
  */
 export function answerParts(work: Work): Uint8Array[] {
   const answer = new Uint8Array(work.answerBytes);
--- a/test/managed/daemon/metrics.test.ts
+++ b/test/managed/daemon/metrics.test.ts
@@ -64,7 +64,7 @@
   const flags = Object.entries(settings).flatMap(([path, value]) => ['--set', `${path}=${value}`]);
   const balancer = await startProcess('balancer', ['balancer', ...flags]);
   t.teardown(() => balancer.signal('SIGKILL'));
-  const metricsAddress = balancer.ready.metricsAddress as Address;
+  const metricsAddress = balancer.announcement.metricsAddress as Address;
   t.match(await healthAt(metricsAddress), { status: 503, body: { state: 'starting' } });
   balancer.signal('SIGTERM');
   let state: unknown;
--- a/test/managed/flows/drain.test.ts
+++ b/test/managed/flows/drain.test.ts
@@ -81,9 +81,9 @@
     world.drainBackend(0);
     world.run(3_200);
     t.equal(caller.outcomes[0]?.type, 'answered', 'the running request completed on its back end');
-    const runs = world.backends[0]?.runs.length;
+    const runs = world.backends[0]?.executedRequests.length;
     world.run(5_000);
-    t.equal(world.backends[0]?.runs.length, runs, 'no new requests run after 3 s');
+    t.equal(world.backends[0]?.executedRequests.length, runs, 'no new requests run after 3 s');
     t.ok(remainingCaller.outcomes.some((outcome) => outcome.type === 'not-run'));
     t.strictSame(countViolations(world), NO_VIOLATIONS);
   },
--- a/test/managed/flows/limits.test.ts
+++ b/test/managed/flows/limits.test.ts
@@ -23,7 +23,7 @@
   t.ok(outcomes.some(({ type }) => type === 'answered'));
   t.ok(outcomes.some(({ type }) => type === 'not-run'));
   const unknown = outcomes.filter(({ type }) => type === 'unknown');
-  const runs = new Set(world.backends[0]?.runs);
+  const runs = new Set(world.backends[0]?.executedRequests);
   t.ok(
     unknown.every(({ requestNumber }) => runs.has(requestNumber)),
     'only requests that ran have an unknown outcome',
@@ -40,7 +40,7 @@
   t.match(second.outcomes, [{ type: 'not-run', kind: 'deadline-exceeded' }]);
   world.finish(60_000);
   t.match(first.outcomes, [{ type: 'answered' }]);
-  t.equal(world.backends[0]?.runs.length, 1);
+  t.equal(world.backends[0]?.executedRequests.length, 1);
 });
 
 t.test('the back end applies the deadline of the caller', async (t) => {
@@ -63,5 +63,5 @@
   world.finish(20_000);
   t.match(running.outcomes, [{ type: 'answered' }]);
   t.match(waiting.outcomes, [{ type: 'not-run', kind: 'cancelled' }]);
-  t.strictSame(world.backends[0]?.runs, [running.outcomes[0]?.requestNumber]);
+  t.strictSame(world.backends[0]?.executedRequests, [running.outcomes[0]?.requestNumber]);
 });
--- a/test/managed/flows/restart.test.ts
+++ b/test/managed/flows/restart.test.ts
@@ -42,7 +42,7 @@
     { type: 'answered' },
     { type: 'unknown', kind: 'stale-incarnation' },
   ]);
-  t.equal(world.backends[0]?.runs.length, 2, 'no request ran with the old token');
+  t.equal(world.backends[0]?.executedRequests.length, 2, 'no request ran with the old token');
 });
 
 t.test('restarts cause no duplicate runs and no false "not run" outcomes', async (t) => {
--- a/test/managed/flows/world.ts
+++ b/test/managed/flows/world.ts
@@ -373,7 +373,7 @@
   falseNotRun: number;
   wrongAnswers: number;
 } {
-  const runs = world.backends.flatMap((backend) => backend.runs);
+  const runs = world.backends.flatMap((backend) => backend.executedRequests);
   const outcomes = world.callers.flatMap((caller) => caller.outcomes);
   const notRun = outcomes.filter((outcome) => outcome.type === 'not-run');
   return {
