--- a/src/proof/processes/child-process.ts
+++ b/src/proof/processes/child-process.ts
@@ -74,7 +74,7 @@
   const timer = setTimeout(() => abort.abort(), READY_TIMEOUT_MS);
   const line = once(lines, 'line', { signal: abort.signal }).then(([text]) => text as string);
   const exitedEarly = exited.then((code) => {
-    throw new Error(`${name} ended with exit code ${code ?? 'none'} before it was ready.`);
+    throw new Error(`${name} exited with code ${code ?? 'none'} before it was ready.`);
   });
   try {
     return await Promise.race([line, exitedEarly]);
--- a/src/proof/standins/backend-fault-flags.ts
+++ b/src/proof/standins/backend-fault-flags.ts
@@ -38,6 +38,6 @@
     return ok(parsed.data);
   }
   const allowed = faultNames.join(', ');
-  const message = `--fault ${flags.join(' ')}: allowed is name=value with one of ${allowed}.`;
+  const message = `--fault ${flags.join(' ')}: expected name=value with one of the names ${allowed}.`;
   return err(amberliftError('invalid-settings', message));
 }
--- a/src/proof/standins/backend-process.ts
+++ b/src/proof/standins/backend-process.ts
@@ -134,6 +134,6 @@
   if (parsed.success) {
     respondJson(response, 200, act(parsed.data));
   } else {
-    respondJson(response, 400, { error: 'The body is not as expected.' });
+    respondJson(response, 400, { error: 'The request body is invalid.' });
   }
 }
--- a/src/proof/standins/fabric-process.ts
+++ b/src/proof/standins/fabric-process.ts
@@ -61,7 +61,7 @@
     void readJsonBody(incoming).then((body) => {
       const event = eventFrom(incoming.url, body.unwrapOr(undefined));
       if (event === undefined) {
-        respondJson(response, 400, { error: 'A list is expected at /balancers.' });
+        respondJson(response, 400, { error: 'Expected a JSON array of balancers at /balancers.' });
         return;
       }
       step(event);
