--- a/src/proof/sim-managed/cluster-faults.ts
+++ b/src/proof/sim-managed/cluster-faults.ts
@@ -1,47 +1,48 @@
 /**
- * @file The faults and planned changes that scenarios of the managed pair cause in a world: crashes, cuts, full disks, planned
- * restarts, back ends that leave. Each is recorded in the trace, so that the oracle knows what it excuses.
+ * @file Injects faults and planned changes into a simulated world: crashes, network partitions,
+ * full disks, restarts and back-end removals. Each is recorded in the trace, because the oracle
+ * excuses some effects of a fault.
  */
 import type { SimulatedBalancer } from './simulated-balancer.js';
 import type { SimulatedControl } from './simulated-control.js';
 import type { SimulatedProcess } from './simulated-process.js';
 import { badNetwork, goodNetwork } from '../virtual/virtual-network.js';
-import type { PlacedBackend, World } from './world.js';
+import type { DeployedBackend, World } from './world.js';
 
-/** How long a back end that leaves may take until its process ends. */
-const LEAVE_PATIENCE_MS = 70_000;
-/** Time between two checks whether a drained back end is empty. */
-const RETIRE_RETRY_MS = 1_000;
+/** Longest time a draining back end may take to become empty. */
+const DRAIN_TIMEOUT_MS = 70_000;
+/** Interval between checks for an empty back end or an ended process. */
+const RECHECK_INTERVAL_MS = 1_000;
 
-/** Causes faults in a world; each ends by itself. */
+/** Injects faults into a world; each ends after its duration. */
 export class ClusterFaults {
-  /** Faults and planned changes so far. */
+  /** Number of faults and planned changes so far. */
   count = 0;
   private nextFaultId = 1;
 
   constructor(readonly world: World) {}
 
-  /** A process dies and comes back. */
+  /** Crashes a process and starts it again after `downMs`. */
   crash(process: SimulatedProcess, downMs: number): void {
     if (process.status === 'down') {
       return;
     }
     this.count += 1;
     process.crash();
-    this.startAgain(process, downMs);
+    this.scheduleStart(process, downMs);
   }
 
-  /** A control machine loses power and comes back with what its disk had synced. */
+  /** Cuts the power of a control machine; it restarts with the data that its disk had synced. */
   losePower(control: SimulatedControl, downMs: number): void {
     if (control.status === 'down') {
       return;
     }
     this.count += 1;
     control.losePower();
-    this.startAgain(control, downMs);
+    this.scheduleStart(control, downMs);
   }
 
-  /** A process stands still and goes on. */
+  /** Pauses a process for a while. */
   pause(process: SimulatedProcess, durationMs: number): void {
     if (process.status !== 'running') {
       return;
@@ -52,8 +53,8 @@
   }
 
   /**
-   * Processes are cut off from all others, silently.
-   * @param direction packets that are lost: those to them, those from them, or both
+   * Partitions processes from all others by dropping packets without an error.
+   * @param direction which packets are dropped: those to the processes, those from them, or both
    */
   cutOff(
     processes: readonly SimulatedProcess[],
@@ -62,120 +63,128 @@
   ): void {
     this.count += 1;
     const { network } = this.world.simulation;
-    const inside = new Set(processes.map(({ host }) => host));
-    const outside = new Set(this.allHosts().filter((host) => !inside.has(host)));
+    const isolated = new Set(processes.map(({ host }) => host));
+    const remaining = new Set(this.allHosts().filter((host) => !isolated.has(host)));
     const cuts = [
-      ...(direction === 'to' ? [] : [network.cut({ from: inside, to: outside })]),
-      ...(direction === 'from' ? [] : [network.cut({ from: outside, to: inside })]),
+      ...(direction === 'to' ? [] : [network.cut({ from: isolated, to: remaining })]),
+      ...(direction === 'from' ? [] : [network.cut({ from: remaining, to: isolated })]),
     ];
     const targets = processes.map(({ name }) => name);
-    this.during(`cut-${direction}`, targets, durationMs, () =>
+    this.recordFault(`cut-${direction}`, targets, durationMs, () =>
       cuts.forEach((id) => network.heal(id)),
     );
   }
 
-  /** Two groups of processes no longer reach each other; they reach all others. */
+  /** Partitions two groups from each other; both still reach all other processes. */
   cutLinks(
-    group: readonly SimulatedProcess[],
-    others: readonly SimulatedProcess[],
+    groupA: readonly SimulatedProcess[],
+    groupB: readonly SimulatedProcess[],
     durationMs: number,
   ): void {
     this.count += 1;
     const { network } = this.world.simulation;
-    const one = new Set(group.map(({ host }) => host));
-    const other = new Set(others.map(({ host }) => host));
-    const cuts = [network.cut({ from: one, to: other }), network.cut({ from: other, to: one })];
-    const targets = group.map(({ name }) => name);
-    this.during('cut-links', targets, durationMs, () => cuts.forEach((id) => network.heal(id)));
+    const hostsA = new Set(groupA.map(({ host }) => host));
+    const hostsB = new Set(groupB.map(({ host }) => host));
+    const cuts = [
+      network.cut({ from: hostsA, to: hostsB }),
+      network.cut({ from: hostsB, to: hostsA }),
+    ];
+    const targets = groupA.map(({ name }) => name);
+    this.recordFault('cut-links', targets, durationMs, () =>
+      cuts.forEach((id) => network.heal(id)),
+    );
   }
 
-  /** Records which back ends ignore their drain, so that the oracle excuses them. */
-  recordIgnoredDrains(backends: readonly PlacedBackend[]): void {
+  /** Records the back ends that ignore drain requests, so that the oracle excuses them. */
+  recordIgnoredDrains(backends: readonly DeployedBackend[]): void {
     const targets = backends.map(({ process }) => process.name);
-    this.during('ignores-drain', targets, 0, () => undefined);
+    this.recordFault('ignores-drain', targets, 0, () => undefined);
   }
 
-  /** The network loses, doubles and reorders datagrams. */
-  spoilNetwork(durationMs: number): void {
+  /** Makes the network lose, duplicate and reorder datagrams. */
+  degradeNetwork(durationMs: number): void {
     this.count += 1;
     const { network } = this.world.simulation;
     network.faults = badNetwork;
-    this.during('bad-network', [], durationMs, () => {
+    this.recordFault('bad-network', [], durationMs, () => {
       network.faults = goodNetwork;
     });
   }
 
-  /** The disk of a control machine is full. */
+  /** Makes writes to the disk of a control machine fail because the disk is full. */
   fillDisk(control: SimulatedControl, durationMs: number): void {
     this.count += 1;
     control.disk.isFull = true;
-    this.during('full-disk', [control.name], durationMs, () => {
+    this.recordFault('full-disk', [control.name], durationMs, () => {
       control.disk.isFull = false;
-      this.startAgain(control, 0);
+      this.scheduleStart(control, 0);
     });
   }
 
-  /** Answers to operators are lost, so that they send their commands again. */
-  loseAnswers(share: number, durationMs: number): void {
+  /** Drops a share of the answers to operators, so that they retry their commands. */
+  loseAnswers(lossRate: number, durationMs: number): void {
     this.count += 1;
     const operators = [...this.world.operators.values()];
-    operators.forEach((operator) => (operator.answerLossShare = share));
-    this.during('lost-answers', [], durationMs, () =>
-      operators.forEach((operator) => (operator.answerLossShare = 0)),
+    operators.forEach((operator) => (operator.answerLossRate = lossRate));
+    this.recordFault('lost-answers', [], durationMs, () =>
+      operators.forEach((operator) => (operator.answerLossRate = 0)),
     );
   }
 
-  /** A planned stop of a balancer, which comes back. */
+  /** Stops a balancer gracefully and starts it again. */
   restartBalancer(balancer: SimulatedBalancer, downMs: number): void {
     if (balancer.status !== 'running' || !balancer.isListed) {
       return;
     }
     this.count += 1;
     balancer.stop();
-    this.world.updateList();
-    this.startAgain(balancer, this.world.plan.stopGraceMs + downMs);
+    this.world.updateBalancerList();
+    this.scheduleStart(balancer, this.world.plan.stopGraceMs + downMs);
   }
 
-  /** A planned stop of a control machine, which comes back. */
+  /** Stops a control machine gracefully and starts it again. */
   restartControl(control: SimulatedControl, downMs: number): void {
     if (control.status !== 'running') {
       return;
     }
     this.count += 1;
     control.stop();
-    this.startAgain(control, downMs);
+    this.scheduleStart(control, downMs);
   }
 
-  /** A back end leaves: drained, and once it is empty its process ends and it is retired. */
-  leave(placed: PlacedBackend, done: () => void = () => undefined): void {
-    const { process, service, backendId } = placed;
-    if (placed.wish !== 'active' || backendId === undefined) {
+  /**
+   * Drains a back end, then retires it and stops its process once it is empty or the drain times
+   * out.
+   */
+  drainAndRetire(backend: DeployedBackend, done: () => void = () => undefined): void {
+    const { process, service, backendId } = backend;
+    if (backend.requestedState !== 'active' || backendId === undefined) {
       return;
     }
     this.count += 1;
-    placed.wish = 'draining';
+    backend.requestedState = 'draining';
     const drain = { type: 'drain-backend' as const, backendId };
     this.world.command(service, process.name, drain, (outcome) => {
       if (outcome.accepted) {
-        this.retireOnceEmpty(placed, LEAVE_PATIENCE_MS, done);
+        this.retireWhenEmpty(backend, DRAIN_TIMEOUT_MS, done);
       }
     });
   }
 
-  /** Replaces a back end by a new one: the new one first. */
-  replace(placed: PlacedBackend, patienceMs: number): void {
-    if (placed.wish === 'active' && placed.backendId !== undefined) {
-      this.world.addBackend(placed.service);
-      this.world.after(patienceMs, () => this.leave(placed));
+  /** Adds a new back end, and drains the old one after a delay. */
+  replace(backend: DeployedBackend, drainDelayMs: number): void {
+    if (backend.requestedState === 'active' && backend.backendId !== undefined) {
+      this.world.addBackend(backend.service);
+      this.world.after(drainDelayMs, () => this.drainAndRetire(backend));
     }
   }
 
-  private retireOnceEmpty(placed: PlacedBackend, patienceMs: number, done: () => void): void {
-    const { process, service, backendId } = placed;
+  private retireWhenEmpty(backend: DeployedBackend, remainingMs: number, done: () => void): void {
+    const { process, service, backendId } = backend;
     const isEmpty = process.state.flows.size === 0 || process.status === 'down';
-    if (!isEmpty && patienceMs > 0) {
-      this.world.after(RETIRE_RETRY_MS, () =>
-        this.retireOnceEmpty(placed, patienceMs - RETIRE_RETRY_MS, done),
+    if (!isEmpty && remainingMs > 0) {
+      this.world.after(RECHECK_INTERVAL_MS, () =>
+        this.retireWhenEmpty(backend, remainingMs - RECHECK_INTERVAL_MS, done),
       );
       return;
     }
@@ -185,19 +194,22 @@
     const retire = { type: 'retire-backend' as const, backendId };
     this.world.command(service, process.name, retire, (outcome) => {
       if (outcome.accepted) {
-        placed.wish = 'retired';
-        process.endPlanned();
+        backend.requestedState = 'retired';
+        process.stop();
         done();
       }
     });
   }
 
-  /** Comes back where it is down by then; a planned stop may take longer. */
-  private startAgain(process: SimulatedProcess, afterMs: number): void {
-    this.world.updateList();
+  /**
+   * Starts the process after a delay, with one more attempt if a graceful stop has not ended by
+   * then.
+   */
+  private scheduleStart(process: SimulatedProcess, afterMs: number): void {
+    this.world.updateBalancerList();
     this.world.after(afterMs, () => {
       if (process.status !== 'down') {
-        this.world.after(RETIRE_RETRY_MS, () => this.startIfDown(process));
+        this.world.after(RECHECK_INTERVAL_MS, () => this.startIfDown(process));
       }
       this.startIfDown(process);
     });
@@ -205,26 +217,27 @@
 
   private startIfDown(process: SimulatedProcess): void {
     const isRetired = this.world.backends.some(
-      (placed) => placed.process === process && placed.wish === 'retired',
+      (backend) => backend.process === process && backend.requestedState === 'retired',
     );
     if (!isRetired) {
       process.start();
-      this.world.updateList();
+      this.world.updateBalancerList();
     }
   }
 
-  private during(
+  /** Records the start of a fault now and its end after the duration. */
+  private recordFault(
     fault: string,
     targets: readonly string[],
     durationMs: number,
-    end: () => void,
+    onEnd: () => void,
   ): void {
     const faultId = this.nextFaultId;
     this.nextFaultId += 1;
     const { simulation } = this.world;
     simulation.record({ type: 'fault', faultId, fault, targets, phase: 'begins' });
     this.world.after(durationMs, () => {
-      end();
+      onEnd();
       simulation.record({ type: 'fault', faultId, fault, targets, phase: 'ends' });
     });
   }
--- a/src/proof/sim-managed/config-digest.ts
+++ b/src/proof/sim-managed/config-digest.ts
@@ -1,6 +1,6 @@
 /**
- * @file A digest of the routing configuration, by which the oracle sees whether two machines hold the
- * same.
+ * @file Digest of a routing configuration, which the oracle uses to compare the configurations of
+ * machines.
  */
 import { createHash } from 'node:crypto';
 import type { RoutingConfig } from '../../managed/control/routing-config.js';
@@ -8,7 +8,7 @@
 const DIGEST_LENGTH = 16;
 
 /**
- * @returns a digest that does not depend on the order of services, back ends and keys
+ * @returns a hex digest that is independent of the order of services, back ends and keys
  */
 export function configDigest(config: RoutingConfig): string {
   const { services, backends, keys } = config;
--- a/src/proof/sim-managed/notice-payload.ts
+++ b/src/proof/sim-managed/notice-payload.ts
@@ -1,9 +1,10 @@
 /**
- * @file The payload of a notice in a simulated run, by which callers recognise the right one.
+ * @file Payload of notices in simulated runs, from which callers verify that a notice arrived
+ * intact.
  */
 
 /**
- * @returns the bytes of a service's notice
+ * @returns the payload of notice `number` of a service
  */
 export function noticePayload(service: string, number: number): Uint8Array {
   return Buffer.from(`notice ${number} of ${service}`);
--- a/src/proof/sim-managed/packet-notes.ts
+++ b/src/proof/sim-managed/packet-summary.ts
@@ -1,5 +1,6 @@
 /**
- * @file Reads packets for the trace, without the product's decoders where these check more than the trace needs.
+ * @file Extracts the fields of a packet that the trace records. Message bodies are unpacked without
+ * validation, so that malformed packets are recorded, too.
  */
 import { Packr } from 'msgpackr';
 import { formatAddress } from '../../shared/common/address.js';
@@ -10,8 +11,8 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** What the trace shows of a packet. */
-export interface PacketNote {
+/** Fields of a packet that the trace records. */
+export interface PacketSummary {
   readonly flowId: string;
   readonly message: string;
   readonly requestId?: number | undefined;
@@ -19,15 +20,19 @@
 }
 
 /**
- * @returns what the trace shows of a datagram in an envelope; undefined for another one
+ * @returns the fields that the trace records; undefined if the datagram has no valid envelope or
+ *   packet header
  */
-export function readPacket(simulation: Simulation, datagram: Uint8Array): PacketNote | undefined {
+export function readPacket(
+  simulation: Simulation,
+  datagram: Uint8Array,
+): PacketSummary | undefined {
   const envelope = decodeEnvelope(datagram);
   if (envelope.isErr()) {
     return undefined;
   }
   const { packet, service } = envelope.value;
-  const parts = flowAndBody(packet);
+  const parts = parseFlowAndBody(packet);
   if (parts === undefined) {
     return undefined;
   }
@@ -41,7 +46,8 @@
 }
 
 /**
- * @returns the service address that a datagram in an envelope is meant for; undefined for another one
+ * @returns the destination service address in the envelope; undefined if the datagram has no valid
+ *   envelope
  */
 export function serviceOf(datagram: Uint8Array): string | undefined {
   return decodeEnvelope(datagram).match(
@@ -55,12 +61,12 @@
   readonly body: Uint8Array;
 }
 
-/** Towards callers a short header names the flow ID, towards back ends the token, which names it. */
-function flowAndBody(packet: Uint8Array): FlowAndBody | undefined {
+/** Short headers towards back ends carry a token that contains the flow ID. */
+function parseFlowAndBody(packet: Uint8Array): FlowAndBody | undefined {
   if (hasLongHeader(packet)) {
     return parseLongHeader(packet).match(
       ({ destinationId, sourceId, body }) => ({
-        flowId: longHeaderFlow(destinationId, sourceId),
+        flowId: longHeaderFlowId(destinationId, sourceId),
         body,
       }),
       () => undefined,
@@ -72,7 +78,7 @@
   );
 }
 
-function longHeaderFlow(destinationId: Uint8Array, sourceId: Uint8Array): Uint8Array {
+function longHeaderFlowId(destinationId: Uint8Array, sourceId: Uint8Array): Uint8Array {
   const isReply = destinationId.length > 0 && destinationId.length < TOKEN_LENGTH_BYTES;
   return isReply ? destinationId : sourceId;
 }
@@ -81,7 +87,7 @@
   try {
     return (packr.unpack(body) ?? {}) as { type?: string; requestId?: number };
   } catch {
-    // Packets that tests have damaged are in the trace too, without what could not be decoded.
+    // Tests corrupt packets; the trace records these without the body fields.
     return {};
   }
 }
--- a/src/proof/sim-managed/run-scenario.ts
+++ b/src/proof/sim-managed/run-scenario.ts
@@ -1,5 +1,6 @@
 /**
- * @file Runs a scenario from a seed and has the oracle check it: one seed, one trace.
+ * @file Runs a scenario from a seed and checks its trace with the oracle. The same seed always
+ * gives the same trace.
  */
 import { seededRandom } from '../../shared/common/random.js';
 import { ClusterFaults } from './cluster-faults.js';
@@ -10,14 +11,14 @@
 import type { TraceEvent } from './trace.js';
 import { World } from './world.js';
 
-/** What came of one run. */
+/** Result of one run. */
 export interface RunReport {
   readonly scenario: string;
   readonly seed: number;
   readonly violations: readonly Violation[];
-  /** Faults and planned changes. */
+  /** Number of faults and planned changes. */
   readonly faults: number;
-  /** Requests that ended, notices delivered and commands answered. */
+  /** Number of finished requests, delivered notices and answered commands. */
   readonly outcomes: number;
   readonly events: number;
   readonly virtualMs: number;
@@ -26,18 +27,18 @@
   readonly trace: readonly TraceEvent[];
 }
 
-/** How to run a scenario. */
+/** Options of a run. */
 export interface RunOptions {
   readonly steps?: SimulatedSteps;
   readonly keepsPackets?: boolean;
-  /** The run ends soon after the first violation of this check. */
+  /** Ends the run at the next interval after the first violation of this check. */
   readonly stopsAtViolationOf?: CheckName;
 }
 
-const SLICE_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 
 /**
- * Runs a scenario from a seed.
+ * Runs a scenario in a new world and checks it with a new oracle.
  */
 export async function runScenario(
   scenario: Scenario,
@@ -51,7 +52,7 @@
   scenario.schedule({ world, faults, random: seededRandom(seed) });
   const endMs = world.simulation.nowMs + scenario.durationMs;
   while (world.simulation.nowMs < endMs) {
-    await world.run(Math.min(SLICE_MS, endMs - world.simulation.nowMs));
+    await world.run(Math.min(CHECK_INTERVAL_MS, endMs - world.simulation.nowMs));
     if (oracle.violations.some(({ check }) => check === options.stopsAtViolationOf)) {
       break;
     }
--- a/src/proof/sim-managed/scenarios/address-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/address-scenarios.ts
@@ -40,7 +40,7 @@
     world.after(2_500, () => {
       const leaving = pick(random, backendsOf(world, from));
       if (leaving !== undefined) {
-        faults.leave(leaving, () => addAtAddress(world, to, leaving.process.address));
+        faults.drainAndRetire(leaving, () => addAtAddress(world, to, leaving.process.address));
       }
     });
   },
@@ -71,7 +71,7 @@
   };
   world.command(service, world.nextBackendName(service), command, (outcome) => {
     if (outcome.accepted) {
-      world.placeBackend(service, address).backendId = outcome.backendId;
+      world.startBackend(service, address).backendId = outcome.backendId;
     } else {
       world.after(TRY_AGAIN_MS, () => addAtAddress(world, service, address));
     }
--- a/src/proof/sim-managed/scenarios/backend-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/backend-scenarios.ts
@@ -29,7 +29,7 @@
     const deaf = world.backends.filter(({ process }) => process.options.faults?.ignoresDrain);
     faults.recordIgnoredDrains(deaf);
     deaf.forEach((placed, position) => {
-      world.after(1_000 + position * 500, () => faults.leave(placed));
+      world.after(1_000 + position * 500, () => faults.drainAndRetire(placed));
     });
     // Crashed callers' places are taken by new flows, which need back ends.
     for (let atMs = 3_000; atMs < DURATION_MS; atMs += 500) {
--- a/src/proof/sim-managed/scenarios/fault-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/fault-scenarios.ts
@@ -44,7 +44,7 @@
     const endMs = CHAOS_MS - QUIET_END_MS;
     publishRegularly(scope, CHAOS_MS, 400);
     faults.loseAnswers(0.2, endMs);
-    faults.spoilNetwork(between(random, 2_000, endMs));
+    faults.degradeNetwork(between(random, 2_000, endMs));
     atRandomTimes(scope, endMs, 1_000, () => changeSomething(scope));
     atRandomTimes(scope, endMs, 1_500, () => disturbAnything(scope));
   },
--- a/src/proof/sim-managed/scenarios/loss-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/loss-scenarios.ts
@@ -36,7 +36,7 @@
     );
     world.after(ZONE_LOST_AT_MS, () => loseZoneOfLeader(scope));
     world.after(LEADER_CUT_AT_MS, () => {
-      const leader = world.controls.find(({ leads }) => leads);
+      const leader = world.controls.find(({ isLeader }) => isLeader);
       if (leader !== undefined) {
         faults.cutOff([leader], LEADER_CUT_MS);
       }
@@ -45,7 +45,7 @@
 };
 
 function loseZoneOfLeader({ world, faults }: ScenarioScope): void {
-  const zone = world.controls.find(({ leads }) => leads)?.zone;
+  const zone = world.controls.find(({ isLeader }) => isLeader)?.zone;
   const machines: SimulatedProcess[] = [...world.controls, ...world.balancers];
   faults.cutOff(
     machines.filter((machine) => machine.zone === zone),
--- a/src/proof/sim-managed/scenarios/operator-changes.ts
+++ b/src/proof/sim-managed/scenarios/operator-changes.ts
@@ -45,7 +45,7 @@
 /** Two changes on an equal version: at most one of them is accepted. */
 export function racePolicies({ world, random }: ScenarioScope): void {
   const service = pick(random, world.plan.services);
-  const state = world.controls.find(({ leads }) => leads)?.state;
+  const state = world.controls.find(({ isLeader }) => isLeader)?.state;
   const current = [...(state?.cluster.routing.services.values() ?? [])].find(
     ({ name }) => name === service?.name,
   );
@@ -82,15 +82,17 @@
 function replaceBackend({ world, faults, random }: ScenarioScope): void {
   const service = pick(random, world.plan.services);
   const own = world.backends.filter(
-    (placed) => placed.service === service && placed.wish !== 'retired',
+    (placed) => placed.service === service && placed.requestedState !== 'retired',
+  );
+  const active = own.filter(
+    ({ requestedState, backendId }) => requestedState === 'active' && backendId !== undefined,
   );
-  const active = own.filter(({ wish, backendId }) => wish === 'active' && backendId !== undefined);
   const chosen = pick(random, active);
   if (chosen === undefined || own.length >= MAX_BACKENDS) {
     return;
   }
   if (active.length > MIN_ACTIVE_BACKENDS && random.nextInt(2) === 0) {
-    faults.leave(chosen);
+    faults.drainAndRetire(chosen);
   } else {
     faults.replace(chosen, between(random, 500, 2_000));
   }
@@ -100,6 +102,6 @@
   const operator = pick(random, [...world.operators.values()]);
   const control = pick(random, world.controls);
   if (control !== undefined) {
-    operator?.show(control);
+    operator?.queryState(control);
   }
 }
--- a/src/proof/sim-managed/scenarios/operator-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/operator-scenarios.ts
@@ -21,7 +21,7 @@
     atRandomTimes(scope, endMs, 400, () => changeSomething(scope));
     atRandomTimes(scope, endMs, 800, () => planAndCancel(scope));
     world.after(endMs / 2, () => {
-      const leader = world.controls.find(({ leads }) => leads);
+      const leader = world.controls.find(({ isLeader }) => isLeader);
       if (leader !== undefined) {
         faults.crash(leader, 1_000);
       }
--- a/src/proof/sim-managed/simulate-worker.ts
+++ b/src/proof/sim-managed/simulate-worker.ts
@@ -1,14 +1,15 @@
 /**
- * @file The worker thread of `simulate`: does the runs that it is sent, one at a time.
+ * @file Worker thread of `simulate`: performs the runs requested by messages and posts a summary of
+ * each.
  */
 import { parentPort } from 'node:worker_threads';
 import { findScenario } from './scenarios/index.js';
 import { summarizeRun, type RunRequest } from './simulate.js';
 
 parentPort?.on('message', ({ scenario, seed }: RunRequest) => {
-  const found = findScenario(scenario);
-  if (found === undefined) {
+  const definition = findScenario(scenario);
+  if (definition === undefined) {
     throw new Error(`There is no scenario ${scenario}.`);
   }
-  void summarizeRun(found, seed).then((summary) => parentPort?.postMessage(summary));
+  void summarizeRun(definition, seed).then((summary) => parentPort?.postMessage(summary));
 });
--- a/src/proof/sim-managed/simulate.ts
+++ b/src/proof/sim-managed/simulate.ts
@@ -1,19 +1,19 @@
 /**
- * @file Many runs of many scenarios, in a few worker threads; each run's seed and scenario alone decide
- * what happens in it.
+ * @file Performs many runs of scenarios in worker threads. Only scenario and seed determine the
+ * events of a run.
  */
 import { Worker } from 'node:worker_threads';
 import { checkNames, type CheckName, type Violation } from './oracle/check.js';
 import { runScenario, type RunReport } from './run-scenario.js';
 import type { Scenario } from './scenarios/scenario.js';
 
-/** One run to be done. */
+/** Scenario and seed of a run. */
 export interface RunRequest {
   readonly scenario: string;
   readonly seed: number;
 }
 
-/** What is kept of a run. */
+/** Result of a run without its trace. */
 export interface RunSummary extends RunRequest {
   readonly violations: readonly Violation[];
   readonly faults: number;
@@ -22,13 +22,13 @@
   readonly digest: string;
 }
 
-/** What came of all runs. */
+/** Aggregated result of all runs. */
 export interface SimulationReport {
   readonly runs: number;
   readonly runsByScenario: Readonly<Record<string, number>>;
-  /** Faults and planned changes, over all runs. */
+  /** Number of faults and planned changes in all runs. */
   readonly faults: number;
-  /** Requests that ended, notices delivered and commands answered, over all runs. */
+  /** Number of finished requests, delivered notices and answered commands in all runs. */
   readonly outcomes: number;
   readonly virtualSeconds: number;
   readonly wallSeconds: number;
@@ -38,13 +38,13 @@
   readonly failedRuns: readonly RunSummary[];
 }
 
-/** Called as runs end. */
+/** Called after each run with the number of finished and of all runs. */
 export type SimulationProgress = (done: number, total: number) => void;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * @returns the runs: scenarios take turns, seeds go up
+ * @returns run requests that cycle through the scenarios with consecutive seeds
  */
 export function planRuns(
   scenarios: readonly Scenario[],
@@ -58,15 +58,15 @@
 }
 
 /**
- * Runs in this thread.
+ * Runs a scenario in the current thread.
  */
 export async function summarizeRun(scenario: Scenario, seed: number): Promise<RunSummary> {
   return summaryOf(await runScenario(scenario, seed));
 }
 
 /**
- * Runs in worker threads.
- * @param jobs how many threads
+ * Performs runs in worker threads.
+ * @param jobs maximum number of threads
  */
 export async function simulate(
   requests: readonly RunRequest[],
@@ -74,10 +74,10 @@
   progress: SimulationProgress,
 ): Promise<SimulationReport> {
   const startedAtMs = performance.now();
-  const waiting = [...requests];
+  const pending = [...requests];
   const summaries: RunSummary[] = [];
   const workers = Array.from({ length: Math.min(jobs, requests.length) }, () =>
-    runWorker(waiting, (summary) => {
+    runWorker(pending, (summary) => {
       summaries.push(summary);
       progress(summaries.length, requests.length);
     }),
@@ -92,7 +92,7 @@
   return { scenario, seed, violations, faults, outcomes, virtualMs, digest };
 }
 
-/** One worker thread, which is given one run after the other until none waits. */
+/** Starts a worker thread that takes runs from the shared queue until it is empty. */
 function runWorker(waiting: RunRequest[], done: (summary: RunSummary) => void): Promise<void> {
   return new Promise((resolve, reject) => {
     const worker = new Worker(new URL('./simulate-worker.js', import.meta.url));
@@ -114,8 +114,8 @@
 }
 
 function reportOf(summaries: readonly RunSummary[], wallSeconds: number): SimulationReport {
-  const sum = (pick: (summary: RunSummary) => number): number =>
-    summaries.reduce((total, summary) => total + pick(summary), 0);
+  const sum = (valueOf: (summary: RunSummary) => number): number =>
+    summaries.reduce((total, summary) => total + valueOf(summary), 0);
   const violations = summaries.flatMap((summary) => summary.violations);
   const byCheck = checkNames.map((check) => [
     check,
--- a/src/proof/sim-managed/simulated-backend.ts
+++ b/src/proof/sim-managed/simulated-backend.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated back end: the stand-in's step over virtual sockets. It comes back under a new
- * incarnation with nothing that it held.
+ * @file A simulated back end: the step function of the stand-in on the virtual network. A restart
+ * loses all state and begins a new incarnation.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { ProbeResult } from '../../managed/health/backend-report.js';
@@ -14,7 +14,7 @@
   type BackendState,
 } from '../standins/backend-state.js';
 import type { BackendEvent } from '../standins/backend-step.js';
-import { readPacket, serviceOf } from './packet-notes.js';
+import { readPacket, serviceOf } from './packet-summary.js';
 import { SimulatedProcess } from './simulated-process.js';
 import type { Simulation } from './simulation.js';
 import type { DatagramHandler } from '../virtual/virtual-network.js';
@@ -22,7 +22,7 @@
 const TICK_INTERVAL_MS = 20;
 const INCARNATION_BOUND = 2 ** 32 - 1;
 
-/** What a simulated back end is started with. */
+/** Options of a simulated back end. */
 export interface SimulatedBackendOptions {
   readonly name: string;
   readonly zone: string;
@@ -30,7 +30,7 @@
   readonly options: BackendOptions;
 }
 
-/** A back end. */
+/** A back end process in the simulated world. */
 export class SimulatedBackend extends SimulatedProcess {
   readonly address: Address;
   readonly options: BackendOptions;
@@ -40,8 +40,8 @@
   constructor(
     simulation: Simulation,
     { name, zone, address, options }: SimulatedBackendOptions,
-    /** Names the balancer at an address. */
-    private readonly nameOf: (address: Address) => string,
+    /** Returns the name of the balancer at an address. */
+    private readonly balancerNameAt: (address: Address) => string,
   ) {
     super(simulation, 'backend', name, address.host, zone);
     this.address = address;
@@ -50,7 +50,7 @@
     this.onDatagram = (datagram, from) => this.handleDatagram(datagram, from);
   }
 
-  /** What the process answers to a probe. */
+  /** Answers a health probe; an authoritative probe also assigns the IDs and may start a drain. */
   answerProbe({ backend, isAuthoritative }: ProbeEffect): ProbeResult {
     const assignment = { serviceId: backend.serviceId, backendId: backend.id };
     if (isAuthoritative && backend.adminState === 'draining') {
@@ -67,17 +67,17 @@
     this.step({ type: 'publish', number, payload });
   }
 
-  /** A planned end of a process that is thought to be empty. */
-  endPlanned(): void {
+  /** Stops the process gracefully; the trace records requests that are still in progress. */
+  stop(): void {
     if (this.status !== 'down') {
-      this.stopped(this.unfinishedRequests());
+      this.completeStop(this.unfinishedRequests());
     }
   }
 
   protected onStart(): void {
     this.state = this.newState();
     this.simulation.network.bind(this.address, this.onDatagram);
-    this.every(TICK_INTERVAL_MS, () => this.step({ type: 'tick' }));
+    this.scheduleEvery(TICK_INTERVAL_MS, () => this.step({ type: 'tick' }));
   }
 
   protected onDown(): void {
@@ -94,7 +94,7 @@
   }
 
   private handleDatagram(datagram: Uint8Array, from: Address): void {
-    const sender = this.nameOf(from);
+    const sender = this.balancerNameAt(from);
     const arrivedAt = formatAddress(this.options.serviceAddress);
     const { keepsPackets } = this.simulation.trace;
     const packet =
@@ -116,19 +116,19 @@
   private step(event: BackendEvent, sender = ''): void {
     this.perform(() => {
       const { runs, flows } = this.state;
-      const runsBefore = runs.length;
-      const flowsBefore = flows.size;
+      const previousRunCount = runs.length;
+      const previousFlowCount = flows.size;
       const context = this.simulation.contextFor(this.random);
       const effects = this.simulation.steps.backend(this.state, event, context);
-      this.recordNewFlow(flowsBefore, sender);
-      this.recordRuns(runsBefore);
+      this.recordNewFlow(previousFlowCount, sender);
+      this.recordRuns(previousRunCount);
       for (const { to, datagram } of effects) {
         this.simulation.network.send(this.address, to, datagram);
       }
     });
   }
 
-  /** One datagram opens at most one flow, which is then the newest. */
+  /** Records the newest flow if the step opened one; a datagram opens at most one. */
   private recordNewFlow(flowsBefore: number, via: string): void {
     const { flows } = this.state;
     const newest = flows.size > flowsBefore ? [...flows.values()].at(-1) : undefined;
@@ -138,9 +138,9 @@
     }
   }
 
-  private recordRuns(before: number): void {
+  private recordRuns(previousRunCount: number): void {
     const { runs, running } = this.state;
-    for (const requestNumber of runs.slice(before)) {
+    for (const requestNumber of runs.slice(previousRunCount)) {
       const record = [...running].find(({ work }) => work?.requestNumber === requestNumber);
       const flowId = Buffer.from(record?.flow.flowId ?? []).toString('hex');
       this.simulation.record({
--- a/src/proof/sim-managed/simulated-balancer.ts
+++ b/src/proof/sim-managed/simulated-balancer.ts
@@ -1,5 +1,6 @@
 /**
- * @file A simulated balancer: the daemon's step over virtual sockets and links. It comes back empty.
+ * @file A simulated balancer: the step function of the daemon on virtual sockets and links. A
+ * restart loses all state.
  */
 import { match } from 'ts-pattern';
 import type { BalancerEffect, BalancerEvent } from '../../managed/balancer/balancer-events.js';
@@ -21,30 +22,30 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 const PORT = 5000;
 
-/** What a simulated balancer is started with. */
+/** Options of a simulated balancer. */
 export interface SimulatedBalancerOptions {
   readonly name: string;
   readonly host: string;
   readonly zone: string;
   readonly controlAddresses: readonly Address[];
   readonly clusterKey: string;
-  /** Gossip addresses of the balancers that the platform's list named at the start. */
+  /** Gossip addresses of the balancers in the platform's list at the start. */
   readonly seeds: readonly Address[];
-  /** Time for which a planned stop forwards on. */
+  /** Time for which a stopping balancer continues to forward. */
   readonly stopGraceMs: number;
 }
 
-/** A balancer. */
+/** A balancer process in the simulated world. */
 export class SimulatedBalancer extends SimulatedProcess {
-  readonly front: Address;
-  readonly back: Address;
+  readonly frontAddress: Address;
+  readonly backAddress: Address;
   state: BalancerState;
   private readonly peers: SimulatedPeerSockets;
   private link: VirtualLinkEnd | undefined;
   private recordedIndex = 0;
   private isStopping = false;
-  private readonly onFront: DatagramHandler;
-  private readonly onBack: DatagramHandler;
+  private readonly onFrontDatagram: DatagramHandler;
+  private readonly onBackDatagram: DatagramHandler;
 
   constructor(
     simulation: Simulation,
@@ -52,54 +53,55 @@
     private readonly directory: BackendDirectory,
   ) {
     super(simulation, 'balancer', options.name, options.host, options.zone);
-    this.front = { host: options.host, port: PORT };
-    this.back = { host: options.host, port: PORT + 1 };
+    this.frontAddress = { host: options.host, port: PORT };
+    this.backAddress = { host: options.host, port: PORT + 1 };
     this.peers = new SimulatedPeerSockets(simulation, options.clusterKey, {
       host: options.host,
       isListening: () => this.status !== 'down',
       step: (event) => this.step(event),
     });
-    this.state = this.emptyState();
-    this.onFront = (datagram, replyTo) => this.step({ type: 'client-datagram', datagram, replyTo });
-    this.onBack = (datagram) => this.step({ type: 'backend-datagram', datagram });
+    this.state = this.createState();
+    this.onFrontDatagram = (datagram, replyTo) =>
+      this.step({ type: 'client-datagram', datagram, replyTo });
+    this.onBackDatagram = (datagram) => this.step({ type: 'backend-datagram', datagram });
   }
 
-  /** True while the platform counts it as live: it runs, and is not asked to stop. */
+  /** True while the platform lists the balancer: it is not down and not stopping. */
   get isListed(): boolean {
     return this.status !== 'down' && !this.isStopping;
   }
 
-  /** A planned stop: no new opens, forwards on for the grace time, then ends. */
+  /** Stops gracefully: refuses new opens, forwards during the grace period, then ends. */
   stop(): void {
     if (this.isStopping) {
       return;
     }
     this.isStopping = true;
     this.step({ type: 'stop' });
-    this.later(this.options.stopGraceMs, () => this.endOnceFinished());
+    this.schedule(this.options.stopGraceMs, () => this.completeStopWhenIdle());
   }
 
   protected onStart(): void {
-    this.state = this.emptyState();
+    this.state = this.createState();
     this.recordedIndex = 0;
     this.isStopping = false;
     const { network } = this.simulation;
-    network.bind(this.front, this.onFront);
-    network.bind(this.back, this.onBack);
+    network.bind(this.frontAddress, this.onFrontDatagram);
+    network.bind(this.backAddress, this.onBackDatagram);
     this.peers.open();
-    this.every(TICK_INTERVAL_MS, () => this.step({ type: 'tick' }));
+    this.scheduleEvery(TICK_INTERVAL_MS, () => this.step({ type: 'tick' }));
   }
 
   protected onDown(): void {
     const { network } = this.simulation;
-    network.release(this.front, this.onFront);
-    network.release(this.back, this.onBack);
+    network.release(this.frontAddress, this.onFrontDatagram);
+    network.release(this.backAddress, this.onBackDatagram);
     this.peers.close();
     this.link?.close();
     this.link = undefined;
   }
 
-  private emptyState(): BalancerState {
+  private createState(): BalancerState {
     const { name, zone, controlAddresses, clusterKey, seeds } = this.options;
     const incarnation = Math.floor(this.simulation.wallTimeMs / MILLISECONDS_PER_SECOND);
     return createBalancerState({
@@ -112,24 +114,24 @@
     });
   }
 
-  private endOnceFinished(): void {
+  private completeStopWhenIdle(): void {
     if (this.state.pendingOpens.size > 0) {
-      this.later(STOP_POLL_INTERVAL_MS, () => this.endOnceFinished());
+      this.schedule(STOP_POLL_INTERVAL_MS, () => this.completeStopWhenIdle());
       return;
     }
-    this.stopped(this.state.pendingOpens.size);
+    this.completeStop(this.state.pendingOpens.size);
   }
 
   private step(event: BalancerEvent): void {
     this.perform(() => {
       const context = this.simulation.contextFor(this.random);
       const effects = this.simulation.steps.balancer(this.state, event, context);
-      this.recordInForce();
+      this.recordConfig();
       effects.forEach((effect) => this.performEffect(effect));
     });
   }
 
-  private recordInForce(): void {
+  private recordConfig(): void {
     const { index } = this.state.position;
     if (index !== this.recordedIndex) {
       this.recordedIndex = index;
@@ -141,14 +143,14 @@
   private performEffect(effect: BalancerEffect): void {
     match(effect)
       .with({ type: 'send' }, ({ via, to, datagram }) => {
-        const from = via === 'fabric' ? this.front : this.back;
+        const from = via === 'fabric' ? this.frontAddress : this.backAddress;
         this.simulation.network.send(from, to, datagram);
       })
       .with({ type: 'link-open' }, ({ linkId, address }) => this.openLink(linkId, address))
       .with({ type: 'link-send' }, ({ message }) => this.link?.send(message))
       .with({ type: 'probe' }, (probe) => this.probe(probe))
-      .with({ type: 'peer-send' }, ({ linkId, message }) => this.peers.sendTo(linkId, message))
-      .with({ type: 'gossip-send' }, ({ to, message }) => this.peers.gossip(to, message))
+      .with({ type: 'peer-send' }, ({ linkId, message }) => this.peers.sendOnLink(linkId, message))
+      .with({ type: 'gossip-send' }, ({ to, message }) => this.peers.sendGossip(to, message))
       .exhaustive();
   }
 
@@ -165,7 +167,7 @@
     const listener = linkListeners.get(formatAddress(address));
     const onClose = (): void => this.step({ type: 'link-closed', linkId });
     if (listener?.isListening() !== true || network.isCut(this.host, listener.host)) {
-      this.later(network.delayBetween(this.host, address.host) * 2, onClose);
+      this.schedule(network.delayBetween(this.host, address.host) * 2, onClose);
       return;
     }
     const acceptor = listener.accept();
--- a/src/proof/sim-managed/simulated-caller.ts
+++ b/src/proof/sim-managed/simulated-caller.ts
@@ -1,6 +1,7 @@
 /**
- * @file A simulated caller: runs the stand-in's step on the virtual network and records the outcome of each request in
- * the trace. Whether an answer is right is decided by the stand-in, which compares bytes.
+ * @file A simulated caller: runs the step function of the stand-in on the virtual network and
+ * records the outcome of each request in the trace. The stand-in compares the bytes of each answer
+ * with the expected ones.
  */
 import { match } from 'ts-pattern';
 import type { Address } from '../../shared/common/address.js';
@@ -22,13 +23,13 @@
 const PORT = 6000;
 const ZONE = 'zone-a';
 
-/** Where a caller's packets enter the network: the fabric. */
+/** Entry point of the packets of callers into the network, which is the fabric. */
 export interface CallerUplink {
   readonly host: string;
   handleCallerPacket(packet: Uint8Array, client: Address, service: Address): void;
 }
 
-/** What a simulated caller is started with. */
+/** Options of a simulated caller. */
 export interface SimulatedCallerOptions {
   readonly name: string;
   readonly host: string;
@@ -36,25 +37,25 @@
   readonly options: CallerOptions;
 }
 
-interface StandingFlow {
+interface EstablishedFlow {
   readonly flow: OpenFlow;
-  readonly sinceMs: number;
+  readonly establishedAtMs: number;
 }
 
-/** A caller. */
+/** A caller process in the simulated world. */
 export class SimulatedCaller extends SimulatedProcess {
   readonly address: Address;
   state: CallerState;
   private readonly service: Address;
   private readonly options: CallerOptions;
-  private starts = 0;
-  private readonly standing = new Map<OpenFlow, StandingFlow>();
+  private startCount = 0;
+  private readonly establishedFlows = new Map<OpenFlow, EstablishedFlow>();
 
   constructor(
     simulation: Simulation,
     { name, host, service, options }: SimulatedCallerOptions,
     private readonly fabric: CallerUplink,
-    /** Names the process of a back end by its ID. */
+    /** Returns the process name of the back end with an ID. */
     private readonly backendName: (backendId: number) => string,
   ) {
     super(simulation, 'caller', name, host, ZONE);
@@ -68,20 +69,20 @@
     this.step({ type: 'packet', packet });
   }
 
-  /** It begins anew, with requests of other numbers. */
+  /** Starts with new request numbers, since the requests of earlier starts are lost. */
   protected onStart(): void {
     const { firstRequestNumber, requestCount } = this.options;
     const options = {
       ...this.options,
-      firstRequestNumber: firstRequestNumber + this.starts * requestCount,
+      firstRequestNumber: firstRequestNumber + this.startCount * requestCount,
     };
-    this.starts += 1;
+    this.startCount += 1;
     this.state = createCallerState(options, this.simulation.nowMs);
-    this.every(TICK_INTERVAL_MS, () => this.step({ type: 'tick' }));
+    this.scheduleEvery(TICK_INTERVAL_MS, () => this.step({ type: 'tick' }));
   }
 
   protected onDown(): void {
-    this.standing.clear();
+    this.establishedFlows.clear();
   }
 
   private step(event: CallerEvent): void {
@@ -117,7 +118,7 @@
         this.simulation.record({ type: 'notice', caller: this.name, number, intact });
       })
       .with({ type: 'notices-missed' }, ({ first, last }) => {
-        const backend = feedFlow === undefined ? '' : this.backendOf(feedFlow);
+        const backend = feedFlow === undefined ? '' : this.backendNameOf(feedFlow);
         this.simulation.record({
           type: 'notices-missed',
           caller: this.name,
@@ -148,34 +149,34 @@
       requestNumber,
       outcome: type,
       ...(type !== 'answered' && { errorKind: outcome.kind }),
-      ...(flow !== undefined && { flowId: this.flowName(flow), backend: this.backendOf(flow) }),
+      ...(flow !== undefined && { flowId: this.flowName(flow), backend: this.backendNameOf(flow) }),
       intact: !isWrong,
     });
   }
 
-  /** Notes which established flows are gone though the session did not end them. */
+  /** Records established flows that were lost without being closed by the session. */
   private recordFlows(isBroken: boolean): void {
     const { flow, oldFlows, closedFlows } = this.state;
-    const present = flow.phase === 'open' ? [...oldFlows, flow] : oldFlows;
-    for (const [known, { sinceMs }] of this.standing) {
-      if (present.includes(known)) {
+    const openFlows = flow.phase === 'open' ? [...oldFlows, flow] : oldFlows;
+    for (const [established, { establishedAtMs }] of this.establishedFlows) {
+      if (openFlows.includes(established)) {
         continue;
       }
-      this.standing.delete(known);
-      const wasEnded = closedFlows.includes(known) && !isBroken;
-      if (isBroken && !wasEnded) {
+      this.establishedFlows.delete(established);
+      const wasClosed = closedFlows.includes(established) && !isBroken;
+      if (isBroken && !wasClosed) {
         this.simulation.record({
           type: 'flow-broken',
           caller: this.name,
-          flowId: this.flowName(known),
-          backend: this.backendOf(known),
-          establishedAtMs: sinceMs,
+          flowId: this.flowName(established),
+          backend: this.backendNameOf(established),
+          establishedAtMs,
         });
       }
     }
-    for (const open of present) {
-      if (!this.standing.has(open)) {
-        this.standing.set(open, { flow: open, sinceMs: this.simulation.nowMs });
+    for (const open of openFlows) {
+      if (!this.establishedFlows.has(open)) {
+        this.establishedFlows.set(open, { flow: open, establishedAtMs: this.simulation.nowMs });
       }
     }
   }
@@ -184,7 +185,7 @@
     return this.simulation.flowName(Buffer.from(flow.flowId).toString('hex'));
   }
 
-  private backendOf(flow: OpenFlow): string {
+  private backendNameOf(flow: OpenFlow): string {
     return this.backendName(readToken(flow.token).backendId);
   }
 }
--- a/src/proof/sim-managed/simulated-control.ts
+++ b/src/proof/sim-managed/simulated-control.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated control machine: the daemon's step and the daemon's storage over a virtual disk and
- * virtual links. It comes back with what its disk holds.
+ * @file A simulated control machine: the daemon's step function and storage on a virtual disk and
+ * virtual links. A restart recovers the state from the disk.
  */
 import { match } from 'ts-pattern';
 import type { Address } from '../../shared/common/address.js';
@@ -33,17 +33,17 @@
 
 const TICK_INTERVAL_MS = 20;
 const STOP_POLL_INTERVAL_MS = 5;
-/** A planned stop waits for the transfer of leadership no longer than this. */
+/** Longest wait of a graceful stop for the leadership transfer. */
 const TRANSFER_TIMEOUT_MS = 2_000;
-/** Time after a failed write until the process ends; the platform starts it again. */
+/** Time from a failed write until the process ends. */
 const RESTART_AFTER_FAILURE_MS = 500;
-/** The same secret is offered for a while, since drawing one at each tick takes long. */
+/** Time for which ticks reuse a secret, since generating one at each tick is slow. */
 const SECRET_LIFETIME_MS = 1_000;
 const FIRST_KEY_ID = 1;
 const BYTE_VALUES = 256;
 const STORAGE_ID_BOUND = 2 ** 31;
 
-/** What a simulated control machine is started with. */
+/** Options of a simulated control machine. */
 export interface SimulatedControlOptions {
   readonly name: string;
   readonly zone: string;
@@ -54,23 +54,25 @@
   readonly operators: readonly { readonly name: string; readonly token: string }[];
 }
 
-/** What a question of an operator gave. */
+/**
+ * Answer to a state query of an operator: the applied index, or an error with the leader if known.
+ */
 export interface StateAnswer {
   readonly index?: number;
   readonly error?: AmberliftError;
   readonly leader?: Address;
 }
 
-/** A control machine. */
+/** A control machine in the simulated world. */
 export class SimulatedControl extends SimulatedProcess {
   readonly disk: VirtualDisk;
-  /** Undefined while it reads its disk. */
+  /** Undefined while the process is down or reads its disk. */
   state: ControlState | undefined;
   private storage: ConsensusStorage | undefined;
   private peerLinks: OutboundLinks<VirtualLinkEnd> | undefined;
   private readonly links = new Map<number, VirtualLinkEnd>();
-  private readonly commands = new Map<number, (outcome: CommandOutcome) => void>();
-  private readonly queries = new Map<number, (shown: StateAnswer) => void>();
+  private readonly pendingCommands = new Map<number, (outcome: CommandOutcome) => void>();
+  private readonly pendingQueries = new Map<number, (answer: StateAnswer) => void>();
   private nextLinkId = 1;
   private nextRequestId = 1;
   private recordedIndex = 0;
@@ -90,32 +92,34 @@
     });
   }
 
-  /** True while it believes that it leads. */
-  get leads(): boolean {
+  /**
+   * True while this machine has the leader role, even if another has been elected in a later term.
+   */
+  get isLeader(): boolean {
     return this.state !== undefined && isLeader(this.state);
   }
 
-  /** Puts a command into the log, as the operator interface does. */
+  /** Proposes a command for the log, as the operator interface does. */
   propose(entry: CommandEntry, done: (outcome: CommandOutcome) => void): void {
-    const requestId = this.nextFreeRequestId();
-    this.commands.set(requestId, done);
+    const requestId = this.allocateRequestId();
+    this.pendingCommands.set(requestId, done);
     this.step({ type: 'propose', requestId, entry });
   }
 
-  /** Asks for the state, as the operator interface does. */
-  show(done: (shown: StateAnswer) => void): void {
-    const requestId = this.nextFreeRequestId();
-    this.queries.set(requestId, done);
+  /** Queries the state, as the operator interface does. */
+  queryState(done: (answer: StateAnswer) => void): void {
+    const requestId = this.allocateRequestId();
+    this.pendingQueries.set(requestId, done);
     this.step({ type: 'query', requestId });
   }
 
-  /** A planned stop: hands over leadership, then ends. */
+  /** Stops gracefully: transfers leadership, then ends. */
   stop(): void {
     this.step({ type: 'stop' });
-    this.endOnceHandedOver(this.simulation.nowMs + TRANSFER_TIMEOUT_MS);
+    this.stopAfterTransfer(this.simulation.nowMs + TRANSFER_TIMEOUT_MS);
   }
 
-  /** The machine loses power: what its disk had not synced may be lost. */
+  /** Simulates a power loss: writes that the disk has not synced may be lost. */
   losePower(): void {
     this.disk.crash();
     this.links.forEach((link) => link.vanish());
@@ -131,9 +135,9 @@
     void ConsensusStorage.open(folder, this.name, makeStorageId).then((storage) => {
       this.simulation.clock.markPromiseSettled();
       if (storage.isOk()) {
-        this.begin(storage.value);
+        this.initialize(storage.value);
       } else {
-        // A damaged disk: the daemon refuses to start.
+        // The daemon refuses to start from a corrupt disk.
         this.crash();
       }
     });
@@ -143,14 +147,14 @@
     this.disk.processDied();
     this.state = undefined;
     this.storage = undefined;
-    this.commands.clear();
-    this.queries.clear();
+    this.pendingCommands.clear();
+    this.pendingQueries.clear();
     this.links.forEach((link) => link.close());
     this.links.clear();
     this.peerLinks?.close((link) => link.close());
   }
 
-  private begin(storage: ConsensusStorage): void {
+  private initialize(storage: ConsensusStorage): void {
     const { linkAddress, operatorAddress, peers, clusterKey } = this.options;
     this.storage = storage;
     this.peerLinks = createSimulatedPeerLinks(this.simulation, this.host);
@@ -164,7 +168,7 @@
       recovered: storage.recovered,
     });
     this.recordApplied();
-    this.every(TICK_INTERVAL_MS, () => this.tick());
+    this.scheduleEvery(TICK_INTERVAL_MS, () => this.tick());
   }
 
   private tick(): void {
@@ -211,13 +215,13 @@
       )
       .with({ type: 'link-send' }, ({ linkId, message }) => this.links.get(linkId)?.send(message))
       .with({ type: 'operator-reply' }, ({ requestId, outcome }) => {
-        const done = this.commands.get(requestId);
-        this.commands.delete(requestId);
+        const done = this.pendingCommands.get(requestId);
+        this.pendingCommands.delete(requestId);
         done?.(outcome);
       })
       .with({ type: 'query-reply' }, ({ requestId, error, leader }) => {
-        const done = this.queries.get(requestId);
-        this.queries.delete(requestId);
+        const done = this.pendingQueries.get(requestId);
+        this.pendingQueries.delete(requestId);
         const index = this.state?.cluster.index ?? 0;
         done?.(error === undefined ? { index } : { error, ...(leader && { leader }) });
       })
@@ -230,21 +234,23 @@
     const { storage } = this;
     this.simulation.clock.markPromiseSettled();
     storage?.persist(effect).then(
-      () => this.endWrite(storage, { type: 'persisted', writeId }),
+      () => this.completeWrite(storage, { type: 'persisted', writeId }),
       (cause: unknown) =>
-        this.endWrite(storage, { type: 'persist-failed', writeId, reason: String(cause) }),
+        this.completeWrite(storage, { type: 'persist-failed', writeId, reason: String(cause) }),
     );
   }
 
-  /** A machine whose disk fails takes part in nothing; the platform starts it again. */
-  private endWrite(storage: ConsensusStorage, event: ControlEvent): void {
+  /**
+   * After a failed write the daemon takes no further part in the cluster; the process ends soon.
+   */
+  private completeWrite(storage: ConsensusStorage, event: ControlEvent): void {
     if (storage !== this.storage) {
       return;
     }
     this.simulation.clock.markPromiseSettled();
     this.step(event);
     if (event.type === 'persist-failed') {
-      this.later(RESTART_AFTER_FAILURE_MS, () => this.crash());
+      this.schedule(RESTART_AFTER_FAILURE_MS, () => this.crash());
     }
   }
 
@@ -255,16 +261,16 @@
     const { role, term } = this.state.consensus;
     this.simulation.record({ type: 'role', control: this.name, role: role.name, term });
     if (isLeader(this.state) && this.state.cluster.operators.size === 0) {
-      this.proposeFirstCommands();
+      this.proposeBootstrapCommands();
     }
   }
 
-  private proposeFirstCommands(): void {
+  private proposeBootstrapCommands(): void {
     const operators = this.options.operators.map(({ name, token }) => ({
       name,
       tokenHash: operatorTokenHash(token),
     }));
-    const firstCommands: CommandEntry[] = [
+    const bootstrapCommands: CommandEntry[] = [
       {
         commandId: 'bootstrap-operators',
         operator: SYSTEM_OPERATOR,
@@ -281,7 +287,7 @@
         },
       },
     ];
-    firstCommands.forEach((entry) => this.propose(entry, () => undefined));
+    bootstrapCommands.forEach((entry) => this.propose(entry, () => undefined));
   }
 
   private acceptLink(): LinkAcceptor {
@@ -305,17 +311,17 @@
     }
   }
 
-  private nextFreeRequestId(): number {
+  private allocateRequestId(): number {
     const requestId = this.nextRequestId;
     this.nextRequestId += 1;
     return requestId;
   }
 
-  private endOnceHandedOver(deadlineAtMs: number): void {
-    if (this.leads && this.simulation.nowMs < deadlineAtMs) {
-      this.later(STOP_POLL_INTERVAL_MS, () => this.endOnceHandedOver(deadlineAtMs));
+  private stopAfterTransfer(deadlineAtMs: number): void {
+    if (this.isLeader && this.simulation.nowMs < deadlineAtMs) {
+      this.schedule(STOP_POLL_INTERVAL_MS, () => this.stopAfterTransfer(deadlineAtMs));
       return;
     }
-    this.stopped(0);
+    this.completeStop(0);
   }
 }
--- a/src/proof/sim-managed/simulated-fabric.ts
+++ b/src/proof/sim-managed/simulated-fabric.ts
@@ -1,10 +1,10 @@
 /**
- * @file The simulated fabric: runs the stand-in's step on the virtual network. Its list of balancers is the platform's,
- * which lags.
+ * @file The simulated fabric: runs the step function of the stand-in on the virtual network. Its
+ * list of balancers comes from the platform and may be stale.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { FabricEffect, FabricEvent, FabricState } from '../standins/fabric-step.js';
-import { readPacket } from './packet-notes.js';
+import { readPacket } from './packet-summary.js';
 import type { SimulatedBalancer } from './simulated-balancer.js';
 import type { CallerUplink, SimulatedCaller } from './simulated-caller.js';
 import { SimulatedProcess } from './simulated-process.js';
@@ -14,7 +14,7 @@
 const PORT = 5000;
 const ZONE = 'zone-a';
 
-/** The fabric. */
+/** The fabric process in the simulated world. */
 export class SimulatedFabric extends SimulatedProcess implements CallerUplink {
   readonly returnAddress: Address = { host: HOST, port: PORT };
   private readonly state: FabricState;
@@ -23,7 +23,7 @@
 
   constructor(simulation: Simulation) {
     super(simulation, 'fabric', 'fabric', HOST, ZONE);
-    // Delays between hosts are the network's; the fabric adds the way to the callers.
+    // The network adds the delays between hosts; the fabric adds only the delay to callers.
     const options = { zone: ZONE, crossZoneDelayMs: 0, callerDelayMs: 1 };
     this.state = { options, balancers: [] };
   }
@@ -36,11 +36,13 @@
     this.step({ type: 'caller-packet', packet, client, service });
   }
 
-  /** The list that the fabric sprays over from now on. */
-  setList(balancers: readonly SimulatedBalancer[]): void {
-    balancers.forEach(({ front, name }) => this.balancerNames.set(formatAddress(front), name));
+  /** Replaces the list of balancers over which the fabric distributes packets. */
+  setBalancers(balancers: readonly SimulatedBalancer[]): void {
+    balancers.forEach(({ frontAddress, name }) =>
+      this.balancerNames.set(formatAddress(frontAddress), name),
+    );
     this.simulation.record({ type: 'list', balancers: balancers.map(({ name }) => name) });
-    const list = balancers.map(({ front, zone }) => ({ address: front, zone }));
+    const list = balancers.map(({ frontAddress, zone }) => ({ address: frontAddress, zone }));
     this.step({ type: 'list', balancers: list });
   }
 
--- a/src/proof/sim-managed/simulated-operator.ts
+++ b/src/proof/sim-managed/simulated-operator.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated operator: sends commands to control machines, the same command ID again when no
- * answer comes, as the operators' client does.
+ * @file A simulated operator: sends commands to control machines and, like the client of the
+ * operators, retries with the same command ID if no answer arrives.
  */
 import type { CommandOutcome, OperatorCommand } from '../../managed/control/commands.js';
 import { answerFor } from '../../shared/common/error-kinds.js';
@@ -13,16 +13,16 @@
 const RETRY_DELAY_MS = 250;
 const ZONE = 'zone-a';
 
-/** What an operator does. */
+/** A command with the context that the trace records. */
 export interface OperatorRequest {
   readonly command: OperatorCommand;
-  /** The back end or service that it is about, for the trace. */
+  /** Name of the affected back end or service. */
   readonly subject: string;
-  /** Name of the service that it changes. */
+  /** Name of the changed service. */
   readonly service: string;
 }
 
-/** Called with the final answer. */
+/** Called with the final outcome of a command. */
 export type OperatorAnswerHandler = (outcome: CommandOutcome) => void;
 
 interface PendingCommand extends OperatorRequest {
@@ -32,12 +32,12 @@
   isAnswered: boolean;
 }
 
-/** An operator of one partner. */
+/** An operator of one partner in the simulated world. */
 export class SimulatedOperator extends SimulatedProcess {
-  /** Share of answers that are lost on the way, from 0 to 1. */
-  answerLossShare = 0;
-  /** Commands without a final answer. */
-  unanswered = 0;
+  /** Probability that an answer is lost, from 0 to 1. */
+  answerLossRate = 0;
+  /** Number of commands without a final answer. */
+  pendingCount = 0;
   private nextCommand = 1;
 
   constructor(
@@ -49,22 +49,22 @@
     super(simulation, 'operator', name, host, ZONE);
   }
 
-  /** Sends a command until a final answer comes. */
+  /** Sends a command and retries it until a final answer arrives. */
   send(request: OperatorRequest, done: OperatorAnswerHandler = () => undefined): void {
     const commandId = `${this.name}-${this.nextCommand}`;
     this.nextCommand += 1;
-    this.unanswered += 1;
+    this.pendingCount += 1;
     const pending = { ...request, commandId, done, attempt: 0, isAnswered: false };
-    this.attempt(pending, this.controls[this.random.nextInt(this.controls.length)]);
+    this.sendAttempt(pending, this.controls[this.random.nextInt(this.controls.length)]);
   }
 
-  /** Asks one control machine what is in force. */
-  show(control: SimulatedControl): void {
+  /** Queries a control machine for its applied index. */
+  queryState(control: SimulatedControl): void {
     const askedAtMs = this.simulation.nowMs;
-    this.exchange(control, (answer) =>
-      control.show(({ index }) => {
+    this.exchange(control, (respond) =>
+      control.queryState(({ index }) => {
         if (index !== undefined) {
-          answer(() =>
+          respond(() =>
             this.simulation.record({
               type: 'shown',
               operator: this.name,
@@ -79,14 +79,14 @@
   }
 
   protected onStart(): void {
-    this.unanswered = 0;
+    this.pendingCount = 0;
   }
 
   protected onDown(): void {
-    this.unanswered = 0;
+    this.pendingCount = 0;
   }
 
-  private attempt(pending: PendingCommand, control: SimulatedControl | undefined): void {
+  private sendAttempt(pending: PendingCommand, control: SimulatedControl | undefined): void {
     if (pending.isAnswered || control === undefined) {
       return;
     }
@@ -102,24 +102,24 @@
       control: control.name,
       attempt,
     });
-    this.exchange(control, (answer) =>
+    this.exchange(control, (respond) =>
       control.propose({ commandId, operator: this.name, command }, (outcome) => {
-        if (this.random.nextFloat() >= this.answerLossShare) {
-          answer(() => this.handleAnswer(pending, attempt, outcome, control));
+        if (this.random.nextFloat() >= this.answerLossRate) {
+          respond(() => this.handleAnswer(pending, attempt, outcome, control));
         }
       }),
     );
-    this.later(REQUEST_TIMEOUT_MS, () => {
+    this.schedule(REQUEST_TIMEOUT_MS, () => {
       if (pending.attempt === attempt) {
-        this.attempt(pending, this.controlAfter(control));
+        this.sendAttempt(pending, this.nextControl(control));
       }
     });
   }
 
-  /** One HTTP exchange: a request, and an answer where one comes. */
+  /** Simulates an HTTP exchange; a network cut loses the request or the answer. */
   private exchange(
     control: SimulatedControl,
-    request: (answer: (take: () => void) => void) => void,
+    request: (respond: (handler: () => void) => void) => void,
   ): void {
     const { clock, network } = this.simulation;
     const delayMs = network.delayBetween(this.host, control.host);
@@ -128,10 +128,10 @@
         return;
       }
       control.perform(() =>
-        request((take) =>
+        request((handler) =>
           clock.after(delayMs, () => {
             if (!network.isCut(control.host, this.host)) {
-              this.perform(take);
+              this.perform(handler);
             }
           }),
         ),
@@ -155,7 +155,7 @@
       return;
     }
     pending.isAnswered = true;
-    this.unanswered -= 1;
+    this.pendingCount -= 1;
     const { commandId, command, subject, service } = pending;
     this.simulation.record({
       type: 'command-answered',
@@ -176,19 +176,19 @@
     control: SimulatedControl,
   ): void {
     const { leader } = outcome;
-    const named = this.controls.find(
+    const leaderControl = this.controls.find(
       ({ options }) =>
         leader !== undefined && formatAddress(options.operatorAddress) === formatAddress(leader),
     );
     const { attempt } = pending;
-    this.later(named === undefined ? RETRY_DELAY_MS : 0, () => {
+    this.schedule(leaderControl === undefined ? RETRY_DELAY_MS : 0, () => {
       if (pending.attempt === attempt) {
-        this.attempt(pending, named ?? this.controlAfter(control));
+        this.sendAttempt(pending, leaderControl ?? this.nextControl(control));
       }
     });
   }
 
-  private controlAfter(control: SimulatedControl): SimulatedControl | undefined {
+  private nextControl(control: SimulatedControl): SimulatedControl | undefined {
     return this.controls[(this.controls.indexOf(control) + 1) % this.controls.length];
   }
 }
--- a/src/proof/sim-managed/simulated-peer-links.ts
+++ b/src/proof/sim-managed/simulated-peer-links.ts
@@ -1,5 +1,6 @@
 /**
- * @file How a simulated control machine opens its links to the other control machines: the product's dialer over virtual links.
+ * @file Outbound links from a simulated control machine to the others: the dialer of the product on
+ * virtual links.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { createOutboundLinks, type OutboundLinks } from '../../shared/common/outbound-links.js';
@@ -10,8 +11,8 @@
 const MAX_RETRY_DELAY_MS = 1_000;
 
 /**
- * @param host the machine that opens the links
- * @returns its links, opened by the rules of the daemon
+ * @param host host that opens the links
+ * @returns outbound links that are retried with exponential delays, as in the daemon
  */
 export function createSimulatedPeerLinks(
   simulation: Simulation,
--- a/src/proof/sim-managed/simulated-peer-sockets.ts
+++ b/src/proof/sim-managed/simulated-peer-sockets.ts
@@ -1,6 +1,6 @@
 /**
- * @file The virtual sockets by which a balancer is reached by other balancers: datagrams for gossip,
- * links over which they get the configuration.
+ * @file Virtual sockets of a balancer for other balancers: datagrams for gossip, and links that
+ * distribute the configuration.
  */
 import type { BalancerEvent } from '../../managed/balancer/balancer-events.js';
 import type { Address } from '../../shared/common/address.js';
@@ -20,18 +20,18 @@
 import type { VirtualLinkEnd } from '../virtual/virtual-links.js';
 import type { DatagramHandler } from '../virtual/virtual-network.js';
 
-/** UDP port of every balancer's gossip. */
+/** UDP port for gossip, the same on every balancer. */
 export const GOSSIP_PORT = 5002;
 const LINK_PORT = 5003;
 
-/** Who takes what comes in. */
-export interface SimulatedSocketsOwner {
+/** The balancer that owns the sockets and handles their events. */
+export interface PeerSocketOwner {
   readonly host: string;
   isListening(): boolean;
   step(event: BalancerEvent): void;
 }
 
-/** The sockets of one balancer towards the others. */
+/** Gossip socket and link listener of one balancer. */
 export class SimulatedPeerSockets {
   readonly addresses: MemberAddresses;
   private readonly key: GossipKey;
@@ -42,7 +42,7 @@
   constructor(
     private readonly simulation: Simulation,
     clusterKey: string,
-    private readonly owner: SimulatedSocketsOwner,
+    private readonly owner: PeerSocketOwner,
   ) {
     const { host } = owner;
     this.addresses = { host, gossipPort: GOSSIP_PORT, linkPort: LINK_PORT };
@@ -65,12 +65,12 @@
     this.links.clear();
   }
 
-  gossip(to: Address, message: PeerDatagram): void {
+  sendGossip(to: Address, message: PeerDatagram): void {
     const datagram = encodeGossip(message, this.key);
     this.simulation.network.send(gossipAddress(this.addresses), to, datagram);
   }
 
-  sendTo(linkId: number, message: ControlToBalancerMessage): void {
+  sendOnLink(linkId: number, message: ControlToBalancerMessage): void {
     this.links.get(linkId)?.send(message);
   }
 
--- a/src/proof/sim-managed/simulated-probe.ts
+++ b/src/proof/sim-managed/simulated-probe.ts
@@ -1,6 +1,6 @@
 /**
- * @file A virtual health probe over HTTP: gives a back end its ID, and the order to drain where the
- * operators want that, and brings its health and load.
+ * @file A simulated health probe over HTTP: it assigns the ID of a back end, requests a drain if
+ * the operators want one, and returns health and load.
  */
 import { formatAddress } from '../../shared/common/address.js';
 import type { ProbeResult } from '../../managed/health/backend-report.js';
@@ -9,18 +9,18 @@
 import type { Simulation } from './simulation.js';
 
 const PROBE_TIMEOUT_MS = 1_000;
-const ROUND_TRIPS = 2;
+const ONE_WAY_TRIPS = 2;
 
 /** Finds back end processes by address. */
 export interface BackendDirectory {
-  /** By the text form of the health address. */
+  /** Keyed by the text form of the health address. */
   readonly byHealthAddress: Map<string, SimulatedBackend>;
 }
 
 /**
  * Probes a back end.
- * @param host of the balancer that probes
- * @param done called with the result, at the latest after the timeout
+ * @param host host of the probing balancer
+ * @param done called once with the result, at the latest after the timeout
  */
 export function probeSimulatedBackend(
   simulation: Simulation,
@@ -35,17 +35,17 @@
   const failed: ProbeResult = { backendId: backend.id, health: undefined, load: undefined };
   const delayMs = network.delayBetween(host, backend.healthAddress.host);
   if (target === undefined || target.status === 'down') {
-    clock.after(delayMs * ROUND_TRIPS, () => done(failed));
+    clock.after(delayMs * ONE_WAY_TRIPS, () => done(failed));
     return;
   }
-  const answer: { isDone: boolean } = { isDone: false };
-  const end = (result: ProbeResult): void => {
-    if (!answer.isDone) {
-      answer.isDone = true;
+  const probeState: { isDone: boolean } = { isDone: false };
+  const finish = (result: ProbeResult): void => {
+    if (!probeState.isDone) {
+      probeState.isDone = true;
       done(result);
     }
   };
-  clock.after(PROBE_TIMEOUT_MS, () => end(failed));
+  clock.after(PROBE_TIMEOUT_MS, () => finish(failed));
   clock.after(delayMs, () => {
     if (network.isCut(host, target.host)) {
       return;
@@ -54,7 +54,7 @@
       const result = target.answerProbe(probe);
       clock.after(delayMs, () => {
         if (!network.isCut(target.host, host)) {
-          end(result);
+          finish(result);
         }
       });
     });
--- a/src/proof/sim-managed/simulated-process.ts
+++ b/src/proof/sim-managed/simulated-process.ts
@@ -1,20 +1,20 @@
 /**
- * @file A simulated process: it starts, is paused and resumed, crashes, and ends. What comes while it is
- * paused waits; what comes while it is down is lost.
+ * @file Base of simulated processes: start, pause, resume, crash and graceful stop. Actions are
+ * deferred while the process is paused and dropped while it is down.
  */
 import type { RandomSource } from '../../shared/common/step.js';
 import type { Simulation } from './simulation.js';
 import type { ProcessKind, ProcessStatus } from './trace.js';
 
-/** What waits at most for a paused process, as in the buffers of its sockets. */
-const MAX_WAITING = 2_000;
+/** Deferred actions of a paused process, bounded like socket buffers; later ones are dropped. */
+const MAX_DEFERRED_ACTIONS = 2_000;
 
-/** Base of all simulated processes. */
+/** Life cycle, timers and random source of a simulated process. */
 export abstract class SimulatedProcess {
   status: 'down' | 'running' | 'paused' = 'down';
   readonly random: RandomSource;
-  private readonly waiting: (() => void)[] = [];
-  /** Counts the starts; timers of earlier ones end. */
+  private readonly deferred: (() => void)[] = [];
+  /** Incremented at each start and end, to invalidate the timers of earlier starts. */
   private generation = 0;
 
   constructor(
@@ -28,7 +28,7 @@
     simulation.network.place(host, zone);
   }
 
-  /** Starts the process with nothing in memory. */
+  /** Starts the process with empty memory. */
   start(): void {
     if (this.status !== 'down') {
       return;
@@ -39,19 +39,22 @@
     this.onStart();
   }
 
-  /** The process dies with all that it holds in memory. */
+  /** Ends the process at once and discards its memory. */
   crash(): void {
     if (this.status === 'down') {
       return;
     }
-    this.end();
+    this.markDown();
     this.recordStatus('crashed');
     this.onDown();
   }
 
-  /** Ends at its own wish. */
-  protected stopped(unfinished: number): void {
-    this.end();
+  /**
+   * Ends the process after a graceful stop; `unfinished` counts requests or opens still in
+   * progress.
+   */
+  protected completeStop(unfinished: number): void {
+    this.markDown();
     this.recordStatus('stopped', unfinished);
     this.onDown();
   }
@@ -69,20 +72,20 @@
     }
     this.status = 'running';
     this.recordStatus('resumed');
-    this.waiting.splice(0).forEach((action) => action());
+    this.deferred.splice(0).forEach((action) => action());
   }
 
-  /** Does something in the process: now, after a pause, or never. */
+  /** Runs an action now, after the pause if the process is paused, or never if it is down. */
   perform(action: () => void): void {
     if (this.status === 'running') {
       action();
-    } else if (this.status === 'paused' && this.waiting.length < MAX_WAITING) {
-      this.waiting.push(() => this.perform(action));
+    } else if (this.status === 'paused' && this.deferred.length < MAX_DEFERRED_ACTIONS) {
+      this.deferred.push(() => this.perform(action));
     }
   }
 
-  /** Does something regularly while this start of the process lasts; not while it is paused. */
-  protected every(intervalMs: number, action: () => void): void {
+  /** Runs an action periodically until the process ends; skips it while the process is paused. */
+  protected scheduleEvery(intervalMs: number, action: () => void): void {
     const { generation } = this;
     const tick = (): void => {
       if (generation !== this.generation || this.status === 'down') {
@@ -93,12 +96,12 @@
       }
       this.simulation.clock.after(intervalMs, tick);
     };
-    // Processes that start together do not tick together.
+    // A random phase keeps processes that start together from ticking together.
     this.simulation.clock.after(this.random.nextFloat() * intervalMs, tick);
   }
 
-  /** Does something later, where this start of the process still lasts. */
-  protected later(delayMs: number, action: () => void): void {
+  /** Runs an action after a delay unless the process has ended since. */
+  protected schedule(delayMs: number, action: () => void): void {
     const { generation } = this;
     this.simulation.clock.after(delayMs, () => {
       if (generation === this.generation) {
@@ -110,10 +113,10 @@
   protected abstract onStart(): void;
   protected abstract onDown(): void;
 
-  private end(): void {
+  private markDown(): void {
     this.generation += 1;
     this.status = 'down';
-    this.waiting.length = 0;
+    this.deferred.length = 0;
   }
 
   private recordStatus(status: ProcessStatus, unfinished?: number): void {
--- a/src/proof/sim-managed/simulated-steps.ts
+++ b/src/proof/sim-managed/simulated-steps.ts
@@ -1,6 +1,6 @@
 /**
- * @file The steps that the simulator runs: those of the daemons and the stand-ins. Tests replace one of
- * them by a faulty one to show that the oracle notices.
+ * @file The step functions that the simulator runs. Tests replace one by a faulty version to verify
+ * that the oracle detects the fault.
  */
 import { balancerStep } from '../../managed/balancer/balancer-step.js';
 import { controlStep } from '../../managed/control/control-step.js';
@@ -9,18 +9,18 @@
 import { callerStep } from '../standins/caller-step.js';
 import { fabricStep } from '../standins/fabric-step.js';
 
-/** One step for each kind of process. */
+/** Step functions by kind of process, and a storage wrapper. */
 export interface SimulatedSteps {
   readonly balancer: typeof balancerStep;
   readonly control: typeof controlStep;
   readonly backend: typeof backendStep;
   readonly caller: typeof callerStep;
   readonly fabric: typeof fabricStep;
-  /** Stands between a control machine and its disk. */
+  /** Wraps the disk of a control machine. */
   readonly storage: (folder: StorageFolder) => StorageFolder;
 }
 
-/** The steps of the product. */
+/** The unmodified step functions of the daemons and stand-ins. */
 export const productSteps: SimulatedSteps = {
   balancer: balancerStep,
   control: controlStep,
--- a/src/proof/sim-managed/simulation.ts
+++ b/src/proof/sim-managed/simulation.ts
@@ -1,38 +1,38 @@
 /**
- * @file What all simulated processes share: clock, network, trace, random sources and the registry of
- * those who listen.
+ * @file State shared by all simulated processes: clock, network, trace, random sources and link
+ * listeners.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
 import type { RandomSource, StepContext } from '../../shared/common/step.js';
 import type { SimulatedSteps } from './simulated-steps.js';
-import { Trace, type TraceFact, type TraceListener } from './trace.js';
+import { Trace, type TraceEventData, type TraceListener } from './trace.js';
 import { VirtualClock } from '../virtual/virtual-clock.js';
 import type { VirtualLinkEnd } from '../virtual/virtual-links.js';
 import { VirtualNetwork } from '../virtual/virtual-network.js';
 
 const SEED_BOUND = 2 ** 31;
-/** Time of day at the start, in Unix milliseconds. */
+/** Wall-clock time at the start, in Unix milliseconds. */
 const START_WALL_TIME_MS = Date.UTC(2026, 11, 2);
 const DELAYS = { withinZoneMs: 0.2, betweenZonesMs: 0.5 };
 
-/** Takes links that are opened to an address. */
+/** Accepts links that are opened to an address. */
 export interface LinkListener {
   readonly host: string;
-  /** True while the process takes links. */
+  /** True while the process accepts links. */
   isListening(): boolean;
-  /** @returns the handlers of the listening end, and the function that gets that end */
+  /** @returns the handlers of the accepting end, whose `opened` is called with that end */
   accept(): LinkAcceptor;
 }
 
-/** The listening side of one new link. */
+/** Handlers of the accepting end of a new link. */
 export interface LinkAcceptor {
   opened(end: VirtualLinkEnd): void;
   onMessage(message: unknown): void;
   onClose(): void;
 }
 
-/** The shared parts of one run. */
+/** Shared state of one run. */
 export class Simulation {
   readonly clock = new VirtualClock();
   readonly network: VirtualNetwork;
@@ -60,7 +60,7 @@
     return START_WALL_TIME_MS + Math.floor(this.clock.nowMs);
   }
 
-  /** @returns a random source of its own, so that one process's draws don't shift another's */
+  /** @returns an independent random source, so that draws of one process do not affect another */
   fork(): RandomSource {
     return seededRandom(this.random.nextInt(SEED_BOUND));
   }
@@ -69,7 +69,7 @@
     return { nowMs: this.clock.nowMs, random };
   }
 
-  record(fact: TraceFact): void {
+  record(fact: TraceEventData): void {
     this.trace.record(fact);
   }
 
@@ -77,11 +77,11 @@
     this.linkListeners.set(formatAddress(address), listener);
   }
 
-  /** @returns the short name of a flow in the trace, by its ID in hex */
+  /** @returns the short name of a flow in the trace, given its ID in hex */
   flowName(flowId: string): string {
-    const known = this.flowIds.get(flowId);
-    if (known !== undefined) {
-      return known;
+    const existing = this.flowIds.get(flowId);
+    if (existing !== undefined) {
+      return existing;
     }
     const name = `flow-${this.flowIds.size + 1}`;
     this.flowIds.set(flowId, name);
--- a/src/proof/sim-managed/trace.ts
+++ b/src/proof/sim-managed/trace.ts
@@ -1,27 +1,27 @@
 /**
- * @file The trace of a simulated run: everything that the oracle checks, and, where asked for, every
- * packet. It is plain data, one JSON line an event, so that it can be stored and replayed.
+ * @file The trace of a simulated run: the events that the oracle checks and, if requested, every
+ * packet. Events are plain data, stored as one JSON line each.
  */
 import { createHash } from 'node:crypto';
 
 /** Kinds of simulated processes. */
 export type ProcessKind = 'balancer' | 'control' | 'backend' | 'fabric' | 'caller' | 'operator';
 
-/** What becomes of a process; `stopped` is a planned end. */
+/** Status changes of a process; `stopped` is a graceful end. */
 export type ProcessStatus = 'started' | 'crashed' | 'paused' | 'resumed' | 'stopped';
 
-/** What happened, without its time. */
-export type TraceFact =
-  /** A process changes its status. */
+/** An event without its time. */
+export type TraceEventData =
+  /** A process changed its status. */
   | {
       readonly type: 'process';
       readonly kind: ProcessKind;
       readonly process: string;
       readonly status: ProcessStatus;
-      /** Requests or opens that were in progress at a planned end. */
+      /** Number of requests or opens in progress at a graceful end. */
       readonly unfinished?: number;
     }
-  /** A fault begins or ends; `targets` are the processes that it touches. */
+  /** A fault began or ended; `targets` names the affected processes. */
   | {
       readonly type: 'fault';
       readonly faultId: number;
@@ -29,9 +29,12 @@
       readonly targets: readonly string[];
       readonly phase: 'begins' | 'ends';
     }
-  /** The platform's list of balancers, as the fabric has it from now on. */
+  /** The fabric received a new list of balancers from the platform. */
   | { readonly type: 'list'; readonly balancers: readonly string[] }
-  /** A packet arrived. `meantFor` and `arrivedAt` are service addresses. */
+  /**
+   * A packet was sent by the fabric or arrived at a back end; `meantFor` and `arrivedAt` are
+   * service addresses.
+   */
   | {
       readonly type: 'packet';
       readonly from: string;
@@ -40,24 +43,24 @@
       readonly message: string;
       readonly requestId?: number | undefined;
       readonly meantFor: string;
-      /** The service of the back end that it arrived at; absent elsewhere. */
+      /** Service of the back end that received the packet; absent otherwise. */
       readonly arrivedAt?: string;
     }
-  /** A back end accepted a new flow that a balancer placed there. */
+  /** A back end accepted a new flow from the balancer `via`. */
   | {
       readonly type: 'flow-accepted';
       readonly backend: string;
       readonly flowId: string;
       readonly via: string;
     }
-  /** A back end began to run a request. */
+  /** A back end started to process a request. */
   | {
       readonly type: 'run';
       readonly backend: string;
       readonly flowId: string;
       readonly requestNumber: number;
     }
-  /** How a request ended for its caller. */
+  /** A request of a caller ended. */
   | {
       readonly type: 'outcome';
       readonly caller: string;
@@ -67,10 +70,10 @@
       readonly flowId?: string;
       /** The back end that the request was sent to. */
       readonly backend?: string;
-      /** False where the answer came whole but with wrong bytes. */
+      /** False if a complete answer had wrong bytes. */
       readonly intact: boolean;
     }
-  /** An established flow of a caller was lost. */
+  /** A caller lost an established flow. */
   | {
       readonly type: 'flow-broken';
       readonly caller: string;
@@ -78,36 +81,37 @@
       readonly backend: string;
       readonly establishedAtMs: number;
     }
-  /** A notice was published to all back ends of a service. */
+  /** A notice was published to the back ends of a service. */
   | { readonly type: 'published'; readonly service: string; readonly number: number }
-  /** A caller got a notice of its feed; `first` to `last` where it missed some. */
+  /** A caller received a notice from its feed. */
   | {
       readonly type: 'notice';
       readonly caller: string;
       readonly number: number;
       readonly intact: boolean;
     }
+  /** A caller missed the notices from `first` to `last`. */
   | {
       readonly type: 'notices-missed';
       readonly caller: string;
       readonly first: number;
       readonly last: number;
-      /** Where the feed was. */
+      /** Back end of the feed; empty if the feed had no flow. */
       readonly backend: string;
     }
-  /** An operator sends a command, or the same one again. */
+  /** An operator sent a command; `attempt` counts from 1. */
   | {
       readonly type: 'command-sent';
       readonly operator: string;
       readonly commandId: string;
       readonly command: string;
-      /** The back end or service that it is about. */
+      /** Name of the affected back end or service. */
       readonly subject: string;
       readonly service: string;
       readonly control: string;
       readonly attempt: number;
     }
-  /** The answer that the operator got. */
+  /** An operator received the final answer to a command. */
   | {
       readonly type: 'command-answered';
       readonly operator: string;
@@ -121,30 +125,30 @@
       readonly version?: number;
       readonly errorKind?: string;
     }
-  /** A control machine has applied the log up to an index. */
+  /** A control machine applied the log up to an index. */
   | {
       readonly type: 'applied';
       readonly control: string;
       readonly index: number;
       readonly digest: string;
     }
-  /** A balancer has a configuration in force. */
+  /** A balancer put a configuration into force. */
   | {
       readonly type: 'in-force';
       readonly balancer: string;
       readonly index: number;
       readonly digest: string;
     }
-  /** What a balancer has in force at the end of a run. */
+  /** Configuration of a balancer at the end of a run. */
   | {
       readonly type: 'final-config';
       readonly balancer: string;
-      /** Version by name of the service. */
+      /** Versions by service name. */
       readonly services: Readonly<Record<string, number>>;
-      /** What the operators want, by name of the back end's process. */
+      /** Administrative states by process name of the back end. */
       readonly backends: Readonly<Record<string, string>>;
     }
-  /** A control machine answered an operator's question of its state. */
+  /** A control machine answered a state query of an operator. */
   | {
       readonly type: 'shown';
       readonly operator: string;
@@ -160,26 +164,26 @@
       readonly term: number;
     };
 
-/** One event of a trace. */
-export type TraceEvent = { readonly atMs: number } & TraceFact;
+/** An event of the trace; `atMs` is virtual time. */
+export type TraceEvent = { readonly atMs: number } & TraceEventData;
 
 /** Handles each event as it happens. */
 export interface TraceListener {
   handle(event: TraceEvent): void;
 }
 
-/** Records a run. */
+/** Passes the events of a run to a listener and stores them. */
 export class Trace {
   readonly events: TraceEvent[] = [];
 
   constructor(
     private readonly now: () => number,
     private readonly listener: TraceListener,
-    /** True where packets are kept as well. */
+    /** True if packets are stored, too. */
     readonly keepsPackets: boolean,
   ) {}
 
-  record(fact: TraceFact): void {
+  record(fact: TraceEventData): void {
     const event: TraceEvent = { atMs: this.now(), ...fact };
     this.listener.handle(event);
     if (event.type !== 'packet' || this.keepsPackets) {
--- a/src/proof/sim-managed/violation-file.ts
+++ b/src/proof/sim-managed/violation-file.ts
@@ -1,6 +1,6 @@
 /**
- * @file The file that is written for a run with a violation: one JSON line with scenario, seed and
- * violations, then the whole trace with its packets, one JSON line an event.
+ * @file Writes the trace file of a run with a violation: a header line with scenario, seed, digest
+ * and violations, then the trace with its packets. Each line is one JSON value.
  */
 import { mkdir, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -18,8 +18,8 @@
 }
 
 /**
- * Runs a scenario with packets and writes its trace.
- * @returns the file's path
+ * Repeats a run with packet recording and writes its trace.
+ * @returns the path of the file
  */
 export async function writeTraceFile(
   folder: string,
--- a/src/proof/sim-managed/world-plan.ts
+++ b/src/proof/sim-managed/world-plan.ts
@@ -1,46 +1,50 @@
 /**
- * @file What a simulated world consists of: numbers of processes, services, and times of stand-ins and platform.
+ * @file Configuration of a simulated world: numbers of processes, services, and timing of stand-ins
+ * and platform.
  */
 import type { BackendFaults, BackendTuning } from '../standins/backend-options.js';
 
-/** One service of a world. */
+/** A service and the numbers of its back ends and callers. */
 export interface ServicePlan {
   readonly name: string;
-  /** The operator who owns it. */
+  /** Name of the operator that owns the service. */
   readonly owner: string;
   readonly backends: number;
-  /** Callers that make requests. */
+  /** Number of callers that only send requests. */
   readonly callers: number;
-  /** Callers that hold a feed besides. */
+  /** Number of callers that also subscribe to a feed. */
   readonly feeds: number;
 }
 
-/** A world; times in milliseconds. */
+/** Configuration of a world; times in milliseconds. */
 export interface WorldPlan {
   readonly controls: number;
   readonly balancers: number;
-  /** Over how many zones the balancers are spread; the fewer, the more pass the configuration on. */
+  /**
+   * Number of zones of the balancers; with fewer zones, more balancers get the configuration from
+   * peers.
+   */
   readonly balancerZones: number;
   readonly services: readonly ServicePlan[];
   /** Pause between two requests of a caller. */
   readonly pauseMs: number;
   readonly requestDeadlineMs: number;
   readonly meanServiceTimeMs: number;
-  /** Faults of the back ends, by position over all services. */
+  /** Faults of back ends, keyed by their index in order of creation. */
   readonly backendFaults: ReadonlyMap<number, BackendFaults>;
-  /** True where callers stay on their flows after a go-away. */
+  /** True if callers keep their flows after a go-away. */
   readonly callersIgnoreGoAway: boolean;
   readonly backendTuning: Partial<BackendTuning>;
-  /** Longest time until the fabric gets a change of the list of balancers. */
+  /** Longest delay until the fabric receives a changed list of balancers. */
   readonly platformLagMs: number;
-  /** Time for which a balancer that stops forwards on; longer than the platform's lag. */
+  /** Time for which a stopping balancer continues to forward; longer than `platformLagMs`. */
   readonly stopGraceMs: number;
 }
 
-/** Zones, over which all machines are spread in turn. */
+/** Zones, assigned to machines in rotation. */
 export const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
 
-/** A small world with both partners. */
+/** A small world with services of both partners. */
 export const smallWorld: WorldPlan = {
   controls: 3,
   balancers: 4,
@@ -61,7 +65,7 @@
 };
 
 /**
- * @returns the zone of the machine at a position
+ * @returns the zone of the machine with an index
  */
 export function zoneOf(position: number): string {
   return ZONES[position % ZONES.length] ?? ZONES[0];
--- a/src/proof/sim-managed/world.ts
+++ b/src/proof/sim-managed/world.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated world: control machines, balancers, back ends, callers, the fabric and the operators
- * of both partners, all running the steps that the daemons run.
+ * @file A simulated world: control machines, balancers, back ends, callers, the fabric and the
+ * operators of both partners, all running the step functions of the daemons and stand-ins.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { CommandOutcome, OperatorCommand } from '../../managed/control/commands.js';
@@ -19,50 +19,50 @@
 
 const CLUSTER_KEY = 'simulated-cluster-key';
 const PORT = 7000;
-/** Time in which the cluster forms and the first configuration comes into force. */
-const SETUP_LIMIT_MS = 20_000;
+/** Longest time for each step of the set-up, such as electing a leader. */
+const SETUP_TIMEOUT_MS = 20_000;
 const SETUP_STEP_MS = 100;
-/** Time for the first probes, before the fabric gets its list. */
+/** Time for the first probes, before the fabric receives its list of balancers. */
 const FIRST_LIST_DELAY_MS = 500;
 const ANSWER_BYTES = 2_500;
 const MAX_REQUESTS = 2_000;
 const REQUEST_NUMBERS_PER_CALLER = 100_000;
-const LAST_NOTICE = 1_000_000;
+const LAST_NOTICE_NUMBER = 1_000_000;
 const DAY_MS = 86_400_000;
 
-/** What a world is made with. */
+/** Options of a world. */
 export interface WorldOptions {
   readonly seed: number;
   readonly plan: WorldPlan;
   readonly listener: TraceListener;
   readonly steps?: SimulatedSteps;
-  /** True where the trace keeps every packet. */
+  /** True if the trace stores every packet. */
   readonly keepsPackets?: boolean;
 }
 
-/** A back end as the operators know it. */
-export interface PlacedBackend {
+/** A back end process with its ID and state as the operators see them. */
+export interface DeployedBackend {
   readonly process: SimulatedBackend;
   readonly service: ServicePlan;
-  /** Its ID, once the operator got the answer. */
+  /** Undefined until the operator receives the answer to its add command. */
   backendId: number | undefined;
-  /** What its operator wants at present, as far as they sent it. */
-  wish: 'active' | 'draining' | 'retired';
+  /** Administrative state that the operator requested last; `retired` once that was accepted. */
+  requestedState: 'active' | 'draining' | 'retired';
 }
 
-/** Builds a world and gives its processes to scenarios. */
+/** Creates the processes of a world and provides them to scenarios. */
 export class World {
   readonly simulation: Simulation;
   readonly plan: WorldPlan;
   readonly controls: SimulatedControl[] = [];
   readonly balancers: SimulatedBalancer[] = [];
-  readonly backends: PlacedBackend[] = [];
+  readonly backends: DeployedBackend[] = [];
   readonly callers: SimulatedCaller[] = [];
   readonly operators = new Map<string, SimulatedOperator>();
   readonly fabric: SimulatedFabric;
   private readonly directory = { byHealthAddress: new Map<string, SimulatedBackend>() };
   private readonly backendNames = new Map<number, string>();
-  private nextNotice = 1;
+  private nextNoticeNumber = 1;
   private nextBackendNumber = 1;
 
   constructor(options: WorldOptions) {
@@ -75,18 +75,21 @@
     this.createBalancers();
   }
 
-  /** Starts everything, and runs until the configuration is in force and callers call. */
+  /**
+   * Starts all processes and runs until every balancer has the configuration and the callers are
+   * started.
+   */
   async setUp(): Promise<void> {
     const { controls, balancers, fabric, operators } = this;
     fabric.start();
     [...controls, ...operators.values()].forEach((process) => process.start());
-    await this.runUntilTrue(() => this.operatorsKnown());
+    await this.runUntil(() => this.isBootstrapped());
     this.plan.services.forEach((service, position) => this.defineService(service, position));
-    await this.runUntilTrue(() => this.isEverythingAnswered());
+    await this.runUntil(() => this.areAllCommandsAnswered());
     balancers.forEach((balancer) => balancer.start());
-    await this.runUntilTrue(() => this.isInForceEverywhere());
+    await this.runUntil(() => this.areBalancersUpToDate());
     await this.run(FIRST_LIST_DELAY_MS);
-    fabric.setList(balancers);
+    fabric.setBalancers(balancers);
     this.plan.services.forEach((service, position) => this.startCallers(service, position));
   }
 
@@ -98,7 +101,7 @@
     this.simulation.clock.after(delayMs, action);
   }
 
-  /** Sends a command of the operator who owns the service. */
+  /** Sends a command as the operator that owns the service. */
   command(
     service: ServicePlan,
     subject: string,
@@ -108,10 +111,10 @@
     this.operators.get(service.owner)?.send({ command, subject, service: service.name }, done);
   }
 
-  /** Starts a back end process and has its operator add it. */
-  addBackend(service: ServicePlan, address?: Address): PlacedBackend {
-    const placed = this.placeBackend(service, address);
-    const { process } = placed;
+  /** Starts a back end process and sends the command that adds it. */
+  addBackend(service: ServicePlan, address?: Address): DeployedBackend {
+    const backend = this.startBackend(service, address);
+    const { process } = backend;
     const command: OperatorCommand = {
       type: 'add-backend',
       service: service.name,
@@ -120,38 +123,41 @@
       zone: process.zone,
     };
     this.command(service, process.name, command, (outcome) => {
-      placed.backendId = outcome.accepted ? outcome.backendId : undefined;
+      backend.backendId = outcome.accepted ? outcome.backendId : undefined;
     });
-    return placed;
+    return backend;
   }
 
-  /** The name that the next back end process gets, where it is of this service. */
+  /** Returns the name of the next back end process if it belongs to this service. */
   nextBackendName(service: ServicePlan): string {
     return `${service.name}-${this.nextBackendNumber}`;
   }
 
   /** Publishes the next notice to the back ends of a service. */
   publish(service: ServicePlan): void {
-    const number = this.nextNotice;
-    this.nextNotice += 1;
+    const number = this.nextNoticeNumber;
+    this.nextNoticeNumber += 1;
     this.simulation.record({ type: 'published', service: service.name, number });
     const payload = noticePayload(service.name, number);
-    const backends = this.backends.filter(({ service: of }) => of === service);
+    const backends = this.backends.filter(({ service: candidate }) => candidate === service);
     backends.forEach(({ process }) => process.publish(number, payload));
   }
 
-  /** The platform sends the fabric, after its lag, the list of balancers that run. */
-  updateList(): void {
+  /** Sends the list of live balancers to the fabric after a random platform lag. */
+  updateBalancerList(): void {
     const lagMs = this.simulation.random.nextFloat() * this.plan.platformLagMs;
     const live = this.balancers.filter(({ isListed }) => isListed);
-    this.after(lagMs, () => this.fabric.setList(live));
+    this.after(lagMs, () => this.fabric.setBalancers(live));
   }
 
-  /** @returns the process name of a back end by its ID, also once it is retired */
+  /**
+   * @returns the process name of the back end with an ID; retired ones are included if looked up
+   * before
+   */
   backendName(backendId: number): string {
-    const known = this.backendNames.get(backendId);
-    if (known !== undefined) {
-      return known;
+    const cachedName = this.backendNames.get(backendId);
+    if (cachedName !== undefined) {
+      return cachedName;
     }
     for (const { state } of this.controls) {
       const address = state?.cluster.routing.backends.get(backendId)?.address;
@@ -164,27 +170,27 @@
     return `back end ${backendId}`;
   }
 
-  /** Runs until a condition holds; throws where it does not in time. */
-  async runUntilTrue(condition: () => boolean, limitMs = SETUP_LIMIT_MS): Promise<void> {
-    const endMs = this.simulation.nowMs + limitMs;
+  /** Runs until a condition holds; throws after the timeout. */
+  async runUntil(condition: () => boolean, timeoutMs = SETUP_TIMEOUT_MS): Promise<void> {
+    const endMs = this.simulation.nowMs + timeoutMs;
     while (!condition()) {
       if (this.simulation.nowMs >= endMs) {
-        throw new Error(`The world was not as expected after ${limitMs} ms.`);
+        throw new Error(`The world was not as expected after ${timeoutMs} ms.`);
       }
       await this.run(SETUP_STEP_MS);
     }
   }
 
-  isEverythingAnswered(): boolean {
-    return [...this.operators.values()].every(({ unanswered }) => unanswered === 0);
+  areAllCommandsAnswered(): boolean {
+    return [...this.operators.values()].every(({ pendingCount }) => pendingCount === 0);
   }
 
-  /** The highest index that a control machine has applied. */
+  /** Highest index that any control machine has applied. */
   appliedIndex(): number {
     return Math.max(0, ...this.controls.map(({ state }) => state?.cluster.index ?? 0));
   }
 
-  /** Records what the balancers that run have in force. */
+  /** Records the configurations of all running balancers. */
   recordFinalConfigs(): void {
     for (const { name, status, state } of this.balancers) {
       if (status !== 'running') {
@@ -204,15 +210,15 @@
     }
   }
 
-  private isInForceEverywhere(): boolean {
+  private areBalancersUpToDate(): boolean {
     const index = this.appliedIndex();
     return this.balancers.every(({ state }) => state.position.index === index);
   }
 
-  private operatorsKnown(): boolean {
+  private isBootstrapped(): boolean {
     return this.controls.some(
-      ({ leads, state }) =>
-        leads &&
+      ({ isLeader, state }) =>
+        isLeader &&
         state !== undefined &&
         state.cluster.operators.size > 0 &&
         state.cluster.routing.keys.size > 0,
@@ -220,20 +226,20 @@
   }
 
   private createControls(): void {
-    const names = Array.from({ length: this.plan.controls }, (_, position) => ({
+    const machines = Array.from({ length: this.plan.controls }, (_, position) => ({
       nodeId: `control-${position + 1}`,
       linkAddress: { host: `10.4.0.${position + 1}`, port: PORT },
       operatorAddress: { host: `10.4.0.${position + 1}`, port: PORT + 1 },
     }));
     const owners = new Set(this.plan.services.map(({ owner }) => owner));
     const operators = [...owners].map((name) => ({ name, token: `token-${name}` }));
-    names.forEach(({ nodeId, linkAddress, operatorAddress }, position) => {
+    machines.forEach(({ nodeId, linkAddress, operatorAddress }, position) => {
       const control = new SimulatedControl(this.simulation, {
         name: nodeId,
         zone: zoneOf(position),
         linkAddress,
         operatorAddress,
-        peers: names.filter((other) => other.nodeId !== nodeId),
+        peers: machines.filter((other) => other.nodeId !== nodeId),
         clusterKey: CLUSTER_KEY,
         operators,
       });
@@ -253,12 +259,15 @@
   private createBalancers(): void {
     const controlAddresses = this.controls.map(({ options }) => options.linkAddress);
     for (let position = 0; position < this.plan.balancers; position += 1) {
-      const first = position % controlAddresses.length;
+      const firstControl = position % controlAddresses.length;
       const options = {
         name: `balancer-${position + 1}`,
         host: balancerHost(position),
         zone: zoneOf(position % this.plan.balancerZones),
-        controlAddresses: [...controlAddresses.slice(first), ...controlAddresses.slice(0, first)],
+        controlAddresses: [
+          ...controlAddresses.slice(firstControl),
+          ...controlAddresses.slice(0, firstControl),
+        ],
         clusterKey: CLUSTER_KEY,
         seeds: [{ host: balancerHost(0), port: GOSSIP_PORT }],
         stopGraceMs: this.plan.stopGraceMs,
@@ -282,8 +291,8 @@
     });
   }
 
-  /** Starts a back end process; a command that adds it has been sent or is yet to be sent. */
-  placeBackend(service: ServicePlan, givenAddress?: Address): PlacedBackend {
+  /** Starts a back end process without sending the command that adds it. */
+  startBackend(service: ServicePlan, givenAddress?: Address): DeployedBackend {
     const name = this.nextBackendName(service);
     const number = this.nextBackendNumber;
     this.nextBackendNumber += 1;
@@ -309,16 +318,21 @@
           ...(faults !== undefined && { faults }),
         },
       },
-      (from) => this.balancerAt(from),
+      (from) => this.balancerNameAt(from),
     );
     this.directory.byHealthAddress.set(formatAddress(address), process);
-    const placed: PlacedBackend = { process, service, backendId: undefined, wish: 'active' };
-    this.backends.push(placed);
+    const backend: DeployedBackend = {
+      process,
+      service,
+      backendId: undefined,
+      requestedState: 'active',
+    };
+    this.backends.push(backend);
     process.start();
-    return placed;
+    return backend;
   }
 
-  private balancerAt(address: Address): string {
+  private balancerNameAt(address: Address): string {
     const balancer = this.balancers.find(({ host }) => host === address.host);
     return balancer?.name ?? formatAddress(address);
   }
@@ -331,7 +345,7 @@
 
   private startCaller(service: ServicePlan, servicePosition: number, hasFeed: boolean): void {
     const position = this.callers.length;
-    const feed = { afterNotice: 0, lastNotice: LAST_NOTICE, deadlineMs: DAY_MS };
+    const feed = { afterNotice: 0, lastNotice: LAST_NOTICE_NUMBER, deadlineMs: DAY_MS };
     const caller = new SimulatedCaller(
       this.simulation,
       {
--- a/src/tools/toolbox/describe-event.ts
+++ b/src/tools/toolbox/describe-event.ts
@@ -2,7 +2,7 @@
  * @file Formats an event of a simulator trace as one sentence.
  */
 import { match } from 'ts-pattern';
-import type { TraceEvent, TraceFact } from '../../proof/sim-managed/trace.js';
+import type { TraceEvent, TraceEventData } from '../../proof/sim-managed/trace.js';
 
 const TIME_WIDTH = 10;
 
@@ -13,7 +13,7 @@
   return `${event.atMs.toFixed(1).padStart(TIME_WIDTH)} ms  ${sentence(event)}`;
 }
 
-function sentence(event: TraceFact): string {
+function sentence(event: TraceEventData): string {
   return match(event)
     .with({ type: 'process' }, ({ process, status, unfinished }) =>
       status === 'stopped'
@@ -87,7 +87,7 @@
     .exhaustive();
 }
 
-function describeOutcome(event: Extract<TraceFact, { type: 'outcome' }>): string {
+function describeOutcome(event: Extract<TraceEventData, { type: 'outcome' }>): string {
   const { caller, requestNumber, outcome, errorKind, intact } = event;
   const kind = errorKind === undefined ? '' : `, ${errorKind}`;
   const corruption = intact ? '' : ', corrupted';
--- a/test/proof/sim-managed/config-mutants.ts
+++ b/test/proof/sim-managed/config-mutants.ts
@@ -33,7 +33,7 @@
     atRandomTimes(scope, 9_000, 60, () => changeSomething(scope));
     for (const atMs of [2_000, 6_000]) {
       world.after(atMs, () => {
-        const leader = world.controls.find(({ leads }) => leads);
+        const leader = world.controls.find(({ isLeader }) => isLeader);
         const others = world.controls.filter((control) => control !== leader);
         if (leader !== undefined) {
           faults.cutLinks([leader], others, 2_000);
@@ -48,7 +48,7 @@
   durationMs: 20_000,
   schedule: (scope) => {
     const { world, faults } = scope;
-    const lagging = world.controls.filter(({ leads }) => !leads).slice(0, 1);
+    const lagging = world.controls.filter(({ isLeader }) => !isLeader).slice(0, 1);
     const others = world.controls.filter((control) => !lagging.includes(control));
     atRandomTimes(scope, 8_000, 150, () => changeSomething(scope));
     world.after(1_000, () => faults.cutLinks(lagging, others, 14_000));
--- a/test/proof/sim-managed/convergence.test.ts
+++ b/test/proof/sim-managed/convergence.test.ts
@@ -62,7 +62,7 @@
 
   function leader(): SimulatedControl | undefined {
     return world.controls
-      .filter(({ leads }) => leads)
+      .filter(({ isLeader }) => isLeader)
       .sort((one, other) => termOf(other) - termOf(one))[0];
   }
 
--- a/test/proof/sim-managed/fuzz-commands.ts
+++ b/test/proof/sim-managed/fuzz-commands.ts
@@ -133,7 +133,7 @@
         pause: () => faults.pause(placed.process, ms),
         cut: () => faults.cutOff([placed.process], ms, way),
         replace: () => faults.replace(placed, ms),
-        leave: () => faults.leave(placed),
+        leave: () => faults.drainAndRetire(placed),
       };
       acts[fault]?.();
     }),
@@ -143,7 +143,7 @@
   .tuple(fc.constantFrom('spoil', 'answers'), durationMs, thenMs)
   .map(([fault, ms, wait]) =>
     command(`${fault} for ${ms} ms`, wait, ({ faults }) =>
-      fault === 'spoil' ? faults.spoilNetwork(ms) : faults.loseAnswers(0.5, ms),
+      fault === 'spoil' ? faults.degradeNetwork(ms) : faults.loseAnswers(0.5, ms),
     ),
   );
 
@@ -155,7 +155,7 @@
       wait,
       ({ world }) => {
         const service = at(world.plan.services, index);
-        const state = world.controls.find(({ leads }) => leads)?.state;
+        const state = world.controls.find(({ isLeader }) => isLeader)?.state;
         const current = [...(state?.cluster.routing.services.values() ?? [])].find(
           ({ name }) => name === service?.name,
         );
@@ -175,7 +175,7 @@
   command(`operator ${operator % 2} asks control ${control % 3}`, wait, ({ world }) => {
     const asked = at(world.controls, control);
     if (asked !== undefined) {
-      at([...world.operators.values()], operator)?.show(asked);
+      at([...world.operators.values()], operator)?.queryState(asked);
     }
   }),
 );
