--- a/src/proof/sim-managed/world.ts
+++ b/src/proof/sim-managed/world.ts
@@ -175,7 +175,9 @@
     const endMs = this.simulation.nowMs + timeoutMs;
     while (!condition()) {
       if (this.simulation.nowMs >= endMs) {
-        throw new Error(`The world was not as expected after ${timeoutMs} ms.`);
+        throw new Error(
+          `Simulated world: condition not met within ${timeoutMs} ms of virtual time.`,
+        );
       }
       await this.run(SETUP_STEP_MS);
     }
