--- a/src/proof/sim-managed/cluster-faults.ts
+++ b/src/proof/sim-managed/cluster-faults.ts
@@ -5,7 +5,7 @@
 import type { SimulatedBalancer } from './simulated-balancer.js';
 import type { SimulatedControl } from './simulated-control.js';
 import type { SimulatedProcess } from './simulated-process.js';
-import { badNetwork, goodNetwork } from '../virtual/virtual-network.js';
+import { faultyNetwork, reliableNetwork } from '../virtual/virtual-network.js';
 import type { PlacedBackend, World } from './world.js';
 
 /** How long a back end that leaves may take until its process ends. */
@@ -99,9 +99,9 @@
   spoilNetwork(durationMs: number): void {
     this.count += 1;
     const { network } = this.world.simulation;
-    network.faults = badNetwork;
+    network.faults = faultyNetwork;
     this.during('bad-network', [], durationMs, () => {
-      network.faults = goodNetwork;
+      network.faults = reliableNetwork;
     });
   }
 
--- a/src/proof/sim-managed/simulated-control.ts
+++ b/src/proof/sim-managed/simulated-control.ts
@@ -118,9 +118,9 @@
   /** The machine loses power: what its disk had not synced may be lost. */
   losePower(): void {
     this.disk.crash();
-    this.links.forEach((link) => link.vanish());
+    this.links.forEach((link) => link.crash());
     this.links.clear();
-    this.peerLinks?.close((link) => link.vanish());
+    this.peerLinks?.close((link) => link.crash());
     this.crash();
   }
 
@@ -140,7 +140,7 @@
   }
 
   protected onDown(): void {
-    this.disk.processDied();
+    this.disk.killProcess();
     this.state = undefined;
     this.storage = undefined;
     this.commands.clear();
--- a/src/proof/sim-managed/simulated-process.ts
+++ b/src/proof/sim-managed/simulated-process.ts
@@ -25,7 +25,7 @@
     readonly zone: string,
   ) {
     this.random = simulation.fork();
-    simulation.network.place(host, zone);
+    simulation.network.setZone(host, zone);
   }
 
   /** Starts the process with nothing in memory. */
--- a/src/proof/sim-registered/deployment-constants.ts
+++ b/src/proof/sim-registered/deployment-constants.ts
@@ -1,23 +1,23 @@
 /**
- * @file Figures of the deployment that the simulator and the soak both play, so that a seed's schedule meets the same deployment on
- * virtual time and beside real processes. Chosen for short runs, not measured; changing one changes the runs of kept seeds.
+ * @file Constants shared by the simulator and the soak, so that both run the same deployment. Changing one changes every
+ * seeded run.
  */
 
-/** Control machines whose addresses each process is started with; the others are learned. */
+/** Control machines in the seed list of each process; the others are discovered. */
 export const SEED_COUNT = 3;
-/** Requests of every second client on one flow, so that flows live through faults; the others make one. */
+/** Requests per flow of every second client; long enough for flows to span faults. Other clients send one. */
 export const LONG_FLOW_REQUESTS = 40;
-/** Time between two readiness probes of the routers, in milliseconds. */
+/** Interval of the readiness probes of the routers. */
 export const PROBE_INTERVAL_MS = 500;
-/** Probes missed in a row after which a router sends a balancer no packets. */
-export const MISSES_UNTIL_OUT = 2;
-/** Share of datagrams that the fault `datagrams-lost` loses, 0 to 1. */
+/** Consecutive failed probes after which routers take a balancer out of rotation. */
+export const MAX_MISSED_PROBES = 2;
+/** Share of datagrams lost during the fault `datagrams-lost`, 0 to 1. */
 export const LOSS_SHARE = 0.03;
-/** Share of acknowledgements that the fault `acknowledgements-lost` loses, 0 to 1: most calls are sent again. */
+/** Share of acknowledgements lost during the fault `acknowledgements-lost`, 0 to 1; most calls are resent. */
 export const ACK_LOSS_SHARE = 0.6;
-/** Time before and after the faults over which served requests are counted, in milliseconds. */
-export const MEASURED_MS = 5_000;
-/** Time after the last fault in which the deployment recovers, in milliseconds. */
+/** Duration of counting served requests, before and after the faults. */
+export const MEASUREMENT_MS = 5_000;
+/** Time for the deployment to recover after the last fault. */
 export const SETTLE_MS = 12_000;
-/** Requests served after the faults over those before, below which the deployment counts as not recovered. */
-export const LEAST_SERVED_SHARE = 0.25;
+/** Minimum ratio of requests served after the faults to those served before, for recovery. */
+export const MIN_SERVED_SHARE = 0.25;
--- a/src/proof/sim-registered/drawn-faults.ts
+++ b/src/proof/sim-registered/drawn-faults.ts
@@ -1,17 +1,16 @@
 /**
- * @file Faults of the simulated deployment, with their targets and times drawn from a seed. Control machines that are lost at
- * the same time stay within what the deployment must survive, but for faults that take all of them and give their disks
- * back. The schedules of the soak have targets and times of their own (`soak/stand-in-faults`, `soak/virtual-soak`); drawing
- * here and there from one module would change the runs of kept seeds.
+ * @file Injects faults with random targets and durations into the simulated deployment. The number of control machines
+ * that are unavailable at once is limited to the tolerable losses, except in faults that stop all and keep their disks.
+ * The soak draws its faults in its own modules; sharing them would change every seeded run.
  */
 import { SIMULATED_SERVICES } from './stand-in-operator.js';
 import type { IngressWorld } from './ingress-world.js';
 import { SIMULATED_ZONES } from './simulated-zones.js';
-import { strikeRestart, type RestartFaultKind } from './restart-faults.js';
+import { injectRestart, type RestartFaultKind } from './restart-faults.js';
 import type { SimulatedControlMachine } from './simulated-control-machine.js';
 import { LOSS_SHARE, ACK_LOSS_SHARE } from './deployment-constants.js';
 
-/** What can happen. */
+/** The kinds of random faults; their order determines the run of a seed. */
 export const drawnFaultKinds = [
   'control-killed',
   'control-powered-off',
@@ -35,38 +34,38 @@
   'backend-cut-from-control',
 ] as const;
 
-/** One kind of fault. */
+/** A random fault or a restart of a back end. */
 export type DrawnFaultKind = (typeof drawnFaultKinds)[number] | RestartFaultKind;
 
-/** Faults last from this time on, and up to the spread longer. */
-const SHORT_MS = 1_000;
-const SPREAD_MS = 3_000;
-/** Cuts may outlast the time within which a configuration is in force. */
-const LONG_CUT_MS = 6_000;
-/** Evacuations last from less than the time within which they are in force everywhere to more than that. */
-const LONG_EVACUATION_MS = 8_000;
+/** Fault durations are uniform from the minimum to the minimum plus the spread. */
+const MIN_DURATION_MS = 1_000;
+const DURATION_SPREAD_MS = 3_000;
+/** Extra duration of cuts; can exceed the bound for applying a configuration. */
+const CUT_SPREAD_MS = 6_000;
+/** Extra duration of evacuations; durations lie below and above the evacuation bound. */
+const EVACUATION_SPREAD_MS = 8_000;
 /** Share of open links that the fault `links-silent` silences. */
 const SILENT_LINK_SHARE = 0.3;
 
-/** Causes faults. */
+/** Injects random faults into a simulated deployment. */
 export class DrawnFaults {
-  private readonly lostControls = new Set<SimulatedControlMachine>();
+  private readonly unavailableControls = new Set<SimulatedControlMachine>();
 
   constructor(private readonly world: IngressWorld) {}
 
-  /** Causes a fault of a drawn kind; none where it would lose too much at once. */
-  strike(kind: DrawnFaultKind): void {
+  /** Injects a fault of the given kind; skipped if too many control machines would be unavailable at once. */
+  inject(kind: DrawnFaultKind): void {
     const { world } = this;
     world.log.push(`${world.clock.nowMs.toFixed(0)} fault ${kind}`);
     switch (kind) {
       case 'control-killed':
-        this.loseControl((control) => control.kill(), true);
+        this.failControl((control) => control.kill(), true);
         return;
       case 'control-powered-off':
-        this.loseControl((control) => control.powerOff(), true);
+        this.failControl((control) => control.powerOff(), true);
         return;
       case 'control-wiped':
-        this.loseControl((control) => control.wipe(), true);
+        this.failControl((control) => control.wipe(), true);
         return;
       case 'control-cut':
         this.cutControl();
@@ -103,7 +102,7 @@
         return;
       case 'links-silent':
         world.wires.silenceLinks(SILENT_LINK_SHARE);
-        this.disturb(0);
+        this.recordDisturbance(0);
         return;
       case 'backend-reborn':
         this.replaceBackend();
@@ -113,16 +112,16 @@
       case 'backend-restarted-in-drain':
       case 'backend-restarted-elsewhere':
       case 'backend-restarted-at-address-of-another':
-        strikeRestart(world, kind);
-        this.disturb(0);
+        injectRestart(world, kind);
+        this.recordDisturbance(0);
         return;
       default:
         this.endBackend(kind);
     }
   }
 
-  /** Two disks are lost and all other machines lose power, right after an acknowledgement. */
-  wipeSomePowerOffAll(): void {
+  /** Wipes as many control machines as may be lost, powers off the others and kills all balancers; then restarts all. */
+  wipeSomePowerOffRest(): void {
     const { world } = this;
     const { controls, options, random } = world;
     const first = random.nextInt(controls.length);
@@ -135,47 +134,47 @@
       }
     });
     world.balancers.forEach((balancer) => balancer.kill());
-    this.disturb(SHORT_MS);
-    world.clock.after(SHORT_MS, () => {
+    this.recordDisturbance(MIN_DURATION_MS);
+    world.clock.after(MIN_DURATION_MS, () => {
       controls.forEach((control) => control.start(false));
       world.balancers.forEach((balancer) => balancer.start());
     });
   }
 
-  private get durationMs(): number {
-    return SHORT_MS + this.world.random.nextFloat() * SPREAD_MS;
+  private get nextDurationMs(): number {
+    return MIN_DURATION_MS + this.world.random.nextFloat() * DURATION_SPREAD_MS;
   }
 
-  private disturb(forMs: number): void {
-    this.world.oracle.recordDisturbance(this.world.clock.nowMs + forMs);
+  private recordDisturbance(durationMs: number): void {
+    this.world.oracle.recordDisturbance(this.world.clock.nowMs + durationMs);
   }
 
   private drawControl(): SimulatedControlMachine | undefined {
     const { controls, options, random } = this.world;
-    const free = controls.filter((control) => !this.lostControls.has(control));
-    const canLose = this.lostControls.size < options.tolerableLosses;
-    return canLose ? free[random.nextInt(free.length)] : undefined;
+    const available = controls.filter((control) => !this.unavailableControls.has(control));
+    const canLose = this.unavailableControls.size < options.tolerableLosses;
+    return canLose ? available[random.nextInt(available.length)] : undefined;
   }
 
-  /** A machine counts as lost until it has had time to catch up. */
-  private countAsLost(control: SimulatedControlMachine, forMs: number): void {
-    this.lostControls.add(control);
-    this.disturb(forMs);
-    this.world.clock.after(forMs + this.world.options.catchUpMs, () => {
-      this.lostControls.delete(control);
+  /** A control machine counts as unavailable until it has had time to catch up. */
+  private markUnavailable(control: SimulatedControlMachine, durationMs: number): void {
+    this.unavailableControls.add(control);
+    this.recordDisturbance(durationMs);
+    this.world.clock.after(durationMs + this.world.options.catchUpMs, () => {
+      this.unavailableControls.delete(control);
     });
   }
 
-  private loseControl(lose: (control: SimulatedControlMachine) => void, returns: boolean): void {
+  private failControl(fail: (control: SimulatedControlMachine) => void, restarts: boolean): void {
     const control = this.drawControl();
     if (control === undefined) {
       return;
     }
-    const forMs = this.durationMs;
-    lose(control);
-    this.countAsLost(control, forMs);
-    if (returns) {
-      this.world.clock.after(forMs, () => control.start(false));
+    const durationMs = this.nextDurationMs;
+    fail(control);
+    this.markUnavailable(control, durationMs);
+    if (restarts) {
+      this.world.clock.after(durationMs, () => control.start(false));
     }
   }
 
@@ -184,44 +183,46 @@
     if (control === undefined) {
       return;
     }
-    const forMs = this.durationMs + this.world.random.nextFloat() * LONG_CUT_MS;
+    const durationMs = this.nextDurationMs + this.world.random.nextFloat() * CUT_SPREAD_MS;
     const others = this.world.controls.filter((other) => other !== control);
     const cut = (isCut: boolean) =>
       others.forEach((other) =>
         this.world.wires.cut(control.address.host, other.address.host, isCut),
       );
     cut(true);
-    this.countAsLost(control, forMs);
-    this.world.clock.after(forMs, () => cut(false));
+    this.markUnavailable(control, durationMs);
+    this.world.clock.after(durationMs, () => cut(false));
   }
 
   private fillDisk(): void {
     const control = this.drawControl();
     if (control !== undefined) {
-      const forMs = this.durationMs;
+      const durationMs = this.nextDurationMs;
       control.disk.isFull = true;
-      this.countAsLost(control, forMs);
-      this.world.clock.after(forMs, () => {
+      this.markUnavailable(control, durationMs);
+      this.world.clock.after(durationMs, () => {
         control.disk.isFull = false;
       });
     }
   }
 
-  /** All processes end at once and come back with their disks. */
+  /** Kills all control processes at once and restarts them with their disks. */
   private killAllControls(): void {
     const running = this.world.controls.filter(({ isRunning }) => isRunning);
     running.forEach((control) => control.kill());
-    this.disturb(SHORT_MS);
-    this.world.clock.after(SHORT_MS, () => running.forEach((control) => control.start(false)));
+    this.recordDisturbance(MIN_DURATION_MS);
+    this.world.clock.after(MIN_DURATION_MS, () =>
+      running.forEach((control) => control.start(false)),
+    );
   }
 
   private killBalancer(): void {
     const { balancers, random, clock } = this.world;
     const balancer = balancers[random.nextInt(balancers.length)];
-    const forMs = this.durationMs;
+    const durationMs = this.nextDurationMs;
     balancer?.kill();
-    this.disturb(forMs);
-    clock.after(forMs, () => balancer?.start());
+    this.recordDisturbance(durationMs);
+    clock.after(durationMs, () => balancer?.start());
   }
 
   private cutBalancer(): void {
@@ -230,30 +231,30 @@
     if (balancer === undefined) {
       return;
     }
-    const forMs = this.durationMs;
+    const durationMs = this.nextDurationMs;
     const cut = (isCut: boolean) =>
       controls.forEach(({ address }) => wires.cut(balancer.host, address.host, isCut));
     cut(true);
-    this.disturb(forMs);
-    clock.after(forMs, () => cut(false));
+    this.recordDisturbance(durationMs);
+    clock.after(durationMs, () => cut(false));
   }
 
-  /** The process stands still and goes on, as a machine does that is paused. */
+  /** Suspends the process of a balancer, as when its machine is paused. */
   private freezeBalancer(): void {
     const { balancers, random } = this.world;
-    const forMs = this.durationMs;
-    balancers[random.nextInt(balancers.length)]?.freeze(forMs);
-    this.disturb(forMs);
+    const durationMs = this.nextDurationMs;
+    balancers[random.nextInt(balancers.length)]?.freeze(durationMs);
+    this.recordDisturbance(durationMs);
   }
 
-  /** A zone is emptied for a while; its back ends are cold when it is readmitted. Two may overlap. */
+  /** Evacuates a zone for some time; its back ends are cold at readmission. Evacuations may overlap. */
   private evacuateZone(): void {
     const { random, zoneOperator } = this.world;
     const zone = SIMULATED_ZONES[random.nextInt(SIMULATED_ZONES.length)] ?? 'zone-a';
-    zoneOperator.evacuate(zone, SHORT_MS + random.nextFloat() * LONG_EVACUATION_MS);
+    zoneOperator.evacuate(zone, MIN_DURATION_MS + random.nextFloat() * EVACUATION_SPREAD_MS);
   }
 
-  /** Its heartbeats are lost while it serves: it must not be considered dead. */
+  /** Cuts a serving back end from all control machines; its open flows must survive the lost heartbeats. */
   private cutBackend(): void {
     const { backends, controls, random, wires, clock } = this.world;
     const alive = backends.filter(({ isAlive }) => isAlive);
@@ -265,28 +266,28 @@
     const cut = (isCut: boolean) =>
       controls.forEach(({ address }) => wires.cut(host, address.host, isCut));
     cut(true);
-    clock.after(this.durationMs + random.nextFloat() * LONG_CUT_MS, () => cut(false));
+    clock.after(this.nextDurationMs + random.nextFloat() * CUT_SPREAD_MS, () => cut(false));
   }
 
   private loseDatagrams(): void {
     const { wires, clock } = this.world;
-    const forMs = this.durationMs;
+    const durationMs = this.nextDurationMs;
     wires.lossShare = LOSS_SHARE;
-    this.disturb(forMs);
-    clock.after(forMs, () => {
+    this.recordDisturbance(durationMs);
+    clock.after(durationMs, () => {
       wires.lossShare = 0;
     });
   }
 
   private loseAcknowledgements(): void {
     const { operator, clock } = this.world;
-    operator.lostShare = ACK_LOSS_SHARE;
-    clock.after(this.durationMs, () => {
-      operator.lostShare = 0;
+    operator.ackLossShare = ACK_LOSS_SHARE;
+    clock.after(this.nextDurationMs, () => {
+      operator.ackLossShare = 0;
     });
   }
 
-  /** A back end crashes and starts again at its address; a heartbeat from before comes late. */
+  /** Replaces a crashed back end by a new one at its address; a heartbeat of the old one arrives late. */
   private replaceBackend(): void {
     const { world } = this;
     const alive = world.backends.filter(({ isAlive }) => isAlive);
@@ -296,9 +297,9 @@
     }
     const { service, address } = backend.identity;
     backend.crash();
-    this.disturb(0);
+    this.recordDisturbance(0);
     world.addBackend(service, address);
-    world.clock.after(this.durationMs, () => backend.deliverHeldUpHeartbeat());
+    world.clock.after(this.nextDurationMs, () => backend.deliverHeldUpHeartbeat());
   }
 
   private endBackend(kind: DrawnFaultKind): void {
@@ -311,15 +312,15 @@
     const { service, address } = backend.identity;
     if (kind === 'backend-crashed') {
       backend.crash();
-      this.disturb(0);
-      world.clock.after(SHORT_MS, () => world.addBackend(service));
+      this.recordDisturbance(0);
+      world.clock.after(MIN_DURATION_MS, () => world.addBackend(service));
       return;
     }
     if (kind === 'backend-replaced-at-its-address') {
       const other = SIMULATED_SERVICES.find((name) => name !== service) ?? service;
       world.addBackend(service);
       backend.leave(true, () => {
-        world.clock.after(SHORT_MS, () => world.addBackend(other, address));
+        world.clock.after(MIN_DURATION_MS, () => world.addBackend(other, address));
       });
       return;
     }
--- a/src/proof/sim-registered/flow-hash.ts
+++ b/src/proof/sim-registered/flow-hash.ts
@@ -1,10 +1,10 @@
 /**
- * @file The hash by which stand-in routers spread flows.
+ * @file The hash by which simulated routers distribute flows over balancers.
  */
 
 const MULTIPLIER = 31;
 
-/** @returns a number from 0 below 2^32, the same for the same flow */
+/** @returns a deterministic 32-bit unsigned hash of the flow */
 export function hashOfFlow(flow: string): number {
   let hash = 0;
   for (const letter of flow) {
--- a/src/proof/sim-registered/ingress-oracle.ts
+++ b/src/proof/sim-registered/ingress-oracle.ts
@@ -1,39 +1,39 @@
 /**
- * @file The oracle of the registered pair, in the simulator and beside the real processes of the soak. It gets what clients, back ends and
- * the operator see, shares no state with the product, and owns the list of violations.
+ * @file The test oracle of the registered mode, used by the simulator and the soak. It checks the observations of clients,
+ * back ends and the operator against the guarantees and shares no state with the product.
  */
-import { createZoneWitness } from './zone-witness.js';
+import { createZoneOrderTracker } from './zone-order-tracker.js';
 
-/** What is checked. */
+/** The checked guarantee that a violation breaks. */
 export type IngressCheck =
-  /** An open flow is reset by another than its back end, or its packets go elsewhere. */
+  /** An open flow is reset by a back end that does not own it. */
   | 'flow'
-  /** A service takes a flow of a route that never named it. */
+  /** A service accepts a flow of a route that never had it as a target. */
   | 'route'
-  /** A back end gets what its sender did not write so. */
+  /** A back end receives a corrupted packet. */
   | 'unasked'
-  /** A client gets what its sender did not write so. */
+  /** A client receives a corrupted packet. */
   | 'mixed'
-  /** A leaving back end is given a new flow after the bound. */
+  /** A draining back end accepts a new flow after the drain bound. */
   | 'drain'
-  /** A read, or the handling of a new flow, is older than what was acknowledged. */
+  /** A read or a new flow uses a configuration older than the acknowledged one after the apply bound. */
   | 'config'
-  /** What was acknowledged is gone. */
+  /** An acknowledged configuration is lost. */
   | 'lost'
-  /** Service does not come back. */
+  /** Too few requests are served after the faults have ended. */
   | 'recover'
-  /** Two control machines lead in one term. */
+  /** Two control machines are leaders of the same term. */
   | 'leader'
-  /** A back end of an evacuated zone is given a new flow after the bound. */
+  /** A back end of an evacuated zone accepts a new flow after the evacuation bound. */
   | 'evacuation'
-  /** An acknowledged order for a zone is undone by nobody's word, or a proper one is refused. */
+  /** An acknowledged zone order is reverted without another order, or a valid order is rejected. */
   | 'zone'
-  /** A packet of a flow of a start of a back end is sent to a later start of it at another address. */
+  /** A packet for a start of a back end reaches a later start at another address. */
   | 'start'
-  /** A cold back end is given more new flows in a second than its slow start allows. */
+  /** A cold back end accepts more new flows per second than slow start allows. */
   | 'cold';
 
-/** A violation, with the time at which it was seen. */
+/** A violation and the time of its detection. */
 export interface IngressViolation {
   readonly check: IngressCheck;
   readonly atMs: number;
@@ -45,36 +45,36 @@
   readonly atMs: number;
 }
 
-/** What must hold within which time, in milliseconds. */
+/** Bounds of the guarantees; times in milliseconds. */
 export interface OracleBounds {
   readonly drainBoundMs: number;
   readonly applyBoundMs: number;
   readonly contactMs: number;
   readonly evacuationBoundMs: number;
-  /** New flows that may reach a cold back end in any second; undefined for any number. */
+  /** Maximum new flows per second of a cold back end; undefined for no limit. */
   readonly coldFlowsPerS: number | undefined;
 }
 
 const SECOND_MS = 1_000;
 
-/** Judges a run. */
+/** Checks the guarantees during a run and collects the violations. */
 export class IngressOracle {
-  readonly zones = createZoneWitness();
-  /** When each back end accepted new flows while it was cold, of the last second. */
-  private readonly coldFlows = new Map<string, number[]>();
+  readonly zones = createZoneOrderTracker();
+  /** Times in the last second at which each back end accepted new flows while cold. */
+  private readonly coldFlowTimes = new Map<string, number[]>();
   readonly violations: IngressViolation[] = [];
-  /** Services that any configuration ever sent gave a route. */
-  private readonly allowed = new Map<string, Set<string>>();
+  /** Target services of each route, in any configuration sent so far. */
+  private readonly allowedServices = new Map<string, Set<string>>();
   private readonly departures = new Map<string, number>();
   private readonly leaders = new Map<number, string>();
   private acknowledged: AcknowledgedConfig | undefined;
-  /** When the last disturbance ended, or Infinity while one lasts. */
+  /** End of the last disturbance, in milliseconds. */
   private disturbedUntilMs = Number.NEGATIVE_INFINITY;
   servedRequests = 0;
 
   constructor(private readonly bounds: OracleBounds) {}
 
-  /** Version of the newest configuration that was acknowledged; 0 for none. */
+  /** Version of the newest acknowledged configuration; 0 for none. */
   get acknowledgedVersion(): number {
     return this.acknowledged?.version ?? 0;
   }
@@ -83,20 +83,20 @@
     this.disturbedUntilMs = Math.max(this.disturbedUntilMs, untilMs);
   }
 
-  /** A control machine begins to lead. */
+  /** A control machine has become leader. */
   recordLeader(term: number, name: string, nowMs: number): void {
-    const known = this.leaders.get(term) ?? name;
-    this.leaders.set(term, known);
-    if (known !== name) {
-      this.report('leader', nowMs, `${name} and ${known} lead in term ${term}`);
+    const recordedLeader = this.leaders.get(term) ?? name;
+    this.leaders.set(term, recordedLeader);
+    if (recordedLeader !== name) {
+      this.report('leader', nowMs, `${name} and ${recordedLeader} lead in term ${term}`);
     }
   }
 
-  /** The operator sends a configuration. */
+  /** A configuration with `service` as a target of `route` has been sent. */
   recordAllowedRoute(route: string, service: string): void {
-    const services = this.allowed.get(route) ?? new Set<string>();
+    const services = this.allowedServices.get(route) ?? new Set<string>();
     services.add(service);
-    this.allowed.set(route, services);
+    this.allowedServices.set(route, services);
   }
 
   recordAcknowledgedConfig(version: number, atMs: number): void {
@@ -111,12 +111,12 @@
     }
   }
 
-  /** A packet of a flow of a start elsewhere reached a later start of the back end. */
+  /** A packet for a start at another address has reached a later start of the back end. */
   reportStrayPacket(detail: string, nowMs: number): void {
     this.report('start', nowMs, detail);
   }
 
-  /** A read of the configuration, begun at `sentAtMs`, was answered. */
+  /** A read of the configuration, sent at `sentAtMs`, was answered. */
   checkRead(version: number, sentAtMs: number, nowMs: number): void {
     const { acknowledged, bounds } = this;
     const isDue = acknowledged !== undefined && sentAtMs > acknowledged.atMs + bounds.applyBoundMs;
@@ -125,7 +125,7 @@
     }
   }
 
-  /** The configuration that is read back after everything. */
+  /** Checks the configuration read back at the end of the run. */
   checkFinalRead(version: number, nowMs: number): void {
     if (version < this.acknowledgedVersion) {
       this.report(
@@ -136,34 +136,34 @@
     }
   }
 
-  /** A back end takes an open; `versionAllowed` is the newest version under which it may. */
+  /** A back end has accepted a new flow. */
   checkAcceptedOpen(
-    taken: {
+    flow: {
       readonly route: string;
       readonly service: string;
       readonly backendId: string;
-      /** When the client sent it. */
+      /** Time of the open, in milliseconds. */
       readonly sentAtMs: number;
-      /** Newest version that gives the route to the service. */
+      /** Newest configuration version in which the service is a target of the route. */
       readonly newestVersion: number;
       readonly zone: string;
       readonly isCold: boolean;
     },
     nowMs: number,
   ): void {
-    const { route, service, backendId } = taken;
-    if (this.allowed.get(route)?.has(service) !== true) {
+    const { route, service, backendId } = flow;
+    if (this.allowedServices.get(route)?.has(service) !== true) {
       this.report('route', nowMs, `${service} took a flow of ${route}`);
     }
-    if (taken.isCold) {
+    if (flow.isCold) {
       this.checkColdFlow(backendId, nowMs);
     }
-    if (!this.isCalm(nowMs)) {
+    if (!this.isUndisturbed(nowMs)) {
       return;
     }
-    const evacuatedAtMs = this.zones.evacuatedAtMs(taken.zone);
+    const evacuatedAtMs = this.zones.evacuatedAtMs(flow.zone);
     if (evacuatedAtMs !== undefined && nowMs > evacuatedAtMs + this.bounds.evacuationBoundMs) {
-      this.report('evacuation', nowMs, `${backendId} took a flow in evacuated ${taken.zone}`);
+      this.report('evacuation', nowMs, `${backendId} took a flow in evacuated ${flow.zone}`);
     }
     const departedAtMs = this.departures.get(backendId);
     if (departedAtMs !== undefined && nowMs > departedAtMs + this.bounds.drainBoundMs) {
@@ -172,45 +172,45 @@
     const { acknowledged } = this;
     const isDue =
       acknowledged !== undefined &&
-      taken.sentAtMs > acknowledged.atMs + this.bounds.applyBoundMs &&
-      taken.newestVersion < acknowledged.version;
+      flow.sentAtMs > acknowledged.atMs + this.bounds.applyBoundMs &&
+      flow.newestVersion < acknowledged.version;
     if (isDue) {
       this.report('config', nowMs, `${service} took a flow of ${route} by an older version`);
     }
   }
 
-  /** A zone is read back after everything. */
+  /** Checks the state of a zone read back at the end of the run. */
   checkFinalZone(zone: string, isEvacuated: boolean, nowMs: number): void {
-    const expected = this.zones.settledAs(zone);
+    const expected = this.zones.expectsEvacuated(zone);
     if (expected !== undefined && expected !== isEvacuated) {
-      const stands = isEvacuated ? 'evacuated' : 'readmitted';
-      this.report('zone', nowMs, `${zone} is ${stands} against the last order`);
+      const state = isEvacuated ? 'evacuated' : 'readmitted';
+      this.report('zone', nowMs, `${zone} is ${state} against the last order`);
     }
   }
 
-  /** A proper order for a zone was refused. */
+  /** A valid order for a zone was rejected. */
   recordRefusedOrder(zone: string, nowMs: number): void {
     this.report('zone', nowMs, `an order for ${zone} was refused`);
   }
 
-  /** This holds in any second, whatever is disturbed. */
+  /** The limit for cold back ends also holds during disturbances. */
   private checkColdFlow(backendId: string, nowMs: number): void {
     const { coldFlowsPerS } = this.bounds;
-    const before = this.coldFlows.get(backendId) ?? [];
-    const times = [...before.filter((atMs) => nowMs - atMs < SECOND_MS), nowMs];
-    this.coldFlows.set(backendId, times);
+    const earlier = this.coldFlowTimes.get(backendId) ?? [];
+    const times = [...earlier.filter((atMs) => nowMs - atMs < SECOND_MS), nowMs];
+    this.coldFlowTimes.set(backendId, times);
     if (coldFlowsPerS !== undefined && times.length > coldFlowsPerS) {
       this.report('cold', nowMs, `${backendId} took ${times.length} flows in a second`);
     }
   }
 
-  /** A back end gets a packet that was changed on its way. */
-  reportUnsolicited(nowMs: number, detail: string): void {
+  /** A back end has received a packet that was modified in transit. */
+  reportCorruptAtBackend(nowMs: number, detail: string): void {
     this.report('unasked', nowMs, detail);
   }
 
-  /** A client gets a packet that was changed on its way. */
-  reportMixed(nowMs: number, detail: string): void {
+  /** A client has received a packet that was modified in transit. */
+  reportCorruptAtClient(nowMs: number, detail: string): void {
     this.report('mixed', nowMs, detail);
   }
 
@@ -218,13 +218,13 @@
     this.report('flow', nowMs, detail);
   }
 
-  checkRecovery(servedShare: number, leastShare: number, nowMs: number): void {
-    if (servedShare < leastShare) {
+  checkRecovery(servedShare: number, minServedShare: number, nowMs: number): void {
+    if (servedShare < minServedShare) {
       this.report('recover', nowMs, `only ${servedShare.toFixed(2)} of the requests are served`);
     }
   }
 
-  private isCalm(nowMs: number): boolean {
+  private isUndisturbed(nowMs: number): boolean {
     return nowMs > this.disturbedUntilMs + this.bounds.contactMs;
   }
 
--- a/src/proof/sim-registered/ingress-world.ts
+++ b/src/proof/sim-registered/ingress-world.ts
@@ -1,6 +1,6 @@
 /**
- * @file A simulated deployment of the registered pair: control machines, balancers, back ends, clients behind routers that hash by the number of
- * balancers, and an operator, on virtual time. Owns the clock, the wires and all processes; one seed gives one run.
+ * @file A simulated deployment of the registered mode on virtual time: control machines, balancers, back ends, clients,
+ * operators and routers that hash flows over the ready balancers. A seed determines the run.
  */
 import type { Address } from '../../shared/common/address.js';
 import { seededRandom } from '../../shared/common/random.js';
@@ -25,14 +25,14 @@
   SEED_COUNT,
   LONG_FLOW_REQUESTS,
   PROBE_INTERVAL_MS,
-  MISSES_UNTIL_OUT,
+  MAX_MISSED_PROBES,
 } from './deployment-constants.js';
 
 const CONTROL_PORT = 7_700;
 const BACKEND_PORT = 9_000;
 const CALL_DELAY_MS = 1;
 
-/** The whole deployment. */
+/** The simulated deployment; owns the clock, the network and all processes. */
 export class IngressWorld {
   readonly clock = new VirtualClock();
   readonly random: RandomSource;
@@ -44,11 +44,11 @@
   readonly clients: StandInClient[] = [];
   readonly operator: StandInOperator;
   readonly zoneOperator: ZoneOperator;
-  /** Lines of decisions, kept for the search for a cause. */
+  /** Log of faults and of the decisions of all processes. */
   readonly log: string[] = [];
   private readonly parts: IngressWorldParts;
-  private readonly misses = new Map<string, number>();
-  /** The control machine that each caller called last. */
+  private readonly missedProbes = new Map<string, number>();
+  /** Last control machine called, by caller. */
   private readonly lastCalled = new Map<string, SimulatedControlMachine>();
   private nextBackendNumber = 1;
   private nextControlNumber = 1;
@@ -71,7 +71,7 @@
         applyMs: options.applyBoundMs,
         drainMs: options.drainBoundMs,
       }),
-      note: (host, name, fields) => this.note(host, name, fields),
+      logDecision: (host, name, fields) => this.logDecision(host, name, fields),
     };
     const seeds = Array.from({ length: SEED_COUNT }, (_, index) => controlAddress(index + 1));
     for (let index = 0; index < options.controlCount; index += 1) {
@@ -81,7 +81,7 @@
     this.zoneOperator = createZoneOperator({
       ...this.parts,
       callControl: this.callControl,
-      ackLostShare: () => this.operator.lostShare,
+      ackLossShare: () => this.operator.ackLossShare,
       beforeReadmission: (zone) => turnCold(this.backends, zone),
     });
     for (let index = 0; index < options.balancerCount; index += 1) {
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Starts all machines and the operator's first configuration. */
+  /** Starts all machines and declares the first configuration. */
   start(): void {
     this.controls.forEach((control) => control.start(true));
     this.balancers.forEach((balancer) => balancer.start());
@@ -100,7 +100,7 @@
     this.operator.declareNext();
   }
 
-  /** Starts the clients. */
+  /** Starts the clients; every second one sends many requests per flow. */
   startClients(): void {
     for (let index = 0; index < this.options.clientCount; index += 1) {
       const requestsPerFlow = index % 2 === 0 ? 1 : LONG_FLOW_REQUESTS;
@@ -110,11 +110,11 @@
     }
   }
 
-  async run(forMs: number): Promise<void> {
-    await this.clock.runUntil(this.clock.nowMs + forMs);
+  async run(durationMs: number): Promise<void> {
+    await this.clock.runUntil(this.clock.nowMs + durationMs);
   }
 
-  /** Adds a control machine with an empty disk; it is not started. */
+  /** Adds a control machine with an empty disk, without starting it. */
   addControl(seeds: readonly Address[]): SimulatedControlMachine {
     const address = controlAddress(this.nextControlNumber);
     const zone = SIMULATED_ZONES[this.nextControlNumber % SIMULATED_ZONES.length] ?? 'zone-a';
@@ -124,7 +124,7 @@
     return control;
   }
 
-  /** Starts a back end, at the address of one that is gone where one is given. */
+  /** Starts a new back end, at an unused address by default. */
   addBackend(service: string, address?: Address): StandInBackend {
     const number = this.nextBackendNumber;
     this.nextBackendNumber += 1;
@@ -137,7 +137,7 @@
     });
   }
 
-  /** A back end ends without a word and starts again under its ID, at its address or another one. */
+  /** Crashes a back end and restarts it under its ID, at its address by default. */
   restartBackend(backend: StandInBackend, address?: Address): StandInBackend {
     const { identity } = backend;
     const startNumber = (identity.startNumber ?? 0) + 1;
@@ -158,12 +158,12 @@
     return backend;
   }
 
-  /** Routers hash by the number of balancers that are in. */
+  /** Hashes a flow over the balancers in rotation, or over all if fewer than half are in rotation. */
   pickBalancer(flow: string): Address | undefined {
-    const inUse = this.balancers.filter(
-      ({ host }) => (this.misses.get(host) ?? 0) < MISSES_UNTIL_OUT,
+    const inRotation = this.balancers.filter(
+      ({ host }) => (this.missedProbes.get(host) ?? 0) < MAX_MISSED_PROBES,
     );
-    const pool = inUse.length * 2 < this.balancers.length ? this.balancers : inUse;
+    const pool = inRotation.length * 2 < this.balancers.length ? this.balancers : inRotation;
     return pool[hashOfFlow(flow) % pool.length]?.packetAddress;
   }
 
@@ -175,7 +175,7 @@
     return this.operator.routes();
   }
 
-  /** Asks every running control machine for the configuration, until each has answered or time is up. */
+  /** Reads the configuration and the zones from each running control machine and checks them. */
   readBackFromAll(): void {
     for (const control of this.controls.filter(({ isRunning }) => isRunning)) {
       control.call({ type: 'read-config' }, (reply) => {
@@ -201,7 +201,7 @@
     this.balancers.push(balancer);
   }
 
-  /** A call goes to any control machine, also to dead ones, but not to the caller's last one again. */
+  /** Sends a call to a random control machine, running or not, other than the last one of the caller. */
   private readonly callControl = (
     fromHost: string,
     call: GroupCall,
@@ -209,12 +209,12 @@
   ): void => {
     const control = this.pickControl(fromHost);
     this.clock.after(CALL_DELAY_MS, () => {
-      if (control?.isRunning !== true || !this.wires.reaches(fromHost, control.address.host)) {
+      if (control?.isRunning !== true || !this.wires.canReach(fromHost, control.address.host)) {
         return;
       }
       control.call(call, (reply) => {
         this.clock.after(CALL_DELAY_MS, () => {
-          if (this.wires.reaches(control.address.host, fromHost)) {
+          if (this.wires.canReach(control.address.host, fromHost)) {
             answer(reply);
           }
         });
@@ -235,12 +235,12 @@
 
   private probe(): void {
     for (const { host, isReady } of this.balancers) {
-      this.misses.set(host, isReady ? 0 : (this.misses.get(host) ?? 0) + 1);
+      this.missedProbes.set(host, isReady ? 0 : (this.missedProbes.get(host) ?? 0) + 1);
     }
     this.clock.after(PROBE_INTERVAL_MS, () => this.probe());
   }
 
-  private note(host: string, name: string, fields: DecisionFields): void {
+  private logDecision(host: string, name: string, fields: DecisionFields): void {
     this.log.push(`${this.clock.nowMs.toFixed(0)} ${host} ${name} ${formatFields(fields)}`);
   }
 }
--- a/src/proof/sim-registered/process-gate.ts
+++ b/src/proof/sim-registered/process-gate.ts
@@ -1,26 +1,26 @@
 /**
- * @file A simulated process that may stand still and that ends: what comes to it runs at once, waits until it goes
- * on, or never runs, where it was meant for a life of the process that is over.
+ * @file Dispatches events to a simulated process: runs them at once, queues them while the process is suspended, and drops
+ * those meant for an earlier run of the process.
  */
 import type { VirtualClock } from '../virtual/virtual-clock.js';
 
-/** Lets through what comes to a process. */
+/** Controls when events reach a process. */
 export interface ProcessGate {
   readonly isFrozen: boolean;
-  /** Names the life of the process that runs; another one with each start and each end. */
+  /** Incremented with each start and each end of the process. */
   readonly generation: number;
-  /** The process starts or ends: what waits is dropped. */
-  renew(): number;
-  /** The process stands still for a while. */
-  freeze(forMs: number): void;
-  /** Runs something now, or once the process goes on; never in another life of it. */
+  /** Marks a start or an end of the process and drops queued events; returns the new generation. */
+  advanceGeneration(): number;
+  /** Suspends the process. */
+  freeze(durationMs: number): void;
+  /** Runs an action now or when the process resumes; dropped if the generation has changed. */
   whenRunning(generation: number, run: () => void): void;
 }
 
-/** @returns the gate of a process that is not started yet */
+/** @returns the gate of a process that has not been started */
 export function createProcessGate(clock: VirtualClock): ProcessGate {
   let generation = 0;
-  /** In order; undefined while the process runs. */
+  /** Queued actions in order; undefined if the process is not suspended. */
   let backlog: (() => void)[] | undefined;
 
   return {
@@ -30,34 +30,34 @@
     get generation() {
       return generation;
     },
-    renew,
+    advanceGeneration,
     freeze,
     whenRunning,
   };
 
-  function renew(): number {
+  function advanceGeneration(): number {
     generation += 1;
     backlog = undefined;
     return generation;
   }
 
-  function freeze(forMs: number): void {
+  function freeze(durationMs: number): void {
     if (backlog !== undefined) {
       return;
     }
-    const frozen = generation;
+    const frozenGeneration = generation;
     backlog = [];
-    clock.after(forMs, () => {
-      if (frozen === generation) {
-        const waiting = backlog ?? [];
+    clock.after(durationMs, () => {
+      if (frozenGeneration === generation) {
+        const queued = backlog ?? [];
         backlog = undefined;
-        waiting.forEach((run) => run());
+        queued.forEach((run) => run());
       }
     });
   }
 
-  function whenRunning(of: number, run: () => void): void {
-    if (of !== generation) {
+  function whenRunning(forGeneration: number, run: () => void): void {
+    if (forGeneration !== generation) {
       return;
     }
     if (backlog === undefined) {
--- a/src/proof/sim-registered/run-ingress-world.ts
+++ b/src/proof/sim-registered/run-ingress-world.ts
@@ -1,30 +1,30 @@
 /**
- * @file One run of the simulated deployment of the registered pair under faults drawn from a seed, with the oracle's verdict.
+ * @file Runs the simulated deployment of the registered mode under seeded faults and reports the violations.
  */
 import type { IngressViolation } from './ingress-oracle.js';
 import { DrawnFaults, drawnFaultKinds, type DrawnFaultKind } from './drawn-faults.js';
 import { IngressWorld } from './ingress-world.js';
 import { smallIngressWorld, type IngressWorldOptions } from './world-parts.js';
-import { MEASURED_MS, SETTLE_MS, LEAST_SERVED_SHARE } from './deployment-constants.js';
+import { MEASUREMENT_MS, SETTLE_MS, MIN_SERVED_SHARE } from './deployment-constants.js';
 
-/** What any run does. */
+/** Parameters of any run. */
 export interface WorldRun {
   readonly seed: number;
-  /** How it ends: two disks lost and all else without power right after an acknowledgement, or not. */
+  /** If true, the run ends with lost disks and a power failure right after an acknowledgement. */
   readonly endsWithLoss: boolean;
   readonly options?: Partial<IngressWorldOptions>;
-  /** Breaks the world, for mutants. */
+  /** Modifies the deployment before the clients start, for mutants. */
   readonly prepare?: (world: IngressWorld) => void;
 }
 
-/** A run whose faults are drawn one by one. */
+/** Parameters of a run with random faults. */
 export interface IngressRun extends WorldRun {
   readonly faultCount: number;
-  /** Kinds that are drawn from. */
+  /** Kinds of faults to choose from; all by default. */
   readonly kinds?: readonly DrawnFaultKind[];
 }
 
-/** What came out. */
+/** The result of a run. */
 export interface IngressRunReport {
   readonly violations: readonly IngressViolation[];
   readonly servedRequests: number;
@@ -32,27 +32,25 @@
   readonly log: readonly string[];
 }
 
-/** Time in which the group forms and back ends register, before the first fault. */
+/** Time for the group to form and back ends to register. */
 const FORMATION_MS = 6_000;
-/** Mean time between two faults: several overlap. */
-const MEAN_GAP_MS = 1_500;
-/** Time within which a last configuration is acknowledged, before the loss that ends a run. */
-const ACKNOWLEDGE_WITHIN_MS = 8_000;
+/** Shorter than most faults, so that several overlap. */
+const MEAN_FAULT_INTERVAL_MS = 1_500;
+/** Time for the last configuration to be acknowledged before the final loss. */
+const ACKNOWLEDGE_TIMEOUT_MS = 8_000;
 
-/**
- * Runs the deployment, causes faults, lets it recover and has the oracle check it.
- */
+/** Runs the deployment, injects random faults, lets it recover and checks it with the oracle. */
 export function runIngressWorld(run: IngressRun): Promise<IngressRunReport> {
-  return runWorld(run, (world, faults) => strikeAll(world, faults, run));
+  return runWorld(run, (world, faults) => injectAll(world, faults, run));
 }
 
 /**
- * The same with faults of any source.
- * @param strikeAll causes them; resolves once the last one has begun
+ * Runs the deployment with faults injected by the caller.
+ * @param injectAll injects the faults; resolves after the last one has started
  */
 export async function runWorld(
   run: WorldRun,
-  strikeAll: (world: IngressWorld, faults: DrawnFaults) => Promise<void>,
+  injectAll: (world: IngressWorld, faults: DrawnFaults) => Promise<void>,
 ): Promise<IngressRunReport> {
   const world = new IngressWorld(run.seed, { ...smallIngressWorld, ...run.options });
   const faults = new DrawnFaults(world);
@@ -60,11 +58,11 @@
   await world.run(FORMATION_MS);
   run.prepare?.(world);
   world.startClients();
-  await world.run(MEASURED_MS);
-  const servedBefore = world.oracle.servedRequests;
-  await strikeAll(world, faults);
+  await world.run(MEASUREMENT_MS);
+  const baselineRequests = world.oracle.servedRequests;
+  await injectAll(world, faults);
   await finish(world, faults, run.endsWithLoss);
-  await checkRecovery(world, servedBefore);
+  await checkRecovery(world, baselineRequests);
   return {
     violations: world.oracle.violations,
     servedRequests: world.oracle.servedRequests,
@@ -73,17 +71,17 @@
   };
 }
 
-async function strikeAll(
+async function injectAll(
   world: IngressWorld,
   faults: DrawnFaults,
   { faultCount, kinds = drawnFaultKinds }: IngressRun,
 ): Promise<void> {
-  for (let struck = 0; struck < faultCount; struck += 1) {
+  for (let injected = 0; injected < faultCount; injected += 1) {
     const kind = kinds[world.random.nextInt(kinds.length)];
     if (kind !== undefined) {
-      faults.strike(kind);
+      faults.inject(kind);
     }
-    await world.run(world.random.nextFloat() * 2 * MEAN_GAP_MS);
+    await world.run(world.random.nextFloat() * 2 * MEAN_FAULT_INTERVAL_MS);
   }
 }
 
@@ -94,18 +92,18 @@
 ): Promise<void> {
   await world.run(SETTLE_MS);
   if (endsWithLoss) {
-    world.operator.declareNext(() => faults.wipeSomePowerOffAll());
-    await world.run(ACKNOWLEDGE_WITHIN_MS);
+    world.operator.declareNext(() => faults.wipeSomePowerOffRest());
+    await world.run(ACKNOWLEDGE_TIMEOUT_MS);
     await world.run(SETTLE_MS);
   }
 }
 
-async function checkRecovery(world: IngressWorld, servedBefore: number): Promise<void> {
+async function checkRecovery(world: IngressWorld, baselineRequests: number): Promise<void> {
   const { oracle } = world;
   const servedAtStart = oracle.servedRequests;
-  await world.run(MEASURED_MS);
-  const servedShare = (oracle.servedRequests - servedAtStart) / Math.max(1, servedBefore);
-  oracle.checkRecovery(servedShare, LEAST_SERVED_SHARE, world.clock.nowMs);
+  await world.run(MEASUREMENT_MS);
+  const servedShare = (oracle.servedRequests - servedAtStart) / Math.max(1, baselineRequests);
+  oracle.checkRecovery(servedShare, MIN_SERVED_SHARE, world.clock.nowMs);
   world.readBackFromAll();
-  await world.run(MEASURED_MS);
+  await world.run(MEASUREMENT_MS);
 }
--- a/src/proof/sim-registered/simulated-control-machine.ts
+++ b/src/proof/sim-registered/simulated-control-machine.ts
@@ -1,5 +1,6 @@
 /**
- * @file A control machine of the simulated deployment: the product's process of `group` over a virtual disk, which outlives it, and virtual wires.
+ * @file A simulated control machine: runs the product's group process on a virtual disk, which persists across restarts, and
+ * on the virtual network.
  */
 import type { Address } from '../../shared/common/address.js';
 import { formatAddress } from '../../shared/common/address.js';
@@ -27,18 +28,18 @@
 import type { IngressWorldParts } from './world-parts.js';
 
 const TICK_MS = 50;
-const RETRY_WRITE_MS = 200;
-const RETRY_LINK_AFTER_MS = 50;
+const WRITE_RETRY_DELAY_MS = 200;
+const LINK_RETRY_DELAY_MS = 50;
 const REQUEST_DEADLINE_MS = 850;
-/** As the daemon: time for what was sent at a stop to leave. */
-const STOP_MS = 250;
+/** Time between a stop request and the exit, as in the daemon; lets the last messages be sent. */
+const STOP_DELAY_MS = 250;
 
-/** Reads the documents of the simulated operator: the configuration as JSON. */
+/** Parses a document of the simulated operator, which is JSON. */
 function readSimulatedDocument({ text }: ConfigDocument): DeclaredConfig {
   return JSON.parse(text) as DeclaredConfig;
 }
 
-/** One control machine. */
+/** A control machine whose process can be started, killed and suspended. */
 export class SimulatedControlMachine {
   readonly disk: VirtualDisk;
   process: GroupProcess | undefined;
@@ -61,53 +62,55 @@
     return this.process !== undefined;
   }
 
-  /** Starts the process; it runs once its disk is read. */
+  /** Starts the process; it runs once its storage has been recovered. */
   start(isFirstStart: boolean): void {
-    const generation = this.gate.renew();
+    const generation = this.gate.advanceGeneration();
     const { clock, wires } = this.parts;
     wires.hostStarted(this.address.host);
     const makeStorageId = isInitialMember(this.address, this.seeds, isFirstStart)
       ? () => initialStorageId(this.address)
-      : () => this.freshStorageId();
-    const pause = () => this.pause();
+      : () => this.newStorageId();
+    const waitBeforeRetry = () => this.pause();
     const name = formatAddress(this.address);
-    void ConsensusStorage.open(this.disk.open(), name, makeStorageId, pause).then((opened) => {
-      if (generation === this.gate.generation) {
-        this.run(opened._unsafeUnwrap(), isFirstStart, generation);
-      }
-    });
+    void ConsensusStorage.open(this.disk.open(), name, makeStorageId, waitBeforeRetry).then(
+      (opened) => {
+        if (generation === this.gate.generation) {
+          this.run(opened._unsafeUnwrap(), isFirstStart, generation);
+        }
+      },
+    );
     clock.markPromiseSettled();
   }
 
-  /** The process dies; what was written stays. */
+  /** Kills the process; unsynced writes are kept. */
   kill(): void {
-    this.end();
-    this.disk.processDied();
+    this.endProcess();
+    this.disk.killProcess();
   }
 
-  /** The machine loses power: what was not synced is lost, whole or in part. */
+  /** Simulates a power failure: unsynced data is lost in whole or in part. */
   powerOff(): void {
-    this.end();
+    this.endProcess();
     this.disk.crash();
   }
 
-  /** The machine loses its disk. */
+  /** Kills the process and erases the disk. */
   wipe(): void {
-    this.end();
+    this.endProcess();
     this.disk.wipe();
   }
 
-  /** A call of a back end or the operator; unanswered where the process is not running. */
+  /** Handles a call of a back end or an operator; unanswered if the process is not running. */
   call(call: GroupCall, answer: (reply: GroupReply) => void): void {
     this.gate.whenRunning(this.gate.generation, () => this.process?.call(call, answer));
   }
 
-  /** Asks the process to stop; it ends after the time that the daemon takes for it. */
+  /** Stops the process gracefully; it ends after `STOP_DELAY_MS`. */
   stop(): void {
     const { generation } = this.gate;
     this.gate.whenRunning(generation, () => {
       this.process?.stop();
-      this.parts.clock.after(STOP_MS, () => {
+      this.parts.clock.after(STOP_DELAY_MS, () => {
         if (generation === this.gate.generation) {
           this.kill();
         }
@@ -115,15 +118,15 @@
     });
   }
 
-  /** The process stands still; what comes meanwhile waits until it goes on. */
-  freeze(forMs: number): void {
+  /** Suspends the process; events are queued until it resumes. */
+  freeze(durationMs: number): void {
     if (this.process !== undefined) {
-      this.gate.freeze(forMs);
+      this.gate.freeze(durationMs);
     }
   }
 
-  private end(): void {
-    this.gate.renew();
+  private endProcess(): void {
+    this.gate.advanceGeneration();
     this.process = undefined;
     this.peerLinks?.close(() => undefined);
     this.feedLinks.clear();
@@ -155,8 +158,8 @@
       nowMs: () => clock.nowMs,
       dial: (to, onClose) =>
         wires.connect(this.address.host, to, { onMessage: () => false, onClose }),
-      firstRetryDelayMs: RETRY_LINK_AFTER_MS,
-      maxRetryDelayMs: RETRY_LINK_AFTER_MS,
+      firstRetryDelayMs: LINK_RETRY_DELAY_MS,
+      maxRetryDelayMs: LINK_RETRY_DELAY_MS,
     });
     this.peerLinks = peerLinks;
     const process = new GroupProcess(state, {
@@ -165,14 +168,14 @@
       sendFeed: (linkId, message) => this.feedLinks.find(linkId)?.send(packFeed(message)),
       persist: (effect) => this.persist(storage, effect, generation),
       logDecision: (name, fields) => {
-        this.parts.note(this.address.host, name, fields);
+        this.parts.logDecision(this.address.host, name, fields);
         this.recordLeader(state.consensus);
       },
     });
     this.process = process;
     wires.listen(this.address, {
-      onMessage: (message, link) => this.receiveRunning(message, link, generation),
-      onClose: (link) => this.gate.whenRunning(generation, () => this.forgetLink(link)),
+      onMessage: (message, link) => this.receiveWhenRunning(message, link, generation),
+      onClose: (link) => this.gate.whenRunning(generation, () => this.removeLink(link)),
     });
     this.tick(process, generation);
   }
@@ -184,7 +187,7 @@
     });
   }
 
-  /** The disk goes on while the process stands still; the process gets the result later. */
+  /** Writes complete even while the process is suspended; it receives the result when it resumes. */
   private persist(
     storage: ConsensusStorage,
     effect: PersistEffect,
@@ -203,7 +206,7 @@
     );
   }
 
-  private receiveRunning(message: unknown, link: VirtualLink, generation: number): boolean {
+  private receiveWhenRunning(message: unknown, link: VirtualLink, generation: number): boolean {
     if (!this.gate.isFrozen) {
       return this.receive(message, link);
     }
@@ -230,14 +233,14 @@
     }
   }
 
-  private forgetLink(link: VirtualLink): void {
+  private removeLink(link: VirtualLink): void {
     const linkId = this.feedLinks.remove(link);
     if (linkId !== undefined) {
       this.process?.closeLink(linkId);
     }
   }
 
-  private freshStorageId(): string {
+  private newStorageId(): string {
     const number = this.nextStorageNumber;
     this.nextStorageNumber += 1;
     return `disk-${number}-of-${this.address.host}`;
@@ -246,7 +249,7 @@
   private pause(): Promise<void> {
     const { clock } = this.parts;
     return new Promise((resolve) => {
-      clock.after(RETRY_WRITE_MS, () => {
+      clock.after(WRITE_RETRY_DELAY_MS, () => {
         clock.markPromiseSettled();
         resolve();
       });
--- a/src/proof/sim-registered/simulated-ingress-balancer.ts
+++ b/src/proof/sim-registered/simulated-ingress-balancer.ts
@@ -1,5 +1,5 @@
 /**
- * @file A balancer of the simulated deployment: the product's process of `ingress` over virtual sockets and wires.
+ * @file A simulated ingress balancer: runs the product's ingress process on the virtual network.
  */
 import { Packr } from 'msgpackr';
 import type { Address } from '../../shared/common/address.js';
@@ -18,7 +18,7 @@
 const MAX_COUNTED_FLOWS = 100_000;
 const packr = new Packr({ useRecords: false });
 
-/** One balancer. */
+/** A balancer whose process can be started, killed and suspended. */
 export class SimulatedIngressBalancer {
   process: IngressProcess | undefined;
   private readonly gate: ProcessGate;
@@ -36,13 +36,13 @@
     return !this.gate.isFrozen && this.process?.isReady === true;
   }
 
-  /** Where routers send packets. */
+  /** Address to which routers send packets. */
   get packetAddress(): Address {
     return { host: this.host, port: PACKET_PORT };
   }
 
   start(): void {
-    const generation = this.gate.renew();
+    const generation = this.gate.advanceGeneration();
     const { host } = this;
     const { clock, wires, options } = this.parts;
     const peerAddress: Address = { host, port: PEER_PORT };
@@ -82,7 +82,7 @@
               this.gate.whenRunning(generation, () => handlers.onClose(link, reason)),
           }),
         after: (delayMs, run) => clock.after(delayMs, () => this.gate.whenRunning(generation, run)),
-        logDecision: (name, fields) => this.parts.note(host, name, fields),
+        logDecision: (name, fields) => this.parts.logDecision(host, name, fields),
         packetLog: { log: () => undefined, flush: () => undefined },
       },
     );
@@ -100,15 +100,15 @@
   }
 
   kill(): void {
-    this.gate.renew();
+    this.gate.advanceGeneration();
     this.process = undefined;
     this.parts.wires.hostDied(this.host);
   }
 
-  /** The process stands still; what comes meanwhile waits until it goes on. */
-  freeze(forMs: number): void {
+  /** Suspends the process; events are queued until it resumes. */
+  freeze(durationMs: number): void {
     if (this.process !== undefined) {
-      this.gate.freeze(forMs);
+      this.gate.freeze(durationMs);
     }
   }
 
--- a/src/proof/sim-registered/stand-in-backend.ts
+++ b/src/proof/sim-registered/stand-in-backend.ts
@@ -1,6 +1,6 @@
 /**
- * @file A stand-in back end of the registered pair: registers by heartbeats, accepts flows and answers requests, drains, leaves with or without
- * a departure. Played by the simulator and by the soak.
+ * @file A back end stand-in for the simulator and the soak: registers by heartbeats, accepts flows, answers requests, drains
+ * and deregisters or crashes.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { GroupCall } from '../../registered/daemon/group-process.js';
@@ -16,20 +16,20 @@
 import { startIdOf } from '../../registered/registry/backend-start.js';
 import type { StandInParts } from './world-parts.js';
 
-/** Accepts are numbered by back end, and within that by start. */
+/** Each start of each back end has its own range of accept numbers. */
 const ACCEPTS_PER_BACKEND = 1_000_000;
 const ACCEPTS_PER_START = 10_000;
 const CALL_TIMEOUT_MS = 1_000;
 const WORK_MS = 20;
 const FIRST_RESEND_MS = 200;
-const LAST_RESEND_MS = 1_600;
-/** A back end is cold for so long after its start, and after its zone was empty. */
+const MAX_RESEND_DELAY_MS = 1_600;
+/** Time for which a back end is cold after its start and after the readmission of its zone. */
 export const WARM_UP_MS = 2_000;
 const CAPACITY = 2;
 const INSTANCE_DIGITS = 16;
 const HEXADECIMAL = 16;
 
-/** Brings a call to some control machine; unanswered where that one is dead or cut off. */
+/** Sends a call to any control machine; unanswered if that machine is down or unreachable. */
 export type CallControl = (
   fromHost: string,
   call: GroupCall,
@@ -38,19 +38,19 @@
 
 interface BackendFlow {
   readonly acceptNumber: number;
-  /** True once the client has named the accept. */
+  /** True once the client has used the accept number. */
   isOpen: boolean;
 }
 
-/** What a back end is. */
+/** Identity of one start of a back end. */
 export interface BackendIdentity {
-  /** What it is called over all its starts. */
+  /** Stays the same over all starts. */
   readonly id: string;
-  /** Counts its starts, from 0. */
+  /** Number of this start, from 0. */
   readonly startNumber?: number;
-  /** The first of its starts in a row at this address. */
+  /** Number of the first start at the current address. */
   readonly addressSinceStart?: number;
-  /** When it started, in milliseconds, where it says so. */
+  /** Start time in milliseconds, if it is part of the start ID. */
   readonly startedAtMs?: number | undefined;
   readonly number: number;
   readonly service: string;
@@ -58,25 +58,24 @@
   readonly zone: string;
 }
 
-/** One start of a back end. */
+/** One start of a back end; a restart creates a new instance. */
 export class StandInBackend {
   readonly instanceNumber: string;
   isAlive = true;
-  /** True once it has begun to leave. */
+  /** True once `leave` was called. */
   isLeaving = false;
   private isDraining = false;
   private sequence = 0;
   private nextAcceptNumber: number;
   private readonly flows = new Map<string, BackendFlow>();
   private coldSinceMs: number;
-  /** How many flows it has accepted. */
   acceptedFlows = 0;
 
   constructor(
     readonly identity: BackendIdentity,
     private readonly parts: StandInParts,
     private readonly callControl: CallControl,
-    /** @returns the newest version that gives the route to the service */
+    /** @returns the newest configuration version in which the service is a target of the route */
     private readonly newestVersion: (route: string, service: string) => number,
   ) {
     this.instanceNumber = identity.number.toString(HEXADECIMAL).padStart(INSTANCE_DIGITS, '0');
@@ -85,23 +84,23 @@
     this.coldSinceMs = parts.clock.nowMs;
     parts.wires.hostStarted(identity.address.host);
     parts.wires.onDatagram(identity.address, (bytes) => this.receive(bytes));
-    this.beat();
+    this.sendHeartbeats();
   }
 
-  /** The ID by which this start is known to all processes. */
+  /** ID of this start in heartbeats and in the registry. */
   get startId(): string {
     const { id, startedAtMs } = this.identity;
     return startIdOf({ backend: id, startedAtMs });
   }
 
-  /** @returns true where this back end holds the flow and the client has opened it */
+  /** @returns true if this back end is running and has the flow open */
   holdsOpen(client: string, acceptNumber: number): boolean {
     const flow = this.flows.get(client);
     return this.isAlive && flow?.isOpen === true && flow.acceptNumber === acceptNumber;
   }
 
-  /** It is cold from now on as after its start, since nothing reached it for long; its heartbeats say so. */
-  turnCold(): void {
+  /** Marks it as cold, as after its start; reported in its heartbeats. */
+  markCold(): void {
     this.coldSinceMs = this.parts.clock.nowMs;
   }
 
@@ -109,55 +108,61 @@
     return Math.max(0, WARM_UP_MS - (this.parts.clock.nowMs - this.coldSinceMs));
   }
 
-  /** Ends without a departure. */
+  /** Ends without deregistering. */
   crash(): void {
     if (!this.isAlive) {
-      // Its address may be that of another start already.
+      // Another start may already use its address.
       return;
     }
     this.isAlive = false;
     this.parts.wires.hostDied(this.identity.address.host);
   }
 
-  /** A departure from before its end that the network held up comes now; it names no start. */
+  /** Delivers a delayed deregistration of this ended start; it carries the back end ID without the start. */
   deliverHeldUpDeparture(): void {
     const call = { type: 'deregister', backendId: this.identity.id } as const;
     this.callControl(this.identity.address.host, call, () => undefined);
   }
 
-  /** A heartbeat from before its end that the network held up comes now. */
+  /** Delivers a delayed heartbeat of this ended start. */
   deliverHeldUpHeartbeat(): void {
     this.callControl(this.identity.address.host, this.heartbeat(), () => undefined);
   }
 
-  /** Says that it leaves, serves on, deregisters and ends. */
-  leave(saysDraining: boolean, ended: () => void): void {
+  /** Announces its departure by draining heartbeats or by deregistering, serves until the drain bound and ends. */
+  leave(announcesDraining: boolean, onEnd: () => void): void {
     this.isLeaving = true;
     const { clock, options } = this.parts;
-    const endSoon = () =>
+    const endAfterDrain = () =>
       clock.after(options.drainBoundMs + WORK_MS, () => {
-        if (saysDraining) {
-          this.insist({ type: 'deregister', backendId: this.identity.id }, () => undefined);
+        if (announcesDraining) {
+          this.sendUntilAcknowledged(
+            { type: 'deregister', backendId: this.identity.id },
+            () => undefined,
+          );
         }
         clock.after(CALL_TIMEOUT_MS, () => {
           this.crash();
-          ended();
+          onEnd();
         });
       });
     const acknowledged = () => {
       this.parts.oracle.recordAcknowledgedDeparture(this.startId, clock.nowMs);
-      endSoon();
+      endAfterDrain();
     };
-    if (saysDraining) {
+    if (announcesDraining) {
       this.isDraining = true;
-      this.insist(() => this.heartbeat(), acknowledged);
+      this.sendUntilAcknowledged(() => this.heartbeat(), acknowledged);
     } else {
-      this.insist({ type: 'deregister', backendId: this.identity.id }, acknowledged);
+      this.sendUntilAcknowledged({ type: 'deregister', backendId: this.identity.id }, acknowledged);
     }
   }
 
-  /** Sends the same call until it is acknowledged. */
-  private insist(call: GroupCall | (() => GroupCall), acknowledged: () => void): void {
+  /** Resends a call until it is accepted; a function builds the call anew for each attempt. */
+  private sendUntilAcknowledged(
+    call: GroupCall | (() => GroupCall),
+    acknowledged: () => void,
+  ): void {
     let isDone = false;
     const attempt = () => {
       if (isDone || !this.isAlive) {
@@ -183,15 +188,15 @@
     attempt();
   }
 
-  private beat(): void {
+  private sendHeartbeats(): void {
     if (!this.isAlive) {
       return;
     }
     const { clock, options } = this.parts;
     if (!this.isDraining) {
-      this.insist(this.heartbeat(), () => undefined);
+      this.sendUntilAcknowledged(this.heartbeat(), () => undefined);
     }
-    clock.after(options.heartbeatIntervalMs, () => this.beat());
+    clock.after(options.heartbeatIntervalMs, () => this.sendHeartbeats());
   }
 
   private heartbeat(): GroupCall {
@@ -217,7 +222,7 @@
     const { clock, oracle } = this.parts;
     const received = decodeForBackend(bytes);
     if (received === undefined) {
-      oracle.reportUnsolicited(clock.nowMs, 'bytes that are no packet');
+      oracle.reportCorruptAtBackend(clock.nowMs, 'bytes that are no packet');
       return;
     }
     const { instance, packet } = received;
@@ -225,7 +230,7 @@
       return;
     }
     if (!isIntact(packet)) {
-      oracle.reportUnsolicited(clock.nowMs, `${packet.kind} of ${formatAddress(packet.from)}`);
+      oracle.reportCorruptAtBackend(clock.nowMs, `${packet.kind} of ${formatAddress(packet.from)}`);
       return;
     }
     if (packet.kind === 'open') {
@@ -238,9 +243,9 @@
   private handleOpen(packet: TokenPacket): void {
     const { clock, oracle } = this.parts;
     const client = formatAddress(packet.from);
-    const known = this.flows.get(client);
-    const flow = known ?? { acceptNumber: this.nextAcceptNumber, isOpen: false };
-    if (known === undefined) {
+    const existing = this.flows.get(client);
+    const flow = existing ?? { acceptNumber: this.nextAcceptNumber, isOpen: false };
+    if (existing === undefined) {
       this.nextAcceptNumber += 1;
       this.acceptedFlows += 1;
       this.flows.set(client, flow);
@@ -249,7 +254,7 @@
       const newestVersion = this.newestVersion(route, service);
       const sentAtMs = clock.nowMs;
       const isCold = this.warmUpLeftMs > 0;
-      const taken = {
+      const acceptedFlow = {
         route,
         service,
         backendId: this.startId,
@@ -258,22 +263,22 @@
         zone,
         isCold,
       };
-      oracle.checkAcceptedOpen(taken, clock.nowMs);
+      oracle.checkAcceptedOpen(acceptedFlow, clock.nowMs);
     }
     if (!flow.isOpen) {
       this.answer(packet, 'accept', flow.acceptNumber);
-      if (known === undefined) {
-        this.acceptAgain(packet, flow, FIRST_RESEND_MS);
+      if (existing === undefined) {
+        this.scheduleAcceptResend(packet, flow, FIRST_RESEND_MS);
       }
     }
   }
 
-  /** An accept that the client does not name may have been lost; it is sent again. */
-  private acceptAgain(packet: TokenPacket, flow: BackendFlow, delayMs: number): void {
+  /** Resends the accept with exponential backoff until the client uses its number. */
+  private scheduleAcceptResend(packet: TokenPacket, flow: BackendFlow, delayMs: number): void {
     this.parts.clock.after(delayMs, () => {
-      if (!flow.isOpen && delayMs <= LAST_RESEND_MS) {
+      if (!flow.isOpen && delayMs <= MAX_RESEND_DELAY_MS) {
         this.answer(packet, 'accept', flow.acceptNumber);
-        this.acceptAgain(packet, flow, 2 * delayMs);
+        this.scheduleAcceptResend(packet, flow, 2 * delayMs);
       }
     });
   }
@@ -282,7 +287,7 @@
     const client = formatAddress(packet.from);
     const flow = this.flows.get(client);
     if (flow?.acceptNumber !== packet.acceptNumber) {
-      this.checkStray(packet);
+      this.checkStrayPacket(packet);
       this.answer(packet, 'reset', flow?.acceptNumber ?? 0);
       return;
     }
@@ -294,8 +299,8 @@
     }
   }
 
-  /** Packets of flows of starts at another address must not come here; those of starts at this one may, and are reset. */
-  private checkStray({ acceptNumber }: TokenPacket): void {
+  /** Packets for starts at another address must not arrive here; those for earlier starts at this address may. */
+  private checkStrayPacket({ acceptNumber }: TokenPacket): void {
     const { number, addressSinceStart = 0 } = this.identity;
     const firstOfBackend = number * ACCEPTS_PER_BACKEND + 1;
     const firstAtAddress = firstOfBackend + addressSinceStart * ACCEPTS_PER_START;
--- a/src/proof/sim-registered/stand-in-client.ts
+++ b/src/proof/sim-registered/stand-in-client.ts
@@ -1,6 +1,6 @@
 /**
- * @file A stand-in client of the registered pair: opens flows with copies, sends requests on them with resends, and follows the last token that
- * it got, even where that is the wrong one. Played by the simulator and by the soak.
+ * @file A client stand-in for the simulator and the soak: opens flows with duplicate opens, sends requests with
+ * retransmission, and always uses the last token it received, even a wrong one.
  */
 import type { Address } from '../../shared/common/address.js';
 import { formatAddress } from '../../shared/common/address.js';
@@ -14,7 +14,7 @@
 } from '../../registered/ingress/token-packet.js';
 import type { StandInParts } from './world-parts.js';
 
-const COPY_DELAYS_MS = [0, 200, 600];
+const OPEN_COPY_DELAYS_MS = [0, 200, 600];
 const OPEN_TIMEOUT_MS = 1_400;
 const FIRST_RESEND_MS = 200;
 const REQUEST_DEADLINE_MS = 2_000;
@@ -24,13 +24,13 @@
 const FIRST_PORT = 20_000;
 const LAST_PORT = 60_000;
 
-/** What a client needs of the world. */
+/** The deployment as a client sees it. */
 export interface ClientWorld {
-  /** @returns the balancer that the routers pick for a flow */
+  /** @returns the balancer to which the routers send a flow */
   pickBalancer(flow: string): Address | undefined;
-  /** @returns true where some back end holds this flow open and lives */
+  /** @returns true if a running back end has this flow open */
   isHeldOpen(client: string, acceptNumber: number): boolean;
-  /** @returns the routes of now */
+  /** @returns the routes of the current configuration */
   routes(): readonly Address[];
 }
 
@@ -47,7 +47,7 @@
   private route: Address = { host: '198.18.0.1', port: 443 };
   private requestId = 0;
   private sequence = 1;
-  /** Numbers what the client waits for, so that late timers do nothing. */
+  /** Incremented when the client starts to wait for something else; invalidates earlier timers. */
   private stage = 0;
   private requestsLeft = 0;
   private isStopped = false;
@@ -84,23 +84,23 @@
     this.token = 0;
     this.sequence = 1;
     this.requestsLeft = this.requestsPerFlow;
-    const stage = this.nextStage();
+    const stage = this.enterNextStage();
     const { clock } = this.parts;
-    COPY_DELAYS_MS.forEach((delayMs, copyNumber) => {
+    OPEN_COPY_DELAYS_MS.forEach((delayMs, copyNumber) => {
       clock.after(delayMs, () => {
         if (stage === this.stage) {
           this.send('open', { copyNumber, dataLength: 0 });
         }
       });
     });
-    clock.after(OPEN_TIMEOUT_MS, () => this.failUnlessMoved(stage));
+    clock.after(OPEN_TIMEOUT_MS, () => this.failIfStill(stage));
   }
 
   private receive(bytes: Uint8Array): void {
     const { clock, oracle } = this.parts;
     const packet = decodePacket(bytes);
     if (packet === undefined || !isIntact(packet)) {
-      oracle.reportMixed(clock.nowMs, `to ${formatAddress(this.address)}`);
+      oracle.reportCorruptAtClient(clock.nowMs, `to ${formatAddress(this.address)}`);
       return;
     }
     if (packet.to.port !== this.port) {
@@ -130,9 +130,9 @@
   }
 
   private sendRequest(): void {
-    const stage = this.nextStage();
+    const stage = this.enterNextStage();
     this.requestId += 1;
-    // A request takes several packets, which follow the last token that came, each for itself.
+    // Each packet of a request uses the token that is the last one when the packet is sent.
     this.parts.options.requestPartsAtMs.forEach((delayMs) => {
       this.parts.clock.after(delayMs, () => {
         if (stage === this.stage) {
@@ -140,14 +140,14 @@
         }
       });
     });
-    this.parts.clock.after(FIRST_RESEND_MS, () => this.sendCopy(stage, 2 * FIRST_RESEND_MS));
-    this.parts.clock.after(REQUEST_DEADLINE_MS, () => this.failUnlessMoved(stage));
+    this.parts.clock.after(FIRST_RESEND_MS, () => this.resendRequest(stage, 2 * FIRST_RESEND_MS));
+    this.parts.clock.after(REQUEST_DEADLINE_MS, () => this.failIfStill(stage));
   }
 
-  private sendCopy(stage: number, resendMs: number): void {
+  private resendRequest(stage: number, resendMs: number): void {
     if (stage === this.stage) {
       this.send('data', { copyNumber: 0, dataLength: REQUEST_BYTES });
-      this.parts.clock.after(resendMs, () => this.sendCopy(stage, 2 * resendMs));
+      this.parts.clock.after(resendMs, () => this.resendRequest(stage, 2 * resendMs));
     }
   }
 
@@ -161,7 +161,7 @@
     oracle.servedRequests += 1;
     this.requestsLeft -= 1;
     this.sequence += REQUEST_BYTES;
-    const stage = this.nextStage();
+    const stage = this.enterNextStage();
     this.requestId += 1;
     this.send('acknowledge', { copyNumber: 0, dataLength: 0 });
     clock.after(random.nextFloat() * MAX_PAUSE_MS, () => {
@@ -182,23 +182,23 @@
     if (this.flow.name === 'open') {
       const client = formatAddress(this.address);
       const { acceptNumber } = this.flow;
-      const isFromHolder = packet.acceptNumber === acceptNumber;
-      if (!isFromHolder && this.world.isHeldOpen(client, acceptNumber)) {
+      const isFromOwner = packet.acceptNumber === acceptNumber;
+      if (!isFromOwner && this.world.isHeldOpen(client, acceptNumber)) {
         oracle.reportBrokenFlow(clock.nowMs, `flow ${client} was reset by another`);
       }
     }
-    this.failUnlessMoved(this.stage);
+    this.failIfStill(this.stage);
   }
 
-  private failUnlessMoved(stage: number): void {
+  private failIfStill(stage: number): void {
     if (stage === this.stage) {
       this.failedRequests += 1;
-      this.nextStage();
+      this.enterNextStage();
       this.parts.clock.after(RETRY_PAUSE_MS, () => this.openFlow());
     }
   }
 
-  private nextStage(): number {
+  private enterNextStage(): number {
     this.stage += 1;
     return this.stage;
   }
--- a/src/proof/sim-registered/stand-in-operator.ts
+++ b/src/proof/sim-registered/stand-in-operator.ts
@@ -1,6 +1,6 @@
 /**
- * @file A stand-in operator: declares configurations with rising versions, sends each again until it is
- * acknowledged, to any control machine, and reads the configuration now and then.
+ * @file An operator stand-in: declares configurations with increasing versions, resends each to any control machine until
+ * it is acknowledged, and reads the configuration periodically.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { DeclaredConfig, DeclaredRoute } from '../../registered/declared/declared-config.js';
@@ -16,41 +16,41 @@
 const ROUTE_HOST = '198.18.0.1';
 const FIRST_PORT = 443;
 const ROUTE_COUNT = 3;
-/** Idle routes lie on so many hosts, a few ports on each. */
-const IDLE_HOSTS = 200;
+/** Hosts over which idle routes are distributed. */
+const IDLE_HOST_COUNT = 200;
 
 /** The services of the simulated deployment. */
 export const SIMULATED_SERVICES = ['alpha', 'beta'] as const;
 
-/** The operator. */
+/** Declares and reads configurations. */
 export class StandInOperator {
-  /** Share of acknowledgements that are lost on their way. */
-  lostShare = 0;
-  /** Routes that no client uses, in configurations from now on. */
+  /** Share of acknowledgements that are lost, 0 to 1. */
+  ackLossShare = 0;
+  /** Number of routes without clients in the next configurations. */
   idleRouteCount = 0;
   private version = 0;
   private config: DeclaredConfig | undefined;
-  /** Newest version that gives a route to a service. */
-  private readonly newest = new Map<string, number>();
+  /** Newest version in which a service is a target of a route; the key is "route service". */
+  private readonly newestVersions = new Map<string, number>();
 
   constructor(
     private readonly callControl: CallControl,
     private readonly parts: StandInParts,
   ) {
-    this.readAgain();
+    this.scheduleRead();
   }
 
-  /** The routes of the newest configuration that was sent, without those that nobody uses. */
+  /** The routes of the newest configuration sent, without idle routes. */
   routes(): readonly Address[] {
     const inUse = (this.config?.routes ?? []).slice(0, ROUTE_COUNT);
     return inUse.map(({ host, port }) => ({ host, port }));
   }
 
   newestVersion(route: string, service: string): number {
-    return this.newest.get(`${route} ${service}`) ?? 0;
+    return this.newestVersions.get(`${route} ${service}`) ?? 0;
   }
 
-  /** Sends another configuration; `acknowledged` is called once it is acknowledged. */
+  /** Sends a new random configuration; `acknowledged` is called with its version. */
   declareNext(acknowledged: (version: number) => void = () => undefined): void {
     const { random, oracle } = this.parts;
     this.version += 1 + random.nextInt(3);
@@ -60,13 +60,13 @@
       const route = formatAddress({ host, port });
       for (const { service } of targets) {
         oracle.recordAllowedRoute(route, service);
-        this.newest.set(`${route} ${service}`, config.version);
+        this.newestVersions.set(`${route} ${service}`, config.version);
       }
     }
-    this.insist(config, acknowledged);
+    this.sendUntilAcknowledged(config, acknowledged);
   }
 
-  /** Reads the configuration once; `answered` gets its version, 0 for none. */
+  /** Reads the configuration; `answered` gets its version, 0 for none, undefined if the read failed. */
   read(answered: (version: number | undefined) => void): void {
     this.callControl(OPERATOR_HOST, { type: 'read-config' }, (reply) => {
       answered(reply.type === 'config' ? (reply.document?.version ?? 0) : undefined);
@@ -96,7 +96,10 @@
     return { version, routes, services, idleTimeoutMs: IDLE_TIMEOUT_MS };
   }
 
-  private insist(config: DeclaredConfig, acknowledged: (version: number) => void): void {
+  private sendUntilAcknowledged(
+    config: DeclaredConfig,
+    acknowledged: (version: number) => void,
+  ): void {
     const { clock, random, oracle } = this.parts;
     let isDone = false;
     const document = { version: config.version, text: JSON.stringify(config) };
@@ -106,23 +109,23 @@
         return;
       }
       attempts += 1;
-      const again = attempts;
+      const nextNumber = attempts;
       this.callControl(OPERATOR_HOST, { type: 'declare-config', document }, (reply) => {
-        const isLost = random.nextFloat() < this.lostShare;
+        const isLost = random.nextFloat() < this.ackLossShare;
         if (reply.type === 'accepted' && !isDone && !isLost) {
           isDone = true;
           oracle.recordAcknowledgedConfig(config.version, clock.nowMs);
           acknowledged(config.version);
         } else if (reply.type === 'unavailable') {
-          clock.after(RETRY_PAUSE_MS, () => attempt(again));
+          clock.after(RETRY_PAUSE_MS, () => attempt(nextNumber));
         }
       });
-      clock.after(CALL_TIMEOUT_MS + RETRY_PAUSE_MS, () => attempt(again));
+      clock.after(CALL_TIMEOUT_MS + RETRY_PAUSE_MS, () => attempt(nextNumber));
     };
     attempt(0);
   }
 
-  private readAgain(): void {
+  private scheduleRead(): void {
     const { clock, oracle } = this.parts;
     clock.after(READ_INTERVAL_MS, () => {
       const sentAtMs = clock.nowMs;
@@ -131,7 +134,7 @@
           oracle.checkRead(version, sentAtMs, clock.nowMs);
         }
       });
-      this.readAgain();
+      this.scheduleRead();
     });
   }
 }
@@ -139,8 +142,8 @@
 function idleRoute(index: number): DeclaredRoute {
   return {
     name: `idle-${index}`,
-    host: `198.19.0.${1 + (index % IDLE_HOSTS)}`,
-    port: FIRST_PORT + Math.floor(index / IDLE_HOSTS),
+    host: `198.19.0.${1 + (index % IDLE_HOST_COUNT)}`,
+    port: FIRST_PORT + Math.floor(index / IDLE_HOST_COUNT),
     targets: [{ service: SIMULATED_SERVICES[0], weight: 1 }],
     kind: 'repeatable',
     timeoutMs: REQUEST_TIMEOUT_MS,
--- a/src/proof/sim-registered/world-parts.ts
+++ b/src/proof/sim-registered/world-parts.ts
@@ -1,6 +1,6 @@
 /**
- * @file What the machines of the simulated deployment share: clock, wires, oracle, options; and what stand-ins need of them, so that the soak
- * can give them real ones.
+ * @file Shared parts of the simulated deployment: clock, network, oracle and options. Stand-ins depend on interfaces that
+ * the soak implements with real time and sockets.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { RandomSource } from '../../shared/common/step.js';
@@ -15,40 +15,40 @@
 import type { IngressOracle, OracleBounds } from './ingress-oracle.js';
 import type { VirtualWires } from '../virtual/virtual-wires.js';
 
-/** Bounds of the simulated deployment; times in milliseconds. */
+/** Options of the simulated deployment; times in milliseconds. */
 export interface IngressWorldOptions {
   readonly controlCount: number;
   readonly balancerCount: number;
   readonly backendCount: number;
   readonly clientCount: number;
-  /** When clients send the packets of a request, each from its beginning on; a request of one is lost sooner. */
+  /** Send times of the packets of a request, relative to its start. */
   readonly requestPartsAtMs: readonly number[];
-  /** Disks that may be lost right after an acknowledgement. */
+  /** Number of disks that may be lost right after an acknowledgement. */
   readonly tolerableLosses: number;
-  /** Copies that an acknowledgement waits for; one more than the losses, but in mutants. */
+  /** Copies required for an acknowledgement: one more than the tolerable losses, except in mutants. */
   readonly minimumCopies: number;
   readonly heartbeatIntervalMs: number;
-  /** New flows may go to a back end for so long after it was acknowledged that it leaves. */
+  /** Maximum time for which a back end may get new flows after its departure was acknowledged. */
   readonly drainBoundMs: number;
-  /** A configuration is in force everywhere this long after its acknowledgement. */
+  /** Maximum time until an acknowledged configuration is applied everywhere. */
   readonly applyBoundMs: number;
-  /** Machines hold no bound for so long after a disturbance. */
+  /** Time after a disturbance during which the time bounds do not apply. */
   readonly contactMs: number;
-  /** A machine with an empty disk counts again this long after its start. */
+  /** Time after its start until a control machine with an empty disk has caught up. */
   readonly catchUpMs: number;
   readonly flowLifetimeMs: number;
-  /** What a balancer takes its link to carry, in bytes a millisecond; undefined for no pacing. */
+  /** Link bandwidth to which balancers pace their output, in bytes per millisecond; undefined for no pacing. */
   readonly linkBytesPerMs: number | undefined;
   readonly policy: MechanismSwitches;
-  /** What a cold back end may be given; undefined for no bound. */
+  /** Slow-start bounds of cold back ends; undefined for no bound. */
   readonly coldBounds: SlowStartBounds | undefined;
-  /** How many requests a second a cold back end handles, as the operator declares it. */
+  /** Declared capacity of a cold back end in requests per second. */
   readonly coldRequestsPerS: number;
-  /** A zone takes no new flow for so long after its evacuation was acknowledged. */
+  /** Maximum time for which a zone may get new flows after its evacuation was acknowledged. */
   readonly evacuationBoundMs: number;
 }
 
-/** The options of a small deployment of today. */
+/** The options of a small deployment. */
 export const smallIngressWorld: IngressWorldOptions = {
   controlCount: 5,
   balancerCount: 4,
@@ -70,7 +70,7 @@
   evacuationBoundMs: 4_000,
 };
 
-/** @returns what the oracle holds a deployment to */
+/** @returns the bounds that the oracle checks for these options */
 export function oracleBoundsOf(options: IngressWorldOptions): OracleBounds {
   const { drainBoundMs, applyBoundMs, contactMs, evacuationBoundMs } = options;
   const { coldBounds, coldRequestsPerS } = options;
@@ -78,22 +78,22 @@
   return { drainBoundMs, applyBoundMs, contactMs, evacuationBoundMs, coldFlowsPerS };
 }
 
-/** Time as stand-ins need it: virtual in the simulator, real beside real processes. */
+/** The clock of stand-ins: virtual in the simulator, real in the soak. */
 export interface StandInClock {
   readonly nowMs: number;
   after(delayMs: number, run: () => void): void;
 }
 
-/** Datagrams as stand-ins need them. */
+/** The datagram network of stand-ins. */
 export interface StandInWires {
   onDatagram(address: Address, handler: (bytes: Uint8Array) => void): void;
   sendDatagram(fromHost: string, to: Address, bytes: Uint8Array): void;
   hostStarted(host: string): void;
-  /** Nothing reaches the addresses of a host any more. */
+  /** Unbinds all addresses of a host. */
   hostDied(host: string): void;
 }
 
-/** What stand-ins for clients, back ends and operators share. */
+/** Dependencies of stand-ins for clients, back ends and operators. */
 export interface StandInParts {
   readonly clock: StandInClock;
   readonly random: RandomSource;
@@ -102,11 +102,11 @@
   readonly options: IngressWorldOptions;
 }
 
-/** What is shared in the simulator. */
+/** Dependencies of all simulated machines. */
 export interface IngressWorldParts extends StandInParts {
   readonly clock: VirtualClock;
   readonly wires: VirtualWires;
   readonly timing: Timing;
-  /** Takes the line of a decision of a machine. */
-  note(host: string, name: string, fields: DecisionFields): void;
+  /** Records a decision of a machine in the log. */
+  logDecision(host: string, name: string, fields: DecisionFields): void;
 }
--- a/src/proof/sim-registered/zone-operator.ts
+++ b/src/proof/sim-registered/zone-operator.ts
@@ -1,49 +1,49 @@
 /**
- * @file A stand-in operator who evacuates zones and readmits them: each order is sent again, to any control machine, until it is
- * acknowledged, but not for longer than orders may be resent.
+ * @file An operator stand-in that evacuates and readmits zones: each order is resent to any control machine until it is
+ * acknowledged or the resend window ends.
  */
 import type { ZoneOrderKind } from '../../registered/group/zone-orders.js';
 import type { CallControl } from './stand-in-backend.js';
 import type { StandInParts } from './world-parts.js';
 
-/** What the operator needs of the deployment. */
+/** Dependencies of the operator. */
 export interface ZoneOperatorOptions extends StandInParts {
   readonly callControl: CallControl;
-  /** Share of acknowledgements that are lost on their way. */
-  readonly ackLostShare: () => number;
-  /** Called just before a zone that is certain to be empty is readmitted: its back ends have turned cold. */
+  /** @returns the share of acknowledgements that are lost, 0 to 1 */
+  readonly ackLossShare: () => number;
+  /** Called before the readmission of a zone whose evacuation was acknowledged. */
   readonly beforeReadmission: (zone: string) => void;
 }
 
-/** Empties zones. */
+/** Sends zone orders. */
 export interface ZoneOperator {
   /**
-   * Evacuates a zone and readmits it.
-   * @param forMs time between the acknowledgement of the one and the other
+   * Evacuates a zone and readmits it later.
+   * @param durationMs time between the end of the evacuation order and the first readmission order, in milliseconds
    */
-  evacuate(zone: string, forMs: number): void;
+  evacuate(zone: string, durationMs: number): void;
   /**
-   * Sends one order until it is acknowledged or too old.
-   * @param ended called with whether it was acknowledged
+   * Sends an order until it is acknowledged or its resend window has ended.
+   * @param onEnd called with whether it was acknowledged
    */
-  order(zone: string, kind: ZoneOrderKind, ended: (isAcknowledged: boolean) => void): void;
+  order(zone: string, kind: ZoneOrderKind, onEnd: (isAcknowledged: boolean) => void): void;
 }
 
 const OPERATOR_HOST = '100.127.0.2';
 const CALL_TIMEOUT_MS = 1_000;
 const RETRY_PAUSE_MS = 100;
-/** An order is not sent again later than this after it was sent first. */
-const RESENT_WITHIN_MS = 5_000;
+/** Maximum time from the first attempt of an order to its last. */
+const RESEND_WINDOW_MS = 5_000;
 
-/** @returns an operator who has ordered nothing yet */
+/** @returns an operator that has sent no orders */
 export function createZoneOperator(options: ZoneOperatorOptions): ZoneOperator {
   const { clock, random, oracle, callControl } = options;
 
   return { evacuate, order };
 
-  function evacuate(zone: string, forMs: number): void {
+  function evacuate(zone: string, durationMs: number): void {
     order(zone, 'evacuate', () => {
-      clock.after(forMs, () => {
+      clock.after(durationMs, () => {
         if (oracle.zones.evacuatedAtMs(zone) !== undefined) {
           options.beforeReadmission(zone);
         }
@@ -52,7 +52,7 @@
     });
   }
 
-  /** A zone is not left empty: an operator without an answer asks again, as a new order. */
+  /** Repeats readmission as a new order until one is acknowledged, so that no zone stays evacuated. */
   function readmit(zone: string): void {
     order(zone, 'readmit', (isAcknowledged) => {
       if (!isAcknowledged) {
@@ -64,7 +64,7 @@
   function order(
     zone: string,
     kind: ZoneOrderKind,
-    ended: (isAcknowledged: boolean) => void,
+    onEnd: (isAcknowledged: boolean) => void,
   ): void {
     const firstSentAtMs = clock.nowMs;
     let isDone = false;
@@ -76,29 +76,29 @@
       isDone = true;
       const state = kind === 'evacuate' ? 'evacuated' : 'readmitted';
       oracle.zones.recordOutcome(zone, isAcknowledged ? state : undefined, clock.nowMs);
-      ended(isAcknowledged);
+      onEnd(isAcknowledged);
     }
 
     function attempt(number: number): void {
       if (isDone || number !== attempts) {
         return;
       }
-      if (clock.nowMs - firstSentAtMs > RESENT_WITHIN_MS) {
+      if (clock.nowMs - firstSentAtMs > RESEND_WINDOW_MS) {
         end(false);
         return;
       }
       attempts += 1;
-      const again = attempts;
+      const nextNumber = attempts;
       callControl(OPERATOR_HOST, { type: 'order-zone', zone, kind }, (reply) => {
         if (reply.type === 'unknown-zone') {
           oracle.recordRefusedOrder(zone, clock.nowMs);
         } else if (reply.type === 'unavailable') {
-          clock.after(RETRY_PAUSE_MS, () => attempt(again));
-        } else if (!isDone && random.nextFloat() >= options.ackLostShare()) {
+          clock.after(RETRY_PAUSE_MS, () => attempt(nextNumber));
+        } else if (!isDone && random.nextFloat() >= options.ackLossShare()) {
           end(true);
         }
       });
-      clock.after(CALL_TIMEOUT_MS + RETRY_PAUSE_MS, () => attempt(again));
+      clock.after(CALL_TIMEOUT_MS + RETRY_PAUSE_MS, () => attempt(nextNumber));
     }
   }
 }
--- a/src/proof/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -10,9 +10,9 @@
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
 import { startSoakWorld, type SoakPlace, type SoakWorld } from './soak-world.js';
 import {
-  MEASURED_MS,
+  MEASUREMENT_MS,
   SETTLE_MS,
-  LEAST_SERVED_SHARE,
+  MIN_SERVED_SHARE,
 } from '../sim-registered/deployment-constants.js';
 
 /** What a soak does. */
@@ -66,12 +66,12 @@
     });
     await writeJson(folder, 'schedule.json', { seed, durationMs, place, schedule });
     await untilReady(world);
-    const servedBefore = await serveFor(world, MEASURED_MS);
+    const servedBefore = await serveFor(world, MEASUREMENT_MS);
     await strikeAll(world, schedule, durationMs);
     await sleep(SETTLE_MS);
-    const servedAfter = await serveFor(world, MEASURED_MS);
+    const servedAfter = await serveFor(world, MEASUREMENT_MS);
     const share = servedAfter / Math.max(1, servedBefore);
-    world.oracle.checkRecovery(share, LEAST_SERVED_SHARE, world.clock.nowMs);
+    world.oracle.checkRecovery(share, MIN_SERVED_SHARE, world.clock.nowMs);
     await world.readBack();
     await recordLeaders(world, folder);
     const verdict = verdictOf(seed, world, schedule);
--- a/src/proof/soak/soak-world.ts
+++ b/src/proof/soak/soak-world.ts
@@ -34,7 +34,7 @@
   SEED_COUNT,
   LONG_FLOW_REQUESTS,
   PROBE_INTERVAL_MS,
-  MISSES_UNTIL_OUT,
+  MAX_MISSED_PROBES,
 } from '../sim-registered/deployment-constants.js';
 
 /** How large the deployment of a soak is. */
@@ -147,7 +147,7 @@
   const zoneOperator = createZoneOperator({
     ...parts,
     callControl,
-    ackLostShare: () => operator.lostShare,
+    ackLossShare: () => operator.ackLossShare,
     beforeReadmission: (zone) => turnCold(standIns.backends, zone),
   });
   return {
@@ -262,7 +262,7 @@
   hosts: SoakHosts,
   balancers: readonly SoakProcess[],
 ): Probes {
-  const misses = balancers.map(() => MISSES_UNTIL_OUT);
+  const misses = balancers.map(() => MAX_MISSED_PROBES);
   /** The balancers that flows stay with, by flow. */
   const kept = new Map<string, number>();
   probeAll();
@@ -303,7 +303,7 @@
 
   function pickByHash(hash: number): number | undefined {
     const all = misses.map((_, index) => index);
-    const inUse = all.filter((index) => (misses[index] ?? 0) < MISSES_UNTIL_OUT);
+    const inUse = all.filter((index) => (misses[index] ?? 0) < MAX_MISSED_PROBES);
     const pool = inUse.length * 2 < all.length ? all : inUse;
     return pool[hash % pool.length];
   }
--- a/src/proof/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -75,8 +75,8 @@
       endLater(world, forMs, () => (wires.lossShare = 0));
       return;
     case 'acknowledgements-lost':
-      operator.lostShare = ACK_LOSS_SHARE;
-      clock.after(forMs, () => (operator.lostShare = 0));
+      operator.ackLossShare = ACK_LOSS_SHARE;
+      clock.after(forMs, () => (operator.ackLossShare = 0));
       return;
     case 'zone-evacuated':
       world.zoneOperator.evacuate(
--- a/src/proof/virtual/stream-queue.ts
+++ b/src/proof/virtual/stream-queue.ts
@@ -1,38 +1,38 @@
 /**
- * @file One direction of a slow link, as the streams over it see it: bytes wait for those before them, and
- * none is lost. A stream that ends frees what it had not brought through.
+ * @file A lossless FIFO queue that models one direction of a link with limited bandwidth. Cancelling a transfer frees
+ * the transmission time that it has not used.
  */
 
-/** Bytes of one message on their way. */
+/** The transmission of one message. */
 export interface Transfer {
-  /** When the last of them is through, in milliseconds. */
+  /** When the last byte has been transmitted, in milliseconds. */
   readonly doneAtMs: number;
-  /** The stream ended: what is not through yet does not pass. */
-  giveUp(nowMs: number): void;
+  /** Drops the bytes that have not been transmitted yet. */
+  cancel(nowMs: number): void;
 }
 
-/** The queue in front of one direction of a link. */
+/** The transmission queue of one direction of a link. */
 export interface StreamQueue {
-  /** @param fromMs when the bytes reach the queue */
+  /** @param fromMs time at which the bytes enter the queue, in milliseconds */
   enqueue(bytes: number, fromMs: number): Transfer;
 }
 
-/** @param bytesPerMs what the link carries */
+/** @param bytesPerMs bandwidth of the link */
 export function createStreamQueue(bytesPerMs: number): StreamQueue {
   let freeAtMs = Number.NEGATIVE_INFINITY;
   return { enqueue };
 
   function enqueue(bytes: number, fromMs: number): Transfer {
-    const beginsAtMs = Math.max(freeAtMs, fromMs);
-    const doneAtMs = beginsAtMs + bytes / bytesPerMs;
+    const startsAtMs = Math.max(freeAtMs, fromMs);
+    const doneAtMs = startsAtMs + bytes / bytesPerMs;
     freeAtMs = doneAtMs;
-    let isGivenUp = false;
-    return { doneAtMs, giveUp };
+    let isCancelled = false;
+    return { doneAtMs, cancel };
 
-    function giveUp(nowMs: number): void {
-      if (!isGivenUp && nowMs < doneAtMs) {
-        isGivenUp = true;
-        freeAtMs -= doneAtMs - Math.max(beginsAtMs, nowMs);
+    function cancel(nowMs: number): void {
+      if (!isCancelled && nowMs < doneAtMs) {
+        isCancelled = true;
+        freeAtMs -= doneAtMs - Math.max(startsAtMs, nowMs);
       }
     }
   }
--- a/src/proof/virtual/timed-queue.ts
+++ b/src/proof/virtual/timed-queue.ts
@@ -1,9 +1,9 @@
 /**
- * @file Actions in the order of their times and, at the same time, of their adding: the core of every
- * virtual clock. A binary heap.
+ * @file A priority queue of timed actions for virtual clocks, implemented as a binary heap. Actions with equal times run
+ * in insertion order.
  */
 
-/** An action that is due at a virtual time. */
+/** An action scheduled for a virtual time. */
 export interface TimedAction {
   /** In milliseconds. */
   readonly atMs: number;
@@ -14,20 +14,18 @@
   readonly order: number;
 }
 
-/** A queue of actions. */
+/** Orders actions by time, then by insertion. */
 export class TimedQueue {
   private readonly heap: OrderedAction[] = [];
   private nextOrder = 0;
 
-  /** Adds an action. */
+  /** Schedules an action; `atMs` is in milliseconds of virtual time. */
   add(atMs: number, run: () => void): void {
     this.siftUp({ atMs, run, order: this.nextOrder });
     this.nextOrder += 1;
   }
 
-  /**
-   * @returns the next action that is due by `nowMs`, taken out, or undefined
-   */
+  /** Removes and returns the next action due by `nowMs`; undefined if there is none. */
   takeDue(nowMs: number): TimedAction | undefined {
     const next = this.heap[0];
     if (next === undefined || next.atMs > nowMs) {
@@ -43,11 +41,11 @@
     heap.push(action);
     while (position > 0) {
       const parent = (position - 1) >>> 1;
-      const above = heap[parent];
-      if (above === undefined || comesBefore(above, action)) {
+      const parentAction = heap[parent];
+      if (parentAction === undefined || comesBefore(parentAction, action)) {
         break;
       }
-      heap[position] = above;
+      heap[position] = parentAction;
       position = parent;
     }
     heap[position] = action;
@@ -62,11 +60,11 @@
     let position = 0;
     for (;;) {
       const child = this.earlierChild(position);
-      const below = heap[child];
-      if (below === undefined || comesBefore(last, below)) {
+      const childAction = heap[child];
+      if (childAction === undefined || comesBefore(last, childAction)) {
         break;
       }
-      heap[position] = below;
+      heap[position] = childAction;
       position = child;
     }
     heap[position] = last;
--- a/src/proof/virtual/virtual-clock.ts
+++ b/src/proof/virtual/virtual-clock.ts
@@ -1,42 +1,42 @@
 /**
- * @file Virtual time: actions run in the order of their times, and of their scheduling where the times
- * are equal, so that one seed gives one order.
+ * @file A deterministic virtual clock: scheduled actions run by time, then in scheduling order, so that a seed always
+ * produces the same run.
  */
 import { setImmediate as drainMicrotasks } from 'node:timers/promises';
 import { TimedQueue } from './timed-queue.js';
 
-/** A clock with a queue of actions; times in milliseconds. */
+/** A virtual clock and its scheduled actions; times in milliseconds. */
 export class VirtualClock {
   private readonly actions = new TimedQueue();
-  private promisesPending = false;
+  private hasSettledPromises = false;
   nowMs = 0;
 
-  /** Runs an action after a delay. */
+  /** Schedules an action; a negative delay counts as 0. */
   after(delayMs: number, run: () => void): void {
     this.actions.add(this.nowMs + Math.max(0, delayMs), run);
   }
 
-  /** To be called where the action under way settles a promise, whose continuations then run before the next action. */
+  /** Call when the running action settles a promise: its continuations then run before the next action. */
   markPromiseSettled(): void {
-    this.promisesPending = true;
+    this.hasSettledPromises = true;
   }
 
-  /** Runs all actions that are due up to a time. */
+  /** Runs all actions due by `endMs` and advances the clock to it. */
   async runUntil(endMs: number): Promise<void> {
-    await this.settlePromises();
+    await this.runContinuations();
     for (let next = this.actions.takeDue(endMs); next; next = this.actions.takeDue(endMs)) {
       this.nowMs = next.atMs;
       next.run();
-      if (this.promisesPending) {
-        await this.settlePromises();
+      if (this.hasSettledPromises) {
+        await this.runContinuations();
       }
     }
     this.nowMs = Math.max(this.nowMs, endMs);
   }
 
-  private async settlePromises(): Promise<void> {
-    while (this.promisesPending) {
-      this.promisesPending = false;
+  private async runContinuations(): Promise<void> {
+    while (this.hasSettledPromises) {
+      this.hasSettledPromises = false;
       await drainMicrotasks();
     }
   }
--- a/src/proof/virtual/virtual-disk.ts
+++ b/src/proof/virtual/virtual-disk.ts
@@ -1,32 +1,31 @@
 /**
- * @file The virtual disk of a control machine. What was not synced may be lost in a crash, the last
- * bytes written may be torn, a rename counts only once the folder is synced, and the disk may be full.
+ * @file The virtual disk of a control machine. A crash may lose unsynced data, tear the last write and undo renames
+ * whose folder was not synced. The disk can also be full.
  */
 import type { RandomSource } from '../../shared/common/step.js';
 import type { StorageFolder } from '../../shared/daemon/storage-folder.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** Of a write without a sync, in milliseconds. */
-const WRITE_MS = 0.05;
-/** Of a sync: from the least to the spread more, as of a small machine's SSD. Not measured. */
-const MIN_SYNC_MS = 0.5;
-const SYNC_SPREAD_MS = 2;
+const WRITE_LATENCY_MS = 0.05;
+/** Sync latency is uniform from the minimum to the minimum plus the spread, like that of an SSD. */
+const MIN_SYNC_LATENCY_MS = 0.5;
+const SYNC_LATENCY_SPREAD_MS = 2;
 const EMPTY = Buffer.alloc(0);
 
 interface VirtualFile {
   content: Buffer;
-  /** What is certain to survive a crash. */
+  /** Content that survives a crash. */
   synced: Buffer;
 }
 
-/** A disk that outlives the processes that use it. */
+/** A disk that persists across restarts of the processes that use it. */
 export class VirtualDisk {
-  private names = new Map<string, VirtualFile>();
-  /** The names that are certain to survive a crash. */
-  private syncedNames = new Map<string, VirtualFile>();
-  /** Writes fail while it is full. */
+  private entries = new Map<string, VirtualFile>();
+  /** Directory entries that survive a crash. */
+  private syncedEntries = new Map<string, VirtualFile>();
+  /** If true, appended data is written in part and the write fails. */
   isFull = false;
-  /** Counts the processes that used it; operations of earlier ones have no effect. */
+  /** Incremented when a process opens the disk or ends; operations of earlier generations are dropped. */
   private generation = 0;
 
   constructor(
@@ -34,37 +33,37 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Opens the disk for a process that starts. */
+  /** Opens the disk for a new process. */
   open(): StorageFolder {
     this.generation += 1;
     return new VirtualFolder(this, this.generation);
   }
 
-  /** The machine loses power: what was not synced is lost, whole or in part. */
+  /** Simulates a power failure: unsynced data is lost in whole or in part. */
   crash(): void {
     this.generation += 1;
-    const renamesLasted = this.random.nextInt(2) === 1;
-    this.names = new Map(renamesLasted ? this.names : this.syncedNames);
-    for (const file of this.names.values()) {
-      file.content = this.afterCrash(file);
+    const areRenamesKept = this.random.nextInt(2) === 1;
+    this.entries = new Map(areRenamesKept ? this.entries : this.syncedEntries);
+    for (const file of this.entries.values()) {
+      file.content = this.contentAfterCrash(file);
       file.synced = file.content;
     }
-    this.syncedNames = new Map(this.names);
+    this.syncedEntries = new Map(this.entries);
   }
 
-  /** The process dies and the machine goes on: what was written stays, synced or not. */
-  processDied(): void {
+  /** Ends the process while the machine keeps running: unsynced writes are kept. */
+  killProcess(): void {
     this.generation += 1;
   }
 
-  /** The disk is replaced by an empty one. */
+  /** Replaces the disk by an empty one. */
   wipe(): void {
     this.generation += 1;
-    this.names = new Map();
-    this.syncedNames = new Map();
+    this.entries = new Map();
+    this.syncedEntries = new Map();
   }
 
-  /** Performs an operation of a process after its time; never where the process has died. */
+  /** Performs an operation after its latency, unless the process of `generation` has ended by then. */
   perform<T>(generation: number, delayMs: number, operation: () => T): Promise<T> {
     return new Promise((resolve, reject) => {
       this.clock.after(delayMs, () => {
@@ -81,27 +80,27 @@
     });
   }
 
-  get writeMs(): number {
-    return WRITE_MS;
+  get writeLatencyMs(): number {
+    return WRITE_LATENCY_MS;
   }
 
-  get syncMs(): number {
-    return MIN_SYNC_MS + this.random.nextFloat() * SYNC_SPREAD_MS;
+  get syncLatencyMs(): number {
+    return MIN_SYNC_LATENCY_MS + this.random.nextFloat() * SYNC_LATENCY_SPREAD_MS;
   }
 
   read(name: string): Buffer | undefined {
-    const file = this.names.get(name);
+    const file = this.entries.get(name);
     return file === undefined ? undefined : Buffer.from(file.content);
   }
 
   write(name: string, content: Uint8Array): void {
-    const file = this.names.get(name) ?? this.create(name);
+    const file = this.entries.get(name) ?? this.create(name);
     file.content = EMPTY;
     this.append(name, content);
   }
 
   append(name: string, content: Uint8Array): void {
-    const file = this.names.get(name) ?? this.create(name);
+    const file = this.entries.get(name) ?? this.create(name);
     if (this.isFull) {
       const written = this.random.nextInt(content.length + 1);
       file.content = Buffer.concat([file.content, content.subarray(0, written)]);
@@ -111,49 +110,49 @@
   }
 
   truncate(name: string, length: number): void {
-    const file = this.names.get(name) ?? this.create(name);
+    const file = this.entries.get(name) ?? this.create(name);
     file.content = Buffer.from(file.content.subarray(0, length));
   }
 
   sync(name: string): void {
-    const file = this.names.get(name);
+    const file = this.entries.get(name);
     if (file !== undefined) {
       file.synced = file.content;
     }
   }
 
   rename(from: string, to: string): void {
-    const file = this.names.get(from);
+    const file = this.entries.get(from);
     if (file === undefined) {
       throw new Error(`ENOENT: ${from}`);
     }
-    this.names.delete(from);
-    this.names.set(to, file);
+    this.entries.delete(from);
+    this.entries.set(to, file);
   }
 
   remove(name: string): void {
-    this.names.delete(name);
+    this.entries.delete(name);
   }
 
   syncFolder(): void {
-    this.syncedNames = new Map(this.names);
+    this.syncedEntries = new Map(this.entries);
   }
 
   private create(name: string): VirtualFile {
     const file: VirtualFile = { content: EMPTY, synced: EMPTY };
-    this.names.set(name, file);
+    this.entries.set(name, file);
     return file;
   }
 
-  /** Appended bytes may have reached the disk in part; a file that was cut or replaced, too. */
-  private afterCrash(file: VirtualFile): Buffer {
+  /** Keeps a random part of unsynced appended bytes; a truncated or replaced file returns to its synced content. */
+  private contentAfterCrash(file: VirtualFile): Buffer {
     const { content, synced } = file;
     const isAppended = content.subarray(0, synced.length).equals(synced);
     if (!isAppended) {
       return synced;
     }
-    const kept = this.random.nextInt(content.length - synced.length + 1);
-    return Buffer.from(content.subarray(0, synced.length + kept));
+    const keptBytes = this.random.nextInt(content.length - synced.length + 1);
+    return Buffer.from(content.subarray(0, synced.length + keptBytes));
   }
 }
 
@@ -164,35 +163,35 @@
   ) {}
 
   read(name: string): Promise<Buffer | undefined> {
-    return this.perform(this.disk.writeMs, () => this.disk.read(name));
+    return this.perform(this.disk.writeLatencyMs, () => this.disk.read(name));
   }
 
   write(name: string, content: Uint8Array): Promise<void> {
-    return this.perform(this.disk.writeMs, () => this.disk.write(name, content));
+    return this.perform(this.disk.writeLatencyMs, () => this.disk.write(name, content));
   }
 
   append(name: string, content: Uint8Array): Promise<void> {
-    return this.perform(this.disk.writeMs, () => this.disk.append(name, content));
+    return this.perform(this.disk.writeLatencyMs, () => this.disk.append(name, content));
   }
 
   truncate(name: string, length: number): Promise<void> {
-    return this.perform(this.disk.writeMs, () => this.disk.truncate(name, length));
+    return this.perform(this.disk.writeLatencyMs, () => this.disk.truncate(name, length));
   }
 
   sync(name: string): Promise<void> {
-    return this.perform(this.disk.syncMs, () => this.disk.sync(name));
+    return this.perform(this.disk.syncLatencyMs, () => this.disk.sync(name));
   }
 
   rename(from: string, to: string): Promise<void> {
-    return this.perform(this.disk.writeMs, () => this.disk.rename(from, to));
+    return this.perform(this.disk.writeLatencyMs, () => this.disk.rename(from, to));
   }
 
   remove(name: string): Promise<void> {
-    return this.perform(this.disk.writeMs, () => this.disk.remove(name));
+    return this.perform(this.disk.writeLatencyMs, () => this.disk.remove(name));
   }
 
   syncFolder(): Promise<void> {
-    return this.perform(this.disk.syncMs, () => this.disk.syncFolder());
+    return this.perform(this.disk.syncLatencyMs, () => this.disk.syncFolder());
   }
 
   close(): Promise<void> {
--- a/src/proof/virtual/virtual-links.ts
+++ b/src/proof/virtual/virtual-links.ts
@@ -1,22 +1,20 @@
 /**
- * @file Virtual TCP connections: messages arrive in order and once, or the connection breaks. A cut
- * stalls a connection silently: it is tried again with growing delays, as TCP does, and an end
- * that has nothing to send finds out by keep-alive.
+ * @file Virtual TCP connections: messages arrive once and in order, or the connection closes. A network cut stalls a
+ * connection silently: data is retransmitted with exponential backoff, and idle ends detect the cut by keep-alive.
  */
 import { Packr } from 'msgpackr';
 import type { VirtualClock } from './virtual-clock.js';
 import type { VirtualNetwork } from './virtual-network.js';
 
-/** Until a stalled message is tried again the first time, and the longest such time. */
 const FIRST_RETRY_MS = 200;
 const MAX_RETRY_MS = 120_000;
-/** Keep-alive closes an idle end that has not reached its peer for this time. */
-const KEEP_ALIVE_LIMIT_MS = 15_000;
-const KEEP_ALIVE_CHECK_MS = 5_000;
+/** Keep-alive closes an idle end whose peer has been unreachable for this long. */
+const KEEP_ALIVE_TIMEOUT_MS = 15_000;
+const KEEP_ALIVE_INTERVAL_MS = 5_000;
 
 const packr = new Packr({ useRecords: false });
 
-/** What is called at one end of a connection. */
+/** Callbacks of one end of a connection. */
 export interface LinkEndHandlers {
   onMessage(message: unknown): void;
   onClose(): void;
@@ -27,7 +25,7 @@
   peer: VirtualLinkEnd | undefined;
   isOpen = true;
   private readonly queue: { readonly bytes: Uint8Array | undefined }[] = [];
-  private delivering = false;
+  private isDelivering = false;
   private retryMs = FIRST_RETRY_MS;
   private unreachableSinceMs: number | undefined;
 
@@ -37,17 +35,17 @@
     private readonly network: VirtualNetwork,
     private readonly handlers: LinkEndHandlers,
   ) {
-    this.watch();
+    this.scheduleKeepAliveCheck();
   }
 
-  /** Sends a message; nothing where the connection is closed. */
+  /** Sends a message; ignored if the connection is closed. */
   send(message: object): void {
     if (this.isOpen) {
       this.enqueue(packr.pack(message));
     }
   }
 
-  /** Closes this end; the peer is closed once it can be reached. */
+  /** Closes this end; the peer closes once it is reachable. */
   close(): void {
     if (this.isOpen) {
       this.isOpen = false;
@@ -55,8 +53,8 @@
     }
   }
 
-  /** The machine of this end is gone: nothing is sent to the peer. */
-  vanish(): void {
+  /** Closes this end without notifying the peer, as when its machine fails. */
+  crash(): void {
     this.isOpen = false;
     this.queue.length = 0;
   }
@@ -67,8 +65,8 @@
 
   private enqueue(bytes: Uint8Array | undefined): void {
     this.queue.push({ bytes });
-    if (!this.delivering) {
-      this.delivering = true;
+    if (!this.isDelivering) {
+      this.isDelivering = true;
       this.scheduleDelivery(0);
     }
   }
@@ -81,12 +79,12 @@
   private deliver(): void {
     const { peer } = this;
     if (peer?.isOpen !== true) {
-      this.delivering = false;
+      this.isDelivering = false;
       this.queue.length = 0;
-      this.breakEnd();
+      this.closeEnd();
       return;
     }
-    // TCP needs both ways: without acknowledgements it sends the same bytes again.
+    // TCP needs both directions: without acknowledgements it retransmits.
     if (this.network.isCut(this.host, peer.host) || this.network.isCut(peer.host, this.host)) {
       this.scheduleDelivery(this.retryMs);
       this.retryMs = Math.min(MAX_RETRY_MS, this.retryMs * 2);
@@ -94,30 +92,30 @@
     }
     this.retryMs = FIRST_RETRY_MS;
     const batch = this.queue.splice(0, this.queue.length);
-    this.delivering = false;
+    this.isDelivering = false;
     for (const { bytes } of batch) {
       if (bytes === undefined) {
-        peer.breakEnd();
+        peer.closeEnd();
       } else if (!peer.isClosed()) {
         peer.handlers.onMessage(packr.unpack(bytes));
       }
     }
   }
 
-  private breakEnd(): void {
+  private closeEnd(): void {
     if (this.isOpen) {
       this.isOpen = false;
       this.handlers.onClose();
     }
   }
 
-  private watch(): void {
-    this.clock.after(KEEP_ALIVE_CHECK_MS, () => {
+  private scheduleKeepAliveCheck(): void {
+    this.clock.after(KEEP_ALIVE_INTERVAL_MS, () => {
       if (!this.isOpen) {
         return;
       }
       this.checkReachable();
-      this.watch();
+      this.scheduleKeepAliveCheck();
     });
   }
 
@@ -132,14 +130,14 @@
       return;
     }
     this.unreachableSinceMs ??= this.clock.nowMs;
-    const isOver = this.clock.nowMs - this.unreachableSinceMs >= KEEP_ALIVE_LIMIT_MS;
-    if (isOver && this.queue.length === 0) {
-      this.breakEnd();
+    const isTimedOut = this.clock.nowMs - this.unreachableSinceMs >= KEEP_ALIVE_TIMEOUT_MS;
+    if (isTimedOut && this.queue.length === 0) {
+      this.closeEnd();
     }
   }
 }
 
-/** The two ends of a new connection. */
+/** The two ends of a new connection: `near` connects, `far` listens. */
 export interface VirtualLinkPair {
   readonly near: VirtualLinkEnd;
   readonly far: VirtualLinkEnd;
--- a/src/proof/virtual/virtual-network.ts
+++ b/src/proof/virtual/virtual-network.ts
@@ -1,35 +1,34 @@
 /**
- * @file The virtual network: delays by zone, datagrams that are lost, doubled and reordered, and silent
- * cuts between hosts.
+ * @file The virtual network: delays by zone, lost, duplicated and reordered datagrams, and silent cuts between hosts.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { RandomSource } from '../../shared/common/step.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** How datagrams are treated; shares from 0 to 1, times in milliseconds. */
+/** Faults applied to datagrams; shares from 0 to 1, times in milliseconds. */
 export interface DatagramFaults {
   readonly lossShare: number;
   readonly duplicateShare: number;
-  /** Each datagram is delayed by up to this time more, so that datagrams overtake each other. */
+  /** Maximum random extra delay of a datagram; causes reordering. */
   readonly jitterMs: number;
-  /** A second copy comes up to this time later. */
-  readonly lateCopyMs: number;
+  /** Maximum random extra delay of a duplicate. */
+  readonly maxDuplicateDelayMs: number;
 }
 
-/** A network that loses, doubles and reorders nothing. */
-export const goodNetwork: DatagramFaults = {
+/** No loss, duplication or reordering. */
+export const reliableNetwork: DatagramFaults = {
   lossShare: 0,
   duplicateShare: 0,
   jitterMs: 0,
-  lateCopyMs: 0,
+  maxDuplicateDelayMs: 0,
 };
 
-/** A network that does all of these. */
-export const badNetwork: DatagramFaults = {
+/** Loss, duplication and reordering. */
+export const faultyNetwork: DatagramFaults = {
   lossShare: 0.03,
   duplicateShare: 0.05,
   jitterMs: 10,
-  lateCopyMs: 1_500,
+  maxDuplicateDelayMs: 1_500,
 };
 
 /** One-way delays in milliseconds. */
@@ -38,18 +37,18 @@
   readonly betweenZonesMs: number;
 }
 
-/** Hosts whose packets to other hosts are lost silently. */
+/** Packets from these hosts to those hosts are dropped silently. */
 export interface NetworkCut {
   readonly from: ReadonlySet<string>;
   readonly to: ReadonlySet<string>;
 }
 
-/** Called with the datagrams that come to an address. */
+/** Receives the datagrams for an address. */
 export type DatagramHandler = (datagram: Uint8Array, from: Address) => void;
 
-/** Carries datagrams between addresses, from a seed. */
+/** Delivers datagrams between addresses; deterministic for a given random source. */
 export class VirtualNetwork {
-  faults: DatagramFaults = goodNetwork;
+  faults: DatagramFaults = reliableNetwork;
   private readonly zones = new Map<string, string>();
   private readonly handlers = new Map<string, DatagramHandler>();
   private readonly cuts = new Map<number, NetworkCut>();
@@ -62,16 +61,16 @@
   ) {}
 
   /** Sets the zone of a host. */
-  place(host: string, zone: string): void {
+  setZone(host: string, zone: string): void {
     this.zones.set(host, zone);
   }
 
-  /** Calls this handler with the datagrams for an address from now on, in place of the one before. */
+  /** Sets the datagram handler of an address, replacing any previous one. */
   bind(address: Address, handler: DatagramHandler): void {
     this.handlers.set(formatAddress(address), handler);
   }
 
-  /** Frees an address, where this handler still holds it. */
+  /** Unbinds an address if it is still bound to this handler. */
   release(address: Address, handler: DatagramHandler): void {
     const key = formatAddress(address);
     if (this.handlers.get(key) === handler) {
@@ -79,13 +78,13 @@
     }
   }
 
-  /** One-way delay between two hosts. */
+  /** @returns the one-way delay between two hosts, in milliseconds */
   delayBetween(from: string, to: string): number {
     const isSameZone = this.zones.get(from) === this.zones.get(to);
     return isSameZone ? this.delays.withinZoneMs : this.delays.betweenZonesMs;
   }
 
-  /** @returns the cut's number, by which it is healed */
+  /** @returns the ID to pass to `heal` */
   cut(cut: NetworkCut): number {
     const id = this.nextCutId;
     this.nextCutId += 1;
@@ -97,7 +96,7 @@
     this.cuts.delete(cutId);
   }
 
-  /** True where packets from one host to the other are lost at present. */
+  /** @returns true if packets from one host to the other are dropped at present */
   isCut(from: string, to: string): boolean {
     for (const cut of this.cuts.values()) {
       if (cut.from.has(from) && cut.to.has(to)) {
@@ -107,7 +106,7 @@
     return false;
   }
 
-  /** Sends a datagram to the handler that is bound to the address when it arrives. */
+  /** Sends a datagram to the handler bound to the address at arrival time. */
   send(from: Address, to: Address, datagram: Uint8Array, extraDelayMs = 0): void {
     const deliver = (): void => {
       if (!this.isCut(from.host, to.host)) {
@@ -118,15 +117,15 @@
     this.transmit(delayMs, deliver);
   }
 
-  /** Carries one datagram over one hop, with the faults of the network. */
+  /** Carries one datagram over one hop, subject to the network faults. */
   transmit(delayMs: number, deliver: () => void): void {
-    const { lossShare, duplicateShare, jitterMs, lateCopyMs } = this.faults;
+    const { lossShare, duplicateShare, jitterMs, maxDuplicateDelayMs } = this.faults;
     if (lossShare === 0 || this.random.nextFloat() >= lossShare) {
       const jitter = jitterMs === 0 ? 0 : this.random.nextFloat() * jitterMs;
       this.clock.after(delayMs + jitter, deliver);
     }
     if (duplicateShare > 0 && this.random.nextFloat() < duplicateShare) {
-      this.clock.after(delayMs + this.random.nextFloat() * lateCopyMs, deliver);
+      this.clock.after(delayMs + this.random.nextFloat() * maxDuplicateDelayMs, deliver);
     }
   }
 }
--- a/src/proof/virtual/virtual-wires.ts
+++ b/src/proof/virtual/virtual-wires.ts
@@ -1,7 +1,7 @@
 /**
- * @file The network of the registered pair's simulator: datagrams, and links of frames with pulses, between hosts; with delays, losses, bandwidth
- * and silent cuts. `virtual-network` and `virtual-links` model the managed pair's: messages over TCP that retries, and
- * datagrams that are doubled. Each draws its delays in an order of its own, so one in place of the other would change the runs of kept seeds.
+ * @file The simulated network of the registered mode: datagrams and framed links with keep-alive between hosts, with
+ * delays, loss, bandwidth limits and silent cuts. The managed mode uses `virtual-network` and `virtual-links`; the two
+ * consume random numbers in different orders, so merging them would change every seeded run.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import { encodeFrame } from '../../shared/common/frame-codec.js';
@@ -9,23 +9,24 @@
 import type { VirtualClock } from './virtual-clock.js';
 import { createStreamQueue, type StreamQueue, type Transfer } from './stream-queue.js';
 
-/** One way between any two hosts: between zones of one region, with up to the jitter more. */
+/** One-way delay between any two hosts, plus up to `JITTER_MS`; typical for zones of one region. */
 const DELAY_MS = 0.5;
 const JITTER_MS = 0.5;
-/** A link whose other end is gone or cut off is given up after this time. */
-const LINK_SILENT_MS = 1_200;
-/** Time between two pulses of a link; three fit into the time after which it is given up. */
-const LINK_PULSE_MS = 400;
+/** A link is closed when nothing was received for this long. */
+const LINK_TIMEOUT_MS = 1_200;
+/** One third of the link timeout. */
+const KEEP_ALIVE_INTERVAL_MS = 400;
 
 /** One end of a virtual link. */
 export interface VirtualLink {
-  /** @returns how many bytes the message takes */
+  /** @returns the encoded size of the message in bytes */
   send(message: object): number;
   close(): void;
 }
 
-/** What happens at one end of a link. */
+/** Callbacks of one end of a link. */
 export interface VirtualLinkHandlers {
+  /** @returns false for an unexpected message; the link is then closed */
   onMessage(message: unknown, link: VirtualLink): boolean;
   onClose(link: VirtualLink, reason: string): void;
 }
@@ -35,23 +36,23 @@
   readonly handlers: VirtualLinkHandlers;
   peer: LinkEnd | undefined;
   isOpen: boolean;
-  /** What is sent from here is lost silently. */
+  /** If true, everything sent from this end is dropped silently. */
   isSilent: boolean;
-  heardAtMs: number;
-  /** When the last message from here arrives, so that messages stay in order. */
-  arrivesAtMs: number;
-  /** What was sent from here and passes limited links of hosts. */
+  lastReceivedAtMs: number;
+  /** Arrival time of the last message sent; keeps messages in order. */
+  lastArrivalAtMs: number;
+  /** Pending transfers from this end over bandwidth-limited hosts. */
   transfers: Transfer[];
 }
 
-/** What the link of a host carries outwards; datagrams that do not fit into its queue are lost. */
+/** Outbound bandwidth of a host and the size of its queue; datagrams that do not fit are dropped. */
 export interface LinkLimit {
   readonly bytesPerMs: number;
   readonly queueBytes: number;
 }
 
 interface LimitedLink extends LinkLimit {
-  /** When all that was sent has left. */
+  /** When the queue is empty. */
   freeAtMs: number;
 }
 
@@ -60,39 +61,39 @@
   readonly in: StreamQueue;
 }
 
-/** Called with everything that is sent, for measurements; what a link sends goes to the host of its other end. */
+/** Observes the size of every sent datagram and of every delivered link message. */
 export type SendObserver = (fromHost: string, toHost: string, sentBytes: number) => void;
 
-/** Carries datagrams and links. */
+/** Delivers datagrams and link messages between hosts. */
 export class VirtualWires {
-  /** Share of datagrams that are lost. */
+  /** Share of datagrams that are lost, 0 to 1. */
   lossShare = 0;
   onSent: SendObserver | undefined;
   private readonly datagramHandlers = new Map<string, (bytes: Uint8Array) => void>();
   private readonly listeners = new Map<string, VirtualLinkHandlers>();
   private readonly cuts = new Set<string>();
-  private readonly dead = new Set<string>();
+  private readonly deadHosts = new Set<string>();
   private readonly ends = new Set<LinkEnd>();
   private readonly limits = new Map<string, LimitedLink>();
-  /** What links of processes carry out of a host and into it, by host. */
+  /** Bandwidth-limited link traffic in and out of a host, by host. */
   private readonly streams = new Map<string, HostStreams>();
-  /** Datagrams that were lost on a full link. */
+  /** Number of datagrams dropped because an outbound queue was full. */
   lostOnFullLinks = 0;
 
   constructor(
     private readonly clock: VirtualClock,
     private readonly random: RandomSource,
   ) {
-    this.pulse();
+    this.scheduleKeepAlive();
   }
 
-  /** Cuts two hosts from each other, or joins them again. */
+  /** Cuts or restores both directions between two hosts. */
   cut(a: string, b: string, isCut: boolean): void {
     this.cutOneWay(a, b, isCut);
     this.cutOneWay(b, a, isCut);
   }
 
-  /** Nothing passes from one host to another, or passes again; the other way it does. */
+  /** Cuts or restores one direction between two hosts. */
   cutOneWay(from: string, to: string, isCut: boolean): void {
     if (isCut) {
       this.cuts.add(`${from}|${to}`);
@@ -101,12 +102,12 @@
     }
   }
 
-  /** Joins all hosts. */
+  /** Removes all cuts. */
   heal(): void {
     this.cuts.clear();
   }
 
-  /** Open links go silent for good, in both directions and without a reset; new ones work. */
+  /** Drops all further traffic on a random share of the open links, without a reset; new links work. */
   silenceLinks(share: number): void {
     for (const end of this.ends) {
       if (this.random.nextFloat() < share) {
@@ -115,27 +116,27 @@
     }
   }
 
-  /** The same for all open links of one host. */
+  /** Drops all further traffic on the open links of a host; new links work. */
   silenceLinksOf(host: string): void {
     this.endsAt(host).forEach(silence);
   }
 
-  /** Ends all links of a host; both ends are closed. */
+  /** Closes all links of a host at both ends. */
   resetLinksOf(host: string): void {
-    this.endsAt(host).forEach((end) => this.drop(end, true, 'Reset.'));
+    this.endsAt(host).forEach((end) => this.closeEnd(end, true, 'Reset.'));
   }
 
   private endsAt(host: string): LinkEnd[] {
     return [...this.ends].filter((end) => end.host === host || end.peer?.host === host);
   }
 
-  reaches(from: string, to: string): boolean {
-    return !this.cuts.has(`${from}|${to}`) && !this.dead.has(from) && !this.dead.has(to);
+  canReach(from: string, to: string): boolean {
+    return !this.cuts.has(`${from}|${to}`) && !this.deadHosts.has(from) && !this.deadHosts.has(to);
   }
 
-  /** The process of a host died: its links are reset, its addresses take nothing. */
+  /** The process on a host has died: its links are reset and its addresses unbound. */
   hostDied(host: string): void {
-    this.dead.add(host);
+    this.deadHosts.add(host);
     for (const address of [...this.datagramHandlers.keys(), ...this.listeners.keys()]) {
       if (address.startsWith(`${host}:`)) {
         this.datagramHandlers.delete(address);
@@ -144,13 +145,13 @@
     }
     for (const end of this.ends) {
       if (end.host === host) {
-        this.drop(end, false, 'The process died.');
+        this.closeEnd(end, false, 'The process died.');
       }
     }
   }
 
   hostStarted(host: string): void {
-    this.dead.delete(host);
+    this.deadHosts.delete(host);
   }
 
   onDatagram(address: Address, handler: (bytes: Uint8Array) => void): void {
@@ -162,26 +163,26 @@
     if (this.random.nextFloat() < this.lossShare) {
       return;
     }
-    const queuedMs = this.queueOn(fromHost, bytes.length);
+    const queuedMs = this.queueDatagram(fromHost, bytes.length);
     if (queuedMs === undefined) {
       this.lostOnFullLinks += 1;
       return;
     }
     this.clock.after(queuedMs + this.delayMs(), () => {
-      if (this.reaches(fromHost, to.host)) {
+      if (this.canReach(fromHost, to.host)) {
         this.datagramHandlers.get(formatAddress(to))?.(bytes);
       }
     });
   }
 
-  /** Gives the link of a host a bandwidth, for what it sends from now on. */
+  /** Limits the outbound datagram bandwidth of a host. */
   limitLink(host: string, limit: LinkLimit): void {
     this.limits.set(host, { ...limit, freeAtMs: this.clock.nowMs });
   }
 
   /**
-   * Gives the links of processes on a host a bandwidth in each direction; what does not fit waits.
-   * @param bytesPerMs undefined for no limit any more
+   * Limits the bandwidth of the links of a host in each direction; excess traffic is queued.
+   * @param bytesPerMs undefined to remove the limit
    */
   limitStreams(host: string, bytesPerMs: number | undefined): void {
     if (bytesPerMs === undefined) {
@@ -194,8 +195,8 @@
     });
   }
 
-  /** @returns how long bytes take to leave a host; undefined where its queue has no room for them */
-  private queueOn(host: string, bytes: number): number | undefined {
+  /** @returns the queueing and transmission time in milliseconds; undefined if the queue is full */
+  private queueDatagram(host: string, bytes: number): number | undefined {
     const limit = this.limits.get(host);
     if (limit === undefined) {
       return 0;
@@ -213,16 +214,16 @@
     this.listeners.set(formatAddress(address), handlers);
   }
 
-  /** Connects; a cut or dead host is noticed only after the silence of a link. */
+  /** Connects to a listener; an unreachable host is detected only by the link timeout. */
   connect(fromHost: string, to: Address, handlers: VirtualLinkHandlers): VirtualLink {
     const near = this.makeEnd(fromHost, handlers);
     this.clock.after(this.delayMs(), () => {
       const listener = this.listeners.get(formatAddress(to));
-      if (!this.reaches(fromHost, to.host) || !near.isOpen) {
+      if (!this.canReach(fromHost, to.host) || !near.isOpen) {
         return;
       }
       if (listener === undefined) {
-        this.drop(near, true, 'Nobody listens.');
+        this.closeEnd(near, true, 'Nobody listens.');
         return;
       }
       const far = this.makeEnd(to.host, listener);
@@ -239,37 +240,37 @@
       peer: undefined,
       isOpen: true,
       isSilent: false,
-      heardAtMs: this.clock.nowMs,
-      arrivesAtMs: 0,
+      lastReceivedAtMs: this.clock.nowMs,
+      lastArrivalAtMs: 0,
       transfers: [],
-      send: (message) => this.sendOn(end, message),
-      close: () => this.drop(end, true, 'Closed here.'),
+      send: (message) => this.sendMessage(end, message),
+      close: () => this.closeEnd(end, true, 'Closed here.'),
     };
     this.ends.add(end);
     return end;
   }
 
-  private sendOn(end: LinkEnd, message: object): number {
+  private sendMessage(end: LinkEnd, message: object): number {
     const bytes = encodeFrame(message).length;
-    const passedAtMs = this.passStreams(end, bytes);
-    const arrivesAtMs = Math.max(end.arrivesAtMs, passedAtMs + 2 * this.delayMs());
-    end.arrivesAtMs = arrivesAtMs;
+    const passedAtMs = this.enqueueOnStreams(end, bytes);
+    const arrivesAtMs = Math.max(end.lastArrivalAtMs, passedAtMs + 2 * this.delayMs());
+    end.lastArrivalAtMs = arrivesAtMs;
     this.clock.after(arrivesAtMs - this.clock.nowMs, () => {
       const { peer } = end;
-      if (!end.isOpen || peer?.isOpen !== true || !this.carries(end, peer)) {
+      if (!end.isOpen || peer?.isOpen !== true || !this.canDeliver(end, peer)) {
         return;
       }
-      peer.heardAtMs = this.clock.nowMs;
+      peer.lastReceivedAtMs = this.clock.nowMs;
       this.onSent?.(end.host, peer.host, bytes);
       if (!peer.handlers.onMessage(structuredClone(message), peer)) {
-        this.drop(peer, true, 'A message does not belong here.');
+        this.closeEnd(peer, true, 'A message does not belong here.');
       }
     });
     return bytes;
   }
 
-  /** @returns when a message has passed the limited links of both hosts */
-  private passStreams(end: LinkEnd, bytes: number): number {
+  /** @returns when a message has passed the bandwidth limits of both hosts, in milliseconds */
+  private enqueueOnStreams(end: LinkEnd, bytes: number): number {
     const { nowMs } = this.clock;
     const out = this.streams.get(end.host)?.out;
     const into = end.peer === undefined ? undefined : this.streams.get(end.peer.host)?.in;
@@ -285,40 +286,40 @@
     return passedAtMs;
   }
 
-  private drop(end: LinkEnd, tells: boolean, reason: string): void {
+  private closeEnd(end: LinkEnd, notifiesHandler: boolean, reason: string): void {
     if (!end.isOpen) {
       return;
     }
     end.isOpen = false;
     for (const { transfers } of end.peer === undefined ? [end] : [end, end.peer]) {
-      transfers.forEach((transfer) => transfer.giveUp(this.clock.nowMs));
+      transfers.forEach((transfer) => transfer.cancel(this.clock.nowMs));
     }
     this.ends.delete(end);
     const { peer } = end;
-    if (peer?.isOpen === true && this.carries(end, peer)) {
-      this.clock.after(this.delayMs(), () => this.drop(peer, true, 'The other end closed.'));
+    if (peer?.isOpen === true && this.canDeliver(end, peer)) {
+      this.clock.after(this.delayMs(), () => this.closeEnd(peer, true, 'The other end closed.'));
     }
-    if (tells) {
+    if (notifiesHandler) {
       end.handlers.onClose(end, reason);
     }
   }
 
-  private carries(from: LinkEnd, to: LinkEnd): boolean {
-    return !from.isSilent && this.reaches(from.host, to.host);
+  private canDeliver(from: LinkEnd, to: LinkEnd): boolean {
+    return !from.isSilent && this.canReach(from.host, to.host);
   }
 
-  /** Each end gets a pulse of the other now and then, unless they are cut off. */
-  private pulse(): void {
-    this.clock.after(LINK_PULSE_MS, () => {
+  /** Records a keep-alive frame at each reachable end and closes ends that have timed out. */
+  private scheduleKeepAlive(): void {
+    this.clock.after(KEEP_ALIVE_INTERVAL_MS, () => {
       for (const end of [...this.ends]) {
         const { peer } = end;
-        if (peer?.isOpen === true && this.carries(peer, end)) {
-          end.heardAtMs = this.clock.nowMs;
-        } else if (this.clock.nowMs - end.heardAtMs > LINK_SILENT_MS) {
-          this.drop(end, true, 'Silent.');
+        if (peer?.isOpen === true && this.canDeliver(peer, end)) {
+          end.lastReceivedAtMs = this.clock.nowMs;
+        } else if (this.clock.nowMs - end.lastReceivedAtMs > LINK_TIMEOUT_MS) {
+          this.closeEnd(end, true, 'Silent.');
         }
       }
-      this.pulse();
+      this.scheduleKeepAlive();
     });
   }
 
--- a/test/proof/virtual/virtual-disk.test.ts
+++ b/test/proof/virtual/virtual-disk.test.ts
@@ -1,4 +1,4 @@
-/** @file The virtual disk loses what a real one may lose, and nothing else. */
+/** @file The virtual disk loses only data that a real disk may lose in the same failure. */
 import t from 'tap';
 import { seededRandom } from '../../../src/shared/common/random.js';
 import { VirtualClock } from '../../../src/proof/virtual/virtual-clock.js';
@@ -14,7 +14,7 @@
   return { clock, disk: new VirtualDisk(clock, seededRandom(seed)) };
 }
 
-t.test('a crash keeps what was synced, and any part of what was not', async (t) => {
+t.test('a crash keeps synced data and any part of unsynced data', async (t) => {
   const lengths = new Set<number>();
   for (let seed = 1; seed <= 20; seed += 1) {
     const { clock, disk } = newDisk(seed);
@@ -29,10 +29,10 @@
     t.ok((content?.length ?? 0) >= 'synced'.length);
     lengths.add(content?.length ?? 0);
   }
-  t.ok(lengths.size > 3, 'the tail is torn at different places');
+  t.ok(lengths.size > 3, 'the tail is torn at different offsets');
 });
 
-t.test('a name lasts only once its folder is synced', async (t) => {
+t.test('a rename is durable only after the folder is synced', async (t) => {
   const found = new Set<boolean>();
   for (let seed = 1; seed <= 10; seed += 1) {
     const { clock, disk } = newDisk(seed);
@@ -43,17 +43,17 @@
     disk.crash();
     found.add((await done(clock, disk.open().read('file'))) !== undefined);
   }
-  t.equal(found.size, 2, 'with one seed it is there, with another one not');
+  t.equal(found.size, 2, 'the rename survives with some seeds and is lost with others');
 });
 
-t.test('when only the process dies, what was written stays', async (t) => {
+t.test('unsynced writes survive the end of the process', async (t) => {
   const { clock, disk } = newDisk(1);
   await done(clock, disk.open().append('log', Buffer.from('written')));
-  disk.processDied();
+  disk.killProcess();
   t.equal((await done(clock, disk.open().read('log')))?.toString(), 'written');
 });
 
-t.test('a full disk fails and may have written a part', async (t) => {
+t.test('a write to a full disk fails and may be partial', async (t) => {
   const { clock, disk } = newDisk(1);
   disk.isFull = true;
   const failure = t.rejects(disk.open().append('log', Buffer.from('content')), /ENOSPC/);
--- a/test/registered/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -154,7 +154,7 @@
         world.controls.forEach(({ disk }) => (disk.sync = () => undefined));
       }
       const faults = new DrawnFaults(world);
-      world.zoneOperator.order('zone-a', 'evacuate', () => faults.wipeSomePowerOffAll());
+      world.zoneOperator.order('zone-a', 'evacuate', () => faults.wipeSomePowerOffRest());
       await world.run(12_000);
       world.readBackFromAll();
       await world.run(1_000);
