--- a/src/proof/sim-registered/ingress-oracle.ts
+++ b/src/proof/sim-registered/ingress-oracle.ts
@@ -88,7 +88,11 @@
     const recordedLeader = this.leaders.get(term) ?? name;
     this.leaders.set(term, recordedLeader);
     if (recordedLeader !== name) {
-      this.report('leader', nowMs, `${name} and ${recordedLeader} lead in term ${term}`);
+      this.report(
+        'leader',
+        nowMs,
+        `${name} and ${recordedLeader} are both leaders of term ${term}`,
+      );
     }
   }
 
@@ -121,7 +125,11 @@
     const { acknowledged, bounds } = this;
     const isDue = acknowledged !== undefined && sentAtMs > acknowledged.atMs + bounds.applyBoundMs;
     if (isDue && version < acknowledged.version) {
-      this.report('config', nowMs, `read version ${version} after ${acknowledged.version}`);
+      this.report(
+        'config',
+        nowMs,
+        `read returned version ${version}, but version ${acknowledged.version} was acknowledged`,
+      );
     }
   }
 
@@ -131,7 +139,7 @@
       this.report(
         'lost',
         nowMs,
-        `version ${version} is held, ${this.acknowledgedVersion} was told`,
+        `read back version ${version}, but version ${this.acknowledgedVersion} was acknowledged`,
       );
     }
   }
@@ -153,7 +161,11 @@
   ): void {
     const { route, service, backendId } = flow;
     if (this.allowedServices.get(route)?.has(service) !== true) {
-      this.report('route', nowMs, `${service} took a flow of ${route}`);
+      this.report(
+        'route',
+        nowMs,
+        `${service} accepted a flow of ${route}, but was never its target`,
+      );
     }
     if (flow.isCold) {
       this.checkColdFlow(backendId, nowMs);
@@ -163,11 +175,15 @@
     }
     const evacuatedAtMs = this.zones.evacuatedAtMs(flow.zone);
     if (evacuatedAtMs !== undefined && nowMs > evacuatedAtMs + this.bounds.evacuationBoundMs) {
-      this.report('evacuation', nowMs, `${backendId} took a flow in evacuated ${flow.zone}`);
+      this.report(
+        'evacuation',
+        nowMs,
+        `${backendId} accepted a flow in evacuated zone ${flow.zone}`,
+      );
     }
     const departedAtMs = this.departures.get(backendId);
     if (departedAtMs !== undefined && nowMs > departedAtMs + this.bounds.drainBoundMs) {
-      this.report('drain', nowMs, `${backendId} took a flow after it left`);
+      this.report('drain', nowMs, `${backendId} accepted a flow after the drain bound`);
     }
     const { acknowledged } = this;
     const isDue =
@@ -175,7 +191,11 @@
       flow.sentAtMs > acknowledged.atMs + this.bounds.applyBoundMs &&
       flow.newestVersion < acknowledged.version;
     if (isDue) {
-      this.report('config', nowMs, `${service} took a flow of ${route} by an older version`);
+      this.report(
+        'config',
+        nowMs,
+        `${service} accepted a flow of ${route} under an outdated configuration`,
+      );
     }
   }
 
@@ -184,13 +204,13 @@
     const expected = this.zones.expectsEvacuated(zone);
     if (expected !== undefined && expected !== isEvacuated) {
       const state = isEvacuated ? 'evacuated' : 'readmitted';
-      this.report('zone', nowMs, `${zone} is ${state} against the last order`);
+      this.report('zone', nowMs, `${zone} is ${state}, contrary to the last order`);
     }
   }
 
   /** A valid order for a zone was rejected. */
   recordRefusedOrder(zone: string, nowMs: number): void {
-    this.report('zone', nowMs, `an order for ${zone} was refused`);
+    this.report('zone', nowMs, `a valid order for ${zone} was rejected`);
   }
 
   /** The limit for cold back ends also holds during disturbances. */
@@ -200,7 +220,11 @@
     const times = [...earlier.filter((atMs) => nowMs - atMs < SECOND_MS), nowMs];
     this.coldFlowTimes.set(backendId, times);
     if (coldFlowsPerS !== undefined && times.length > coldFlowsPerS) {
-      this.report('cold', nowMs, `${backendId} took ${times.length} flows in a second`);
+      this.report(
+        'cold',
+        nowMs,
+        `${backendId} accepted ${times.length} flows within a second while cold`,
+      );
     }
   }
 
@@ -220,7 +244,11 @@
 
   checkRecovery(servedShare: number, minServedShare: number, nowMs: number): void {
     if (servedShare < minServedShare) {
-      this.report('recover', nowMs, `only ${servedShare.toFixed(2)} of the requests are served`);
+      this.report(
+        'recover',
+        nowMs,
+        `served requests after the faults are only ${servedShare.toFixed(2)} of those before`,
+      );
     }
   }
 
--- a/src/proof/sim-registered/stand-in-backend.ts
+++ b/src/proof/sim-registered/stand-in-backend.ts
@@ -222,7 +222,7 @@
     const { clock, oracle } = this.parts;
     const received = decodeForBackend(bytes);
     if (received === undefined) {
-      oracle.reportCorruptAtBackend(clock.nowMs, 'bytes that are no packet');
+      oracle.reportCorruptAtBackend(clock.nowMs, 'undecodable packet');
       return;
     }
     const { instance, packet } = received;
@@ -230,7 +230,10 @@
       return;
     }
     if (!isIntact(packet)) {
-      oracle.reportCorruptAtBackend(clock.nowMs, `${packet.kind} of ${formatAddress(packet.from)}`);
+      oracle.reportCorruptAtBackend(
+        clock.nowMs,
+        `corrupted ${packet.kind} packet from ${formatAddress(packet.from)}`,
+      );
       return;
     }
     if (packet.kind === 'open') {
@@ -306,7 +309,7 @@
     const firstAtAddress = firstOfBackend + addressSinceStart * ACCEPTS_PER_START;
     if (acceptNumber >= firstOfBackend && acceptNumber < firstAtAddress) {
       this.parts.oracle.reportStrayPacket(
-        `${this.startId} got a packet of a start elsewhere`,
+        `${this.startId} received a packet for a start at another address`,
         this.parts.clock.nowMs,
       );
     }
--- a/src/proof/sim-registered/stand-in-client.ts
+++ b/src/proof/sim-registered/stand-in-client.ts
@@ -100,7 +100,10 @@
     const { clock, oracle } = this.parts;
     const packet = decodePacket(bytes);
     if (packet === undefined || !isIntact(packet)) {
-      oracle.reportCorruptAtClient(clock.nowMs, `to ${formatAddress(this.address)}`);
+      oracle.reportCorruptAtClient(
+        clock.nowMs,
+        `client ${formatAddress(this.address)} received a corrupted packet`,
+      );
       return;
     }
     if (packet.to.port !== this.port) {
@@ -184,7 +187,10 @@
       const { acceptNumber } = this.flow;
       const isFromOwner = packet.acceptNumber === acceptNumber;
       if (!isFromOwner && this.world.isHeldOpen(client, acceptNumber)) {
-        oracle.reportBrokenFlow(clock.nowMs, `flow ${client} was reset by another`);
+        oracle.reportBrokenFlow(
+          clock.nowMs,
+          `open flow ${client} was reset by a back end that does not own it`,
+        );
       }
     }
     this.failIfStill(this.stage);
