--- a/src/proof/sim-registered/drawn-faults.ts
+++ b/src/proof/sim-registered/drawn-faults.ts
@@ -254,7 +254,7 @@
     zoneOperator.evacuate(zone, MIN_DURATION_MS + random.nextFloat() * EVACUATION_SPREAD_MS);
   }
 
-  /** Cuts a serving back end from all control machines; its open flows must survive the lost heartbeats. */
+  /** Cuts a serving back end from all control machines; lost heartbeats alone must not mark it as dead. */
   private cutBackend(): void {
     const { backends, controls, random, wires, clock } = this.world;
     const alive = backends.filter(({ isAlive }) => isAlive);
