--- a/src/proof/sim-managed/cluster-faults.ts
+++ b/src/proof/sim-managed/cluster-faults.ts
@@ -6,7 +6,7 @@
 import type { SimulatedBalancer } from './simulated-balancer.js';
 import type { SimulatedControl } from './simulated-control.js';
 import type { SimulatedProcess } from './simulated-process.js';
-import { badNetwork, goodNetwork } from '../virtual/virtual-network.js';
+import { faultyNetwork, reliableNetwork } from '../virtual/virtual-network.js';
 import type { DeployedBackend, World } from './world.js';
 
 /** Longest time a draining back end may take to become empty. */
@@ -105,9 +105,9 @@
   degradeNetwork(durationMs: number): void {
     this.count += 1;
     const { network } = this.world.simulation;
-    network.faults = badNetwork;
+    network.faults = faultyNetwork;
     this.recordFault('bad-network', [], durationMs, () => {
-      network.faults = goodNetwork;
+      network.faults = reliableNetwork;
     });
   }
 
