--- a/src/proof/sim-managed/oracle/check.ts
+++ b/src/proof/sim-managed/oracle/check.ts
@@ -1,11 +1,10 @@
 /**
- * @file What the oracle's checks have in common. The oracle reads the trace alone and shares no code with
- * the product: it knows which answers callers and operators got, what back ends ran and what balancers had
- * in force.
+ * @file Types shared by the oracle's checks. The oracle reads only the trace and shares no code with the
+ * product.
  */
 import type { TraceEvent } from '../trace.js';
 
-/** The checks, one for each thing that must always hold. */
+/** Names of the checks; each one verifies an invariant. */
 export const checkNames = [
   'established-flow-survives',
   'own-service-only',
@@ -20,7 +19,7 @@
 /** Name of a check. */
 export type CheckName = (typeof checkNames)[number];
 
-/** Something that must never be, and was. */
+/** A violated invariant. */
 export interface Violation {
   readonly check: CheckName;
   readonly atMs: number;
@@ -30,7 +29,7 @@
 /** Records a violation. */
 export type ReportViolation = (atMs: number, text: string) => void;
 
-/** One check: it gets every event, in order, and the end of the run. */
+/** A check; it gets every event in order, then the end of the run. */
 export interface Check {
   handle(event: TraceEvent): void;
   finish(endMs: number): void;
--- a/src/proof/sim-managed/oracle/config-check.ts
+++ b/src/proof/sim-managed/oracle/config-check.ts
@@ -1,12 +1,12 @@
 /**
- * @file The check on configurations: what was accepted is in force on every balancer within seconds, is
- * the same everywhere, is applied once, and never reverts.
+ * @file Checks that an accepted command is applied exactly once, is in force on every balancer in time with the
+ * same configuration everywhere, and is never reverted.
  */
 import type { TraceEvent } from '../trace.js';
 import type { Check, ReportViolation } from './check.js';
-import type { Troubles } from './troubles.js';
+import type { ImpairmentTracker } from './impairment-tracker.js';
 
-/** How long a balancer may take, counted from the last trouble that touched it. */
+/** Limit after acceptance, or after the end of the balancer's last impairment if that is later. */
 const IN_FORCE_LIMIT_MS = 5_000;
 
 interface AcceptedCommand {
@@ -17,22 +17,24 @@
   readonly acceptedAtMs: number;
 }
 
-/** See the file's description. */
+/** Checks propagation, consistency and monotonicity of accepted configurations. */
 export class AcceptedStaysInForce implements Check {
-  /** Digest of the configuration at each index, as first seen. */
-  private readonly digests = new Map<number, string>();
-  /** Index in force by balancer; only of those that run. */
-  private readonly inForce = new Map<string, number>();
-  private readonly pending = new Map<string, AcceptedCommand[]>();
+  /** First observed digest of the configuration at each index. */
+  private readonly digestsByIndex = new Map<number, string>();
+  /** Index in force on each running balancer. */
+  private readonly indexInForce = new Map<string, number>();
+  /** Accepted commands that are not yet in force. */
+  private readonly pendingByBalancer = new Map<string, AcceptedCommand[]>();
   private readonly accepted: AcceptedCommand[] = [];
-  private readonly sent = new Map<string, Set<string>>();
+  /** IDs of the commands sent, without repetitions. */
+  private readonly sentByService = new Map<string, Set<string>>();
   private readonly unanswered = new Set<string>();
-  /** Planned changes by service, without the cancelled ones. */
-  private readonly plans = new Map<string, number>();
+  /** Number of planned changes that were not cancelled. */
+  private readonly plannedByService = new Map<string, number>();
 
   constructor(
     private readonly report: ReportViolation,
-    private readonly troubles: Troubles,
+    private readonly impairments: ImpairmentTracker,
   ) {}
 
   handle(event: TraceEvent): void {
@@ -60,42 +62,42 @@
   private recordBalancer(event: Extract<TraceEvent, { type: 'process' }>): void {
     const { process, status } = event;
     if (status === 'started') {
-      this.inForce.set(process, 0);
-      this.pending.set(process, [...this.accepted]);
+      this.indexInForce.set(process, 0);
+      this.pendingByBalancer.set(process, [...this.accepted]);
     } else if (status === 'crashed' || status === 'stopped') {
-      this.inForce.delete(process);
-      this.pending.delete(process);
+      this.indexInForce.delete(process);
+      this.pendingByBalancer.delete(process);
     }
   }
 
   private recordInForce(event: Extract<TraceEvent, { type: 'in-force' }>): void {
     const { atMs, balancer, index, digest } = event;
-    const before = this.inForce.get(balancer) ?? 0;
-    if (index < before) {
-      this.report(atMs, `${balancer} went back from index ${before} to ${index}.`);
+    const previousIndex = this.indexInForce.get(balancer) ?? 0;
+    if (index < previousIndex) {
+      this.report(atMs, `${balancer} went back from index ${previousIndex} to ${index}.`);
     }
-    this.inForce.set(balancer, index);
+    this.indexInForce.set(balancer, index);
     this.checkDigest(atMs, balancer, index, digest);
-    const pending = this.pending.get(balancer) ?? [];
-    this.pending.set(
+    const pending = this.pendingByBalancer.get(balancer) ?? [];
+    this.pendingByBalancer.set(
       balancer,
       pending.filter((command) => command.index > index),
     );
   }
 
   private checkDigest(atMs: number, process: string, index: number, digest: string): void {
-    const first = this.digests.get(index);
-    if (first === undefined) {
-      this.digests.set(index, digest);
-    } else if (first !== digest) {
+    const firstDigest = this.digestsByIndex.get(index);
+    if (firstDigest === undefined) {
+      this.digestsByIndex.set(index, digest);
+    } else if (firstDigest !== digest) {
       this.report(atMs, `${process} holds another configuration than others at index ${index}.`);
     }
   }
 
   private recordSent(event: Extract<TraceEvent, { type: 'command-sent' }>): void {
     const { service, commandId } = event;
-    const commands = this.sent.get(service) ?? new Set();
-    this.sent.set(service, commands.add(commandId));
+    const commands = this.sentByService.get(service) ?? new Set();
+    this.sentByService.set(service, commands.add(commandId));
     this.unanswered.add(commandId);
   }
 
@@ -105,18 +107,19 @@
     if (index === undefined) {
       return;
     }
-    const plans = this.plans.get(service) ?? 0;
+    const plans = this.plannedByService.get(service) ?? 0;
     if (kind === 'plan-change' || kind === 'cancel-plan') {
-      this.plans.set(service, plans + (kind === 'plan-change' ? 1 : -1));
+      this.plannedByService.set(service, plans + (kind === 'plan-change' ? 1 : -1));
     }
     const command = { commandId, index, version, service, acceptedAtMs: atMs };
     this.accepted.push(command);
-    for (const [balancer, pending] of this.pending) {
-      if ((this.inForce.get(balancer) ?? 0) < index) {
+    for (const [balancer, pending] of this.pendingByBalancer) {
+      if ((this.indexInForce.get(balancer) ?? 0) < index) {
         pending.push(command);
       }
     }
-    const sent = (this.sent.get(service)?.size ?? 0) + (this.plans.get(service) ?? 0);
+    const sent =
+      (this.sentByService.get(service)?.size ?? 0) + (this.plannedByService.get(service) ?? 0);
     if (version !== undefined && version > sent) {
       this.report(atMs, `${service} is at version ${version} after ${sent} commands.`);
     }
@@ -124,24 +127,27 @@
 
   private checkStateAnswer(event: Extract<TraceEvent, { type: 'shown' }>): void {
     const { atMs, control, index, askedAtMs } = event;
-    const known = this.accepted.filter(({ acceptedAtMs }) => acceptedAtMs <= askedAtMs);
-    const highest = Math.max(0, ...known.map((command) => command.index));
-    if (index < highest) {
-      this.report(atMs, `${control} showed index ${index}, ${highest} was accepted before.`);
+    const acceptedBeforeQuery = this.accepted.filter(
+      ({ acceptedAtMs }) => acceptedAtMs <= askedAtMs,
+    );
+    const minIndex = Math.max(0, ...acceptedBeforeQuery.map((command) => command.index));
+    if (index < minIndex) {
+      this.report(atMs, `${control} showed index ${index}, ${minIndex} was accepted before.`);
     }
   }
 
   private checkDeadlines(nowMs: number): void {
-    for (const [balancer, pending] of this.pending) {
-      const quietSinceMs = pending.length === 0 ? undefined : this.troubles.quietSince(balancer);
-      if (quietSinceMs === undefined) {
+    for (const [balancer, pending] of this.pendingByBalancer) {
+      const unimpairedSinceMs =
+        pending.length === 0 ? undefined : this.impairments.unimpairedSince(balancer);
+      if (unimpairedSinceMs === undefined) {
         continue;
       }
-      const late = pending.find(
-        ({ acceptedAtMs }) => nowMs > Math.max(acceptedAtMs, quietSinceMs) + IN_FORCE_LIMIT_MS,
+      const overdue = pending.find(
+        ({ acceptedAtMs }) => nowMs > Math.max(acceptedAtMs, unimpairedSinceMs) + IN_FORCE_LIMIT_MS,
       );
-      if (late !== undefined) {
-        const { commandId, index } = late;
+      if (overdue !== undefined) {
+        const { commandId, index } = overdue;
         this.report(nowMs, `${balancer} has not ${commandId} of index ${index} in force.`);
         pending.length = 0;
       }
@@ -149,25 +155,25 @@
   }
 
   /**
-   * Each accepted command counts the version of its service by one, in the order of the log; so does
-   * each planned change, once, unless it was cancelled.
+   * Each accepted command increments the version of its service, in log order; so does each planned change
+   * that is not cancelled.
    */
   private checkVersions(endMs: number): void {
-    for (const [service, sent] of this.sent) {
+    for (const [service, sent] of this.sentByService) {
       if ([...sent].some((commandId) => this.unanswered.has(commandId))) {
         continue;
       }
       const ordered = this.accepted
         .filter((command) => command.service === service && command.version !== undefined)
         .sort((one, other) => one.index - other.index);
-      let planned = 0;
+      let minPlanned = 0;
       ordered.forEach(({ commandId, version = 0 }, position) => {
-        const byPlans = version - (position + 1);
-        if (byPlans < planned || byPlans > (this.plans.get(service) ?? 0)) {
+        const appliedPlans = version - (position + 1);
+        if (appliedPlans < minPlanned || appliedPlans > (this.plannedByService.get(service) ?? 0)) {
           const text = `${commandId} made version ${version} of ${service}`;
           this.report(endMs, `${text}, the ${position + 1}th command on it.`);
         }
-        planned = Math.max(planned, byPlans);
+        minPlanned = Math.max(minPlanned, appliedPlans);
       });
     }
   }
--- a/src/proof/sim-managed/oracle/final-config-check.ts
+++ b/src/proof/sim-managed/oracle/final-config-check.ts
@@ -1,36 +1,36 @@
 /**
- * @file The second half of the check on configurations: at the end of a run each balancer that had time
- * enough has what the last accepted commands say of each service and back end.
+ * @file Checks that the configuration of each balancer at the end of a run matches the last accepted commands
+ * on each service and back end.
  */
 import type { TraceEvent } from '../trace.js';
 import type { Check, ReportViolation } from './check.js';
-import type { Troubles } from './troubles.js';
+import type { ImpairmentTracker } from './impairment-tracker.js';
 
-/** How long a balancer may take, counted from the last trouble that touched it. */
+/** Limit after the last acceptance, or after the end of the balancer's last impairment if that is later. */
 const IN_FORCE_LIMIT_MS = 5_000;
 
 type Answer = Extract<TraceEvent, { type: 'command-answered' }>;
 
-/** What a back end is after a command that was accepted. */
-const STATE_AFTER: Readonly<Record<string, string | undefined>> = {
+/** Admin state of a back end after an accepted command; undefined if it is removed. */
+const STATE_AFTER_COMMAND: Readonly<Record<string, string | undefined>> = {
   'add-backend': 'active',
   'cancel-drain': 'active',
   'drain-backend': 'draining',
   'retire-backend': undefined,
 };
 
-/** See the file's description. */
-export class FinalConfigIsAsAccepted implements Check {
-  /** The accepted command with the highest index, by back end. */
-  private readonly lastOfBackend = new Map<string, Answer>();
-  /** The highest version in an operator's answers, by service. */
-  private readonly versions = new Map<string, number>();
+/** Compares final configurations with accepted commands; skips balancers that had too little time. */
+export class FinalConfigMatchesAccepted implements Check {
+  /** Answer to the accepted command with the highest index. */
+  private readonly lastAnswerByBackend = new Map<string, Answer>();
+  /** Highest version in the answers to operators. */
+  private readonly versionByService = new Map<string, number>();
   private readonly unanswered = new Set<string>();
   private lastAcceptedAtMs = 0;
 
   constructor(
     private readonly report: ReportViolation,
-    private readonly troubles: Troubles,
+    private readonly impairments: ImpairmentTracker,
   ) {}
 
   handle(event: TraceEvent): void {
@@ -44,7 +44,7 @@
   }
 
   finish(): void {
-    // The events at the end of the run bring what is checked.
+    // The `final-config` events at the end of the run trigger the check.
   }
 
   private recordAnswer(event: Answer): void {
@@ -54,31 +54,31 @@
     }
     const { atMs, service, subject, version = 0, index = 0, command } = event;
     this.lastAcceptedAtMs = atMs;
-    this.versions.set(service, Math.max(version, this.versions.get(service) ?? 0));
-    const earlier = this.lastOfBackend.get(subject);
-    if (command in STATE_AFTER && index > (earlier?.index ?? 0)) {
-      this.lastOfBackend.set(subject, event);
+    this.versionByService.set(service, Math.max(version, this.versionByService.get(service) ?? 0));
+    const previous = this.lastAnswerByBackend.get(subject);
+    if (command in STATE_AFTER_COMMAND && index > (previous?.index ?? 0)) {
+      this.lastAnswerByBackend.set(subject, event);
     }
   }
 
   private checkBalancer(event: Extract<TraceEvent, { type: 'final-config' }>): void {
     const { atMs, balancer, services, backends } = event;
-    const quietSinceMs = this.troubles.quietSince(balancer);
-    const sinceMs = Math.max(quietSinceMs ?? Infinity, this.lastAcceptedAtMs);
-    if (atMs < sinceMs + IN_FORCE_LIMIT_MS || this.unanswered.size > 0) {
+    const unimpairedSinceMs = this.impairments.unimpairedSince(balancer);
+    const settledSinceMs = Math.max(unimpairedSinceMs ?? Infinity, this.lastAcceptedAtMs);
+    if (atMs < settledSinceMs + IN_FORCE_LIMIT_MS || this.unanswered.size > 0) {
       return;
     }
-    for (const [service, version] of this.versions) {
+    for (const [service, version] of this.versionByService) {
       if ((services[service] ?? 0) < version) {
-        const present = services[service] ?? 0;
-        this.report(atMs, `${balancer} has version ${present} of ${service}, not ${version}.`);
+        const actual = services[service] ?? 0;
+        this.report(atMs, `${balancer} has version ${actual} of ${service}, not ${version}.`);
       }
     }
-    for (const [backend, { command, commandId }] of this.lastOfBackend) {
-      const wanted = STATE_AFTER[command];
-      if (backends[backend] !== wanted) {
-        const present = backends[backend] ?? 'gone';
-        const text = `${balancer} has ${backend} as ${present}`;
+    for (const [backend, { command, commandId }] of this.lastAnswerByBackend) {
+      const expected = STATE_AFTER_COMMAND[command];
+      if (backends[backend] !== expected) {
+        const actual = backends[backend] ?? 'gone';
+        const text = `${balancer} has ${backend} as ${actual}`;
         this.report(atMs, `${text}, though ${commandId} (${command}) was accepted.`);
       }
     }
--- a/src/proof/sim-managed/oracle/flow-checks.ts
+++ b/src/proof/sim-managed/oracle/flow-checks.ts
@@ -1,30 +1,30 @@
 /**
- * @file The checks on flows: established flows survive planned changes, a leaving back end gets no new
- * work, a planned stop cuts nothing.
+ * @file Checks on flows: established flows survive planned changes, a leaving back end gets no new work, and a
+ * planned stop interrupts no request.
  */
 import type { TraceEvent } from '../trace.js';
 import type { Check, ReportViolation } from './check.js';
-import type { Troubles } from './troubles.js';
+import type { ImpairmentTracker } from './impairment-tracker.js';
 
-/** How long after a drain was accepted a back end may still be given a flow. */
-const LEAVING_FLOW_LIMIT_MS = 5_000;
-/** The same for a request, which may have waited in its queue. */
-const LEAVING_RUN_LIMIT_MS = 8_000;
-/** Trouble of a back end explains the loss of a request for this long. */
-const REQUEST_TROUBLE_MS = 40_000;
+/** Time after an accepted drain in which a back end may still accept flows. */
+const FLOW_AFTER_DRAIN_LIMIT_MS = 5_000;
+/** Time after an accepted drain in which a back end may still start queued requests. */
+const RUN_AFTER_DRAIN_LIMIT_MS = 8_000;
+/** An impairment of a back end or caller excuses an unknown outcome for this time. */
+const REQUEST_EXCUSE_MS = 40_000;
 
-/** An established flow is lost only where its back end or its caller was in trouble meanwhile. */
+/** An established flow is lost only if its back end or its caller was impaired during its lifetime. */
 export class EstablishedFlowSurvives implements Check {
   constructor(
     private readonly report: ReportViolation,
-    private readonly troubles: Troubles,
+    private readonly impairments: ImpairmentTracker,
   ) {}
 
   handle(event: TraceEvent): void {
     if (event.type === 'flow-broken') {
       const { atMs, caller, flowId, backend, establishedAtMs } = event;
       const isExcused = [backend, caller].some((process) =>
-        this.troubles.hadTroubleSince(process, establishedAtMs),
+        this.impairments.wasImpairedSince(process, establishedAtMs),
       );
       if (!isExcused) {
         this.report(atMs, `${caller} lost ${flowId} to ${backend}, which had no trouble.`);
@@ -32,21 +32,21 @@
     } else if (event.type === 'notices-missed') {
       const { atMs, caller, first, last, backend } = event;
       const service = backend.replace(/-\d+$/, '');
-      if (!this.troubles.anyHadTrouble((name) => name.startsWith(service))) {
+      if (!this.impairments.wasAnyImpaired((name) => name.startsWith(service))) {
         this.report(atMs, `${caller} missed notices ${first} to ${last}.`);
       }
     }
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
 
-/** A back end that is leaving gets no new work a few seconds after its operator got the answer that the drain is accepted. */
+/** A leaving back end gets no new work once the time limit after the accepted drain has passed. */
 export class LeavingBackendGetsNoWork implements Check {
   private readonly leavingSinceMs = new Map<string, number>();
-  private readonly ignoreDrain = new Set<string>();
+  private readonly drainIgnoringBackends = new Set<string>();
 
   constructor(private readonly report: ReportViolation) {}
 
@@ -54,22 +54,22 @@
     if (event.type === 'command-answered' && event.accepted) {
       this.recordCommand(event);
     } else if (event.type === 'fault' && event.fault === 'ignores-drain') {
-      event.targets.forEach((target) => this.ignoreDrain.add(target));
+      event.targets.forEach((target) => this.drainIgnoringBackends.add(target));
     } else if (event.type === 'flow-accepted') {
       const { atMs, backend, flowId, via } = event;
-      if (this.isOverdue(backend, atMs, LEAVING_FLOW_LIMIT_MS)) {
+      if (this.isLeavingForLongerThan(backend, atMs, FLOW_AFTER_DRAIN_LIMIT_MS)) {
         this.report(atMs, `${backend} is leaving and was given ${flowId} by ${via}.`);
       }
-    } else if (event.type === 'run' && !this.ignoreDrain.has(event.backend)) {
+    } else if (event.type === 'run' && !this.drainIgnoringBackends.has(event.backend)) {
       const { atMs, backend, requestNumber } = event;
-      if (this.isOverdue(backend, atMs, LEAVING_RUN_LIMIT_MS)) {
+      if (this.isLeavingForLongerThan(backend, atMs, RUN_AFTER_DRAIN_LIMIT_MS)) {
         this.report(atMs, `${backend} is leaving and ran request ${requestNumber}.`);
       }
     }
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 
   private recordCommand(event: Extract<TraceEvent, { type: 'command-answered' }>): void {
@@ -81,17 +81,17 @@
     }
   }
 
-  private isOverdue(backend: string, atMs: number, limitMs: number): boolean {
+  private isLeavingForLongerThan(backend: string, atMs: number, limitMs: number): boolean {
     const sinceMs = this.leavingSinceMs.get(backend);
     return sinceMs !== undefined && atMs > sinceMs + limitMs;
   }
 }
 
-/** No request in progress is cut, but by trouble of its back end or its caller. */
+/** A request in progress is interrupted only by an impairment of its back end or its caller. */
 export class PlannedStopCutsNothing implements Check {
   constructor(
     private readonly report: ReportViolation,
-    private readonly troubles: Troubles,
+    private readonly impairments: ImpairmentTracker,
   ) {}
 
   handle(event: TraceEvent): void {
@@ -101,7 +101,7 @@
     } else if (event.type === 'outcome' && event.outcome === 'unknown') {
       const { atMs, caller, requestNumber, backend = 'no back end', errorKind } = event;
       const isExcused = [backend, caller].some((process) =>
-        this.troubles.hadTroubleSince(process, atMs - REQUEST_TROUBLE_MS),
+        this.impairments.wasImpairedSince(process, atMs - REQUEST_EXCUSE_MS),
       );
       if (!isExcused) {
         this.report(
@@ -114,6 +114,6 @@
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
--- a/src/proof/sim-managed/oracle/request-checks.ts
+++ b/src/proof/sim-managed/oracle/request-checks.ts
@@ -1,10 +1,11 @@
 /**
- * @file The checks on requests: own service only, whole answer, "not run" means not run, at most once.
+ * @file Checks on requests: delivery to the right service, complete answers, truthful "not run" outcomes, and at
+ * most one execution.
  */
 import type { TraceEvent } from '../trace.js';
 import type { Check, ReportViolation } from './check.js';
 
-/** A packet meant for one service never reaches a back end of another one. */
+/** A packet for one service never reaches a back end of another service. */
 export class OwnServiceOnly implements Check {
   constructor(private readonly report: ReportViolation) {}
 
@@ -18,33 +19,33 @@
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
 
-/** A caller gets the whole answer to its own request, and the notices of its own feed. */
+/** A caller gets the complete answer to its own request, and every notice of its feed in order. */
 export class WholeAnswer implements Check {
-  private readonly started = new Set<number>();
-  private readonly lastNotice = new Map<string, number>();
+  private readonly startedRequests = new Set<number>();
+  private readonly lastNoticeByCaller = new Map<string, number>();
 
   constructor(private readonly report: ReportViolation) {}
 
   handle(event: TraceEvent): void {
     if (event.type === 'run') {
-      this.started.add(event.requestNumber);
+      this.startedRequests.add(event.requestNumber);
     } else if (event.type === 'outcome' && event.outcome === 'answered') {
       this.checkAnswer(event);
     } else if (event.type === 'notice') {
       this.checkNotice(event);
     } else if (event.type === 'notices-missed') {
-      this.lastNotice.set(event.caller, event.last);
+      this.lastNoticeByCaller.set(event.caller, event.last);
     } else if (event.type === 'process' && event.status === 'started') {
-      this.lastNotice.delete(event.process);
+      this.lastNoticeByCaller.delete(event.process);
     }
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 
   private checkAnswer(event: Extract<TraceEvent, { type: 'outcome' }>): void {
@@ -52,15 +53,15 @@
     if (!event.intact) {
       this.report(atMs, `${caller} got a wrong answer to request ${requestNumber}.`);
     }
-    if (!this.started.has(requestNumber)) {
+    if (!this.startedRequests.has(requestNumber)) {
       this.report(atMs, `${caller} got an answer to request ${requestNumber}, which did not run.`);
     }
   }
 
   private checkNotice(event: Extract<TraceEvent, { type: 'notice' }>): void {
     const { atMs, caller, number } = event;
-    const last = this.lastNotice.get(caller);
-    this.lastNotice.set(caller, number);
+    const last = this.lastNoticeByCaller.get(caller);
+    this.lastNoticeByCaller.set(caller, number);
     if (!event.intact) {
       this.report(atMs, `${caller} got another notice than number ${number}.`);
     }
@@ -70,25 +71,25 @@
   }
 }
 
-/** A request whose caller got the answer "not run" runs neither before nor after that. */
+/** A request that was reported to its caller as "not run" never runs, before or after the report. */
 export class NotRunMeansNotRun implements Check {
-  private readonly started = new Map<number, string>();
-  private readonly toldNotRun = new Map<number, string>();
+  private readonly backendByRequest = new Map<number, string>();
+  private readonly callerByNotRunRequest = new Map<number, string>();
 
   constructor(private readonly report: ReportViolation) {}
 
   handle(event: TraceEvent): void {
     if (event.type === 'run') {
       const { atMs, requestNumber, backend } = event;
-      this.started.set(requestNumber, backend);
-      const caller = this.toldNotRun.get(requestNumber);
+      this.backendByRequest.set(requestNumber, backend);
+      const caller = this.callerByNotRunRequest.get(requestNumber);
       if (caller !== undefined) {
         this.report(atMs, `${backend} ran request ${requestNumber}, "not run" to ${caller}.`);
       }
     } else if (event.type === 'outcome' && event.outcome === 'not-run') {
       const { atMs, requestNumber, caller } = event;
-      this.toldNotRun.set(requestNumber, caller);
-      const backend = this.started.get(requestNumber);
+      this.callerByNotRunRequest.set(requestNumber, caller);
+      const backend = this.backendByRequest.get(requestNumber);
       if (backend !== undefined) {
         this.report(atMs, `${caller} was told "not run" of ${requestNumber}, run at ${backend}.`);
       }
@@ -96,13 +97,13 @@
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
 
-/** A request runs at most once, over all back ends. */
+/** A request runs at most once across all back ends. */
 export class AtMostOnce implements Check {
-  private readonly started = new Map<number, string>();
+  private readonly backendByRequest = new Map<number, string>();
 
   constructor(private readonly report: ReportViolation) {}
 
@@ -111,14 +112,14 @@
       return;
     }
     const { atMs, requestNumber, backend } = event;
-    const first = this.started.get(requestNumber);
-    if (first !== undefined) {
-      this.report(atMs, `Request ${requestNumber} ran at ${first} and at ${backend}.`);
+    const firstBackend = this.backendByRequest.get(requestNumber);
+    if (firstBackend !== undefined) {
+      this.report(atMs, `Request ${requestNumber} ran at ${firstBackend} and at ${backend}.`);
     }
-    this.started.set(requestNumber, backend);
+    this.backendByRequest.set(requestNumber, backend);
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
--- a/src/proof/sim-managed/scenarios/address-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/address-scenarios.ts
@@ -1,25 +1,24 @@
 /**
- * @file Scenarios in which an address moves from one service to another, while balancers are cut off or
- * stand still: the way by which a packet could reach another service.
+ * @file Scenario in which an address moves from one service to another while balancers are cut off or paused.
+ * Outdated configurations could then deliver packets to the wrong service.
  */
 import type { Address } from '../../../shared/common/address.js';
 import type { ServicePlan } from '../world-plan.js';
 import { smallWorld } from '../world-plan.js';
 import type { World } from '../world.js';
-import { between, pick, type Scenario, type ScenarioScope } from './scenario.js';
+import { integerBetween, pick, type Scenario, type ScenarioScope } from './scenario.js';
 
 const DURATION_MS = 40_000;
-/** How long callers are out of reach. */
-const MIN_OUT_OF_REACH_MS = 5_000;
-const MAX_OUT_OF_REACH_MS = 15_000;
-/** Time until an operator tries again to add a back end at an address that is not free yet. */
-const TRY_AGAIN_MS = 1_000;
+const MIN_CALLER_CUT_MS = 5_000;
+const MAX_CALLER_CUT_MS = 15_000;
+/** Delay until the operator retries to add a back end at an address that is still quarantined. */
+const RETRY_DELAY_MS = 1_000;
 
-/** A back end of one service leaves, and its address joins another service. */
+/** A back end of one service leaves, and its address is reused by another service. */
 export const addressMove: Scenario = {
   name: 'address-move',
   description: 'An address moves between services while balancers are cut off or stand still.',
-  // Callers that are out of reach while their flow is closed send on it long afterwards.
+  // Callers that are cut off while their flow is closed keep sending on it long afterwards.
   plan: {
     ...smallWorld,
     callersIgnoreGoAway: true,
@@ -33,35 +32,35 @@
     if (from === undefined || to === undefined) {
       return;
     }
-    world.after(between(random, 200, 1_500), () => disturbBalancers(scope));
+    world.after(integerBetween(random, 200, 1_500), () => injectBalancerFaults(scope));
     world.after(2_000, () => {
-      faults.cutOff(world.callers, between(random, MIN_OUT_OF_REACH_MS, MAX_OUT_OF_REACH_MS));
+      faults.cutOff(world.callers, integerBetween(random, MIN_CALLER_CUT_MS, MAX_CALLER_CUT_MS));
     });
     world.after(2_500, () => {
       const leaving = pick(random, backendsOf(world, from));
       if (leaving !== undefined) {
-        faults.leave(leaving, () => addAtAddress(world, to, leaving.process.address));
+        faults.leave(leaving, () => addBackendAtAddress(world, to, leaving.process.address));
       }
     });
   },
 };
 
-function disturbBalancers({ world, faults, random }: ScenarioScope): void {
-  const [one, other] = world.balancers;
-  if (one === undefined || other === undefined) {
+function injectBalancerFaults({ world, faults, random }: ScenarioScope): void {
+  const [cutBalancer, pausedBalancer] = world.balancers;
+  if (cutBalancer === undefined || pausedBalancer === undefined) {
     return;
   }
-  const durationMs = between(random, 15_000, 38_000);
-  // It gets no changes any more; packets still pass.
-  const others = world.balancers.filter((balancer) => balancer !== one);
-  faults.cutLinks([one], [...world.controls, ...others], durationMs);
+  const durationMs = integerBetween(random, 15_000, 38_000);
+  // This balancer gets no more configuration changes but still forwards packets.
+  const others = world.balancers.filter((balancer) => balancer !== cutBalancer);
+  faults.cutLinks([cutBalancer], [...world.controls, ...others], durationMs);
   if (random.nextInt(2) === 0) {
-    faults.pause(other, between(random, 5_000, 25_000));
+    faults.pause(pausedBalancer, integerBetween(random, 5_000, 25_000));
   }
 }
 
-/** The operator of the other service asks for the address until it is free. */
-function addAtAddress(world: World, service: ServicePlan, address: Address): void {
+/** The operator of the other service retries until the address is released. */
+function addBackendAtAddress(world: World, service: ServicePlan, address: Address): void {
   const command = {
     type: 'add-backend' as const,
     service: service.name,
@@ -73,7 +72,7 @@
     if (outcome.accepted) {
       world.placeBackend(service, address).backendId = outcome.backendId;
     } else {
-      world.after(TRY_AGAIN_MS, () => addAtAddress(world, service, address));
+      world.after(RETRY_DELAY_MS, () => addBackendAtAddress(world, service, address));
     }
   });
 }
--- a/src/proof/sim-managed/scenarios/backend-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/backend-scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * @file Scenarios with bad back ends: cold, overloaded, with false load reports, or ignoring their drain.
+ * @file Scenario with faulty back ends: cold, refusing, with false load or health reports, or ignoring their drain.
  */
 import type { BackendFaults } from '../../standins/backend-options.js';
 import { smallWorld } from '../world-plan.js';
@@ -7,8 +7,8 @@
 
 const DURATION_MS = 14_000;
 
-/** By position over all services: three of authd, three of board-api, two of settled. */
-const BAD_BACKENDS: ReadonlyMap<number, BackendFaults> = new Map<number, BackendFaults>([
+/** Faults by position over all services: three of authd, three of board-api, two of settled. */
+const BACKEND_FAULTS: ReadonlyMap<number, BackendFaults> = new Map<number, BackendFaults>([
   [0, { reportsIdle: true, coldStartMs: 5_000, coldStartFactor: 20 }],
   [1, { ignoresDrain: true }],
   [3, { flapPeriodMs: 700 }],
@@ -17,21 +17,23 @@
   [7, { drainDelayMs: 2_000 }],
 ]);
 
-/** Half of the back ends misbehave, and one that ignores its drain is drained. */
+/** Most back ends are faulty, and one that ignores its drain is drained. */
 export const badBackends: Scenario = {
   name: 'bad-backends',
   description: 'Back ends that are cold, lie about load and health, refuse, or ignore their drain.',
-  plan: { ...smallWorld, backendFaults: BAD_BACKENDS },
+  plan: { ...smallWorld, backendFaults: BACKEND_FAULTS },
   durationMs: DURATION_MS,
   schedule: (scope) => {
     const { world, faults } = scope;
     publishRegularly(scope, DURATION_MS, 400);
-    const deaf = world.backends.filter(({ process }) => process.options.faults?.ignoresDrain);
-    faults.recordIgnoredDrains(deaf);
-    deaf.forEach((placed, position) => {
+    const drainIgnoring = world.backends.filter(
+      ({ process }) => process.options.faults?.ignoresDrain,
+    );
+    faults.recordIgnoredDrains(drainIgnoring);
+    drainIgnoring.forEach((placed, position) => {
       world.after(1_000 + position * 500, () => faults.leave(placed));
     });
-    // Crashed callers' places are taken by new flows, which need back ends.
+    // Restarted callers open new flows, which must be placed on back ends.
     for (let atMs = 3_000; atMs < DURATION_MS; atMs += 500) {
       world.after(atMs, () => {
         const caller = world.callers[Math.floor(atMs / 500) % world.callers.length];
--- a/src/proof/sim-managed/scenarios/fault-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/fault-scenarios.ts
@@ -1,15 +1,15 @@
 /**
- * @file Scenarios of faults: of the control machines, and of everything at once.
+ * @file Scenarios with random faults of the control machines, or of all processes and the network.
  */
 import type { SimulatedProcess } from '../simulated-process.js';
 import { smallWorld } from '../world-plan.js';
-import { changeSomething } from './operator-changes.js';
+import { sendRandomOperation } from './operator-changes.js';
 import {
   atRandomTimes,
-  between,
+  integerBetween,
   pick,
   publishRegularly,
-  QUIET_END_MS,
+  FAULT_FREE_END_MS,
   type Scenario,
   type ScenarioScope,
 } from './scenario.js';
@@ -17,7 +17,7 @@
 const CONTROL_FAULTS_MS = 24_000;
 const CHAOS_MS = 24_000;
 
-/** Control machines crash, lose power, stand still and fill their disks, while operators send commands. */
+/** Random faults of control machines and their disks, while operators send commands. */
 export const controlFaults: Scenario = {
   name: 'control-faults',
   description: 'Faults of control machines and their disks, with operators at work.',
@@ -25,15 +25,15 @@
   durationMs: CONTROL_FAULTS_MS,
   schedule: (scope) => {
     const { faults } = scope;
-    const endMs = CONTROL_FAULTS_MS - QUIET_END_MS;
+    const endMs = CONTROL_FAULTS_MS - FAULT_FREE_END_MS;
     publishRegularly(scope, CONTROL_FAULTS_MS, 500);
     faults.loseAnswers(0.2, endMs);
-    atRandomTimes(scope, endMs, 700, () => changeSomething(scope));
-    atRandomTimes(scope, endMs, 2_500, () => disturbControl(scope));
+    atRandomTimes(scope, endMs, 700, () => sendRandomOperation(scope));
+    atRandomTimes(scope, endMs, 2_500, () => injectControlFault(scope));
   },
 };
 
-/** Everything fails at any moment, together or twice. */
+/** Any process can fail at any moment, also several at once. */
 export const chaos: Scenario = {
   name: 'chaos',
   description: 'Faults of all processes, disks and the network, with operators at work.',
@@ -41,22 +41,22 @@
   durationMs: CHAOS_MS,
   schedule: (scope) => {
     const { faults, random } = scope;
-    const endMs = CHAOS_MS - QUIET_END_MS;
+    const endMs = CHAOS_MS - FAULT_FREE_END_MS;
     publishRegularly(scope, CHAOS_MS, 400);
     faults.loseAnswers(0.2, endMs);
-    faults.spoilNetwork(between(random, 2_000, endMs));
-    atRandomTimes(scope, endMs, 1_000, () => changeSomething(scope));
-    atRandomTimes(scope, endMs, 1_500, () => disturbAnything(scope));
+    faults.spoilNetwork(integerBetween(random, 2_000, endMs));
+    atRandomTimes(scope, endMs, 1_000, () => sendRandomOperation(scope));
+    atRandomTimes(scope, endMs, 1_500, () => injectRandomFault(scope));
   },
 };
 
-function disturbControl(scope: ScenarioScope): void {
+function injectControlFault(scope: ScenarioScope): void {
   const { world, faults, random } = scope;
   const control = pick(random, world.controls);
   if (control === undefined) {
     return;
   }
-  const durationMs = between(random, 100, 4_000);
+  const durationMs = integerBetween(random, 100, 4_000);
   switch (random.nextInt(6)) {
     case 0:
       faults.crash(control, durationMs);
@@ -78,29 +78,29 @@
   }
 }
 
-/** At most one balancer in three is disturbed at a time, so that packets still get through. */
-function disturbAnything(scope: ScenarioScope): void {
+/** Injects faults of balancers only while enough others are available to forward packets. */
+function injectRandomFault(scope: ScenarioScope): void {
   const { world, faults, random } = scope;
   const kind = random.nextInt(4);
   if (kind === 0) {
-    disturbControl(scope);
+    injectControlFault(scope);
     return;
   }
   const balancer = pick(random, world.balancers);
   const backend = pick(random, world.backends)?.process;
   const target = kind === 1 ? backend : balancer;
-  if (target === undefined || (kind > 1 && !areBalancersWell(scope))) {
+  if (target === undefined || (kind > 1 && !canFailBalancer(scope))) {
     return;
   }
   if (kind === 3 && balancer !== undefined) {
-    faults.restartBalancer(balancer, between(random, 100, 2_000));
+    faults.restartBalancer(balancer, integerBetween(random, 100, 2_000));
     return;
   }
-  disturbProcess(scope, target);
+  injectProcessFault(scope, target);
 }
 
-function disturbProcess({ faults, random }: ScenarioScope, process: SimulatedProcess): void {
-  const durationMs = between(random, 100, 4_000);
+function injectProcessFault({ faults, random }: ScenarioScope, process: SimulatedProcess): void {
+  const durationMs = integerBetween(random, 100, 4_000);
   switch (random.nextInt(3)) {
     case 0:
       faults.crash(process, durationMs);
@@ -113,7 +113,9 @@
   }
 }
 
-function areBalancersWell({ world }: ScenarioScope): boolean {
-  const well = world.balancers.filter(({ status, isListed }) => status === 'running' && isListed);
-  return well.length > 2;
+function canFailBalancer({ world }: ScenarioScope): boolean {
+  const available = world.balancers.filter(
+    ({ status, isListed }) => status === 'running' && isListed,
+  );
+  return available.length > 2;
 }
--- a/src/proof/sim-managed/scenarios/index.ts
+++ b/src/proof/sim-managed/scenarios/index.ts
@@ -1,5 +1,5 @@
 /**
- * @file All scenarios by name.
+ * @file Registry of scenarios.
  */
 import { addressMove } from './address-scenarios.js';
 import { badBackends } from './backend-scenarios.js';
@@ -10,7 +10,7 @@
 import { drain, quiet, rollingRestart } from './planned-scenarios.js';
 import type { Scenario } from './scenario.js';
 
-/** All scenarios, in the order in which runs take turns. */
+/** The scenarios that consecutive runs cycle through, in this order. */
 export const scenarios: readonly Scenario[] = [
   quiet,
   drain,
@@ -22,11 +22,11 @@
   chaos,
 ];
 
-/** Scenarios that take too long to be run by turns, or that show an open finding (docs/FINDINGS.md). */
+/** Scenarios that run only by name: they take too long, or violate a check because of an open issue. */
 export const longScenarios: readonly Scenario[] = [cutOffHour, lostZone];
 
 /**
- * @returns the scenario of that name, or undefined
+ * @returns the scenario with this name, or undefined
  */
 export function findScenario(name: string): Scenario | undefined {
   return [...scenarios, ...longScenarios].find((scenario) => scenario.name === name);
--- a/src/proof/sim-managed/scenarios/long-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/long-scenarios.ts
@@ -1,14 +1,14 @@
 /**
- * @file Scenarios that take long: an hour in which a control machine and the balancers beside it are cut off silently.
+ * @file Long scenario: a control machine and a balancer are cut off from the other control machines for an hour.
  */
 import { smallWorld } from '../world-plan.js';
-import { changeSomething } from './operator-changes.js';
-import { atRandomTimes, publishRegularly, QUIET_END_MS, type Scenario } from './scenario.js';
+import { sendRandomOperation } from './operator-changes.js';
+import { atRandomTimes, publishRegularly, FAULT_FREE_END_MS, type Scenario } from './scenario.js';
 
 const HOUR_MS = 3_600_000;
 const DURATION_MS = HOUR_MS + 60_000;
 
-/** A control machine and one balancer are apart from the others for an hour. */
+/** A control machine and a balancer can't reach the other control machines for an hour. */
 export const cutOffHour: Scenario = {
   name: 'cut-off-hour',
   description:
@@ -34,6 +34,6 @@
     world.after(1_000, () => {
       faults.cutLinks([cutControl, cutBalancer], others, HOUR_MS);
     });
-    atRandomTimes(scope, DURATION_MS - QUIET_END_MS, 60_000, () => changeSomething(scope));
+    atRandomTimes(scope, DURATION_MS - FAULT_FREE_END_MS, 60_000, () => sendRandomOperation(scope));
   },
 };
--- a/src/proof/sim-managed/scenarios/operator-changes.ts
+++ b/src/proof/sim-managed/scenarios/operator-changes.ts
@@ -1,18 +1,18 @@
 /**
- * @file What operators do in scenarios: changes of services and back ends, questions, and changes that
- * race each other.
+ * @file Operations of operators in scenarios: changes of services and back ends, planned and conflicting
+ * changes, and state queries.
  */
 import type { PlacementPolicyName } from '../../../managed/control/routing-config.js';
-import { between, pick, type ScenarioScope } from './scenario.js';
+import { integerBetween, pick, type ScenarioScope } from './scenario.js';
 
 const MIN_ACTIVE_BACKENDS = 2;
 const MAX_BACKENDS = 5;
 const POLICIES: readonly PlacementPolicyName[] = ['random', 'adaptive'];
 
 /**
- * One operator does one thing.
+ * Sends a randomly chosen operation: a policy change, conflicting changes, a back end replacement or a query.
  */
-export function changeSomething(scope: ScenarioScope): void {
+export function sendRandomOperation(scope: ScenarioScope): void {
   const { random } = scope;
   switch (random.nextInt(6)) {
     case 0:
@@ -20,18 +20,18 @@
       changePolicy(scope);
       break;
     case 2:
-      racePolicies(scope);
+      sendConflictingChanges(scope);
       break;
     case 3:
       replaceBackend(scope);
       break;
     default:
-      show(scope);
+      queryState(scope);
   }
 }
 
 /**
- * An operator changes how the flows of one of their services are placed.
+ * Sends a command that sets a random placement policy on a random service.
  */
 export function changePolicy({ world, random }: ScenarioScope): void {
   const service = pick(random, world.plan.services);
@@ -42,8 +42,8 @@
   }
 }
 
-/** Two changes on an equal version: at most one of them is accepted. */
-export function racePolicies({ world, random }: ScenarioScope): void {
+/** Sends two changes based on the same version; at most one of them may be accepted. */
+export function sendConflictingChanges({ world, random }: ScenarioScope): void {
   const service = pick(random, world.plan.services);
   const state = world.controls.find(({ leads }) => leads)?.state;
   const current = [...(state?.cluster.routing.services.values() ?? [])].find(
@@ -59,7 +59,7 @@
   }
 }
 
-/** A change is planned for a moment later, and sometimes cancelled before or while it is due. */
+/** Plans a policy change and in half of the cases cancels it at a random time until it is due. */
 export function planAndCancel({ world, random }: ScenarioScope): void {
   const service = pick(random, world.plan.services);
   const policy = pick(random, POLICIES);
@@ -67,12 +67,12 @@
     return;
   }
   const change = { type: 'change-service' as const, service: service.name, policy };
-  const delayMs = between(random, 200, 1_500);
+  const delayMs = integerBetween(random, 200, 1_500);
   const plan = { type: 'plan-change' as const, when: { inMs: delayMs }, change };
   world.command(service, service.name, plan, (outcome) => {
     const planId = outcome.accepted ? outcome.planId : undefined;
     if (planId !== undefined && random.nextInt(2) === 0) {
-      world.after(between(random, 0, delayMs), () =>
+      world.after(integerBetween(random, 0, delayMs), () =>
         world.command(service, service.name, { type: 'cancel-plan', planId }),
       );
     }
@@ -81,22 +81,24 @@
 
 function replaceBackend({ world, faults, random }: ScenarioScope): void {
   const service = pick(random, world.plan.services);
-  const own = world.backends.filter(
+  const placedBackends = world.backends.filter(
     (placed) => placed.service === service && placed.wish !== 'retired',
   );
-  const active = own.filter(({ wish, backendId }) => wish === 'active' && backendId !== undefined);
-  const chosen = pick(random, active);
-  if (chosen === undefined || own.length >= MAX_BACKENDS) {
+  const active = placedBackends.filter(
+    ({ wish, backendId }) => wish === 'active' && backendId !== undefined,
+  );
+  const replaced = pick(random, active);
+  if (replaced === undefined || placedBackends.length >= MAX_BACKENDS) {
     return;
   }
   if (active.length > MIN_ACTIVE_BACKENDS && random.nextInt(2) === 0) {
-    faults.leave(chosen);
+    faults.leave(replaced);
   } else {
-    faults.replace(chosen, between(random, 500, 2_000));
+    faults.replace(replaced, integerBetween(random, 500, 2_000));
   }
 }
 
-function show({ world, random }: ScenarioScope): void {
+function queryState({ world, random }: ScenarioScope): void {
   const operator = pick(random, [...world.operators.values()]);
   const control = pick(random, world.controls);
   if (control !== undefined) {
--- a/src/proof/sim-managed/scenarios/operator-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/operator-scenarios.ts
@@ -1,13 +1,13 @@
 /**
- * @file Scenarios of operators: both partners race each other and themselves, and send commands again.
+ * @file Scenario with concurrent operators who send conflicting commands and resend unanswered ones.
  */
 import { smallWorld } from '../world-plan.js';
-import { changeSomething, planAndCancel, racePolicies } from './operator-changes.js';
-import { atRandomTimes, QUIET_END_MS, type Scenario } from './scenario.js';
+import { sendRandomOperation, planAndCancel, sendConflictingChanges } from './operator-changes.js';
+import { atRandomTimes, FAULT_FREE_END_MS, type Scenario } from './scenario.js';
 
 const DURATION_MS = 20_000;
 
-/** Many commands at once, half of their answers lost, and a leader that changes. */
+/** Many concurrent commands, with half of the answers lost and a crash of the leader. */
 export const operatorsRace: Scenario = {
   name: 'operators-race',
   description: 'Operators of both partners race each other; answers are lost and commands resent.',
@@ -15,10 +15,10 @@
   durationMs: DURATION_MS,
   schedule: (scope) => {
     const { world, faults } = scope;
-    const endMs = DURATION_MS - QUIET_END_MS;
+    const endMs = DURATION_MS - FAULT_FREE_END_MS;
     faults.loseAnswers(0.5, endMs);
-    atRandomTimes(scope, endMs, 150, () => racePolicies(scope));
-    atRandomTimes(scope, endMs, 400, () => changeSomething(scope));
+    atRandomTimes(scope, endMs, 150, () => sendConflictingChanges(scope));
+    atRandomTimes(scope, endMs, 400, () => sendRandomOperation(scope));
     atRandomTimes(scope, endMs, 800, () => planAndCancel(scope));
     world.after(endMs / 2, () => {
       const leader = world.controls.find(({ leads }) => leads);
--- a/src/proof/sim-managed/scenarios/planned-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/planned-scenarios.ts
@@ -1,10 +1,10 @@
 /**
- * @file Scenarios of planned changes alone: nothing may be broken by them.
+ * @file Scenarios without faults: normal operation and planned changes, which must interrupt nothing.
  */
 import { smallWorld } from '../world-plan.js';
 import { pick, publishRegularly, type Scenario } from './scenario.js';
 
-/** Nothing is done. */
+/** Normal traffic without changes. */
 export const quiet: Scenario = {
   name: 'quiet',
   description: 'Requests and feeds without any change.',
@@ -13,7 +13,7 @@
   schedule: (scope) => publishRegularly(scope, 8_000, 300),
 };
 
-/** A third of the back ends is drained and replaced. */
+/** One back end of each service is replaced. */
 export const drain: Scenario = {
   name: 'drain',
   description: 'One back end of each service is replaced, drained and retired.',
@@ -24,17 +24,17 @@
     publishRegularly(scope, 14_000, 300);
     world.plan.services.forEach((service, position) => {
       world.after(500 + position * 700, () => {
-        const own = world.backends.filter((placed) => placed.service === service);
-        const chosen = pick(random, own);
-        if (chosen !== undefined) {
-          faults.replace(chosen, 1_000);
+        const placedBackends = world.backends.filter((placed) => placed.service === service);
+        const replaced = pick(random, placedBackends);
+        if (replaced !== undefined) {
+          faults.replace(replaced, 1_000);
         }
       });
     });
   },
 };
 
-/** Every balancer and every control machine is restarted, one after the other. */
+/** All balancers, then all control machines, are restarted one after the other. */
 export const rollingRestart: Scenario = {
   name: 'rolling-restart',
   description: 'Every balancer, then every control machine, is stopped and started again.',
--- a/src/proof/sim-managed/scenarios/scenario.ts
+++ b/src/proof/sim-managed/scenarios/scenario.ts
@@ -1,12 +1,13 @@
 /**
- * @file What a scenario is: a world, a duration, and what is done to the world meanwhile; and the helpers that draw times and targets.
+ * @file Type of a scenario (a world and the events that are scheduled in it), and helpers that draw random times and
+ * targets.
  */
 import type { RandomSource } from '../../../shared/common/step.js';
 import type { ClusterFaults } from '../cluster-faults.js';
 import type { WorldPlan } from '../world-plan.js';
 import type { World } from '../world.js';
 
-/** What a scenario acts on. */
+/** The world that a scenario acts on, its fault injector and its random source. */
 export interface ScenarioScope {
   readonly world: World;
   readonly faults: ClusterFaults;
@@ -18,18 +19,18 @@
   readonly name: string;
   readonly description: string;
   readonly plan: WorldPlan;
-  /** How long it lasts after the set-up. */
+  /** Duration after the set-up. */
   readonly durationMs: number;
-  /** Plans what happens, by `world.after`. */
+  /** Schedules the events of the scenario with `world.after`. */
   schedule(scope: ScenarioScope): void;
 }
 
-/** Time at the end of a run in which nothing is disturbed, so that all promises fall due. */
-export const QUIET_END_MS = 9_000;
+/** Fault-free time at the end of a run; longer than the deadlines of the checks. */
+export const FAULT_FREE_END_MS = 9_000;
 
 /**
- * Does something at random times, evenly spread over the run.
- * @param meanIntervalMs mean time between two times
+ * Schedules an action at random times until `endMs`, with exponentially distributed intervals.
+ * @param meanIntervalMs mean interval
  */
 export function atRandomTimes(
   { world, random }: ScenarioScope,
@@ -37,31 +38,31 @@
   meanIntervalMs: number,
   action: () => void,
 ): void {
-  for (let atMs = gap(); atMs < endMs; atMs += gap()) {
+  for (let atMs = drawIntervalMs(); atMs < endMs; atMs += drawIntervalMs()) {
     world.after(atMs, action);
   }
 
-  function gap(): number {
+  function drawIntervalMs(): number {
     return -Math.log(1 - random.nextFloat()) * meanIntervalMs;
   }
 }
 
 /**
- * Publishes notices for each service with feeds.
+ * Schedules a notice for each service with feeds at a fixed interval.
  */
 export function publishRegularly(
   { world }: ScenarioScope,
   endMs: number,
   intervalMs: number,
 ): void {
-  const feeding = world.plan.services.filter(({ feeds }) => feeds > 0);
+  const servicesWithFeeds = world.plan.services.filter(({ feeds }) => feeds > 0);
   for (let atMs = intervalMs; atMs < endMs; atMs += intervalMs) {
-    world.after(atMs, () => feeding.forEach((service) => world.publish(service)));
+    world.after(atMs, () => servicesWithFeeds.forEach((service) => world.publish(service)));
   }
 }
 
 /**
- * @returns one of the items at random; undefined where there is none
+ * @returns a random item; undefined if there are no items
  */
 export function pick<T>(random: RandomSource, items: readonly T[]): T | undefined {
   return items.length === 0 ? undefined : items[random.nextInt(items.length)];
@@ -70,6 +71,6 @@
 /**
  * @returns an integer from `low` (included) to `high` (excluded)
  */
-export function between(random: RandomSource, low: number, high: number): number {
+export function integerBetween(random: RandomSource, low: number, high: number): number {
   return low + random.nextInt(high - low);
 }
--- a/test/proof/sim-managed/config-mutants.ts
+++ b/test/proof/sim-managed/config-mutants.ts
@@ -1,9 +1,9 @@
-/** @file Mutants of consensus, control, dissemination and the disks. */
+/** @file Mutants of consensus, control, configuration dissemination and storage. */
 import type { StorageFolder } from '../../../src/shared/daemon/storage-folder.js';
 import type { ControlEffect, ControlEvent } from '../../../src/managed/control/control-events.js';
 import { isLeader } from '../../../src/managed/control/control-step.js';
 import { atRandomTimes } from '../../../src/proof/sim-managed/scenarios/scenario.js';
-import { changeSomething } from '../../../src/proof/sim-managed/scenarios/operator-changes.js';
+import { sendRandomOperation } from '../../../src/proof/sim-managed/scenarios/operator-changes.js';
 import {
   productSteps,
   type SimulatedSteps,
@@ -13,12 +13,12 @@
 const operatorsRace = scenarioNamed('operators-race', { durationMs: 12_000 });
 const addressMove = scenarioNamed('address-move');
 
-/** All control machines lose power at once, again and again, while operators send commands. */
+/** All control machines lose power at once, three times, while operators send commands. */
 const powerLoss = scenarioNamed('control-faults', {
   durationMs: 20_000,
   schedule: (scope) => {
     const { world, faults } = scope;
-    atRandomTimes(scope, 10_000, 300, () => changeSomething(scope));
+    atRandomTimes(scope, 10_000, 300, () => sendRandomOperation(scope));
     for (const atMs of [3_000, 7_000, 11_000]) {
       world.after(atMs, () => world.controls.forEach((control) => faults.losePower(control, 500)));
     }
@@ -30,7 +30,7 @@
   durationMs: 13_000,
   schedule: (scope) => {
     const { world, faults } = scope;
-    atRandomTimes(scope, 9_000, 60, () => changeSomething(scope));
+    atRandomTimes(scope, 9_000, 60, () => sendRandomOperation(scope));
     for (const atMs of [2_000, 6_000]) {
       world.after(atMs, () => {
         const leader = world.controls.find(({ leads }) => leads);
@@ -43,14 +43,14 @@
   },
 });
 
-/** A balancer comes to a control machine that lags behind it, and that catches up only then. */
+/** A balancer is left with only a control machine that lags behind the balancer's configuration. */
 const laggingControl = scenarioNamed('control-faults', {
   durationMs: 20_000,
   schedule: (scope) => {
     const { world, faults } = scope;
     const lagging = world.controls.filter(({ leads }) => !leads).slice(0, 1);
     const others = world.controls.filter((control) => !lagging.includes(control));
-    atRandomTimes(scope, 8_000, 150, () => changeSomething(scope));
+    atRandomTimes(scope, 8_000, 150, () => sendRandomOperation(scope));
     world.after(1_000, () => faults.cutLinks(lagging, others, 14_000));
     const [balancer, ...peers] = world.balancers;
     if (balancer !== undefined) {
@@ -59,7 +59,7 @@
   },
 });
 
-/** Control machines send their whole configuration to each balancer that links, newer or not. */
+/** Control machines send a full snapshot to each subscribing balancer, even if it is not newer. */
 const wholeConfigAtSubscription: Partial<SimulatedSteps> = {
   control: (state, event, context) => {
     if (event.type !== 'link-message' || event.message.type !== 'subscribe') {
@@ -70,7 +70,7 @@
   },
 };
 
-/** A folder that says that it has synced, and has not. */
+/** A folder that acknowledges syncs of the log without performing them. */
 function withoutSync(folder: StorageFolder): StorageFolder {
   return {
     read: (name) => folder.read(name),
@@ -85,16 +85,18 @@
   };
 }
 
-function isOpen(event: ControlEvent): event is Extract<ControlEvent, { type: 'propose' }> {
+function isOperatorProposal(
+  event: ControlEvent,
+): event is Extract<ControlEvent, { type: 'propose' }> {
   return event.type === 'propose' && event.requestId !== undefined;
 }
 
-let resent = 0;
+let proposalCount = 0;
 
-/** The mutants. */
+/** Mutants of the control plane. */
 export const configMutants: readonly Mutant[] = [
   {
-    name: 'entries are acknowledged before they are synced',
+    name: 'log entries are acknowledged without being synced',
     check: 'accepted-stays-in-force',
     scenario: powerLoss,
     seed: 2,
@@ -108,38 +110,38 @@
     breakSteps: (steps) => ({
       control: (state, event, context) => {
         const effects = steps.control(state, event, context);
-        if (!isOpen(event) || !isLeader(state) || event.requestId === undefined) {
+        if (!isOperatorProposal(event) || !isLeader(state) || event.requestId === undefined) {
           return effects;
         }
         const { requestId } = event;
         const index = state.consensus.log.last.index;
-        const early: ControlEffect = {
+        const earlyReply: ControlEffect = {
           type: 'operator-reply',
           requestId,
           outcome: { accepted: true, index },
         };
-        return [early, ...effects];
+        return [earlyReply, ...effects];
       },
     }),
   },
   {
-    name: 'a command that is sent again is applied again',
+    name: 'a resent command is applied again',
     check: 'accepted-stays-in-force',
     scenario: scenarioNamed('operators-race'),
     seed: 1,
     breakSteps: (steps) => ({
       control: (state, event, context) => {
-        if (!isOpen(event)) {
+        if (!isOperatorProposal(event)) {
           return steps.control(state, event, context);
         }
-        resent += 1;
-        const commandId = `${event.entry.commandId}-${resent}`;
+        proposalCount += 1;
+        const commandId = `${event.entry.commandId}-${proposalCount}`;
         return steps.control(state, { ...event, entry: { ...event.entry, commandId } }, context);
       },
     }),
   },
   {
-    name: 'a question is answered without asking a quorum',
+    name: 'a state query is answered without confirming a quorum',
     check: 'accepted-stays-in-force',
     scenario: leaderCut,
     seed: 1,
@@ -151,11 +153,11 @@
     }),
   },
   {
-    name: 'a balancer takes an older configuration',
+    name: 'a balancer accepts an older configuration',
     check: 'accepted-stays-in-force',
     scenario: laggingControl,
     seed: 1,
-    hostile: wholeConfigAtSubscription,
+    disturbances: wholeConfigAtSubscription,
     breakSteps: (steps) => ({
       balancer: (state, event, context) => {
         const message = event.type === 'link-message' ? event.message : undefined;
@@ -167,7 +169,7 @@
     }),
   },
   {
-    name: 'a delta is applied where the one before it is missing',
+    name: 'a balancer skips a delta but advances its position',
     check: 'accepted-stays-in-force',
     scenario: operatorsRace,
     seed: 1,
@@ -184,7 +186,7 @@
     }),
   },
   {
-    name: 'an address joins another service at once',
+    name: 'an address is reused by another service without quarantine',
     check: 'own-service-only',
     scenario: { ...addressMove, plan: { ...addressMove.plan, pauseMs: 8_000 } },
     seed: 2,
@@ -196,7 +198,7 @@
     }),
   },
   {
-    name: 'a balancer ignores that its lease has run out',
+    name: 'a balancer ignores that its lease has expired',
     check: 'own-service-only',
     scenario: addressMove,
     seed: 1,
--- a/test/proof/sim-managed/convergence.test.ts
+++ b/test/proof/sim-managed/convergence.test.ts
@@ -1,6 +1,6 @@
 /**
- * @file Convergence of 30 balancers and 3 control machines in 3 zones after a change and after failures: what was
- * accepted is in force everywhere in time, what was refused is in force nowhere.
+ * @file Guards against accepted changes that are lost or late on some balancer after failures, and against rejected
+ * changes that take effect.
  */
 import t from 'tap';
 import type { CommandOutcome } from '../../../src/managed/control/commands.js';
@@ -12,13 +12,11 @@
 
 const SEED = 6;
 const BALANCERS = 30;
-const CONVERGENCE_MS = 8_000;
-/** Till a link to a silent machine is given up, and another one stands. */
-const CUT_OFF_CONVERGENCE_MS = 3_500;
-/** With no fault a change takes a few messages. */
-const UNDISTURBED_MS = 100;
-/** How closely the times of conditions are looked at. */
-const SLICE_MS = 10;
+const MAX_CONVERGENCE_MS = 8_000;
+/** Covers the timeout of a link to an unresponsive machine and the set-up of a new link. */
+const MAX_FAILOVER_CONVERGENCE_MS = 3_500;
+const MAX_FAULT_FREE_CONVERGENCE_MS = 100;
+const POLL_INTERVAL_MS = 10;
 
 const PLAN: WorldPlan = {
   ...smallWorld,
@@ -33,24 +31,24 @@
   })),
 };
 
-/** A world with commands that go straight to the leader, and what came of them. */
+/** A world with helpers that send commands directly to the leader and track the accepted ones. */
 interface ConvergenceWorld {
   readonly world: World;
   readonly events: TraceEvent[];
-  /** The machine that leads in the highest term. */
+  /** The leader of the highest term. */
   leader(): SimulatedControl | undefined;
-  /** Sends the command that adds a back end to the leader; returns the host of the back end. */
-  sendBackend(number: number, onOutcome?: (outcome: CommandOutcome) => void): string;
-  /** As `sendBackend`, and runs until it is accepted. */
-  addBackend(number: number): Promise<string>;
-  /** The highest index that a command was accepted with. */
+  /** Proposes a new back end to the leader; returns the host of the back end. */
+  proposeBackend(hostNumber: number, onOutcome?: (outcome: CommandOutcome) => void): string;
+  /** Like `proposeBackend`, and runs until the command is accepted. */
+  addBackend(hostNumber: number): Promise<string>;
+  /** Highest index of an accepted command. */
   acceptedIndex(): number;
-  /** True where each balancer that is up has all that was accepted in force. */
+  /** True if every balancer that is not down has the highest accepted index in force. */
   isConverged(): boolean;
-  /** @returns false where the condition didn't come to hold in time */
+  /** @returns false if the condition doesn't hold within the time */
   runUntilTrue(condition: () => boolean, withinMs: number): Promise<boolean>;
-  /** For each balancer, whether it knows a back end of this host. */
-  knowsBackend(host: string): boolean[];
+  /** For each balancer, whether its configuration contains a back end on this host. */
+  balancersHaveBackend(host: string): boolean[];
 }
 
 async function startWorld(): Promise<ConvergenceWorld> {
@@ -66,11 +64,11 @@
       .sort((one, other) => termOf(other) - termOf(one))[0];
   }
 
-  function sendBackend(
-    number: number,
+  function proposeBackend(
+    hostNumber: number,
     onOutcome: (outcome: CommandOutcome) => void = () => undefined,
   ): string {
-    const host = `10.8.0.${number}`;
+    const host = `10.8.0.${hostNumber}`;
     const address = { host, port: 9_000 };
     const command = {
       type: 'add-backend',
@@ -79,7 +77,7 @@
       healthAddress: address,
       zone: 'zone-a',
     } as const;
-    const entry = { commandId: `add-${number}`, operator: 'operator-1', command };
+    const entry = { commandId: `add-${hostNumber}`, operator: 'operator-1', command };
     leader()?.propose(entry, (outcome) => {
       acceptedIndex = Math.max(acceptedIndex, outcome.accepted ? outcome.index : 0);
       onOutcome(outcome);
@@ -87,10 +85,10 @@
     return host;
   }
 
-  async function addBackend(number: number): Promise<string> {
-    const before = acceptedIndex;
-    const host = sendBackend(number);
-    await runUntilTrue(() => acceptedIndex > before, CONVERGENCE_MS);
+  async function addBackend(hostNumber: number): Promise<string> {
+    const previousIndex = acceptedIndex;
+    const host = proposeBackend(hostNumber);
+    await runUntilTrue(() => acceptedIndex > previousIndex, MAX_CONVERGENCE_MS);
     return host;
   }
 
@@ -103,12 +101,12 @@
   async function runUntilTrue(condition: () => boolean, withinMs: number): Promise<boolean> {
     const endMs = world.simulation.nowMs + withinMs;
     while (!condition() && world.simulation.nowMs < endMs) {
-      await world.run(SLICE_MS);
+      await world.run(POLL_INTERVAL_MS);
     }
     return condition();
   }
 
-  function knowsBackend(host: string): boolean[] {
+  function balancersHaveBackend(host: string): boolean[] {
     return world.balancers.map(({ state }) =>
       [...state.config.backends.values()].some(({ address }) => address.host === host),
     );
@@ -118,12 +116,12 @@
     world,
     events,
     leader,
-    sendBackend,
+    proposeBackend,
     addBackend,
     acceptedIndex: () => acceptedIndex,
     isConverged,
     runUntilTrue,
-    knowsBackend,
+    balancersHaveBackend,
   };
 }
 
@@ -132,10 +130,10 @@
 }
 
 /**
- * Takes the network away from processes, each by itself and without a word.
- * @returns gives it back
+ * Silently cuts each process off from all other processes.
+ * @returns a function that heals the cuts
  */
-function cutEach(world: World, processes: readonly SimulatedProcess[]): () => void {
+function isolateEach(world: World, processes: readonly SimulatedProcess[]): () => void {
   const { network } = world.simulation;
   const hosts = [...world.controls, ...world.balancers, ...world.operators.values()].map(
     ({ host }) => host,
@@ -148,8 +146,8 @@
   return () => cuts.forEach((cutId) => network.heal(cutId));
 }
 
-/** From acceptance until each balancer has it in force, in milliseconds. */
-function inForceTimesMs(events: readonly TraceEvent[], index: number): number[] {
+/** For each balancer, the time in ms from the first control machine that applies an index until it is in force. */
+function convergenceTimesMs(events: readonly TraceEvent[], index: number): number[] {
   const appliedAtMs = events
     .filter((event) => event.type === 'applied' && event.index >= index)
     .map(({ atMs }) => atMs);
@@ -163,87 +161,90 @@
   return [...firstAtMs.values()].map((atMs) => atMs - acceptedAtMs);
 }
 
-t.test('An accepted change is in force on every balancer', async (t) => {
-  const { world, events, ...scene } = await startWorld();
-  const host = await scene.addBackend(1);
-  t.ok(await scene.runUntilTrue(scene.isConverged, CONVERGENCE_MS));
+t.test('an accepted change is in force on every balancer', async (t) => {
+  const { world, events, ...cluster } = await startWorld();
+  const host = await cluster.addBackend(1);
+  t.ok(await cluster.runUntilTrue(cluster.isConverged, MAX_CONVERGENCE_MS));
   t.equal(world.balancers.length, BALANCERS);
-  t.ok(scene.knowsBackend(host).every(Boolean));
-  const timesMs = inForceTimesMs(events, scene.acceptedIndex());
-  t.equal(timesMs.length, BALANCERS, 'the time of each balancer is measured');
-  t.ok(Math.max(...timesMs) < UNDISTURBED_MS, 'with no fault it takes a few messages');
+  t.ok(cluster.balancersHaveBackend(host).every(Boolean));
+  const timesMs = convergenceTimesMs(events, cluster.acceptedIndex());
+  t.equal(timesMs.length, BALANCERS, 'there is a time for each balancer');
+  t.ok(
+    Math.max(...timesMs) < MAX_FAULT_FREE_CONVERGENCE_MS,
+    'without faults all balancers converge quickly',
+  );
 });
 
-t.test('A balancer that restarts gets the configuration again', async (t) => {
-  const { world, ...scene } = await startWorld();
+t.test('a restarted balancer gets the current configuration', async (t) => {
+  const { world, ...cluster } = await startWorld();
   const balancer = world.balancers[7];
   balancer?.crash();
   world.after(500, () => balancer?.start());
   await world.run(400);
-  const host = await scene.addBackend(1);
+  const host = await cluster.addBackend(1);
   await world.run(200);
   t.equal(balancer?.status, 'running');
-  t.ok(await scene.runUntilTrue(scene.isConverged, CONVERGENCE_MS));
-  t.ok(scene.knowsBackend(host).every(Boolean));
+  t.ok(await cluster.runUntilTrue(cluster.isConverged, MAX_CONVERGENCE_MS));
+  t.ok(cluster.balancersHaveBackend(host).every(Boolean));
 });
 
-t.test('Nothing accepted is lost when all control machines restart at once', async (t) => {
-  const { world, ...scene } = await startWorld();
-  const before = await scene.addBackend(1);
+t.test('accepted changes survive a simultaneous crash of all control machines', async (t) => {
+  const { world, ...cluster } = await startWorld();
+  const firstHost = await cluster.addBackend(1);
   world.controls.forEach((control) => control.crash());
   await world.run(1_000);
   world.controls.forEach((control) => control.start());
-  t.ok(await scene.runUntilTrue(() => scene.leader() !== undefined, CONVERGENCE_MS));
-  const after = await scene.addBackend(2);
-  t.ok(await scene.runUntilTrue(scene.isConverged, CONVERGENCE_MS));
-  t.ok(scene.knowsBackend(before).every(Boolean));
-  t.ok(scene.knowsBackend(after).every(Boolean));
+  t.ok(await cluster.runUntilTrue(() => cluster.leader() !== undefined, MAX_CONVERGENCE_MS));
+  const secondHost = await cluster.addBackend(2);
+  t.ok(await cluster.runUntilTrue(cluster.isConverged, MAX_CONVERGENCE_MS));
+  t.ok(cluster.balancersHaveBackend(firstHost).every(Boolean));
+  t.ok(cluster.balancersHaveBackend(secondHost).every(Boolean));
 });
 
 t.test(
-  'With a zone lost, changes go on in the others; the zone follows once it is back',
+  'changes continue while a zone is cut off, and the zone catches up afterwards',
   async (t) => {
-    const { world, ...scene } = await startWorld();
-    const zone = scene.leader()?.zone;
+    const { world, ...cluster } = await startWorld();
+    const zone = cluster.leader()?.zone;
     const machines = [...world.controls, ...world.balancers];
-    const restore = cutEach(
+    const restore = isolateEach(
       world,
       machines.filter((machine) => machine.zone === zone),
     );
-    const leadsElsewhere = (): boolean => scene.leader()?.zone !== zone;
+    const isLeaderElsewhere = (): boolean => cluster.leader()?.zone !== zone;
     t.ok(
-      await scene.runUntilTrue(leadsElsewhere, CONVERGENCE_MS),
-      'a machine of another zone leads',
+      await cluster.runUntilTrue(isLeaderElsewhere, MAX_CONVERGENCE_MS),
+      'a control machine of another zone becomes leader',
     );
-    const host = await scene.addBackend(1);
-    const elsewhere = world.balancers.filter((balancer) => balancer.zone !== zone);
-    t.equal(elsewhere.length, 20);
-    const haveAll = (): boolean =>
-      elsewhere.every(({ state }) => state.position.index >= scene.acceptedIndex());
+    const host = await cluster.addBackend(1);
+    const reachableBalancers = world.balancers.filter((balancer) => balancer.zone !== zone);
+    t.equal(reachableBalancers.length, 20);
+    const areReachableConverged = (): boolean =>
+      reachableBalancers.every(({ state }) => state.position.index >= cluster.acceptedIndex());
     t.ok(
-      await scene.runUntilTrue(haveAll, CONVERGENCE_MS),
-      'balancers of a lost machine find another',
+      await cluster.runUntilTrue(areReachableConverged, MAX_CONVERGENCE_MS),
+      'balancers fail over to another control machine',
     );
-    t.notOk(scene.isConverged(), 'the lost zone lacks the change');
+    t.notOk(cluster.isConverged(), 'the zone that is cut off lacks the change');
     restore();
-    t.ok(await scene.runUntilTrue(scene.isConverged, CONVERGENCE_MS));
-    t.ok(scene.knowsBackend(host).every(Boolean));
+    t.ok(await cluster.runUntilTrue(cluster.isConverged, MAX_CONVERGENCE_MS));
+    t.ok(cluster.balancersHaveBackend(host).every(Boolean));
   },
 );
 
-t.test('A leader that is cut off accepts nothing, and follows once it is back', async (t) => {
-  const { world, ...scene } = await startWorld();
-  const former = scene.leader();
-  const restore = cutEach(world, former === undefined ? [] : [former]);
+t.test('a leader that is cut off accepts nothing, and catches up afterwards', async (t) => {
+  const { world, ...cluster } = await startWorld();
+  const formerLeader = cluster.leader();
+  const restore = isolateEach(world, formerLeader === undefined ? [] : [formerLeader]);
   const outcomes: CommandOutcome[] = [];
-  const refused = scene.sendBackend(1, (outcome) => outcomes.push(outcome));
-  const leadsElsewhere = (): boolean =>
-    scene.leader() !== undefined && scene.leader()?.zone !== former?.zone;
-  t.ok(await scene.runUntilTrue(leadsElsewhere, CONVERGENCE_MS));
-  const accepted = await scene.addBackend(2);
+  const refusedHost = cluster.proposeBackend(1, (outcome) => outcomes.push(outcome));
+  const isLeaderElsewhere = (): boolean =>
+    cluster.leader() !== undefined && cluster.leader()?.zone !== formerLeader?.zone;
+  t.ok(await cluster.runUntilTrue(isLeaderElsewhere, MAX_CONVERGENCE_MS));
+  const acceptedHost = await cluster.addBackend(2);
   t.ok(
-    await scene.runUntilTrue(scene.isConverged, CUT_OFF_CONVERGENCE_MS),
-    'its balancers find another machine',
+    await cluster.runUntilTrue(cluster.isConverged, MAX_FAILOVER_CONVERGENCE_MS),
+    'its balancers fail over to another control machine',
   );
   t.same(
     outcomes.map((outcome) => outcome.accepted),
@@ -251,7 +252,10 @@
   );
   restore();
   await world.run(2_000);
-  t.equal(former?.state?.cluster.index, scene.leader()?.state?.cluster.index);
-  t.ok(scene.knowsBackend(accepted).every(Boolean));
-  t.notOk(scene.knowsBackend(refused).some(Boolean), 'what it refused is nowhere in force');
+  t.equal(formerLeader?.state?.cluster.index, cluster.leader()?.state?.cluster.index);
+  t.ok(cluster.balancersHaveBackend(acceptedHost).every(Boolean));
+  t.notOk(
+    cluster.balancersHaveBackend(refusedHost).some(Boolean),
+    'the refused change is in force on no balancer',
+  );
 });
--- a/test/proof/sim-managed/flow-mutants.ts
+++ b/test/proof/sim-managed/flow-mutants.ts
@@ -15,15 +15,15 @@
   withEnvelope,
   withMessageToCaller,
   withToken,
-} from './packet-surgery.js';
+} from './packet-edits.js';
 
 const quiet = scenarioNamed('quiet', { durationMs: 4_000 });
 const drain = scenarioNamed('drain', { durationMs: 8_000 });
 const chaos = scenarioNamed('chaos', { durationMs: 12_000 });
 const BACKEND_ID_LAST_BYTE = 8;
-const ONE_IN = 20;
+const MEAN_EVENTS_PER_FAULT = 20;
 
-/** Sometimes a copy of a packet comes whose token names another back end. */
+/** Sometimes adds a copy of a packet with a forged token that names another back end. */
 const forgedTokens: Partial<SimulatedSteps> = {
   fabric: (state, event, context) => {
     const effects = productSteps.fabric(state, event, context);
@@ -37,7 +37,7 @@
   },
 };
 
-/** Sometimes a copy of a packet is sent to another service than its own. */
+/** Sometimes sends a copy of a packet to another service. */
 const misdirectedPackets: Partial<SimulatedSteps> = {
   fabric: (state, event, context) => {
     const effects = productSteps.fabric(state, event, context);
@@ -53,19 +53,19 @@
   return host === '10.1.0.1' ? '10.1.0.2' : '10.1.0.1';
 }
 
-/** The service address that a token names, as the balancer knows it. */
+/** The address of the token's service in the balancer's configuration. */
 function serviceAddressOf(state: BalancerState, token: Uint8Array): Address | undefined {
   return state.config.services.get(readToken(token).serviceId)?.address;
 }
 
-/** The mutants. */
+/** Mutants of the data path. */
 export const flowMutants: readonly Mutant[] = [
   {
     name: "a token's MAC is not checked",
     check: 'established-flow-survives',
     scenario: quiet,
     seed: 1,
-    hostile: forgedTokens,
+    disturbances: forgedTokens,
     breakSteps: (steps) => ({
       balancer: (state, event, context) => {
         const token =
@@ -85,21 +85,25 @@
     }),
   },
   {
-    name: "a token's service is not compared with the address",
+    name: "a token's service is not compared with the destination address",
     check: 'own-service-only',
     scenario: quiet,
     seed: 1,
-    hostile: misdirectedPackets,
+    disturbances: misdirectedPackets,
     breakSteps: (steps) => ({
       balancer: (state, event, context) => {
         const envelope =
           event.type === 'client-datagram' ? openEnvelope(event.datagram) : undefined;
         const token = envelope && tokenOf(envelope.packet);
-        const named = token && serviceAddressOf(state, token);
-        if (event.type !== 'client-datagram' || envelope === undefined || named === undefined) {
+        const tokenService = token && serviceAddressOf(state, token);
+        if (
+          event.type !== 'client-datagram' ||
+          envelope === undefined ||
+          tokenService === undefined
+        ) {
           return steps.balancer(state, event, context);
         }
-        const datagram = encodeEnvelope({ ...envelope, service: named });
+        const datagram = encodeEnvelope({ ...envelope, service: tokenService });
         const effects = steps.balancer(state, { ...event, datagram }, context);
         return effects.map((effect) =>
           effect.type === 'send' ? { ...effect, datagram: event.datagram } : effect,
@@ -115,13 +119,15 @@
     breakSteps: (steps) => ({
       balancer: (state, event, context) => {
         const effects = steps.balancer(state, event, context);
-        if (event.type !== 'client-datagram' || context.random.nextInt(ONE_IN) > 0) {
+        if (event.type !== 'client-datagram' || context.random.nextInt(MEAN_EVENTS_PER_FAULT) > 0) {
           return effects;
         }
         const views = [...state.views.values()].filter(({ backend }) => {
           const service = state.config.services.get(backend.serviceId);
-          const { service: meant } = openEnvelope(event.datagram);
-          return service !== undefined && formatAddress(service.address) === formatAddress(meant);
+          const { service: destination } = openEnvelope(event.datagram);
+          return (
+            service !== undefined && formatAddress(service.address) === formatAddress(destination)
+          );
         });
         const other = views[context.random.nextInt(views.length)]?.backend.address;
         return effects.map((effect) =>
@@ -156,10 +162,10 @@
         const drained = [...state.views.values()].filter(
           ({ backend }) => backend.adminState === 'draining',
         );
-        const kept = drained.map((view) => ({ view, backend: view.backend }));
+        const originals = drained.map((view) => ({ view, backend: view.backend }));
         drained.forEach((view) => (view.backend = { ...view.backend, adminState: 'active' }));
         const effects = steps.balancer(state, event, context);
-        kept
+        originals
           .filter(({ view }) => view.backend.adminState === 'active')
           .forEach(({ view, backend }) => (view.backend = backend));
         return effects;
@@ -167,7 +173,7 @@
     }),
   },
   {
-    name: 'a back end that is told to drain closes its flows at once',
+    name: 'a draining back end closes its flows immediately',
     check: 'planned-stop-cuts-nothing',
     scenario: { ...drain, plan: { ...drain.plan, meanServiceTimeMs: 300 } },
     seed: 2,
@@ -185,7 +191,7 @@
     }),
   },
   {
-    name: 'a back end does not remember which requests it has run',
+    name: 'a back end forgets which requests it has run',
     check: 'at-most-once',
     scenario: chaos,
     seed: 1,
@@ -203,16 +209,16 @@
     }),
   },
   {
-    name: '"not run" is said of a request that has started',
+    name: 'a request that has started is reported as "not run"',
     check: 'not-run-means-not-run',
     scenario: quiet,
     seed: 1,
     breakSteps: (steps) => ({
       backend: (state, event, context) => {
-        const before = new Set(state.running);
+        const runningBefore = new Set(state.running);
         const effects = steps.backend(state, event, context);
-        const started = [...state.running].find((record) => !before.has(record));
-        if (started === undefined || context.random.nextInt(ONE_IN) > 0) {
+        const started = [...state.running].find((record) => !runningBefore.has(record));
+        if (started === undefined || context.random.nextInt(MEAN_EVENTS_PER_FAULT) > 0) {
           return effects;
         }
         const { flow, requestId } = started;
@@ -225,7 +231,7 @@
     }),
   },
   {
-    name: 'a back end that came back says "not run" of requests that it no longer knows',
+    name: 'a restarted back end reports "not run" for requests of unknown flows',
     check: 'at-most-once',
     scenario: { ...chaos, plan: { ...chaos.plan, meanServiceTimeMs: 200 } },
     seed: 2,
@@ -235,8 +241,8 @@
         const packet = event.type === 'datagram' ? openEnvelope(event.datagram).packet : undefined;
         const token = packet && tokenOf(packet);
         const message = packet && messageToBackend(packet);
-        const isKnown = token === undefined || state.flows.has(token.toString('hex'));
-        if (event.type !== 'datagram' || isKnown || message?.type !== 'request') {
+        const hasFlow = token === undefined || state.flows.has(token.toString('hex'));
+        if (event.type !== 'datagram' || hasFlow || message?.type !== 'request') {
           return effects;
         }
         const { client } = openEnvelope(event.datagram);
@@ -251,7 +257,7 @@
     }),
   },
   {
-    name: 'parts of an answer are taken whichever request they belong to',
+    name: 'answer parts are accepted regardless of their request ID',
     check: 'whole-answer',
     scenario: chaos,
     seed: 1,
--- a/test/proof/sim-managed/fuzz-commands.ts
+++ b/test/proof/sim-managed/fuzz-commands.ts
@@ -1,10 +1,10 @@
-/** @file Commands of the stateful fuzzing: faults of any process at any moment, and operators at work. */
+/** @file Commands for stateful fuzzing: faults of any process, network faults and operations of operators. */
 import fc from 'fast-check';
 import type { PlacementPolicyName } from '../../../src/managed/control/routing-config.js';
 import type { ClusterFaults } from '../../../src/proof/sim-managed/cluster-faults.js';
 import type { World } from '../../../src/proof/sim-managed/world.js';
 
-/** The model: what the commands need to know; what must hold is known to the oracle. */
+/** Model of the fuzz commands; it holds no expected state, as the oracle checks the invariants. */
 export interface FuzzModel {
   commands: number;
 }
@@ -15,14 +15,14 @@
   readonly faults: ClusterFaults;
 }
 
-type Act = (system: FuzzSystem) => void;
+type Action = (system: FuzzSystem) => void;
 
 class FuzzCommand implements fc.AsyncCommand<FuzzModel, FuzzSystem> {
   constructor(
-    private readonly text: string,
-    /** Virtual time that passes afterwards; with 0 the next command comes at the same moment. */
-    private readonly thenMs: number,
-    private readonly act: Act,
+    private readonly description: string,
+    /** Virtual time after the command; 0 runs the next command at the same time. */
+    private readonly delayAfterMs: number,
+    private readonly action: Action,
   ) {}
 
   check(): boolean {
@@ -31,130 +31,142 @@
 
   async run(model: FuzzModel, system: FuzzSystem): Promise<void> {
     model.commands += 1;
-    this.act(system);
-    await system.world.run(this.thenMs);
+    this.action(system);
+    await system.world.run(this.delayAfterMs);
   }
 
   toString(): string {
-    return `${this.text}, then ${this.thenMs} ms`;
+    return `${this.description}, then ${this.delayAfterMs} ms`;
   }
 }
 
-const thenMs = fc.constantFrom(0, 0, 5, 50, 400, 1_500);
+const commandDelayMs = fc.constantFrom(0, 0, 5, 50, 400, 1_500);
 const durationMs = fc.integer({ min: 50, max: 5_000 });
 const position = fc.nat(11);
 const direction = fc.constantFrom('both', 'to', 'from' as const);
 const policy = fc.constantFrom<PlacementPolicyName>('random', 'adaptive', 'least-reported');
 
-/** The item at a position, counted around. */
-function at<T>(items: readonly T[], index: number): T | undefined {
+/** The item at an index, modulo the number of items. */
+function itemAt<T>(items: readonly T[], index: number): T | undefined {
   return items[index % items.length];
 }
 
-function command(text: string, wait: number, act: Act): FuzzCommand {
-  return new FuzzCommand(text, wait, act);
+function command(description: string, delayAfterMs: number, action: Action): FuzzCommand {
+  return new FuzzCommand(description, delayAfterMs, action);
 }
 
-/** Packets must still get through: at most two balancers are in trouble at a time. */
-function maySpareBalancer({ world }: FuzzSystem): boolean {
+/** True if enough balancers are available that packets still get through after another one fails. */
+function canFailBalancer({ world }: FuzzSystem): boolean {
   return (
     world.balancers.filter(({ status, isListed }) => status === 'running' && isListed).length > 2
   );
 }
 
-const onControl = fc
+const controlFaults = fc
   .tuple(
     fc.constantFrom('crash', 'power', 'pause', 'cut', 'disk', 'stop'),
     position,
     durationMs,
     direction,
-    thenMs,
+    commandDelayMs,
   )
-  .map(([fault, index, ms, way, wait]) =>
-    command(`${fault} control ${index % 3} for ${ms} ms (${way})`, wait, ({ world, faults }) => {
-      const control = at(world.controls, index);
-      if (control === undefined) {
-        return;
-      }
-      const acts: Record<string, () => void> = {
-        crash: () => faults.crash(control, ms),
-        power: () => faults.losePower(control, ms),
-        pause: () => faults.pause(control, ms),
-        cut: () => faults.cutOff([control], ms, way),
-        disk: () => faults.fillDisk(control, ms),
-        stop: () => faults.restartControl(control, ms),
-      };
-      acts[fault]?.();
-    }),
+  .map(([fault, index, ms, cutDirection, delayAfterMs]) =>
+    command(
+      `${fault} control ${index % 3} for ${ms} ms (${cutDirection})`,
+      delayAfterMs,
+      ({ world, faults }) => {
+        const control = itemAt(world.controls, index);
+        if (control === undefined) {
+          return;
+        }
+        const actions: Record<string, () => void> = {
+          crash: () => faults.crash(control, ms),
+          power: () => faults.losePower(control, ms),
+          pause: () => faults.pause(control, ms),
+          cut: () => faults.cutOff([control], ms, cutDirection),
+          disk: () => faults.fillDisk(control, ms),
+          stop: () => faults.restartControl(control, ms),
+        };
+        actions[fault]?.();
+      },
+    ),
   );
 
-const onBalancer = fc
+const balancerFaults = fc
   .tuple(
     fc.constantFrom('crash', 'pause', 'cut', 'stop', 'unlink'),
     position,
     durationMs,
     direction,
-    thenMs,
+    commandDelayMs,
   )
-  .map(([fault, index, ms, way, wait]) =>
-    command(`${fault} balancer ${index % 4} for ${ms} ms (${way})`, wait, (system) => {
-      const { world, faults } = system;
-      const balancer = at(world.balancers, index);
-      if (balancer === undefined || !maySpareBalancer(system)) {
-        return;
-      }
-      const acts: Record<string, () => void> = {
-        crash: () => faults.crash(balancer, ms),
-        pause: () => faults.pause(balancer, ms),
-        cut: () => faults.cutOff([balancer], ms, way),
-        stop: () => faults.restartBalancer(balancer, ms),
-        unlink: () => faults.cutLinks([balancer], world.controls, ms),
-      };
-      acts[fault]?.();
-    }),
+  .map(([fault, index, ms, cutDirection, delayAfterMs]) =>
+    command(
+      `${fault} balancer ${index % 4} for ${ms} ms (${cutDirection})`,
+      delayAfterMs,
+      (system) => {
+        const { world, faults } = system;
+        const balancer = itemAt(world.balancers, index);
+        if (balancer === undefined || !canFailBalancer(system)) {
+          return;
+        }
+        const actions: Record<string, () => void> = {
+          crash: () => faults.crash(balancer, ms),
+          pause: () => faults.pause(balancer, ms),
+          cut: () => faults.cutOff([balancer], ms, cutDirection),
+          stop: () => faults.restartBalancer(balancer, ms),
+          unlink: () => faults.cutLinks([balancer], world.controls, ms),
+        };
+        actions[fault]?.();
+      },
+    ),
   );
 
-const onBackend = fc
+const backendFaults = fc
   .tuple(
     fc.constantFrom('crash', 'pause', 'cut', 'replace', 'leave'),
     position,
     durationMs,
     direction,
-    thenMs,
+    commandDelayMs,
   )
-  .map(([fault, index, ms, way, wait]) =>
-    command(`${fault} back end ${index} for ${ms} ms (${way})`, wait, ({ world, faults }) => {
-      const placed = at(world.backends, index);
-      if (placed === undefined) {
-        return;
-      }
-      const acts: Record<string, () => void> = {
-        crash: () => faults.crash(placed.process, ms),
-        pause: () => faults.pause(placed.process, ms),
-        cut: () => faults.cutOff([placed.process], ms, way),
-        replace: () => faults.replace(placed, ms),
-        leave: () => faults.leave(placed),
-      };
-      acts[fault]?.();
-    }),
+  .map(([fault, index, ms, cutDirection, delayAfterMs]) =>
+    command(
+      `${fault} back end ${index} for ${ms} ms (${cutDirection})`,
+      delayAfterMs,
+      ({ world, faults }) => {
+        const placed = itemAt(world.backends, index);
+        if (placed === undefined) {
+          return;
+        }
+        const actions: Record<string, () => void> = {
+          crash: () => faults.crash(placed.process, ms),
+          pause: () => faults.pause(placed.process, ms),
+          cut: () => faults.cutOff([placed.process], ms, cutDirection),
+          replace: () => faults.replace(placed, ms),
+          leave: () => faults.leave(placed),
+        };
+        actions[fault]?.();
+      },
+    ),
   );
 
-const onNetwork = fc
-  .tuple(fc.constantFrom('spoil', 'answers'), durationMs, thenMs)
-  .map(([fault, ms, wait]) =>
-    command(`${fault} for ${ms} ms`, wait, ({ faults }) =>
+const networkFaults = fc
+  .tuple(fc.constantFrom('spoil', 'answers'), durationMs, commandDelayMs)
+  .map(([fault, ms, delayAfterMs]) =>
+    command(`${fault} for ${ms} ms`, delayAfterMs, ({ faults }) =>
       fault === 'spoil' ? faults.spoilNetwork(ms) : faults.loseAnswers(0.5, ms),
     ),
   );
 
-const byOperators = fc
-  .tuple(fc.boolean(), position, policy, thenMs)
-  .map(([races, index, chosen, wait]) =>
+const policyChanges = fc
+  .tuple(fc.boolean(), position, policy, commandDelayMs)
+  .map(([isRace, index, chosenPolicy, delayAfterMs]) =>
     command(
-      `${races ? 'race' : 'set'} policy ${chosen} of service ${index % 3}`,
-      wait,
+      `${isRace ? 'race' : 'set'} policy ${chosenPolicy} of service ${index % 3}`,
+      delayAfterMs,
       ({ world }) => {
-        const service = at(world.plan.services, index);
+        const service = itemAt(world.plan.services, index);
         const state = world.controls.find(({ leads }) => leads)?.state;
         const current = [...(state?.cluster.routing.services.values() ?? [])].find(
           ({ name }) => name === service?.name,
@@ -162,31 +174,37 @@
         if (service === undefined) {
           return;
         }
-        const change = { type: 'change-service' as const, service: service.name, policy: chosen };
-        const based = races && current ? { basedOnVersion: current.version } : {};
-        for (let copy = 0; copy < (races ? 2 : 1); copy += 1) {
-          world.command(service, service.name, { ...change, ...based });
+        const change = {
+          type: 'change-service' as const,
+          service: service.name,
+          policy: chosenPolicy,
+        };
+        const versionCondition = isRace && current ? { basedOnVersion: current.version } : {};
+        for (let copy = 0; copy < (isRace ? 2 : 1); copy += 1) {
+          world.command(service, service.name, { ...change, ...versionCondition });
         }
       },
     ),
   );
 
-const questions = fc.tuple(position, position, thenMs).map(([operator, control, wait]) =>
-  command(`operator ${operator % 2} asks control ${control % 3}`, wait, ({ world }) => {
-    const asked = at(world.controls, control);
-    if (asked !== undefined) {
-      at([...world.operators.values()], operator)?.show(asked);
-    }
-  }),
-);
+const stateQueries = fc
+  .tuple(position, position, commandDelayMs)
+  .map(([operator, control, delayAfterMs]) =>
+    command(`operator ${operator % 2} asks control ${control % 3}`, delayAfterMs, ({ world }) => {
+      const target = itemAt(world.controls, control);
+      if (target !== undefined) {
+        itemAt([...world.operators.values()], operator)?.show(target);
+      }
+    }),
+  );
 
 /** Any command. */
 export const fuzzCommands: fc.Arbitrary<fc.AsyncCommand<FuzzModel, FuzzSystem>>[] = [
-  onControl,
-  onBalancer,
-  onBackend,
-  onNetwork,
-  byOperators,
-  byOperators,
-  questions,
+  controlFaults,
+  balancerFaults,
+  backendFaults,
+  networkFaults,
+  policyChanges,
+  policyChanges,
+  stateQueries,
 ];
--- a/test/proof/sim-managed/fuzz.test.ts
+++ b/test/proof/sim-managed/fuzz.test.ts
@@ -1,6 +1,6 @@
 /**
- * @file Stateful fuzzing, bounded and seeded. `AMBERLIFT_FUZZ_SCHEDULES` and `AMBERLIFT_FUZZ_SEED` ask for
- * more of it.
+ * @file Runs stateful fuzzing with a fixed seed and a small number of schedules; `AMBERLIFT_FUZZ_SCHEDULES` and
+ * `AMBERLIFT_FUZZ_SEED` override them.
  */
 import { existsSync, mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -22,7 +22,7 @@
 t.test('a failing schedule is shrunk, and its trace is written to a file', async (t) => {
   const traceFolder = mkdtempSync(join(tmpdir(), 'amberlift-fuzz-'));
   t.teardown(() => rmSync(traceFolder, { recursive: true }));
-  // A back end that forgets its flows when its balancers ask how it is, once it has been told to drain.
+  // Broken back end: it drops its flows when it receives a drain event.
   const steps: typeof productSteps = {
     ...productSteps,
     backend: (state, event, context) => {
--- a/test/proof/sim-managed/fuzz.ts
+++ b/test/proof/sim-managed/fuzz.ts
@@ -1,4 +1,4 @@
-/** @file Stateful fuzzing of the simulated world: any commands in any order, judged by the oracle. */
+/** @file Stateful fuzzing of the simulated world: random commands in random order, checked by the oracle. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import fc from 'fast-check';
@@ -15,24 +15,24 @@
 import { fuzzCommands, type FuzzModel, type FuzzSystem } from './fuzz-commands.js';
 
 const MAX_COMMANDS = 30;
-/** Time after the last command, in which all faults end and all promises fall due. */
-const QUIET_END_MS = 16_000;
+/** Time after the last command in which all faults end and all deadlines of the checks pass. */
+const FAULT_FREE_END_MS = 16_000;
 
-/** What to fuzz. */
+/** Options of a fuzzing run. */
 export interface FuzzOptions {
   readonly seed: number;
   readonly schedules: number;
   readonly steps?: SimulatedSteps;
-  /** Where the trace of the shortest schedule that fails goes. */
+  /** Folder for the trace of the shrunk failing schedule. */
   readonly traceFolder?: string;
 }
 
-/** What came of it. */
+/** Result of a fuzzing run. */
 export interface FuzzReport {
   readonly schedules: number;
   readonly commands: number;
   readonly faults: number;
-  /** The shortest schedule that fails; absent where none does. */
+  /** The shrunk failing schedule; absent if no schedule failed. */
   readonly failure?: {
     readonly commands: string;
     readonly violations: readonly Violation[];
@@ -46,10 +46,10 @@
   readonly violations: readonly Violation[];
   readonly commands: number;
   readonly faults: number;
-  readonly content: string;
+  readonly traceText: string;
 }
 
-/** Runs random schedules, and shrinks the first one that fails. */
+/** Runs random schedules and shrinks the first failing one. */
 export async function fuzz(options: FuzzOptions): Promise<FuzzReport> {
   const { seed, schedules, steps = productSteps, traceFolder } = options;
   const totals = { schedules: 0, commands: 0, faults: 0 };
@@ -69,10 +69,11 @@
     return totals;
   }
   const [commands, worldSeed] = counterexample;
-  const { violations, content } = await runSchedule(commands, worldSeed, steps);
-  const traceFile = traceFolder === undefined ? undefined : writeTrace(traceFolder, seed, content);
-  const text = `world ${worldSeed}: ${[...commands].map(String).join('; ')}`;
-  return { ...totals, failure: { commands: text, violations, traceFile } };
+  const { violations, traceText } = await runSchedule(commands, worldSeed, steps);
+  const traceFile =
+    traceFolder === undefined ? undefined : writeTrace(traceFolder, seed, traceText);
+  const schedule = `world ${worldSeed}: ${[...commands].map(String).join('; ')}`;
+  return { ...totals, failure: { commands: schedule, violations, traceFile } };
 }
 
 async function runSchedule(
@@ -87,19 +88,19 @@
   const model: FuzzModel = { commands: 0 };
   await world.setUp();
   await fc.asyncModelRun(() => ({ model, real: { world, faults } }), commands);
-  await world.run(QUIET_END_MS);
+  await world.run(FAULT_FREE_END_MS);
   world.recordFinalConfigs();
   const { trace, nowMs } = world.simulation;
   oracle.finish(nowMs);
   const { violations } = oracle;
   const header = { scenario: 'fuzz', seed: worldSeed, digest: trace.digest(), violations };
-  const content = formatTrace(header, trace.events);
-  return { violations, commands: model.commands, faults: faults.count, content };
+  const traceText = formatTrace(header, trace.events);
+  return { violations, commands: model.commands, faults: faults.count, traceText };
 }
 
-function writeTrace(folder: string, seed: number, content: string): string {
+function writeTrace(folder: string, seed: number, traceText: string): string {
   mkdirSync(folder, { recursive: true });
   const path = join(folder, `fuzz-${seed}.jsonl`);
-  writeFileSync(path, content);
+  writeFileSync(path, traceText);
   return path;
 }
--- a/test/proof/sim-managed/mutant.ts
+++ b/test/proof/sim-managed/mutant.ts
@@ -1,4 +1,4 @@
-/** @file What a mutant is: a deliberately broken variant of the product, and the check that catches it. */
+/** @file Runs mutants: deliberately broken variants of the product that a check of the oracle must catch. */
 import t from 'tap';
 import type { CheckName } from '../../../src/proof/sim-managed/oracle/check.js';
 import { runScenario, type RunReport } from '../../../src/proof/sim-managed/run-scenario.js';
@@ -9,7 +9,7 @@
   type SimulatedSteps,
 } from '../../../src/proof/sim-managed/simulated-steps.js';
 
-/** A broken variant. */
+/** A broken variant of the product. */
 export interface Mutant {
   /** What is broken. */
   readonly name: string;
@@ -17,66 +17,68 @@
   readonly check: CheckName;
   readonly scenario: Scenario;
   readonly seed: number;
-  /** The schedule's own disturbances, which the unbroken product must stand as well. */
-  readonly hostile?: Partial<SimulatedSteps>;
-  /** Breaks the steps; they are those of the product with the schedule's disturbances. */
+  /** Disturbances by the environment, which the unmodified product must tolerate. */
+  readonly disturbances?: Partial<SimulatedSteps>;
+  /** Replaces steps; it gets the product's steps with the disturbances applied. */
   breakSteps(steps: SimulatedSteps): Partial<SimulatedSteps>;
 }
 
-/** The scenario of that name, with changes. */
+/** The scenario with this name, with changes applied. */
 export function scenarioNamed(name: string, changes: Partial<Scenario> = {}): Scenario {
   const scenario = findScenario(name);
   if (scenario === undefined) {
-    throw new Error(`There is no scenario ${name}.`);
+    throw new Error(`unknown scenario ${name}`);
   }
   return { ...scenario, ...changes };
 }
 
-/** Seeds that are tried, so that a change of the product that shifts its draws costs no mutant. */
-const SEEDS_TRIED = 8;
+/** Several seeds, as a change of the product can shift its random draws. */
+const MAX_SEEDS = 8;
 
-/** Runs the mutant from its seed on, until it is caught or all seeds are tried. */
+/** Runs the mutant with consecutive seeds until it is caught or all seeds are used. */
 export async function runMutant(mutant: Mutant): Promise<RunReport> {
-  const { check, scenario, seed, hostile, breakSteps } = mutant;
-  const steps = { ...productSteps, ...hostile };
+  const { check, scenario, seed, disturbances, breakSteps } = mutant;
+  const steps = { ...productSteps, ...disturbances };
   const broken = { ...steps, ...breakSteps(steps) };
-  for (let tried = seed; ; tried += 1) {
+  for (let triedSeed = seed; ; triedSeed += 1) {
     const options = { steps: broken, stopsAtViolationOf: check };
-    const report = await runScenario(scenario, tried, options);
-    if (isCaught(mutant, report) || tried + 1 >= seed + SEEDS_TRIED) {
+    const report = await runScenario(scenario, triedSeed, options);
+    if (isCaught(mutant, report) || triedSeed + 1 >= seed + MAX_SEEDS) {
       return report;
     }
   }
 }
 
-/** True where the check named for the mutant caught it. */
+/** True if the mutant's check reported a violation. */
 export function isCaught({ check }: Mutant, { violations }: RunReport): boolean {
   return violations.some((violation) => violation.check === check);
 }
 
-/** Tests each mutant; mutants of one schedule share the run of the unbroken product. */
+/** Tests each mutant; mutants with the same schedule share the run of the unmodified product. */
 export function testMutants(mutants: readonly Mutant[]): void {
-  const passed: Schedule[] = [];
+  const passedSchedules: Schedule[] = [];
   for (const mutant of mutants) {
     t.test(`caught by ${mutant.check}: ${mutant.name}`, async (t) => {
       const report = await runMutant(mutant);
       t.ok(isCaught(mutant, report));
       const schedule = { ...mutant, seed: report.seed };
-      if (!passed.some((earlier) => isSameSchedule(earlier, schedule))) {
-        const { scenario, seed, hostile } = schedule;
-        const steps = { ...productSteps, ...hostile };
+      if (!passedSchedules.some((earlier) => isSameSchedule(earlier, schedule))) {
+        const { scenario, seed, disturbances } = schedule;
+        const steps = { ...productSteps, ...disturbances };
         const unbroken = await runScenario(scenario, seed, { steps });
-        t.strictSame(unbroken.violations, [], 'the unbroken product passes the schedule');
-        passed.push(schedule);
+        t.strictSame(unbroken.violations, [], 'the unmodified product passes the schedule');
+        passedSchedules.push(schedule);
       }
     });
   }
 }
 
-type Schedule = Pick<Mutant, 'scenario' | 'seed' | 'hostile'>;
+type Schedule = Pick<Mutant, 'scenario' | 'seed' | 'disturbances'>;
 
 function isSameSchedule(one: Schedule, other: Schedule): boolean {
   return (
-    one.scenario === other.scenario && one.seed === other.seed && one.hostile === other.hostile
+    one.scenario === other.scenario &&
+    one.seed === other.seed &&
+    one.disturbances === other.disturbances
   );
 }
--- a/test/proof/sim-managed/packet-surgery.ts
+++ b/test/proof/sim-managed/packet-edits.ts
@@ -1,4 +1,4 @@
-/** @file Helpers with which broken steps change packets on their way. */
+/** @file Helpers that decode packets and change them in transit. */
 import {
   decodeEnvelope,
   encodeEnvelope,
@@ -13,12 +13,12 @@
 import { decodeMessage, encodeMessage, type Message } from '../../../src/managed/flow/messages.js';
 import { TOKEN_LENGTH_BYTES } from '../../../src/managed/flow/token.js';
 
-/** The envelope of a datagram; throws for another one. */
+/** The envelope of a datagram; throws if it can't be decoded. */
 export function openEnvelope(datagram: Uint8Array): Envelope {
   return decodeEnvelope(datagram)._unsafeUnwrap();
 }
 
-/** A datagram whose envelope is changed. */
+/** The datagram with a changed envelope. */
 export function withEnvelope(
   datagram: Uint8Array,
   change: (envelope: Envelope) => Partial<Envelope>,
@@ -27,7 +27,7 @@
   return encodeEnvelope({ ...envelope, ...change(envelope) });
 }
 
-/** The token of a packet towards a back end, as a copy; undefined where it has a long header. */
+/** A copy of the token of a packet to a back end; undefined if it has a long header. */
 export function tokenOf(packet: Uint8Array): Buffer | undefined {
   if (hasLongHeader(packet)) {
     return undefined;
@@ -36,13 +36,13 @@
   return Buffer.from(destinationId);
 }
 
-/** A packet towards a back end, with another token. */
+/** The packet to a back end with another token. */
 export function withToken(packet: Uint8Array, token: Uint8Array): Uint8Array {
   const { body } = parseShortHeader(packet, TOKEN_LENGTH_BYTES)._unsafeUnwrap();
   return encodeShortHeader(token, body);
 }
 
-/** A packet towards a caller, with its message changed; others stay as they are. */
+/** The packet to a caller with a changed message; unchanged if it has a long header or can't be decoded. */
 export function withMessageToCaller(
   packet: Uint8Array,
   change: (message: Message) => Message,
@@ -57,7 +57,7 @@
   );
 }
 
-/** The message of a packet towards a back end; undefined where there is none. */
+/** The message of a packet to a back end; undefined if it has a long header or can't be decoded. */
 export function messageToBackend(packet: Uint8Array): Message | undefined {
   if (hasLongHeader(packet)) {
     return undefined;
--- a/test/proof/sim-managed/scenarios.test.ts
+++ b/test/proof/sim-managed/scenarios.test.ts
@@ -1,4 +1,4 @@
-/** @file Scenarios on the product's own steps: one seed gives one trace, and no check is violated. */
+/** @file Guards against non-deterministic traces and against planned changes that violate a check. */
 import t from 'tap';
 import { runScenario } from '../../../src/proof/sim-managed/run-scenario.js';
 import { findScenario, scenarios } from '../../../src/proof/sim-managed/scenarios/index.js';
@@ -9,12 +9,12 @@
 function scenarioNamed(name: string): Scenario {
   const scenario = findScenario(name);
   if (scenario === undefined) {
-    throw new Error(`There is no scenario ${name}.`);
+    throw new Error(`unknown scenario ${name}`);
   }
   return scenario;
 }
 
-t.test('one seed gives one trace, byte for byte, packets included', async (t) => {
+t.test('the same seed gives the same trace, including packets', async (t) => {
   const chaos = { ...scenarioNamed('chaos'), durationMs: 8_000 };
   const first = await runScenario(chaos, 5, { keepsPackets: true });
   const second = await runScenario(chaos, 5, { keepsPackets: true });
@@ -24,7 +24,7 @@
   t.not(other.digest, first.digest);
 });
 
-t.test('a cluster of three empty machines forms from every seed', async (t) => {
+t.test('three control machines without data form a cluster with every seed', async (t) => {
   const services = smallWorld.services.map((service) => ({
     ...service,
     backends: 0,
@@ -39,14 +39,14 @@
 });
 
 for (const name of ['quiet', 'drain', 'rolling-restart']) {
-  t.test(`planned changes do no harm: ${name}`, async (t) => {
+  t.test(`planned changes violate no check: ${name}`, async (t) => {
     const report = await runScenario(scenarioNamed(name), 1);
     t.strictSame(report.violations, []);
     t.ok(report.outcomes > 100);
   });
 }
 
-t.test('every scenario has a name of its own and a description', async (t) => {
+t.test('every scenario has a unique name and a description', async (t) => {
   t.equal(new Set(scenarios.map(({ name }) => name)).size, scenarios.length);
   t.ok(scenarios.every(({ description }) => description.length > 0));
 });
--- a/test/proof/sim-managed/simulate.test.ts
+++ b/test/proof/sim-managed/simulate.test.ts
@@ -1,4 +1,4 @@
-/** @file `amberlift simulate`: which runs are done, and what is written of a failed one. */
+/** @file Guards against wrong run plans of `amberlift simulate` and against incomplete trace files. */
 import { mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -12,14 +12,14 @@
 
 const quiet = findScenario('quiet');
 
-t.test('scenarios take turns and seeds go up', async (t) => {
+t.test('runs cycle through the scenarios with ascending seeds', async (t) => {
   const runs = planRuns(scenarios, scenarios.length + 1, 7);
   t.strictSame(runs.at(-1), { scenario: scenarios[0]?.name, seed: 7 + scenarios.length });
 });
 
-t.test('the trace file holds the run: seed, digest and every event', async (t) => {
+t.test('the trace file contains the scenario, the seed and the packets', async (t) => {
   if (quiet === undefined) {
-    throw new Error('There is no scenario quiet.');
+    throw new Error('unknown scenario quiet');
   }
   const scenario = { ...quiet, durationMs: 500 };
   const folder = mkdtempSync(join(tmpdir(), 'amberlift-trace-'));
