--- a/src/proof/sim-managed/oracle/config-check.ts
+++ b/src/proof/sim-managed/oracle/config-check.ts
@@ -74,7 +74,7 @@
     const { atMs, balancer, index, digest } = event;
     const previousIndex = this.indexInForce.get(balancer) ?? 0;
     if (index < previousIndex) {
-      this.report(atMs, `${balancer} went back from index ${previousIndex} to ${index}.`);
+      this.report(atMs, `${balancer} reverted from index ${previousIndex} to index ${index}.`);
     }
     this.indexInForce.set(balancer, index);
     this.checkDigest(atMs, balancer, index, digest);
@@ -90,7 +90,10 @@
     if (firstDigest === undefined) {
       this.digestsByIndex.set(index, digest);
     } else if (firstDigest !== digest) {
-      this.report(atMs, `${process} holds another configuration than others at index ${index}.`);
+      this.report(
+        atMs,
+        `${process} has a different configuration from other processes at index ${index}.`,
+      );
     }
   }
 
@@ -132,7 +135,10 @@
     );
     const minIndex = Math.max(0, ...acceptedBeforeQuery.map((command) => command.index));
     if (index < minIndex) {
-      this.report(atMs, `${control} showed index ${index}, ${minIndex} was accepted before.`);
+      this.report(
+        atMs,
+        `${control} answered a query with index ${index} after index ${minIndex} was accepted.`,
+      );
     }
   }
 
@@ -148,7 +154,10 @@
       );
       if (overdue !== undefined) {
         const { commandId, index } = overdue;
-        this.report(nowMs, `${balancer} has not ${commandId} of index ${index} in force.`);
+        this.report(
+          nowMs,
+          `${balancer} doesn't have ${commandId} at index ${index} in force in time.`,
+        );
         pending.length = 0;
       }
     }
@@ -170,8 +179,8 @@
       ordered.forEach(({ commandId, version = 0 }, position) => {
         const appliedPlans = version - (position + 1);
         if (appliedPlans < minPlanned || appliedPlans > (this.plannedByService.get(service) ?? 0)) {
-          const text = `${commandId} made version ${version} of ${service}`;
-          this.report(endMs, `${text}, the ${position + 1}th command on it.`);
+          const text = `${commandId} resulted in version ${version} of ${service}`;
+          this.report(endMs, `${text} as its accepted command number ${position + 1}.`);
         }
         minPlanned = Math.max(minPlanned, appliedPlans);
       });
--- a/src/proof/sim-managed/oracle/final-config-check.ts
+++ b/src/proof/sim-managed/oracle/final-config-check.ts
@@ -77,9 +77,9 @@
     for (const [backend, { command, commandId }] of this.lastAnswerByBackend) {
       const expected = STATE_AFTER_COMMAND[command];
       if (backends[backend] !== expected) {
-        const actual = backends[backend] ?? 'gone';
-        const text = `${balancer} has ${backend} as ${actual}`;
-        this.report(atMs, `${text}, though ${commandId} (${command}) was accepted.`);
+        const actual = backends[backend] ?? 'removed';
+        const text = `${balancer} has ${backend} in state ${actual}`;
+        this.report(atMs, `${text}, although ${commandId} (${command}) was accepted.`);
       }
     }
   }
--- a/src/proof/sim-managed/oracle/flow-checks.ts
+++ b/src/proof/sim-managed/oracle/flow-checks.ts
@@ -27,13 +27,16 @@
         this.impairments.wasImpairedSince(process, establishedAtMs),
       );
       if (!isExcused) {
-        this.report(atMs, `${caller} lost ${flowId} to ${backend}, which had no trouble.`);
+        this.report(atMs, `${caller} lost flow ${flowId} to ${backend}, but neither was impaired.`);
       }
     } else if (event.type === 'notices-missed') {
       const { atMs, caller, first, last, backend } = event;
       const service = backend.replace(/-\d+$/, '');
       if (!this.impairments.wasAnyImpaired((name) => name.startsWith(service))) {
-        this.report(atMs, `${caller} missed notices ${first} to ${last}.`);
+        this.report(
+          atMs,
+          `${caller} missed notices ${first} to ${last}, but no back end was impaired.`,
+        );
       }
     }
   }
@@ -58,12 +61,12 @@
     } else if (event.type === 'flow-accepted') {
       const { atMs, backend, flowId, via } = event;
       if (this.isLeavingForLongerThan(backend, atMs, FLOW_AFTER_DRAIN_LIMIT_MS)) {
-        this.report(atMs, `${backend} is leaving and was given ${flowId} by ${via}.`);
+        this.report(atMs, `${backend} is leaving but accepted flow ${flowId} from ${via}.`);
       }
     } else if (event.type === 'run' && !this.drainIgnoringBackends.has(event.backend)) {
       const { atMs, backend, requestNumber } = event;
       if (this.isLeavingForLongerThan(backend, atMs, RUN_AFTER_DRAIN_LIMIT_MS)) {
-        this.report(atMs, `${backend} is leaving and ran request ${requestNumber}.`);
+        this.report(atMs, `${backend} is leaving but started request ${requestNumber}.`);
       }
     }
   }
@@ -97,7 +100,10 @@
   handle(event: TraceEvent): void {
     if (event.type === 'process' && event.status === 'stopped' && event.unfinished !== 0) {
       const { atMs, process, unfinished } = event;
-      this.report(atMs, `${process} was stopped with ${unfinished ?? 0} in progress.`);
+      this.report(
+        atMs,
+        `${process} was stopped with ${unfinished ?? 0} requests or opens in progress.`,
+      );
     } else if (event.type === 'outcome' && event.outcome === 'unknown') {
       const { atMs, caller, requestNumber, backend = 'no back end', errorKind } = event;
       const isExcused = [backend, caller].some((process) =>
@@ -106,8 +112,8 @@
       if (!isExcused) {
         this.report(
           atMs,
-          `${caller} does not know what became of request ${requestNumber} at ${backend}, ` +
-            `which had no trouble: ${errorKind ?? ''}.`,
+          `${caller} got an unknown outcome for request ${requestNumber} at ${backend}, ` +
+            `but neither was impaired: ${errorKind ?? ''}.`,
         );
       }
     }
--- a/src/proof/sim-managed/oracle/request-checks.ts
+++ b/src/proof/sim-managed/oracle/request-checks.ts
@@ -13,7 +13,10 @@
     if (event.type === 'packet' && event.arrivedAt !== undefined) {
       const { atMs, meantFor, arrivedAt, to, from, message } = event;
       if (meantFor !== arrivedAt) {
-        this.report(atMs, `${message} for ${meantFor} came to ${to} of ${arrivedAt} by ${from}.`);
+        this.report(
+          atMs,
+          `${message} for ${meantFor} reached ${to} of ${arrivedAt}, sent by ${from}.`,
+        );
       }
     }
   }
@@ -51,7 +54,7 @@
   private checkAnswer(event: Extract<TraceEvent, { type: 'outcome' }>): void {
     const { atMs, caller, requestNumber } = event;
     if (!event.intact) {
-      this.report(atMs, `${caller} got a wrong answer to request ${requestNumber}.`);
+      this.report(atMs, `${caller} got an answer with wrong content to request ${requestNumber}.`);
     }
     if (!this.startedRequests.has(requestNumber)) {
       this.report(atMs, `${caller} got an answer to request ${requestNumber}, which did not run.`);
@@ -63,7 +66,7 @@
     const last = this.lastNoticeByCaller.get(caller);
     this.lastNoticeByCaller.set(caller, number);
     if (!event.intact) {
-      this.report(atMs, `${caller} got another notice than number ${number}.`);
+      this.report(atMs, `${caller} got wrong content in notice ${number}.`);
     }
     if (last !== undefined && number !== last + 1) {
       this.report(atMs, `${caller} got notice ${number} after ${last}.`);
@@ -84,14 +87,20 @@
       this.backendByRequest.set(requestNumber, backend);
       const caller = this.callerByNotRunRequest.get(requestNumber);
       if (caller !== undefined) {
-        this.report(atMs, `${backend} ran request ${requestNumber}, "not run" to ${caller}.`);
+        this.report(
+          atMs,
+          `${backend} ran request ${requestNumber}, reported as "not run" to ${caller}.`,
+        );
       }
     } else if (event.type === 'outcome' && event.outcome === 'not-run') {
       const { atMs, requestNumber, caller } = event;
       this.callerByNotRunRequest.set(requestNumber, caller);
       const backend = this.backendByRequest.get(requestNumber);
       if (backend !== undefined) {
-        this.report(atMs, `${caller} was told "not run" of ${requestNumber}, run at ${backend}.`);
+        this.report(
+          atMs,
+          `${caller} got "not run" for request ${requestNumber}, which ran on ${backend}.`,
+        );
       }
     }
   }
@@ -114,7 +123,7 @@
     const { atMs, requestNumber, backend } = event;
     const firstBackend = this.backendByRequest.get(requestNumber);
     if (firstBackend !== undefined) {
-      this.report(atMs, `Request ${requestNumber} ran at ${firstBackend} and at ${backend}.`);
+      this.report(atMs, `Request ${requestNumber} ran on ${firstBackend} and on ${backend}.`);
     }
     this.backendByRequest.set(requestNumber, backend);
   }
--- a/src/proof/sim-managed/scenarios/address-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/address-scenarios.ts
@@ -17,7 +17,7 @@
 /** A back end of one service leaves, and its address is reused by another service. */
 export const addressMove: Scenario = {
   name: 'address-move',
-  description: 'An address moves between services while balancers are cut off or stand still.',
+  description: 'An address moves between services while balancers are cut off or paused.',
   // Callers that are cut off while their flow is closed keep sending on it long afterwards.
   plan: {
     ...smallWorld,
--- a/src/proof/sim-managed/scenarios/backend-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/backend-scenarios.ts
@@ -20,7 +20,8 @@
 /** Most back ends are faulty, and one that ignores its drain is drained. */
 export const badBackends: Scenario = {
   name: 'bad-backends',
-  description: 'Back ends that are cold, lie about load and health, refuse, or ignore their drain.',
+  description:
+    'Back ends that are cold, report false load or health, refuse, or ignore their drain.',
   plan: { ...smallWorld, backendFaults: BACKEND_FAULTS },
   durationMs: DURATION_MS,
   schedule: (scope) => {
--- a/src/proof/sim-managed/scenarios/fault-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/fault-scenarios.ts
@@ -20,7 +20,7 @@
 /** Random faults of control machines and their disks, while operators send commands. */
 export const controlFaults: Scenario = {
   name: 'control-faults',
-  description: 'Faults of control machines and their disks, with operators at work.',
+  description: 'Faults of control machines and their disks, while operators send commands.',
   plan: { ...smallWorld, balancerZones: 1 },
   durationMs: CONTROL_FAULTS_MS,
   schedule: (scope) => {
@@ -36,7 +36,7 @@
 /** Any process can fail at any moment, also several at once. */
 export const chaos: Scenario = {
   name: 'chaos',
-  description: 'Faults of all processes, disks and the network, with operators at work.',
+  description: 'Faults of all processes, disks and the network, while operators send commands.',
   plan: { ...smallWorld, balancerZones: 1 },
   durationMs: CHAOS_MS,
   schedule: (scope) => {
--- a/src/proof/sim-managed/scenarios/loss-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/loss-scenarios.ts
@@ -29,7 +29,7 @@
 export const lostZone: Scenario = {
   name: 'lost-zone',
   description:
-    'All control machines die at once; the zone of the leader is lost; the leader is cut off. Changes go on.',
+    'All control machines crash at once; then the zone of the leader is cut off, then the leader, while operators send changes.',
   plan: { ...smallWorld, balancers: BALANCERS, balancerZones: 3 },
   durationMs: DURATION_MS,
   schedule: (scope) => {
--- a/src/proof/sim-managed/scenarios/operator-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/operator-scenarios.ts
@@ -10,7 +10,7 @@
 /** Many concurrent commands, with half of the answers lost and a crash of the leader. */
 export const operatorsRace: Scenario = {
   name: 'operators-race',
-  description: 'Operators of both partners race each other; answers are lost and commands resent.',
+  description: 'Operators send conflicting commands; answers are lost and commands resent.',
   plan: smallWorld,
   durationMs: DURATION_MS,
   schedule: (scope) => {
--- a/src/proof/sim-managed/scenarios/planned-scenarios.ts
+++ b/src/proof/sim-managed/scenarios/planned-scenarios.ts
@@ -16,7 +16,7 @@
 /** One back end of each service is replaced. */
 export const drain: Scenario = {
   name: 'drain',
-  description: 'One back end of each service is replaced, drained and retired.',
+  description: 'One back end of each service is replaced: the old one is drained and retired.',
   plan: smallWorld,
   durationMs: 14_000,
   schedule: (scope) => {
@@ -37,7 +37,7 @@
 /** All balancers, then all control machines, are restarted one after the other. */
 export const rollingRestart: Scenario = {
   name: 'rolling-restart',
-  description: 'Every balancer, then every control machine, is stopped and started again.',
+  description: 'Every balancer, then every control machine, is restarted.',
   plan: smallWorld,
   durationMs: 42_000,
   schedule: (scope) => {
