--- a/src/proof/sim-managed/oracle/request-checks.ts
+++ b/src/proof/sim-managed/oracle/request-checks.ts
@@ -1,10 +1,11 @@
 /**
- * @file The checks on requests: own service only, whole answer, "not run" means not run, at most once.
+ * @file Checks on requests: delivery to the right service, complete answers, truthful "not run" outcomes, and at
+ * most one execution.
  */
 import type { TraceEvent } from '../trace.js';
 import type { Check, ReportViolation } from './check.js';
 
-/** A packet meant for one service never reaches a back end of another one. */
+/** A packet for one service never reaches a back end of another service. */
 export class OwnServiceOnly implements Check {
   constructor(private readonly report: ReportViolation) {}
 
@@ -12,57 +13,60 @@
     if (event.type === 'packet' && event.arrivedAt !== undefined) {
       const { atMs, meantFor, arrivedAt, to, from, message } = event;
       if (meantFor !== arrivedAt) {
-        this.report(atMs, `${message} for ${meantFor} came to ${to} of ${arrivedAt} by ${from}.`);
+        this.report(
+          atMs,
+          `${message} for ${meantFor} reached ${to} of ${arrivedAt}, sent by ${from}.`,
+        );
       }
     }
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
 
-/** A caller gets the whole answer to its own request, and the notices of its own feed. */
+/** A caller gets the complete answer to its own request, and every notice of its feed in order. */
 export class WholeAnswer implements Check {
-  private readonly started = new Set<number>();
-  private readonly lastNotice = new Map<string, number>();
+  private readonly startedRequests = new Set<number>();
+  private readonly lastNoticeByCaller = new Map<string, number>();
 
   constructor(private readonly report: ReportViolation) {}
 
   handle(event: TraceEvent): void {
     if (event.type === 'run') {
-      this.started.add(event.requestNumber);
+      this.startedRequests.add(event.requestNumber);
     } else if (event.type === 'outcome' && event.outcome === 'answered') {
       this.checkAnswer(event);
     } else if (event.type === 'notice') {
       this.checkNotice(event);
     } else if (event.type === 'notices-missed') {
-      this.lastNotice.set(event.caller, event.last);
+      this.lastNoticeByCaller.set(event.caller, event.last);
     } else if (event.type === 'process' && event.status === 'started') {
-      this.lastNotice.delete(event.process);
+      this.lastNoticeByCaller.delete(event.process);
     }
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 
   private checkAnswer(event: Extract<TraceEvent, { type: 'outcome' }>): void {
     const { atMs, caller, requestNumber } = event;
     if (!event.intact) {
-      this.report(atMs, `${caller} got a wrong answer to request ${requestNumber}.`);
+      this.report(atMs, `${caller} got an answer with wrong content to request ${requestNumber}.`);
     }
-    if (!this.started.has(requestNumber)) {
+    if (!this.startedRequests.has(requestNumber)) {
       this.report(atMs, `${caller} got an answer to request ${requestNumber}, which did not run.`);
     }
   }
 
   private checkNotice(event: Extract<TraceEvent, { type: 'notice' }>): void {
     const { atMs, caller, number } = event;
-    const last = this.lastNotice.get(caller);
-    this.lastNotice.set(caller, number);
+    const last = this.lastNoticeByCaller.get(caller);
+    this.lastNoticeByCaller.set(caller, number);
     if (!event.intact) {
-      this.report(atMs, `${caller} got another notice than number ${number}.`);
+      this.report(atMs, `${caller} got wrong content in notice ${number}.`);
     }
     if (last !== undefined && number !== last + 1) {
       this.report(atMs, `${caller} got notice ${number} after ${last}.`);
@@ -70,39 +74,45 @@
   }
 }
 
-/** A request whose caller got the answer "not run" runs neither before nor after that. */
+/** A request that was reported to its caller as "not run" never runs, before or after the report. */
 export class NotRunMeansNotRun implements Check {
-  private readonly started = new Map<number, string>();
-  private readonly toldNotRun = new Map<number, string>();
+  private readonly backendByRequest = new Map<number, string>();
+  private readonly callerByNotRunRequest = new Map<number, string>();
 
   constructor(private readonly report: ReportViolation) {}
 
   handle(event: TraceEvent): void {
     if (event.type === 'run') {
       const { atMs, requestNumber, backend } = event;
-      this.started.set(requestNumber, backend);
-      const caller = this.toldNotRun.get(requestNumber);
+      this.backendByRequest.set(requestNumber, backend);
+      const caller = this.callerByNotRunRequest.get(requestNumber);
       if (caller !== undefined) {
-        this.report(atMs, `${backend} ran request ${requestNumber}, "not run" to ${caller}.`);
+        this.report(
+          atMs,
+          `${backend} ran request ${requestNumber}, reported as "not run" to ${caller}.`,
+        );
       }
     } else if (event.type === 'outcome' && event.outcome === 'not-run') {
       const { atMs, requestNumber, caller } = event;
-      this.toldNotRun.set(requestNumber, caller);
-      const backend = this.started.get(requestNumber);
+      this.callerByNotRunRequest.set(requestNumber, caller);
+      const backend = this.backendByRequest.get(requestNumber);
       if (backend !== undefined) {
-        this.report(atMs, `${caller} was told "not run" of ${requestNumber}, run at ${backend}.`);
+        this.report(
+          atMs,
+          `${caller} got "not run" for request ${requestNumber}, which ran on ${backend}.`,
+        );
       }
     }
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
 
-/** A request runs at most once, over all back ends. */
+/** A request runs at most once across all back ends. */
 export class AtMostOnce implements Check {
-  private readonly started = new Map<number, string>();
+  private readonly backendByRequest = new Map<number, string>();
 
   constructor(private readonly report: ReportViolation) {}
 
@@ -111,14 +121,14 @@
       return;
     }
     const { atMs, requestNumber, backend } = event;
-    const first = this.started.get(requestNumber);
-    if (first !== undefined) {
-      this.report(atMs, `Request ${requestNumber} ran at ${first} and at ${backend}.`);
+    const firstBackend = this.backendByRequest.get(requestNumber);
+    if (firstBackend !== undefined) {
+      this.report(atMs, `Request ${requestNumber} ran on ${firstBackend} and on ${backend}.`);
     }
-    this.started.set(requestNumber, backend);
+    this.backendByRequest.set(requestNumber, backend);
   }
 
   finish(): void {
-    // Nothing is left open.
+    // No state to check at the end.
   }
 }
