--- a/src/proof/demo/cluster-status.ts
+++ b/src/proof/demo/cluster-status.ts
@@ -1,36 +1,36 @@
 /**
- * @file What a running cluster reports of itself: which balancers have which configuration in force, and what its back ends ran. Asks over the
- * operators' interface and the HTTP endpoints of the stand-ins.
+ * @file Queries a running cluster: the configuration revision in force on its balancers, over the operator interface, and the
+ * requests that its back ends ran, over HTTP.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { sendJson } from '../../managed/daemon/http-json.js';
 import type { Cluster, ClusterBackend } from './cluster.js';
-import type { BackendRuns } from './harm-summary.js';
+import type { BackendRuns } from './run-summary.js';
 
 const HTTP_TIMEOUT_MS = 2_000;
 const POLL_INTERVAL_MS = 50;
 
-/** How far an operator's configuration should have come. */
+/** A revision of an operator's configuration. */
 export interface OperatorRevision {
   readonly operator: string;
   readonly revision: number;
 }
 
 /**
- * @returns the revisions with which some back ends came, the highest of each operator
+ * @returns for each operator the highest revision that added one of the back ends
  */
 export function revisionsOf(backends: readonly ClusterBackend[]): OperatorRevision[] {
   const highest = new Map<string, number>();
   for (const { service, addedInRevision } of backends) {
-    const known = highest.get(service.operator) ?? 0;
-    highest.set(service.operator, Math.max(known, addedInRevision));
+    const highestSoFar = highest.get(service.operator) ?? 0;
+    highest.set(service.operator, Math.max(highestSoFar, addedInRevision));
   }
   return [...highest].map(([operator, revision]) => ({ operator, revision }));
 }
 
 /**
- * Waits until a configuration is in force on all balancers.
- * @returns true where it is, false where the time was up before
+ * Waits until the given revisions are in force on all balancers.
+ * @returns true once they are, false on timeout
  */
 export async function waitUntilInForce(
   cluster: Cluster,
@@ -53,17 +53,19 @@
   { operator, revision }: OperatorRevision,
 ): Promise<boolean> {
   const answer = await cluster.clientOf(operator).query({ type: 'in-force' });
-  const up = cluster.balancers.map(({ nodeId }) => nodeId);
+  const runningIds = cluster.balancers.map(({ nodeId }) => nodeId);
   return answer.match(
     ({ balancerCount, lagging }) =>
-      balancerCount >= up.length &&
-      !lagging.some((one) => up.includes(one.balancerId) && one.revision < revision),
+      balancerCount >= runningIds.length &&
+      !lagging.some(
+        (balancer) => runningIds.includes(balancer.balancerId) && balancer.revision < revision,
+      ),
     () => false,
   );
 }
 
 /**
- * @returns what each back end ran; throws where one gives no answer, since the counts of harm need all
+ * @returns the requests that each back end ran; throws if one does not answer, as the run summary needs all
  */
 export async function collectRuns(cluster: Cluster): Promise<BackendRuns[]> {
   const reports = cluster.backends.map(async ({ name, healthAddress: to }) => {
--- a/src/proof/demo/cluster.ts
+++ b/src/proof/demo/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * @file The processes of a deployment on loopback: fabric, control machines, back ends and balancers, and the list of
- * balancers that the platform gives the fabric. The demo runs on it.
+ * @file Starts and stops the processes of the demo deployment on loopback: fabric, control machines, back ends and balancers.
+ * Publishes the list of balancers to the fabric in place of the platform.
  */
 import { mkdir } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -14,14 +14,12 @@
 
 const HTTP_TIMEOUT_MS = 2_000;
 const POLL_INTERVAL_MS = 100;
-/** Time in which new control machines begin a cluster. */
-const CONTROL_TIMEOUT_MS = 20_000;
-/** Time after which a process that does not stop is killed. */
+const FORMATION_TIMEOUT_MS = 20_000;
+/** Processes still running after this time are killed. */
 const STOP_TIMEOUT_MS = 15_000;
-/** Processes that are started at the same time. */
-const START_BATCH = 4;
+const START_BATCH_SIZE = 4;
 
-/** A control machine. */
+/** A running control machine. */
 export interface ClusterControl {
   readonly nodeId: string;
   readonly linkAddress: Address;
@@ -30,7 +28,7 @@
   readonly process: ManagedProcess;
 }
 
-/** A balancer. */
+/** A running balancer. */
 export interface ClusterBalancer {
   readonly nodeId: string;
   readonly zone: string;
@@ -38,25 +36,25 @@
   readonly process: ManagedProcess;
 }
 
-/** A back end. */
+/** A running back end. */
 export interface ClusterBackend {
   readonly name: string;
   readonly service: DeployedService;
   readonly process: ManagedProcess;
   readonly healthAddress: Address;
   readonly id: number;
-  /** Revision of its operator's configuration that has it first. */
+  /** Revision of its operator's configuration that added it. */
   readonly addedInRevision: number;
-  /** True once its operator has drained it. */
-  leaving: boolean;
+  /** True once its operator has requested the drain. */
+  draining: boolean;
 }
 
-/** What a cluster is made of. */
+/** Options of a cluster. */
 export interface ClusterOptions {
   readonly deployment: Deployment;
-  /** Folder for the disks of the control machines. */
+  /** Folder for the data folders of the control machines. */
   readonly dataFolder: string;
-  /** Called with each thing that happens. */
+  /** Receives a progress message. */
   onEvent(text: string): void;
 }
 
@@ -66,15 +64,15 @@
   readonly balancers: ClusterBalancer[] = [];
   readonly backends: ClusterBackend[] = [];
   readonly serviceAddresses = new Map<string, Address>();
-  /** Every process that was started, for the end. */
+  /** All started processes, for the stop. */
   private readonly processes: ManagedProcess[] = [];
   private readonly clients = new Map<string, OperatorClient>();
-  private readonly started = new Map<string, number>();
+  private readonly startCounts = new Map<string, number>();
   private fabric: ManagedProcess | undefined;
 
   constructor(readonly options: ClusterOptions) {}
 
-  /** Starts all processes and defines all services and back ends. */
+  /** Starts all processes and configures all services and back ends. */
   async start(): Promise<void> {
     await this.startFabric();
     await this.startControls();
@@ -101,7 +99,7 @@
     await this.publishBalancers();
   }
 
-  /** The address that callers use. */
+  /** @returns the address that callers use; throws for an unknown service */
   addressOf(service: DeployedService): Address {
     const address = this.serviceAddresses.get(service.name);
     if (address === undefined) {
@@ -110,7 +108,7 @@
     return address;
   }
 
-  /** Sends a command of a service's operator; throws where it is refused. */
+  /** Sends a command as the operator of a service; throws if it is refused. */
   async send(service: DeployedService, ...command: Parameters<OperatorClient['send']>) {
     const result = await this.clientOf(service.operator).send(...command);
     return result.match(
@@ -121,11 +119,11 @@
     );
   }
 
-  /** The client of an operator. */
+  /** @returns the client of an operator, created on first use */
   clientOf(operator: string): OperatorClient {
-    const known = this.clients.get(operator);
-    if (known !== undefined) {
-      return known;
+    const existing = this.clients.get(operator);
+    if (existing !== undefined) {
+      return existing;
     }
     const { operators } = this.options.deployment.settings.control;
     const bearerToken = operators.find(({ name }) => name === operator)?.token ?? '';
@@ -156,27 +154,27 @@
       healthAddress,
       id: added.backendId ?? 0,
       addedInRevision: added.revision,
-      leaving: false,
+      draining: false,
     };
     this.backends.push(backend);
     return backend;
   }
 
-  /** The operator of a back end drains it. */
+  /** Drains a back end as its operator. */
   async drain(backend: ClusterBackend): Promise<void> {
     const command = { type: 'drain-backend', backendId: backend.id } as const;
     await this.send(backend.service, `drain-${backend.name}`, command);
-    backend.leaving = true;
+    backend.draining = true;
   }
 
-  /** Where the back ends of a service take notices. */
+  /** @returns the health addresses of the back ends of a service; they also accept notices */
   healthAddressesOf(service: DeployedService): Address[] {
     return this.backends
       .filter((backend) => backend.service === service)
       .map(({ healthAddress }) => healthAddress);
   }
 
-  /** Starts a balancer; the platform's list has it once it is published. */
+  /** Starts a balancer; the fabric uses it after `publishBalancers`. */
   async startBalancer(): Promise<ClusterBalancer> {
     const { name, zone } = this.nextMember('balancer');
     const controlAddresses = this.controls.map(({ linkAddress }) => formatAddress(linkAddress));
@@ -195,19 +193,19 @@
     return balancer;
   }
 
-  /** Removes a balancer from the cluster's own list; `publishBalancers` informs the fabric. */
+  /** Removes a balancer from the list; the fabric uses the new list after `publishBalancers`. */
   removeBalancer(balancer: ClusterBalancer): void {
     this.balancers.splice(this.balancers.indexOf(balancer), 1);
   }
 
-  /** The platform sends the fabric the list of balancers. */
+  /** Sends the list of balancers to the fabric, in place of the platform. */
   async publishBalancers(): Promise<void> {
     const body = this.balancers.map(({ address, zone }) => ({ address, zone }));
     const to = this.readyAddress(this.fabric, 'platformAddress');
     await sendJson({ to, method: 'POST', path: '/balancers', body, timeoutMs: HTTP_TIMEOUT_MS });
   }
 
-  /** Starts a process that ends with the cluster. */
+  /** Starts a process that `stop` ends. */
   async spawn(
     name: string,
     args: readonly string[],
@@ -219,7 +217,7 @@
     return started;
   }
 
-  /** Ends every process, the paused ones too. */
+  /** Ends all processes, including paused ones. */
   async stop(): Promise<void> {
     for (const process of this.processes) {
       process.signal('SIGCONT');
@@ -269,10 +267,10 @@
     this.controls.push(...(await Promise.all(started)));
   }
 
-  /** The control machines know their operators once they have begun a cluster. */
+  /** Waits until the control machines have formed a cluster and answer an operator. */
   private async waitForControl(): Promise<void> {
     const operator = this.options.deployment.services[0]?.operator ?? '';
-    const endsAt = performance.now() + CONTROL_TIMEOUT_MS;
+    const endsAt = performance.now() + FORMATION_TIMEOUT_MS;
     while ((await this.clientOf(operator).query({ type: 'in-force' })).isErr()) {
       if (performance.now() > endsAt) {
         throw new Error('The control machines did not begin a cluster in time.');
@@ -311,8 +309,8 @@
 
   private nextMember(kind: string): { name: string; zone: string } {
     const { zones } = this.options.deployment;
-    const number = (this.started.get(kind) ?? 0) + 1;
-    this.started.set(kind, number);
+    const number = (this.startCounts.get(kind) ?? 0) + 1;
+    this.startCounts.set(kind, number);
     const zone = zones[(number - 1) % zones.length] ?? '';
     return { name: `${kind}-${number}`, zone };
   }
@@ -327,7 +325,7 @@
 }
 
 async function inBatches(starts: readonly (() => Promise<unknown>)[]): Promise<void> {
-  for (let first = 0; first < starts.length; first += START_BATCH) {
-    await Promise.all(starts.slice(first, first + START_BATCH).map((start) => start()));
+  for (let first = 0; first < starts.length; first += START_BATCH_SIZE) {
+    await Promise.all(starts.slice(first, first + START_BATCH_SIZE).map((start) => start()));
   }
 }
--- a/src/proof/demo/demo.ts
+++ b/src/proof/demo/demo.ts
@@ -1,6 +1,6 @@
 /**
- * @file The demo: the whole path on loopback, with one balancer killed and one back end drained while
- * callers work, and the counts of harm at the end.
+ * @file The demo: runs callers against a deployment on loopback, kills one balancer and drains one back end under load, and
+ * returns the figures of the run.
  */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -14,21 +14,21 @@
 import type { DeployedService, Deployment } from './deployment.js';
 import { LoadSampler } from './load-sampler.js';
 import { NoticePublisher } from './notice-publisher.js';
-import { figuresOf, type RunFigures } from './run-figures.js';
+import { collectFigures, type RunFigures } from './run-figures.js';
 import { RunRecorder } from './run-recorder.js';
 
-/** Called as the demo goes on. */
+/** Receives progress: a message, or the number of finished requests out of the total. */
 export type DemoProgress = (message: string, done: number, total: number) => void;
 
 const SESSIONS_PER_SERVICE = 60;
 const REQUESTS_PER_SESSION = 20;
-/** Sessions of each service that also hold a feed. */
+/** Sessions of each service that also subscribe to a feed. */
 const FEEDS_PER_SERVICE = 20;
 const NOTICES_PER_SERVICE = 100;
 const NOTICE_INTERVAL_MS = 50;
 const ANSWER_BYTES = 3_000;
 const IN_FORCE_TIMEOUT_MS = 10_000;
-/** Time for the first probes of the balancers. */
+/** Leaves time for the first probes of the balancers. */
 const SETTLE_TIME_MS = 1_000;
 
 const controlSettings = settingsSchema.parse({
@@ -62,7 +62,7 @@
 };
 
 /**
- * Runs the demo; every process that it started has ended when it returns.
+ * Runs the demo and ends all its processes before it returns.
  */
 export async function runDemo(progress: DemoProgress): Promise<RunFigures> {
   const dataFolder = await mkdtemp(join(tmpdir(), 'amberlift-demo-'));
@@ -87,13 +87,13 @@
   const total = services.length * SESSIONS_PER_SERVICE * REQUESTS_PER_SESSION;
   const recorder = new RunRecorder();
   const sampler = new LoadSampler(cluster);
-  let events: Promise<void> | undefined;
+  let faults: Promise<void> | undefined;
   const onLine = (line: string): void => {
     recorder.recordCallerLine(line);
     const { length } = recorder.outcomes;
     progress('Requests', length, total);
     if (length > total / 2) {
-      events ??= disturb(cluster, progress);
+      faults ??= injectFaults(cluster, progress);
     }
   };
   sampler.start();
@@ -103,8 +103,8 @@
   const publishing = services.map((service) => publishNotices(cluster, service));
   await Promise.all([...callers, ...publishing]);
   sampler.stop();
-  await events;
-  const figures = await figuresOf(cluster, recorder, sampler);
+  await faults;
+  const figures = await collectFigures(cluster, recorder, sampler);
   if (figures.requests !== total) {
     throw new Error(`Callers reported ${figures.requests} requests out of ${total}.`);
   }
@@ -123,7 +123,7 @@
   ];
 }
 
-/** Notices come evenly while the load runs, the balancer dies and the back end drains. */
+/** Publishes notices at an even rate during the load and the faults. */
 async function publishNotices(cluster: Cluster, service: DeployedService): Promise<void> {
   const publisher = new NoticePublisher(() => cluster.healthAddressesOf(service));
   for (let number = 1; number <= NOTICES_PER_SERVICE; number += 1) {
@@ -132,8 +132,8 @@
   }
 }
 
-/** Half way: one balancer is killed and one back end is drained by an operator. */
-async function disturb(cluster: Cluster, progress: DemoProgress): Promise<void> {
+/** Kills one balancer and drains one back end. */
+async function injectFaults(cluster: Cluster, progress: DemoProgress): Promise<void> {
   const [killed] = cluster.balancers;
   if (killed !== undefined) {
     killed.process.signal('SIGKILL');
--- a/src/proof/demo/deployment.ts
+++ b/src/proof/demo/deployment.ts
@@ -1,36 +1,35 @@
 /**
- * @file What the demo deploys on loopback: its zones, services and numbers of processes.
+ * @file Types of the demo deployment: zones, services and numbers of processes.
  */
 import type { Settings } from '../../managed/settings/settings-schema.js';
 
 /** A service of a deployment; times in milliseconds. */
 export interface DeployedService {
   readonly name: string;
-  /** The operator who owns it; the control settings hold the bearer token. */
+  /** Name of the operator that owns it; the control settings hold the bearer token. */
   readonly operator: string;
   readonly backends: number;
-  /** Requests that one back end runs at the same time. */
+  /** Concurrent requests per back end. */
   readonly slots: number;
-  /** Flows that one back end holds. */
+  /** Maximum number of flows per back end. */
   readonly connections: number;
-  /** Requests that may wait at one back end. */
+  /** Maximum number of queued requests per back end. */
   readonly queue: number;
-  /** Mean time that a request runs. */
+  /** Mean run time of a request. */
   readonly serviceTimeMs: number;
-  /** Length of an answer. */
   readonly answerBytes: number;
 }
 
-/** A deployment; times in milliseconds, one way. */
+/** A deployment; delays are one-way, in milliseconds. */
 export interface Deployment {
-  /** Balancers, back ends and control machines are spread over them in turn. */
+  /** Zones that balancers and back ends are assigned to in turn. */
   readonly zones: readonly string[];
   readonly crossZoneDelayMs: number;
-  /** Time to callers. */
+  /** Delay between callers and the fabric. */
   readonly callerDelayMs: number;
   readonly balancers: number;
   readonly controlMachines: number;
   readonly services: readonly DeployedService[];
-  /** The checked settings of the control machines, for tokens and keys. */
+  /** Validated settings, including tokens and the cluster key. */
   readonly settings: Settings;
 }
--- a/src/proof/demo/load-sampler.ts
+++ b/src/proof/demo/load-sampler.ts
@@ -1,5 +1,5 @@
 /**
- * @file Samples what the back ends of a cluster really hold, once a second, and computes the imbalance, the other measure of the brief.
+ * @file Samples the connections and busy slot time of the back ends of a cluster once a second and computes the imbalance.
  */
 import { z } from 'zod';
 import { sendJson } from '../../managed/daemon/http-json.js';
@@ -7,48 +7,47 @@
 
 const HTTP_TIMEOUT_MS = 2_000;
 const SAMPLE_INTERVAL_MS = 1_000;
-/** Samples with fewer connections a back end are left out of the imbalance. */
+/** Samples with fewer connections per back end are ignored. */
 const MIN_MEAN_CONNECTIONS = 10;
-/** Slot time is compared over this many samples. */
 const SLOT_WINDOW_SAMPLES = 10;
-/** Windows with less busy time a back end are left out of the imbalance, in milliseconds. */
+/** Windows with less busy time per back end are ignored. */
 const MIN_MEAN_BUSY_MS = 100;
 
 const observationSchema = z.object({ connections: z.number(), busySlotMs: z.number() });
 type Observation = z.infer<typeof observationSchema>;
 
-/** Highest over mean of the back ends of one service, the worst service counting. */
+/** Ratio of the highest to the mean load of the back ends of a service, for the worst service. */
 export interface Imbalance {
-  /** Median over the samples of the run; null where no sample had enough. */
+  /** Median over the samples; null if none had enough connections. */
   readonly peakOverMeanConnections: number | null;
-  /** Median over the windows of the run, of the time that slots were busy. */
+  /** Median over the windows, of busy slot time; null if none had enough. */
   readonly peakOverMeanSlots: number | null;
 }
 
 interface Sample {
   readonly byBackend: ReadonlyMap<ClusterBackend, Observation>;
-  /** Back ends that were to take flows then. */
+  /** Back ends that were not draining at the time. */
   readonly active: ReadonlySet<ClusterBackend>;
 }
 
-/** Samples one cluster. */
+/** Samples the load of one cluster. */
 export class LoadSampler {
   private readonly samples: Sample[] = [];
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly cluster: Cluster) {}
 
-  /** Samples once a second from now on. */
+  /** Starts sampling. */
   start(): void {
     this.timer = setInterval(() => void this.sample(), SAMPLE_INTERVAL_MS);
   }
 
-  /** Samples no more. */
+  /** Stops sampling. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** The imbalance of the run. */
+  /** @returns the imbalance over all samples */
   imbalance(): Imbalance {
     const services = this.cluster.options.deployment.services.map(({ name }) => name);
     const connections = services.map((name) => median(this.connectionRatios(name)));
@@ -58,7 +57,7 @@
 
   private async sample(): Promise<void> {
     const backends = [...this.cluster.backends];
-    const active = new Set(backends.filter((backend) => !backend.leaving));
+    const active = new Set(backends.filter((backend) => !backend.draining));
     const observations = await Promise.all(backends.map(observe));
     const byBackend = new Map<ClusterBackend, Observation>();
     backends.forEach((backend, position) => {
@@ -103,11 +102,11 @@
   );
 }
 
-/** Of back ends that were to take flows over the whole window. */
+/** @returns busy slot time in the window of each back end that was active at both ends of it */
 function busyTimes(first: Sample, last: Sample, service: string): number[] {
   return activeOf(last, service).flatMap(([backend, { busySlotMs }]) => {
-    const before = first.active.has(backend) ? first.byBackend.get(backend) : undefined;
-    return before === undefined ? [] : [busySlotMs - before.busySlotMs];
+    const earlier = first.active.has(backend) ? first.byBackend.get(backend) : undefined;
+    return earlier === undefined ? [] : [busySlotMs - earlier.busySlotMs];
   });
 }
 
@@ -121,6 +120,6 @@
 }
 
 function worst(ratios: readonly (number | undefined)[]): number | null {
-  const known = ratios.filter((ratio) => ratio !== undefined);
-  return known.length === 0 ? null : Math.max(...known);
+  const defined = ratios.filter((ratio) => ratio !== undefined);
+  return defined.length === 0 ? null : Math.max(...defined);
 }
--- a/src/proof/demo/run-figures.ts
+++ b/src/proof/demo/run-figures.ts
@@ -1,27 +1,27 @@
 /**
- * @file The figures with which the demo ends.
+ * @file Collects the figures that the demo prints.
  */
 import type { Cluster } from './cluster.js';
 import { collectRuns } from './cluster-status.js';
-import { summarizeHarm, type HarmSummary } from './harm-summary.js';
+import { summarizeRun, type RunSummary } from './run-summary.js';
 import type { Imbalance, LoadSampler } from './load-sampler.js';
 import type { LatencySummary, RunRecorder } from './run-recorder.js';
 
-/** The figures of a run. */
-export interface RunFigures extends HarmSummary, Imbalance, LatencySummary {
+/** Outcomes, violations, imbalance and latencies of a run. */
+export interface RunFigures extends RunSummary, Imbalance, LatencySummary {
   readonly seconds: number;
 }
 
 /**
- * @returns the figures, once all callers have finished
+ * @returns the figures; call it after all callers have finished
  */
-export async function figuresOf(
+export async function collectFigures(
   cluster: Cluster,
   recorder: RunRecorder,
   sampler: LoadSampler,
 ): Promise<RunFigures> {
   return {
-    ...summarizeHarm(recorder.record(), await collectRuns(cluster)),
+    ...summarizeRun(recorder.record(), await collectRuns(cluster)),
     ...sampler.imbalance(),
     ...recorder.latencySummary(),
     seconds: recorder.elapsedSeconds,
--- a/src/proof/demo/run-recorder.ts
+++ b/src/proof/demo/run-recorder.ts
@@ -1,9 +1,9 @@
 /**
- * @file Records a run from the lines that its callers print: totals and latencies.
+ * @file Records totals and latencies of a run from the output lines of its callers.
  */
 import { build } from 'hdr-histogram-js';
 import type { RequestOutcome } from '../standins/caller-state.js';
-import type { RunRecord } from './harm-summary.js';
+import type { RunRecord } from './run-summary.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 /** Latencies are recorded in units of 10 microseconds. */
@@ -17,7 +17,7 @@
   readonly latencyP99Ms: number;
 }
 
-/** What a callers process prints. */
+/** An output line of a callers process. */
 type CallerLine =
   | { readonly event: 'outcome'; readonly outcome: RequestOutcome }
   | ({ readonly event: 'finished' } & Omit<RunRecord, 'outcomes'>);
@@ -29,12 +29,12 @@
   private readonly finished: Omit<RunRecord, 'outcomes'>[] = [];
   private readonly startedAtMs = performance.now();
 
-  /** Time since the recorder was made, when the load begins. */
+  /** Time since the recorder was created. */
   get elapsedSeconds(): number {
     return (performance.now() - this.startedAtMs) / MILLISECONDS_PER_SECOND;
   }
 
-  /** Records a line of a callers process. */
+  /** Records an output line of a callers process; throws on invalid JSON. */
   recordCallerLine(line: string): void {
     const event = JSON.parse(line) as CallerLine;
     if (event.event === 'outcome') {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** The totals of all callers that have finished. */
+  /** @returns the totals of all finished callers */
   record(): RunRecord {
     const sum = (pick: (one: Omit<RunRecord, 'outcomes'>) => number): number =>
       this.finished.reduce((total, one) => total + pick(one), 0);
@@ -58,7 +58,7 @@
     };
   }
 
-  /** Latencies of the whole run. */
+  /** @returns the latencies of the whole run */
   latencySummary(): LatencySummary {
     return {
       latencyP50Ms: this.latencies.getValueAtPercentile(MEDIAN) / UNITS_PER_MILLISECOND,
--- a/src/proof/demo/harm-summary.ts
+++ b/src/proof/demo/run-summary.ts
@@ -1,47 +1,47 @@
 /**
- * @file The counts of harm of a run: the answers that callers got against what back ends ran. Broken flows are one of the two measures of
- * the brief.
+ * @file Summarizes a run: compares the outcomes that callers saw with the requests that back ends ran, and counts
+ * violations of the delivery guarantees.
  */
 import type { RequestOutcome } from '../standins/caller-state.js';
 import type { NoticeSummary } from '../standins/notice-summary.js';
 
-/** What the callers of a run saw. */
+/** Totals of the callers of a run. */
 export interface RunRecord extends NoticeSummary {
   readonly outcomes: readonly RequestOutcome[];
   readonly brokenFlows: number;
   readonly wrongAnswers: number;
 }
 
-/** What one back end ran. */
+/** Requests that one back end ran. */
 export interface BackendRuns {
-  /** Request numbers in the order in which they ran. */
+  /** Request numbers in execution order. */
   readonly runs: readonly number[];
   readonly misrouted: number;
 }
 
-/** The counts of harm, and what came of the requests. */
-export interface HarmSummary extends NoticeSummary {
+/** Outcomes of the requests and counts of violations. */
+export interface RunSummary extends NoticeSummary {
   readonly requests: number;
   readonly answered: number;
-  /** Requests whose caller got the answer that they certainly did not run. */
+  /** Requests whose caller got the answer "not run". */
   readonly refused: number;
   /** Requests that may or may not have run. */
   readonly outcomeUnknown: number;
   readonly brokenFlows: number;
-  /** Packets or work that reached another service's back end. */
+  /** Packets or requests that reached a back end of another service. */
   readonly misrouted: number;
   /** Requests that ran more than once. */
   readonly ranTwice: number;
   /** Requests that ran though their caller got the answer "not run". */
   readonly falseNotRun: number;
-  /** Requests that were not refused and got no whole, right answer. */
+  /** Requests that were neither refused nor answered completely and correctly. */
   readonly incompleteAnswers: number;
 }
 
 /**
- * @returns the counts of harm
+ * @returns the summary of a run; needs the reports of all its back ends
  */
-export function summarizeHarm(record: RunRecord, backends: readonly BackendRuns[]): HarmSummary {
+export function summarizeRun(record: RunRecord, backends: readonly BackendRuns[]): RunSummary {
   const runCounts = new Map<number, number>();
   for (const { runs } of backends) {
     for (const number of runs) {
@@ -69,9 +69,9 @@
 }
 
 /**
- * @returns true where nothing was harmed
+ * @returns true if all counts of violations are 0
  */
-export function isUnharmed(summary: HarmSummary): boolean {
+export function hasNoViolations(summary: RunSummary): boolean {
   return (
     summary.brokenFlows === 0 &&
     summary.misrouted === 0 &&
--- a/src/proof/soak/link-proxy.ts
+++ b/src/proof/soak/link-proxy.ts
@@ -1,148 +1,153 @@
 /**
- * @file A proxy on loopback in front of the links of one control machine, which delays, slows down, silences
- * or resets them. It reads nothing of what it carries.
+ * @file A TCP proxy on loopback in front of one control machine that delays, throttles, blackholes or resets its links.
+ * It does not parse the bytes that it forwards.
  */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { once } from 'node:events';
 import type { Address } from '../../shared/common/address.js';
 
-/** How the proxy treats what passes it. */
+/** How the proxy forwards bytes. */
 export type ProxyMode =
   | { readonly type: 'open' }
-  /** Nothing passes in one direction or in both, and neither end is reset; new links are accepted and lead nowhere. */
+  /** Forwards nothing in one or both directions but closes no link; new links are still accepted. */
   | { readonly type: 'silent'; readonly towards: 'machine' | 'others' | 'both' }
-  /** At most so many bytes a second pass in each direction of each link, after a delay. */
+  /** Limits the rate of each direction of each link and adds a delay. */
   | { readonly type: 'slow'; readonly bytesPerS: number; readonly delayMs: number };
 
-/** A proxy in front of one machine. */
+/** A running proxy in front of one machine. */
 export interface LinkProxy {
   setMode(mode: ProxyMode): void;
-  /** Ends all links with a reset. */
-  resetAll(): void;
-  /** The links of now carry nothing any more and are not reset; new ones work. */
-  silenceOpen(): void;
+  /** Closes all open links with a TCP reset. */
+  resetAllLinks(): void;
+  /** Stops forwarding on the open links for good without closing them; new links work. */
+  silenceOpenLinks(): void;
   close(): Promise<void>;
 }
 
 const OPEN: ProxyMode = { type: 'open' };
 const MS_PER_SECOND = 1_000;
-/** What was held up is passed on in pieces, so often. */
-const STEP_MS = 20;
-/** A direction holds no more than this; the sender is held up then, as by a network. */
-const MAX_WAITING_BYTES = 256 * 1_024;
+const FORWARD_INTERVAL_MS = 20;
+/** Queue limit per direction; above it the proxy stops reading, so that TCP flow control slows the sender. */
+const MAX_QUEUED_BYTES = 256 * 1_024;
 
-type Towards = 'machine' | 'others';
+type Receiver = 'machine' | 'others';
 
-interface WaitingChunk {
+interface QueuedChunk {
   readonly bytes: Buffer;
-  readonly atMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** One direction of one link. */
 interface Pipe {
   readonly from: Socket;
   readonly to: Socket;
-  readonly towards: Towards;
+  readonly towards: Receiver;
   isSilent: boolean;
-  waiting: WaitingChunk[];
-  waitingBytes: number;
+  queued: QueuedChunk[];
+  queuedBytes: number;
 }
 
 /**
- * Listens in front of a machine.
- * @param at the address under which others reach the machine
- * @param machine where the machine listens
- * @returns the proxy; rejects where the address can't be bound
+ * Starts a proxy in front of a machine.
+ * @param listenAddress address that other machines connect to
+ * @param target address that the machine itself listens on
+ * @returns the proxy; rejects if the address can't be bound
  */
-export async function startLinkProxy(at: Address, machine: Address): Promise<LinkProxy> {
+export async function startLinkProxy(listenAddress: Address, target: Address): Promise<LinkProxy> {
   const pipes = new Set<Pipe>();
   let mode: ProxyMode = OPEN;
-  const server = createServer((near) => join(near));
-  server.listen(at.port, at.host);
+  const server = createServer((client) => acceptLink(client));
+  server.listen(listenAddress.port, listenAddress.host);
   await once(server, 'listening');
-  const timer = setInterval(() => pipes.forEach((pipe) => pass(pipe, mode)), STEP_MS);
+  const timer = setInterval(
+    () => pipes.forEach((pipe) => forwardQueued(pipe, mode)),
+    FORWARD_INTERVAL_MS,
+  );
 
-  return { setMode, resetAll, silenceOpen, close };
+  return { setMode, resetAllLinks, silenceOpenLinks, close };
 
   function setMode(next: ProxyMode): void {
     mode = next;
-    pipes.forEach((pipe) => pass(pipe, mode));
+    pipes.forEach((pipe) => forwardQueued(pipe, mode));
   }
 
-  function resetAll(): void {
+  function resetAllLinks(): void {
     pipes.forEach(({ from }) => from.resetAndDestroy());
   }
 
-  function silenceOpen(): void {
+  function silenceOpenLinks(): void {
     pipes.forEach((pipe) => (pipe.isSilent = true));
   }
 
   async function close(): Promise<void> {
     clearInterval(timer);
-    resetAll();
+    resetAllLinks();
     await closeServer(server);
   }
 
-  function join(near: Socket): void {
-    const far = connect(machine.port, machine.host);
-    const both: Pipe[] = [pipeOf(near, far, 'machine'), pipeOf(far, near, 'others')];
-    both.forEach((pipe) => pipes.add(pipe));
-    for (const socket of [near, far]) {
+  function acceptLink(client: Socket): void {
+    const upstream = connect(target.port, target.host);
+    const linkPipes: Pipe[] = [
+      createPipe(client, upstream, 'machine'),
+      createPipe(upstream, client, 'others'),
+    ];
+    linkPipes.forEach((pipe) => pipes.add(pipe));
+    for (const socket of [client, upstream]) {
       socket.setNoDelay(true);
       socket.on('error', () => undefined);
       socket.on('close', () => {
-        // A link that went silent is not reset at its other end.
-        if (!both.some(({ isSilent }) => isSilent)) {
-          near.destroy();
-          far.destroy();
+        // The other end of a silenced link must not notice the close.
+        if (!linkPipes.some(({ isSilent }) => isSilent)) {
+          client.destroy();
+          upstream.destroy();
         }
-        if (near.destroyed && far.destroyed) {
-          both.forEach((pipe) => pipes.delete(pipe));
+        if (client.destroyed && upstream.destroyed) {
+          linkPipes.forEach((pipe) => pipes.delete(pipe));
         }
       });
     }
   }
 
-  function pipeOf(from: Socket, to: Socket, towards: Towards): Pipe {
-    const pipe: Pipe = { from, to, towards, isSilent: false, waiting: [], waitingBytes: 0 };
+  function createPipe(from: Socket, to: Socket, towards: Receiver): Pipe {
+    const pipe: Pipe = { from, to, towards, isSilent: false, queued: [], queuedBytes: 0 };
     from.on('data', (bytes: Buffer) => {
-      pipe.waiting.push({ bytes, atMs: performance.now() });
-      pipe.waitingBytes += bytes.length;
-      if (pipe.waitingBytes > MAX_WAITING_BYTES) {
+      pipe.queued.push({ bytes, receivedAtMs: performance.now() });
+      pipe.queuedBytes += bytes.length;
+      if (pipe.queuedBytes > MAX_QUEUED_BYTES) {
         from.pause();
       }
       if (mode.type === 'open') {
-        pass(pipe, mode);
+        forwardQueued(pipe, mode);
       }
     });
     return pipe;
   }
 }
 
-function pass(pipe: Pipe, mode: ProxyMode): void {
-  let budgetBytes = budgetOf(pipe, mode);
+function forwardQueued(pipe: Pipe, mode: ProxyMode): void {
+  let budgetBytes = forwardBudgetBytes(pipe, mode);
   const dueMs = performance.now() - (mode.type === 'slow' ? mode.delayMs : 0);
   for (;;) {
-    const [chunk] = pipe.waiting;
-    if (chunk === undefined || budgetBytes <= 0 || chunk.atMs > dueMs) {
+    const [chunk] = pipe.queued;
+    if (chunk === undefined || budgetBytes <= 0 || chunk.receivedAtMs > dueMs) {
       break;
     }
     const part = chunk.bytes.subarray(0, budgetBytes);
     pipe.to.write(part);
     budgetBytes -= part.length;
-    pipe.waitingBytes -= part.length;
-    pipe.waiting.shift();
+    pipe.queuedBytes -= part.length;
+    pipe.queued.shift();
     if (part.length < chunk.bytes.length) {
-      pipe.waiting.unshift({ ...chunk, bytes: chunk.bytes.subarray(part.length) });
+      pipe.queued.unshift({ ...chunk, bytes: chunk.bytes.subarray(part.length) });
     }
   }
-  if (pipe.waitingBytes <= MAX_WAITING_BYTES && pipe.from.isPaused()) {
+  if (pipe.queuedBytes <= MAX_QUEUED_BYTES && pipe.from.isPaused()) {
     pipe.from.resume();
   }
 }
 
-/** @returns how many bytes may pass in this step */
-function budgetOf({ towards, isSilent }: Pipe, mode: ProxyMode): number {
+/** @returns the number of bytes to forward at most in this interval */
+function forwardBudgetBytes({ towards, isSilent }: Pipe, mode: ProxyMode): number {
   if (isSilent) {
     return 0;
   }
@@ -152,7 +157,7 @@
     case 'silent':
       return mode.towards === 'both' || mode.towards === towards ? 0 : Number.POSITIVE_INFINITY;
     case 'slow':
-      return Math.ceil((mode.bytesPerS * STEP_MS) / MS_PER_SECOND);
+      return Math.ceil((mode.bytesPerS * FORWARD_INTERVAL_MS) / MS_PER_SECOND);
   }
 }
 
--- a/src/proof/soak/process-faults.ts
+++ b/src/proof/soak/process-faults.ts
@@ -1,23 +1,23 @@
 /**
- * @file Faults of the soak's real processes and of the links through their proxies: killed, stopped, frozen, wiped, slow, silent.
- * Faults that no process of the product takes part in are those of `stand-in-faults`.
+ * @file Injects faults into the real processes of a soak and into the links through their proxies. Faults of stand-ins are
+ * in `stand-in-faults`.
  */
 import { rm } from 'node:fs/promises';
 import { match } from 'ts-pattern';
 import type { ProxyMode } from './link-proxy.js';
 import type { SoakFault } from './soak-schedule.js';
 import type { SoakControl, SoakWorld } from './soak-world.js';
-import { disturb, endLater, strikeStandIns } from './stand-in-faults.js';
+import { recordDisturbance, scheduleEnd, injectStandInFault } from './stand-in-faults.js';
 
-/** A process that was killed is started again after this time at the least, in milliseconds. */
-const RESTART_MS = 300;
-/** How long after a start a process counts as disturbed: loading the program takes some of a second. */
-const START_MS = 1_500;
+/** Outage of `all-controls-killed`; also the interval of checks whether a stopping process has exited. */
+const MIN_RESTART_DELAY_MS = 300;
+/** Time after a start in which a process counts as disturbed; includes loading the program. */
+const STARTUP_MS = 1_500;
 const SLOW_LINK: ProxyMode = { type: 'slow', bytesPerS: 20_000, delayMs: 150 };
 const DIRECTIONS = ['machine', 'others', 'both'] as const;
 
-/** Causes a fault of a schedule; it ends by itself. */
-export function strikeProcess(world: SoakWorld, fault: SoakFault): void {
+/** Injects a fault of a schedule and schedules its end. */
+export function injectProcessFault(world: SoakWorld, fault: SoakFault): void {
   const { target, forMs } = fault;
   const control = world.controls[target % world.controls.length];
   const balancer = world.balancers[target % world.balancers.length];
@@ -25,68 +25,70 @@
     return;
   }
   match(fault.kind)
-    .with('control-killed', () => loseControl(world, control, forMs, () => control.process.kill()))
+    .with('control-killed', () =>
+      takeDownControl(world, control, forMs, () => control.process.kill()),
+    )
     .with('control-stopped', () =>
-      loseControl(world, control, forMs, () => control.process.terminate()),
+      takeDownControl(world, control, forMs, () => control.process.terminate()),
     )
     .with('control-wiped', () => wipeControl(world, control, forMs))
     .with('control-frozen', () => {
       control.process.freeze();
-      endLater(world, forMs, () => control.process.wake());
+      scheduleEnd(world, forMs, () => control.process.resume());
     })
     .with('control-links-silent', () => {
       const towards = DIRECTIONS[forMs % DIRECTIONS.length] ?? 'both';
-      changeLinks(world, control, { type: 'silent', towards }, forMs);
+      setLinkMode(world, control, { type: 'silent', towards }, forMs);
     })
-    .with('control-links-slow', () => changeLinks(world, control, SLOW_LINK, forMs))
+    .with('control-links-slow', () => setLinkMode(world, control, SLOW_LINK, forMs))
     .with('control-links-reset', () => {
-      control.proxy.resetAll();
-      disturb(world, 0);
+      control.proxy.resetAllLinks();
+      recordDisturbance(world, 0);
     })
     .with('control-open-links-silent', () => {
-      control.proxy.silenceOpen();
-      disturb(world, 0);
+      control.proxy.silenceOpenLinks();
+      recordDisturbance(world, 0);
     })
     .with('all-controls-killed', () => {
       world.controls.forEach((each) => {
-        loseControl(world, each, RESTART_MS, () => each.process.kill());
+        takeDownControl(world, each, MIN_RESTART_DELAY_MS, () => each.process.kill());
       });
     })
     .with('balancer-killed', () => {
       balancer.kill();
-      startLater(world, forMs, () => balancer.start());
+      scheduleStart(world, forMs, () => balancer.start());
     })
     .with('balancer-stopped', () => {
       balancer.terminate();
-      startLater(world, forMs, () => balancer.start());
+      scheduleStart(world, forMs, () => balancer.start());
     })
     .with('balancer-frozen', () => {
       balancer.freeze();
-      endLater(world, forMs, () => balancer.wake());
+      scheduleEnd(world, forMs, () => balancer.resume());
     })
-    .otherwise((kind) => strikeStandIns(world, kind, target, forMs));
+    .otherwise((kind) => injectStandInFault(world, kind, target, forMs));
 }
 
-/** A process that stops may take its time: it is started once it has ended. */
-function startLater(world: SoakWorld, forMs: number, start: () => void): void {
-  disturb(world, forMs + START_MS);
+function scheduleStart(world: SoakWorld, forMs: number, start: () => void): void {
+  recordDisturbance(world, forMs + STARTUP_MS);
   world.clock.after(forMs, start);
 }
 
-function loseControl(
+function takeDownControl(
   world: SoakWorld,
   { process }: SoakControl,
   forMs: number,
-  lose: () => void,
+  takeDown: () => void,
 ): void {
-  lose();
-  startLater(world, forMs, () => startOnceEnded(world, process));
+  takeDown();
+  scheduleStart(world, forMs, () => startOnceExited(world, process));
 }
 
-function startOnceEnded(world: SoakWorld, process: SoakControl['process']): void {
+/** A graceful stop may take longer than the fault: waits for the exit before the next start. */
+function startOnceExited(world: SoakWorld, process: SoakControl['process']): void {
   if (process.isRunning) {
-    disturb(world, START_MS);
-    world.clock.after(RESTART_MS, () => startOnceEnded(world, process));
+    recordDisturbance(world, STARTUP_MS);
+    world.clock.after(MIN_RESTART_DELAY_MS, () => startOnceExited(world, process));
   } else {
     process.start();
   }
@@ -94,20 +96,20 @@
 
 function wipeControl(world: SoakWorld, control: SoakControl, forMs: number): void {
   control.process.kill();
-  disturb(world, forMs + START_MS);
+  recordDisturbance(world, forMs + STARTUP_MS);
   world.clock.after(forMs, () => {
     void rm(control.dataFolder, { recursive: true, force: true }).then(() =>
-      startOnceEnded(world, control.process),
+      startOnceExited(world, control.process),
     );
   });
 }
 
-function changeLinks(
+function setLinkMode(
   world: SoakWorld,
   { proxy }: SoakControl,
   mode: ProxyMode,
   forMs: number,
 ): void {
   proxy.setMode(mode);
-  endLater(world, forMs, () => proxy.setMode({ type: 'open' }));
+  scheduleEnd(world, forMs, () => proxy.setMode({ type: 'open' }));
 }
--- a/src/proof/soak/read-back.ts
+++ b/src/proof/soak/read-back.ts
@@ -1,5 +1,6 @@
 /**
- * @file At the end of a soak reads what was acknowledged from each control machine that answers, and has the oracle check it.
+ * @file Reads the configuration and the zones from each reachable control machine at the end of a soak and passes them to
+ * the oracle, which checks that no acknowledged write is lost.
  */
 import type { Address } from '../../shared/common/address.js';
 import { sendJson } from '../../managed/daemon/http-json.js';
@@ -7,7 +8,7 @@
 import type { IngressOracle } from '../sim-registered/ingress-oracle.js';
 import type { SoakClock } from './soak-clock.js';
 
-/** Which machines to ask, and the oracle that checks their answers. */
+/** Control machines to read from and the oracle that checks their responses. */
 export interface ReadBackOptions {
   readonly callAddresses: readonly Address[];
   readonly operatorToken: string;
@@ -18,16 +19,16 @@
 const TIMEOUT_MS = 400;
 const HTTP_OK = 200;
 
-/** Asks all control machines for the configuration and for the zones. */
+/** Reads configuration and zones from all control machines and checks them. */
 export async function readBack(options: ReadBackOptions): Promise<void> {
   const { oracle, clock } = options;
   await Promise.all(
     options.callAddresses.flatMap((to) => [
-      read(options, to, '/v1/config', (body) => {
+      readAndCheck(options, to, '/v1/config', (body) => {
         const { version } = body as { readonly version: number };
         oracle.checkFinalRead(version, clock.nowMs);
       }),
-      read(options, to, '/v1/zones', (body) => {
+      readAndCheck(options, to, '/v1/zones', (body) => {
         const { zones } = body as { readonly zones: readonly ZoneReport[] };
         zones.forEach(({ zone, isEvacuated }) =>
           oracle.checkFinalZone(zone, isEvacuated, clock.nowMs),
@@ -37,12 +38,12 @@
   );
 }
 
-/** A machine that gives no answer, or promises nothing, says nothing of what is kept. */
-async function read(
+/** Skips machines that do not answer or answer with an error: they make no claim about stored data. */
+async function readAndCheck(
   { operatorToken }: ReadBackOptions,
   to: Address,
   path: string,
-  take: (body: unknown) => void,
+  check: (body: unknown) => void,
 ): Promise<void> {
   const answer = await sendJson({
     to,
@@ -53,7 +54,7 @@
   });
   answer.map(({ status, body }) => {
     if (status === HTTP_OK) {
-      take(body);
+      check(body);
     }
   });
 }
--- a/src/proof/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -1,73 +1,72 @@
 /**
- * @file One soak: starts the deployment, causes the faults of a seed while clients are served, lets it recover, and checks. Owns the folder of
- * the run, which keeps logs, schedule and verdict; `soak-world` owns the processes.
+ * @file Runs one soak: starts the deployment, injects the faults of a seed under client load, waits for recovery and checks
+ * the result. Writes the schedule and the verdict into the folder of the run.
  */
 import { mkdir, readFile, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { IngressOracle, IngressViolation } from '../sim-registered/ingress-oracle.js';
-import { strikeProcess } from './process-faults.js';
+import { injectProcessFault } from './process-faults.js';
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
-import { startSoakWorld, type SoakPlace, type SoakWorld } from './soak-world.js';
+import { startSoakWorld, type SoakDeployment, type SoakWorld } from './soak-world.js';
 import {
   MEASURED_MS,
   SETTLE_MS,
   LEAST_SERVED_SHARE,
 } from '../sim-registered/deployment-constants.js';
 
-/** What a soak does. */
+/** Options of one soak. */
 export interface SoakOptions {
   readonly seed: number;
-  /** How long faults come, in milliseconds. */
+  /** Duration of fault injection, in milliseconds. */
   readonly durationMs: number;
-  /** A folder that does not exist yet. */
+  /** Folder for logs, schedule and verdict; created if missing. */
   readonly folder: string;
-  readonly place: SoakPlace;
+  readonly deployment: SoakDeployment;
 }
 
-/** What came out of a soak. */
+/** Result of one soak. */
 export interface SoakVerdict {
   readonly seed: number;
   readonly violations: readonly IngressViolation[];
   readonly servedRequests: number;
   readonly failedRequests: number;
-  /** Faults by kind. */
+  /** Number of injected faults by kind. */
   readonly faults: Readonly<Record<string, number>>;
-  /** Processes that ended though nobody had asked for it, with the times that they did. */
+  /** Number of unexpected exits by process name; only processes that had any. */
   readonly unaskedEnds: Readonly<Record<string, number>>;
 }
 
-/** The deployment must be at work within this time after its start, in milliseconds. */
-const START_LIMIT_MS = 30_000;
+const STARTUP_TIMEOUT_MS = 30_000;
 const POLL_MS = 100;
 
 /**
  * Runs a soak.
- * @returns the verdict; rejects where the deployment does not come to work at all
+ * @returns the verdict; rejects if the deployment does not become ready after its start
  */
 export async function runSoak({
   seed,
   durationMs,
   folder,
-  place,
+  deployment,
 }: SoakOptions): Promise<SoakVerdict> {
   await mkdir(folder, { recursive: true });
-  const world = await startSoakWorld(seed, folder, place);
+  const world = await startSoakWorld(seed, folder, deployment);
   try {
     const { tolerableLosses, catchUpMs } = world.options;
     const schedule = drawSchedule({
       seed,
       durationMs,
-      controlCount: place.sizes.controls,
-      balancerCount: place.sizes.balancers,
+      controlCount: deployment.sizes.controls,
+      balancerCount: deployment.sizes.balancers,
       tolerableLosses,
       catchUpMs,
       hasRestarts: true,
     });
-    await writeJson(folder, 'schedule.json', { seed, durationMs, place, schedule });
-    await untilReady(world);
+    await writeJson(folder, 'schedule.json', { seed, durationMs, place: deployment, schedule });
+    await waitUntilReady(world);
     const servedBefore = await serveFor(world, MEASURED_MS);
-    await strikeAll(world, schedule, durationMs);
+    await injectFaults(world, schedule, durationMs);
     await sleep(SETTLE_MS);
     const servedAfter = await serveFor(world, MEASURED_MS);
     const share = servedAfter / Math.max(1, servedBefore);
@@ -82,48 +81,48 @@
   }
 }
 
-async function untilReady(world: SoakWorld): Promise<void> {
+async function waitUntilReady(world: SoakWorld): Promise<void> {
   world.operator.declareNext();
   for (let waitedMs = 0; !world.isReady(); waitedMs += POLL_MS) {
-    if (waitedMs >= START_LIMIT_MS) {
-      throw new Error(`The deployment was not at work within ${START_LIMIT_MS} ms.`);
+    if (waitedMs >= STARTUP_TIMEOUT_MS) {
+      throw new Error(`The deployment was not at work within ${STARTUP_TIMEOUT_MS} ms.`);
     }
     await sleep(POLL_MS);
   }
   world.startClients();
 }
 
-/** @returns how many requests were served in that time */
+/** @returns the number of requests served in the given time */
 async function serveFor(world: SoakWorld, forMs: number): Promise<number> {
   const before = world.oracle.servedRequests;
   await sleep(forMs);
   return world.oracle.servedRequests - before;
 }
 
-async function strikeAll(
+async function injectFaults(
   world: SoakWorld,
   schedule: readonly SoakFault[],
   durationMs: number,
 ): Promise<void> {
   for (const fault of schedule) {
-    world.clock.after(fault.atMs, () => strikeProcess(world, fault));
+    world.clock.after(fault.atMs, () => injectProcessFault(world, fault));
   }
   await sleep(durationMs);
 }
 
-/** Two leaders of one term are seen in the logs of control machines. */
+/** Reports the leaders of all terms from the logs of the control machines, so that the oracle finds two in one term. */
 async function recordLeaders(
   { controls, oracle, clock }: SoakWorld,
   folder: string,
 ): Promise<void> {
   for (const { process } of controls) {
     const log = await readFile(join(folder, `${process.name}.log`), 'utf8');
-    recordLeadersOf(log, process.name, oracle, clock.nowMs);
+    recordLeadersFromLog(log, process.name, oracle, clock.nowMs);
   }
 }
 
-/** Tells the oracle of each term that a log says its machine led in. */
-export function recordLeadersOf(
+/** Reports each term in which a machine was leader according to its log. */
+export function recordLeadersFromLog(
   log: string,
   name: string,
   oracle: Pick<IngressOracle, 'recordLeader'>,
@@ -140,14 +139,16 @@
     faults[kind] = (faults[kind] ?? 0) + 1;
   }
   const processes = [...world.controls.map(({ process }) => process), ...world.balancers];
-  const ended = processes.filter(({ unaskedEnds }) => unaskedEnds > 0);
+  const ended = processes.filter(({ unexpectedExits }) => unexpectedExits > 0);
   return {
     seed,
     violations: world.oracle.violations,
     servedRequests: world.oracle.servedRequests,
     failedRequests: world.clients.reduce((sum, client) => sum + client.failedRequests, 0),
     faults,
-    unaskedEnds: Object.fromEntries(ended.map(({ name, unaskedEnds }) => [name, unaskedEnds])),
+    unaskedEnds: Object.fromEntries(
+      ended.map(({ name, unexpectedExits }) => [name, unexpectedExits]),
+    ),
   };
 }
 
--- a/src/proof/soak/soak-calls.ts
+++ b/src/proof/soak/soak-calls.ts
@@ -14,7 +14,7 @@
 const HTTP_OK = 200;
 const HTTP_NOT_FOUND = 404;
 
-/** How calls find control machines. */
+/** Options of the calls to control machines. */
 export interface SoakCallsOptions {
   readonly controlAddresses: readonly Address[];
   readonly operatorToken: string;
@@ -22,17 +22,17 @@
 }
 
 /**
- * Every second caller goes on calling the same control machine, over the connection that is open, for as long as it
- * answers, also while it stops; the others call another one each time.
- * @returns a function that brings a call to a control machine; unanswered where that one does not answer
+ * Every second caller is sticky: it calls the same control machine until a call fails, also while that machine stops.
+ * The others change the machine with each call.
+ * @returns a function that sends a call to a control machine; without a response it never invokes its callback
  */
 export function createSoakCalls(options: SoakCallsOptions): CallControl {
   const { controlAddresses, operatorToken, random } = options;
-  const lastOf = new Map<string, Address>();
-  const keptBy = new Map<string, Address>();
+  const lastAddresses = new Map<string, Address>();
+  const stickyAddresses = new Map<string, Address>();
 
   return (fromHost, call, answer) => {
-    const to = keptBy.get(fromHost) ?? pick(fromHost);
+    const to = stickyAddresses.get(fromHost) ?? pick(fromHost);
     if (to === undefined) {
       return;
     }
@@ -47,30 +47,30 @@
   };
 
   function recordAnswer(fromHost: string, to: Address, isServed: boolean): void {
-    if (isServed && isLoyal(fromHost)) {
-      keptBy.set(fromHost, to);
+    if (isServed && isSticky(fromHost)) {
+      stickyAddresses.set(fromHost, to);
     } else {
-      keptBy.delete(fromHost);
+      stickyAddresses.delete(fromHost);
     }
   }
 
-  /** The same callers in each run. */
-  function isLoyal(fromHost: string): boolean {
+  /** Depends on the address alone, so that each run has the same sticky callers. */
+  function isSticky(fromHost: string): boolean {
     return Number(fromHost.split('.').at(-1)) % 2 === 0;
   }
 
   function pick(fromHost: string): Address | undefined {
-    const last = lastOf.get(fromHost);
+    const last = lastAddresses.get(fromHost);
     const others = controlAddresses.filter((address) => address !== last);
     const to = others[random.nextInt(others.length)];
     if (to !== undefined) {
-      lastOf.set(fromHost, to);
+      lastAddresses.set(fromHost, to);
     }
     return to;
   }
 }
 
-/** @returns the HTTP request of a call */
+/** @returns the HTTP request that carries a call */
 export function requestFor(call: GroupCall, to: Address, operatorToken: string): JsonRequest {
   const common = { to, timeoutMs: CALL_TIMEOUT_MS };
   switch (call.type) {
@@ -112,7 +112,7 @@
   return `/v1/backends/${encodeURIComponent(backend)}`;
 }
 
-/** @returns what the answer says of a call */
+/** @returns the reply to a call that an HTTP response stands for */
 export function replyOf(call: GroupCall, { status, body }: JsonResponse): GroupReply {
   if (call.type === 'read-config' && (status === HTTP_OK || status === HTTP_NOT_FOUND)) {
     return { type: 'config', document: status === HTTP_OK ? documentOf(body) : undefined };
--- a/src/proof/soak/soak-clock.ts
+++ b/src/proof/soak/soak-clock.ts
@@ -1,11 +1,11 @@
 /**
- * @file Real time for stand-ins, from 0 at the start of a soak, with timers that all end with it.
+ * @file Real-time clock for stand-ins: starts at 0 and cancels all its timers when the soak ends.
  */
 import type { StandInClock } from '../sim-registered/world-parts.js';
 
-/** A clock whose timers can be ended together. */
+/** A clock whose timers can be cancelled together. */
 export interface SoakClock extends StandInClock {
-  /** No timer runs any more. */
+  /** Cancels all timers and ignores new ones. */
   stop(): void;
 }
 
--- a/src/proof/soak/soak-process.ts
+++ b/src/proof/soak/soak-process.ts
@@ -1,45 +1,45 @@
 /**
- * @file A real process of a soak: it is started, killed, stopped, frozen and woken by its process ID, and
- * its log goes to a file of its own.
+ * @file A child process of a soak that can be started, killed, stopped, frozen and resumed. Its output is appended to a
+ * log file.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, openSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 
-const ENTRY = fileURLToPath(new URL('../../../../bin/amberlift.js', import.meta.url));
+const ENTRY_FILE = fileURLToPath(new URL('../../../../bin/amberlift.js', import.meta.url));
 
-/** What a process is started with. */
+/** Command, settings and log file of a process. */
 export interface SoakProcessOptions {
   readonly name: string;
-  /** Command of `amberlift`. */
+  /** Subcommand of `amberlift`. */
   readonly command: string;
   readonly settings: Readonly<Record<string, unknown>>;
-  /** Settings of the first start alone. */
-  readonly firstSettings?: Readonly<Record<string, unknown>>;
+  /** Additional settings of the first start only. */
+  readonly firstStartSettings?: Readonly<Record<string, unknown>>;
   readonly logFile: string;
 }
 
-/** A process that can be started again and again. */
+/** A process that can be restarted. */
 export interface SoakProcess {
   readonly name: string;
   readonly isRunning: boolean;
   start(): void;
   kill(): void;
-  /** Asks it to stop; it may take its time. */
+  /** Requests a graceful stop. */
   terminate(): void;
   freeze(): void;
-  wake(): void;
-  /** Times that it ended though nobody had asked for it. */
-  readonly unaskedEnds: number;
+  resume(): void;
+  /** Number of exits without a call of `kill` or `terminate`. */
+  readonly unexpectedExits: number;
 }
 
-/** @returns a process that is not started yet */
+/** @returns a process that has not been started */
 export function createSoakProcess(options: SoakProcessOptions): SoakProcess {
   const { name, command, settings, logFile } = options;
-  let firstSettings = options.firstSettings ?? {};
+  let firstStartSettings = options.firstStartSettings ?? {};
   let child: ChildProcess | undefined;
-  let isEndAsked = false;
-  let unaskedEnds = 0;
+  let isExitRequested = false;
+  let unexpectedExits = 0;
 
   return {
     name,
@@ -47,12 +47,12 @@
       return child !== undefined;
     },
     start,
-    kill: () => end('SIGKILL'),
-    terminate: () => end('SIGTERM'),
+    kill: () => requestExit('SIGKILL'),
+    terminate: () => requestExit('SIGTERM'),
     freeze: () => child?.kill('SIGSTOP'),
-    wake: () => child?.kill('SIGCONT'),
-    get unaskedEnds() {
-      return unaskedEnds;
+    resume: () => child?.kill('SIGCONT'),
+    get unexpectedExits() {
+      return unexpectedExits;
     },
   };
 
@@ -61,22 +61,22 @@
       return;
     }
     const log = openSync(logFile, 'a');
-    const flags = flagsOf({ ...settings, ...firstSettings });
-    firstSettings = {};
-    const started = spawn(process.execPath, [ENTRY, command, ...flags], {
+    const flags = flagsOf({ ...settings, ...firstStartSettings });
+    firstStartSettings = {};
+    const started = spawn(process.execPath, [ENTRY_FILE, command, ...flags], {
       stdio: ['ignore', log, log],
     });
     closeSync(log);
-    isEndAsked = false;
+    isExitRequested = false;
     child = started;
     started.on('exit', () => {
-      unaskedEnds += isEndAsked ? 0 : 1;
+      unexpectedExits += isExitRequested ? 0 : 1;
       child = child === started ? undefined : child;
     });
   }
 
-  function end(signal: 'SIGKILL' | 'SIGTERM'): void {
-    isEndAsked = true;
+  function requestExit(signal: 'SIGKILL' | 'SIGTERM'): void {
+    isExitRequested = true;
     child?.kill(signal);
   }
 }
--- a/src/proof/soak/soak-schedule.ts
+++ b/src/proof/soak/soak-schedule.ts
@@ -1,12 +1,11 @@
 /**
- * @file What happens in a soak, and when: drawn from a seed alone, so that a run can be repeated. Faults come one
- * by one and in series, as a roll of restarts or a storm of changes, and series overlap. Control machines that
- * are disturbed at the same time stay within what the deployment must survive.
+ * @file Draws the fault schedule of a soak from a seed, so that a run can be repeated. Faults are single or in series, and
+ * series overlap. The number of control machines disturbed at the same time stays within the tolerated losses.
  */
 import { seededRandom } from '../../shared/common/random.js';
 import type { RandomSource } from '../../shared/common/step.js';
 
-/** What can happen to the processes and to what lies between them. */
+/** All kinds of faults, of processes and of the network. */
 export const soakFaultKinds = [
   'control-killed',
   'control-stopped',
@@ -31,63 +30,61 @@
   'backend-restarted',
 ] as const;
 
-/** Kinds that are drawn after all others, as series of their own. */
-const LATER_KINDS: readonly SoakFaultKind[] = ['zone-evacuated', 'backend-restarted'];
-/** Kinds of the series that are drawn first. */
-const FIRST_KINDS = soakFaultKinds.filter((kind) => !LATER_KINDS.includes(kind));
+/** Kinds drawn separately, after the main series: adding them keeps the main series of a seed. */
+const SEPARATE_KINDS: readonly SoakFaultKind[] = ['zone-evacuated', 'backend-restarted'];
+/** Kinds of the main series. */
+const MAIN_KINDS = soakFaultKinds.filter((kind) => !SEPARATE_KINDS.includes(kind));
 
 /** One kind of fault. */
 export type SoakFaultKind = (typeof soakFaultKinds)[number];
 
-/** One fault. */
+/** One scheduled fault. */
 export interface SoakFault {
-  /** Since the start of the clients, in milliseconds. */
+  /** Start, in milliseconds after fault injection begins. */
   readonly atMs: number;
   readonly kind: SoakFaultKind;
-  /** Which process of its kind, from 0; of no meaning for faults of no single process. */
+  /** Index of the process among those of its role; unused by faults that concern no single process. */
   readonly target: number;
-  /** How long it lasts, in milliseconds; of no meaning for faults of a moment. */
+  /** Duration in milliseconds; unused by instantaneous faults. */
   readonly forMs: number;
 }
 
-/** What a schedule is drawn for. */
+/** Options of a schedule. */
 export interface ScheduleOptions {
   readonly seed: number;
-  /** Faults begin within this time, in milliseconds. */
+  /** All faults begin within this time, in milliseconds. */
   readonly durationMs: number;
   readonly controlCount: number;
   readonly balancerCount: number;
-  /** Control machines that may be disturbed at once. */
+  /** Number of control machines that may be disturbed at the same time. */
   readonly tolerableLosses: number;
-  /** A control machine counts as disturbed for so long after its fault, in milliseconds. */
+  /** Time after a fault in which a control machine still counts as disturbed, in milliseconds. */
   readonly catchUpMs: number;
-  /** Whether back ends start again under their IDs; without them a seed gives what it gave before there were any. */
+  /** Adds restarts of back ends under the same ID; the other faults of a seed stay the same. */
   readonly hasRestarts: boolean;
 }
 
-/** Mean time between two faults: several overlap at times, and quiet times of some seconds come about. */
-const MEAN_GAP_MS = 2_500;
-const SHORTEST_MS = 800;
-const SPREAD_MS = 3_500;
-/** More than any deployment of the soak has back ends; the target is taken modulo those that are there. */
+/** Short enough for overlapping faults, long enough for quiet periods of some seconds. */
+const MEAN_FAULT_GAP_MS = 2_500;
+const MIN_DURATION_MS = 800;
+const DURATION_SPREAD_MS = 3_500;
+/** Above the number of back ends of any soak; the target is taken modulo the running ones. */
 const MAX_RESTART_TARGET = 1_000;
-/** Nothing strikes before: the first flows are open then. */
+/** Leaves time for the first flows to open. */
 const FIRST_FAULT_MS = 3_000;
-/** Mean time between two evacuations: some overlap. */
+/** Short enough for some evacuations to overlap. */
 const MEAN_EVACUATION_GAP_MS = 8_000;
-/** They last up to so long: from less than the time until they are in force everywhere to twice the bound of that. */
+/** Makes evacuations last from less than their propagation time to twice the bound on it. */
 const EVACUATION_SPREAD_MS = 8_000;
-/** Mean time between two series of restarts of back ends, and how many restarts one has at most. */
 const MEAN_RESTART_GAP_MS = 5_000;
-const LONGEST_RESTARTS = 4;
-/** Every second fault begins a series of up to so many of its kind ... */
-const LONGEST_SERIES = 6;
-/** ... so far apart: from faster than a process starts to slower. */
-const SHORTEST_GAP_MS = 150;
-const GAP_SPREAD_MS = 1_250;
-
-/** Faults of one control machine. */
-const OF_ONE_CONTROL: ReadonlySet<SoakFaultKind> = new Set<SoakFaultKind>([
+const MAX_RESTARTS_PER_SERIES = 4;
+const MAX_SERIES_LENGTH = 6;
+/** With the spread: gaps from shorter to longer than the start of a process. */
+const MIN_SERIES_GAP_MS = 150;
+const SERIES_GAP_SPREAD_MS = 1_250;
+
+/** Kinds that disturb a single control machine. */
+const SINGLE_CONTROL_KINDS: ReadonlySet<SoakFaultKind> = new Set<SoakFaultKind>([
   'control-killed',
   'control-stopped',
   'control-frozen',
@@ -98,13 +95,13 @@
   'control-open-links-silent',
 ]);
 
-interface Disturbed {
+interface DisturbedControl {
   readonly target: number;
   readonly untilMs: number;
 }
 
 /**
- * @returns the faults in the order in which they begin; the same for the same options
+ * @returns the faults ordered by start time; the same options give the same faults
  */
 export function drawSchedule(options: ScheduleOptions): SoakFault[] {
   const random = seededRandom(options.seed);
@@ -112,22 +109,22 @@
   let atMs = FIRST_FAULT_MS;
   while (atMs < options.durationMs) {
     drawn.push(...drawSeries(options, random, Math.round(atMs)));
-    atMs += random.nextFloat() * 2 * MEAN_GAP_MS;
+    atMs += random.nextFloat() * 2 * MEAN_FAULT_GAP_MS;
   }
   drawn.push(...drawEvacuations(options, random));
   drawn.push(...(options.hasRestarts ? drawRestarts(options, random) : []));
-  return borne(drawn, options);
+  return keepTolerable(drawn, options);
 }
 
-/** Series of restarts of one back end, from faster than its heartbeats to slower; they overlap. */
+/** Draws overlapping series of restarts, each of one back end, with gaps from shorter to longer than its heartbeat interval. */
 function drawRestarts({ durationMs }: ScheduleOptions, random: RandomSource): SoakFault[] {
   const drawn: SoakFault[] = [];
   let atMs = FIRST_FAULT_MS + random.nextFloat() * 2 * MEAN_RESTART_GAP_MS;
   while (atMs < durationMs) {
-    const count = 1 + random.nextInt(LONGEST_RESTARTS);
-    const gapMs = SHORTEST_GAP_MS + random.nextFloat() * 2 * GAP_SPREAD_MS;
+    const count = 1 + random.nextInt(MAX_RESTARTS_PER_SERIES);
+    const gapMs = MIN_SERIES_GAP_MS + random.nextFloat() * 2 * SERIES_GAP_SPREAD_MS;
     const target = random.nextInt(MAX_RESTART_TARGET);
-    const forMs = Math.round(SHORTEST_MS + random.nextFloat() * SPREAD_MS);
+    const forMs = Math.round(MIN_DURATION_MS + random.nextFloat() * DURATION_SPREAD_MS);
     for (let index = 0; index < count; index += 1) {
       const startsAtMs = Math.round(atMs + index * gapMs);
       drawn.push({ atMs: startsAtMs, kind: 'backend-restarted', target, forMs });
@@ -137,25 +134,25 @@
   return drawn;
 }
 
-/** Evacuations beside all else; they overlap, of one zone and of several. */
+/** Draws evacuations that may overlap, of the same zone or of different ones. */
 function drawEvacuations({ durationMs }: ScheduleOptions, random: RandomSource): SoakFault[] {
   const drawn: SoakFault[] = [];
   let atMs = FIRST_FAULT_MS + random.nextFloat() * 2 * MEAN_EVACUATION_GAP_MS;
   while (atMs < durationMs) {
-    const forMs = Math.round(SHORTEST_MS + random.nextFloat() * EVACUATION_SPREAD_MS);
+    const forMs = Math.round(MIN_DURATION_MS + random.nextFloat() * EVACUATION_SPREAD_MS);
     drawn.push({ atMs: Math.round(atMs), kind: 'zone-evacuated', target: 0, forMs });
     atMs += random.nextFloat() * 2 * MEAN_EVACUATION_GAP_MS;
   }
   return drawn;
 }
 
-/** The faults that leave no more control machines disturbed at once than may be lost. */
-function borne(drawn: readonly SoakFault[], options: ScheduleOptions): SoakFault[] {
+/** Leaves out each fault that would disturb more control machines at the same time than tolerated. */
+function keepTolerable(drawn: readonly SoakFault[], options: ScheduleOptions): SoakFault[] {
   const faults: SoakFault[] = [];
-  let disturbed: Disturbed[] = [];
+  let disturbed: DisturbedControl[] = [];
   for (const fault of [...drawn].sort((one, other) => one.atMs - other.atMs)) {
     disturbed = disturbed.filter(({ untilMs }) => untilMs > fault.atMs);
-    if (fault.atMs < options.durationMs && fits(fault, disturbed, options)) {
+    if (fault.atMs < options.durationMs && isTolerable(fault, disturbed, options)) {
       faults.push(fault);
       disturbed.push(...disturbedBy(fault, options));
     }
@@ -163,16 +160,16 @@
   return faults;
 }
 
-/** @returns true where a fault is of one control machine */
-export function isOfOneControl(kind: SoakFaultKind): boolean {
-  return OF_ONE_CONTROL.has(kind);
+/** @returns true if faults of this kind disturb a single control machine */
+export function affectsOneControl(kind: SoakFaultKind): boolean {
+  return SINGLE_CONTROL_KINDS.has(kind);
 }
 
-/** One fault, or one of its kind after the other: on a process each, or again and again on the same. */
+/** Draws a single fault or a series of one kind, on successive processes or on the same one. */
 function drawSeries(options: ScheduleOptions, random: RandomSource, atMs: number): SoakFault[] {
   const first = drawFault(options, random, atMs);
-  const count = random.nextInt(2) === 0 ? 1 : 1 + random.nextInt(LONGEST_SERIES);
-  const gapMs = Math.round(SHORTEST_GAP_MS + random.nextFloat() * GAP_SPREAD_MS);
+  const count = random.nextInt(2) === 0 ? 1 : 1 + random.nextInt(MAX_SERIES_LENGTH);
+  const gapMs = Math.round(MIN_SERIES_GAP_MS + random.nextFloat() * SERIES_GAP_SPREAD_MS);
   const step = random.nextInt(2);
   return Array.from({ length: count }, (_, index) => ({
     ...first,
@@ -182,9 +179,9 @@
 }
 
 function drawFault(options: ScheduleOptions, random: RandomSource, atMs: number): SoakFault {
-  const kind = FIRST_KINDS[random.nextInt(FIRST_KINDS.length)] ?? 'config-changed';
+  const kind = MAIN_KINDS[random.nextInt(MAIN_KINDS.length)] ?? 'config-changed';
   const target = random.nextInt(targetCount(kind, options));
-  const forMs = Math.round(SHORTEST_MS + random.nextFloat() * SPREAD_MS);
+  const forMs = Math.round(MIN_DURATION_MS + random.nextFloat() * DURATION_SPREAD_MS);
   return { atMs, kind, target, forMs };
 }
 
@@ -195,26 +192,25 @@
   return kind.startsWith('balancer') ? balancerCount : controlCount;
 }
 
-/** A fault that would disturb more than may be lost is left out. */
-function fits(
+function isTolerable(
   { kind, target }: SoakFault,
-  disturbed: readonly Disturbed[],
+  disturbed: readonly DisturbedControl[],
   { tolerableLosses }: ScheduleOptions,
 ): boolean {
   if (kind === 'all-controls-killed') {
     return disturbed.length === 0;
   }
-  const isFree = disturbed.every((other) => other.target !== target);
-  return !isOfOneControl(kind) || (isFree && disturbed.length < tolerableLosses);
+  const isUndisturbed = disturbed.every((other) => other.target !== target);
+  return !affectsOneControl(kind) || (isUndisturbed && disturbed.length < tolerableLosses);
 }
 
 function disturbedBy(
   { kind, target, atMs, forMs }: SoakFault,
   { controlCount, catchUpMs }: ScheduleOptions,
-): Disturbed[] {
+): DisturbedControl[] {
   const untilMs = atMs + forMs + catchUpMs;
   if (kind === 'all-controls-killed') {
     return Array.from({ length: controlCount }, (_, index) => ({ target: index, untilMs }));
   }
-  return isOfOneControl(kind) ? [{ target, untilMs }] : [];
+  return affectsOneControl(kind) ? [{ target, untilMs }] : [];
 }
--- a/src/proof/soak/soak-wires.ts
+++ b/src/proof/soak/soak-wires.ts
@@ -1,6 +1,6 @@
 /**
- * @file Datagrams between stand-ins and real balancers: a UDP socket for each address that a stand-in takes
- * packets at. A client takes a new port for each flow; of each host the last few sockets stay open.
+ * @file Datagrams between stand-ins and real balancers, with one UDP socket per address of a stand-in. Clients use a new port
+ * for each flow, so only the latest sockets of each host stay open.
  */
 import { createSocket, type Socket } from 'node:dgram';
 import { formatAddress, type Address } from '../../shared/common/address.js';
@@ -9,19 +9,19 @@
 
 /** The sockets of all stand-ins. */
 export interface SoakWires extends StandInWires {
-  /** Share of datagrams that are lost, of those that stand-ins send. */
+  /** Share of the datagrams sent by stand-ins that is dropped, 0 to 1. */
   lossShare: number;
   close(): void;
 }
 
-/** Late packets of the flows before the current one may still come. */
-const MAX_SOCKETS_OF_HOST = 4;
+/** More than one, as late packets of earlier flows may still arrive. */
+const MAX_SOCKETS_PER_HOST = 4;
 
-/** @returns wires without any socket */
+/** @returns wires without any receiving socket */
 export function createSoakWires(random: RandomSource): SoakWires {
   const sender = createSocket('udp4');
   sender.on('error', () => undefined);
-  const socketsOfHost = new Map<string, Socket[]>();
+  const socketsByHost = new Map<string, Socket[]>();
   let isClosed = false;
   const wires: SoakWires = {
     lossShare: 0,
@@ -43,9 +43,9 @@
     });
     socket.on('message', handler);
     socket.bind(address.port, address.host);
-    const sockets = [...(socketsOfHost.get(address.host) ?? []), socket];
-    socketsOfHost.set(address.host, sockets.slice(-MAX_SOCKETS_OF_HOST));
-    sockets.slice(0, -MAX_SOCKETS_OF_HOST).forEach((old) => old.close());
+    const sockets = [...(socketsByHost.get(address.host) ?? []), socket];
+    socketsByHost.set(address.host, sockets.slice(-MAX_SOCKETS_PER_HOST));
+    sockets.slice(0, -MAX_SOCKETS_PER_HOST).forEach((old) => old.close());
   }
 
   function sendDatagram(_fromHost: string, to: Address, bytes: Uint8Array): void {
@@ -55,13 +55,13 @@
   }
 
   function hostDied(host: string): void {
-    socketsOfHost.get(host)?.forEach((socket) => socket.close());
-    socketsOfHost.delete(host);
+    socketsByHost.get(host)?.forEach((socket) => socket.close());
+    socketsByHost.delete(host);
   }
 
   function close(): void {
     isClosed = true;
-    [...socketsOfHost.keys()].forEach(hostDied);
+    [...socketsByHost.keys()].forEach(hostDied);
     sender.close();
   }
 }
--- a/src/proof/soak/soak-world.ts
+++ b/src/proof/soak/soak-world.ts
@@ -1,7 +1,6 @@
 /**
- * @file The deployment of a soak: real control machines and balancers as processes on loopback, a proxy in
- * front of the links of each control machine, and stand-ins for clients, back ends and an operator in this
- * process, checked by the oracle of the simulator.
+ * @file The deployment of a soak: control machines and balancers as child processes on loopback, a proxy in front of each
+ * control machine, and in-process stand-ins for clients, back ends and the operator, checked by the simulator's oracle.
  */
 import { join } from 'node:path';
 import { formatAddress, type Address } from '../../shared/common/address.js';
@@ -37,7 +36,7 @@
   MISSES_UNTIL_OUT,
 } from '../sim-registered/deployment-constants.js';
 
-/** How large the deployment of a soak is. */
+/** Number of members of each role in a soak. */
 export interface SoakSizes {
   readonly controls: number;
   readonly balancers: number;
@@ -45,20 +44,20 @@
   readonly clients: number;
 }
 
-/** What a soak takes for its deployment. */
-export interface SoakPlace {
+/** Size and address block of a soak. */
+export interface SoakDeployment {
   readonly sizes: SoakSizes;
-  /** Second number of its addresses on loopback; soaks beside each other take different ones. */
+  /** Second octet of the loopback addresses; parallel soaks need different ones. */
   readonly block: number;
 }
 
-/** Nine processes, well under half of a machine. */
-export const smallSoak: SoakPlace = {
+/** Default deployment: nine processes. */
+export const smallSoak: SoakDeployment = {
   sizes: { controls: 5, balancers: 4, backends: 6, clients: 12 },
   block: 10,
 };
 
-/** Hosts on loopback, by role. */
+/** Loopback hosts by role; members are numbered from 1. */
 type SoakHosts = Readonly<Record<keyof SoakSizes, (number: number) => string>>;
 
 function hostsOf(block: number): SoakHosts {
@@ -71,26 +70,26 @@
 }
 
 const LINK_PORT = 7_700;
-/** Behind the proxy, which listens at `LINK_PORT`. */
-const OWN_LINK_PORT = 7_701;
+/** The machine listens here, behind the proxy on `LINK_PORT`. */
+const PROXIED_LINK_PORT = 7_701;
 const CALL_PORT = 7_702;
 const PEER_PORT = 7_700;
 const READY_PORT = 7_703;
 const PACKET_PORT = 8_000;
 const BACKEND_PORT = 9_000;
 const PROBE_TIMEOUT_MS = 400;
-const MAX_KEPT_FLOWS = 10_000;
+const MAX_STICKY_FLOWS = 10_000;
 const OPERATOR_TOKEN = 'soak-operator-token';
 const HTTP_OK = 200;
 
-/** One control machine of a soak. */
+/** One control machine of a soak with its proxy. */
 export interface SoakControl {
   readonly process: SoakProcess;
   readonly proxy: LinkProxy;
   readonly dataFolder: string;
 }
 
-/** The deployment. */
+/** A running deployment of a soak. */
 export interface SoakWorld {
   readonly clock: SoakClock;
   readonly wires: SoakWires;
@@ -102,26 +101,26 @@
   readonly clients: readonly StandInClient[];
   readonly operator: StandInOperator;
   readonly zoneOperator: ZoneOperator;
-  /** Starts a back end, at the address of one that is gone where one is given. */
+  /** Starts a back end, on a new address unless one is given. */
   addBackend(service: string, address?: Address): void;
-  /** A back end ends without a word and starts again under its ID, at its address. */
+  /** Crashes a back end and starts it again under the same ID and address. */
   restartBackend(backend: StandInBackend): void;
   startClients(): void;
-  /** @returns true once all control machines and balancers are at work */
+  /** @returns true once all control machines run and all balancers are ready */
   isReady(): boolean;
-  /** Reads the configuration back from each control machine that answers. */
+  /** Reads configuration and zones back from each reachable control machine and checks them. */
   readBack(): Promise<void>;
   close(): Promise<void>;
 }
 
 /**
- * Starts the processes.
- * @param folder where their logs and disks go
+ * Starts the deployment without its clients.
+ * @param folder folder for logs and data of the processes
  */
 export async function startSoakWorld(
   seed: number,
   folder: string,
-  { sizes, block }: SoakPlace,
+  { sizes, block }: SoakDeployment,
 ): Promise<SoakWorld> {
   const hosts = hostsOf(block);
   const random = seededRandom(seed);
@@ -160,7 +159,7 @@
     operator,
     zoneOperator,
     ...standIns,
-    isReady: () => probes.areAllIn() && controls.every(({ process }) => process.isRunning),
+    isReady: () => probes.areAllReady() && controls.every(({ process }) => process.isRunning),
     readBack: () =>
       readBack({
         callAddresses: controls.map((_, index) => callAddress(hosts, index)),
@@ -172,7 +171,7 @@
       clock.stop();
       wires.close();
       [...controls.map(({ process }) => process), ...balancers].forEach((process) => {
-        process.wake();
+        process.resume();
         process.kill();
       });
       await Promise.all(controls.map(({ proxy }) => proxy.close()));
@@ -190,19 +189,19 @@
   for (let index = 0; index < options.controlCount; index += 1) {
     const name = `control-${index + 1}`;
     const host = hosts.controls(index + 1);
-    const behind: Address = { host, port: OWN_LINK_PORT };
+    const proxiedAddress: Address = { host, port: PROXIED_LINK_PORT };
     const dataFolder = join(folder, name);
     const process = createSoakProcess({
       name,
       command: 'group',
       logFile: join(folder, `${name}.log`),
-      firstSettings: { isFirstStart: true },
+      firstStartSettings: { isFirstStart: true },
       settings: {
         name,
         zone: SIMULATED_ZONES[index % SIMULATED_ZONES.length],
         dataFolder,
         linkAddress: formatAddress(linkAddress(hosts, index)),
-        listenAddress: formatAddress(behind),
+        listenAddress: formatAddress(proxiedAddress),
         callAddress: formatAddress(callAddress(hosts, index)),
         seeds: seeds.map(formatAddress),
         tolerableLosses: options.tolerableLosses,
@@ -215,7 +214,7 @@
     process.start();
     controls.push({
       process,
-      proxy: await startLinkProxy(linkAddress(hosts, index), behind),
+      proxy: await startLinkProxy(linkAddress(hosts, index), proxiedAddress),
       dataFolder,
     });
   }
@@ -251,10 +250,10 @@
   });
 }
 
-/** Which balancers the routers use. */
+/** Readiness probes of the routers and their choice of balancers. */
 interface Probes {
-  areAllIn(): boolean;
-  pick(flow: string): Address | undefined;
+  areAllReady(): boolean;
+  pickBalancer(flow: string): Address | undefined;
 }
 
 function startProbes(
@@ -262,11 +261,11 @@
   hosts: SoakHosts,
   balancers: readonly SoakProcess[],
 ): Probes {
-  const misses = balancers.map(() => MISSES_UNTIL_OUT);
-  /** The balancers that flows stay with, by flow. */
-  const kept = new Map<string, number>();
+  const missedProbes = balancers.map(() => MISSES_UNTIL_OUT);
+  /** Index of the balancer by flow. */
+  const stickyBalancers = new Map<string, number>();
   probeAll();
-  return { areAllIn: () => misses.every((count) => count === 0), pick };
+  return { areAllReady: () => missedProbes.every((count) => count === 0), pickBalancer };
 
   function probeAll(): void {
     balancers.forEach((_, index) => void probe(index));
@@ -276,43 +275,43 @@
   async function probe(index: number): Promise<void> {
     const to = { host: hosts.balancers(index + 1), port: READY_PORT };
     const answer = await sendJson({ to, method: 'GET', path: '/', timeoutMs: PROBE_TIMEOUT_MS });
-    const isIn = answer.match(
+    const isUp = answer.match(
       ({ status }) => status === HTTP_OK,
       () => false,
     );
-    misses[index] = isIn ? 0 : (misses[index] ?? 0) + 1;
+    missedProbes[index] = isUp ? 0 : (missedProbes[index] ?? 0) + 1;
   }
 
   /**
-   * Routers hash by the number of balancers that are in; by all where fewer than half are. Every second flow stays
-   * with the balancer that it met first until the process is gone, as behind a router that remembers.
+   * Hashes flows over the balancers that are up, or over all if fewer than half are. Every second flow is sticky: it
+   * keeps its first balancer while that process runs, as behind a router with a flow table.
    */
-  function pick(flow: string): Address | undefined {
+  function pickBalancer(flow: string): Address | undefined {
     const hash = hashOfFlow(flow);
-    const known = kept.get(flow);
-    const isKept = known !== undefined && balancers[known]?.isRunning === true;
-    const index = isKept ? known : pickByHash(hash);
+    const sticky = stickyBalancers.get(flow);
+    const isSticky = sticky !== undefined && balancers[sticky]?.isRunning === true;
+    const index = isSticky ? sticky : pickByHash(hash);
     if (index === undefined) {
       return undefined;
     }
-    if (!isKept && hash % 2 === 0) {
-      keep(flow, index);
+    if (!isSticky && hash % 2 === 0) {
+      rememberBalancer(flow, index);
     }
     return { host: hosts.balancers(index + 1), port: PACKET_PORT };
   }
 
   function pickByHash(hash: number): number | undefined {
-    const all = misses.map((_, index) => index);
-    const inUse = all.filter((index) => (misses[index] ?? 0) < MISSES_UNTIL_OUT);
-    const pool = inUse.length * 2 < all.length ? all : inUse;
+    const all = missedProbes.map((_, index) => index);
+    const up = all.filter((index) => (missedProbes[index] ?? 0) < MISSES_UNTIL_OUT);
+    const pool = up.length * 2 < all.length ? all : up;
     return pool[hash % pool.length];
   }
 
-  function keep(flow: string, index: number): void {
-    kept.set(flow, index);
-    const [oldest] = kept.keys();
-    if (kept.size > MAX_KEPT_FLOWS && oldest !== undefined) {
-      kept.delete(oldest);
+  function rememberBalancer(flow: string, index: number): void {
+    stickyBalancers.set(flow, index);
+    const [oldest] = stickyBalancers.keys();
+    if (stickyBalancers.size > MAX_STICKY_FLOWS && oldest !== undefined) {
+      stickyBalancers.delete(oldest);
     }
   }
 }
@@ -369,7 +368,7 @@
 
   function startClients(): void {
     const world = {
-      pickBalancer: (flow: string) => probes.pick(flow),
+      pickBalancer: (flow: string) => probes.pickBalancer(flow),
       isHeldOpen: (client: string, acceptNumber: number) =>
         backends.some((backend) => backend.holdsOpen(client, acceptNumber)),
       routes: () => operator.routes(),
--- a/src/proof/soak/stand-in-faults.ts
+++ b/src/proof/soak/stand-in-faults.ts
@@ -1,6 +1,6 @@
 /**
- * @file Faults of back ends, of the operator and of datagrams: the same beside real processes and in the
- * simulator, since the same stand-ins play them.
+ * @file Injects faults into back ends, the operator and datagrams. The soak and the simulator share them, as both use the
+ * same stand-ins.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { IngressOracle } from '../sim-registered/ingress-oracle.js';
@@ -12,7 +12,7 @@
 import type { SoakFaultKind } from './soak-schedule.js';
 import { LOSS_SHARE, ACK_LOSS_SHARE } from '../sim-registered/deployment-constants.js';
 
-/** What these faults need of a deployment. */
+/** Parts of a deployment that these faults act on. */
 export interface StandInWorld {
   readonly clock: StandInClock;
   readonly wires: StandInWires & { lossShare: number };
@@ -21,11 +21,11 @@
   readonly zoneOperator: ZoneOperator;
   readonly backends: readonly StandInBackend[];
   addBackend(service: string, address?: Address): void;
-  /** A back end ends without a word and starts again under its ID, at its address. */
+  /** Crashes a back end and starts it again under the same ID and address. */
   restartBackend(backend: StandInBackend): void;
 }
 
-/** Faults that no process of ours takes part in. */
+/** Faults that involve no control machine and no balancer process. */
 export type StandInFaultKind = Extract<
   SoakFaultKind,
   | 'backend-crashed'
@@ -39,27 +39,30 @@
   | 'backend-restarted'
 >;
 
-/** The oracle excuses missed bounds until some time after this fault has ended. */
-export function disturb(world: Pick<StandInWorld, 'oracle' | 'clock'>, forMs: number): void {
+/** Makes the oracle excuse missed bounds until some time after the end of a fault. */
+export function recordDisturbance(
+  world: Pick<StandInWorld, 'oracle' | 'clock'>,
+  forMs: number,
+): void {
   world.oracle.recordDisturbance(world.clock.nowMs + forMs);
 }
 
-/** Ends a fault after its time; missed bounds are excused until then. */
-export function endLater(
+/** Schedules the end of a fault and records the disturbance until then. */
+export function scheduleEnd(
   world: Pick<StandInWorld, 'oracle' | 'clock'>,
   forMs: number,
   end: () => void,
 ): void {
-  disturb(world, forMs);
+  recordDisturbance(world, forMs);
   world.clock.after(forMs, end);
 }
 
 /**
- * Causes a fault; it ends by itself.
- * @param target which back end, for restarts of one
- * @param forMs how long it lasts, or how late the last heartbeat of a back end comes
+ * Injects a fault and schedules its end.
+ * @param target index of the back end to restart; unused by other kinds
+ * @param forMs duration of the fault, or delay of the last heartbeat of a back end, in milliseconds
  */
-export function strikeStandIns(
+export function injectStandInFault(
   world: StandInWorld,
   kind: StandInFaultKind,
   target: number,
@@ -72,7 +75,7 @@
       return;
     case 'datagrams-lost':
       wires.lossShare = LOSS_SHARE;
-      endLater(world, forMs, () => (wires.lossShare = 0));
+      scheduleEnd(world, forMs, () => (wires.lossShare = 0));
       return;
     case 'acknowledgements-lost':
       operator.lostShare = ACK_LOSS_SHARE;
@@ -88,11 +91,11 @@
       restartBackend(world, target, forMs);
       return;
     default:
-      endBackend(world, kind, forMs);
+      replaceBackend(world, kind, forMs);
   }
 }
 
-/** The newest start of a back end is followed by another one; a heartbeat of it comes late. */
+/** Restarts a back end; a heartbeat of its previous start arrives late. */
 function restartBackend(world: StandInWorld, target: number, forMs: number): void {
   const running = world.backends.filter(({ isAlive, isLeaving }) => isAlive && !isLeaving);
   const numbers = [...new Set(running.map(({ identity }) => identity.number))].sort(
@@ -102,13 +105,13 @@
   const backend = running.find(({ identity }) => identity.number === number);
   if (backend !== undefined) {
     world.restartBackend(backend);
-    disturb(world, 0);
+    recordDisturbance(world, 0);
     world.clock.after(forMs, () => backend.deliverHeldUpHeartbeat());
   }
 }
 
-/** Another back end of the same service takes its place. */
-function endBackend(
+/** Ends a back end and adds another one of the same service. */
+function replaceBackend(
   world: StandInWorld,
   kind: Exclude<
     StandInFaultKind,
@@ -129,12 +132,12 @@
   switch (kind) {
     case 'backend-crashed':
       backend.crash();
-      disturb(world, 0);
+      recordDisturbance(world, 0);
       world.addBackend(service);
       return;
     case 'backend-reborn':
       backend.crash();
-      disturb(world, 0);
+      recordDisturbance(world, 0);
       world.addBackend(service, address);
       world.clock.after(forMs, () => backend.deliverHeldUpHeartbeat());
       return;
--- a/src/proof/soak/virtual-soak.ts
+++ b/src/proof/soak/virtual-soak.ts
@@ -1,6 +1,6 @@
 /**
- * @file The schedule of a soak on the simulated deployment: the same faults in the same order and overlap as beside
- * real processes, on virtual time, so that a seed gives one verdict on any machine.
+ * @file Runs the fault schedule of a soak against the simulated deployment on virtual time, so that a seed gives the same
+ * verdict on any machine.
  */
 import { match } from 'ts-pattern';
 import type { IngressWorld } from '../sim-registered/ingress-world.js';
@@ -12,22 +12,20 @@
 import type { SimulatedControlMachine } from '../sim-registered/simulated-control-machine.js';
 import type { SimulatedIngressBalancer } from '../sim-registered/simulated-ingress-balancer.js';
 import { drawSchedule, type SoakFault } from './soak-schedule.js';
-import { disturb, endLater, strikeStandIns } from './stand-in-faults.js';
+import { recordDisturbance, scheduleEnd, injectStandInFault } from './stand-in-faults.js';
 
-/** What a soak on virtual time does. */
+/** Options of a soak on virtual time. */
 export interface VirtualSoak extends WorldRun {
-  /** How long faults come, in milliseconds. */
+  /** Duration of fault injection, in milliseconds. */
   readonly durationMs: number;
-  /** Whether back ends start again under their IDs. */
+  /** Adds restarts of back ends under the same ID. */
   readonly hasRestarts?: boolean;
 }
 
-/** A machine that was killed is at work again after so long at the least, in milliseconds. */
-const RESTART_MS = 300;
-/** A balancer that is asked to stop forwards for so long, in milliseconds. */
+const MIN_RESTART_DELAY_MS = 300;
+/** Time in which a stopping balancer still forwards. */
 const BALANCER_STOP_MS = 2_000;
-/** What a slow link carries, in bytes a millisecond. */
-const SLOW_BYTES_PER_MS = 20;
+const SLOW_LINK_BYTES_PER_MS = 20;
 
 /** Runs a soak on virtual time. */
 export function runVirtualSoak(soak: VirtualSoak): Promise<IngressRunReport> {
@@ -37,13 +35,13 @@
     const bounds = { controlCount, balancerCount, tolerableLosses, catchUpMs };
     const options = { seed, durationMs, hasRestarts, ...bounds };
     for (const fault of drawSchedule(options)) {
-      world.clock.after(fault.atMs, () => strike(world, fault));
+      world.clock.after(fault.atMs, () => injectFault(world, fault));
     }
     await world.run(durationMs);
   });
 }
 
-function strike(world: IngressWorld, { kind, target, forMs }: SoakFault): void {
+function injectFault(world: IngressWorld, { kind, target, forMs }: SoakFault): void {
   const control = world.controls[target % world.controls.length];
   const balancer = world.balancers[target % world.balancers.length];
   if (control === undefined || balancer === undefined) {
@@ -51,57 +49,59 @@
   }
   const { host } = control.address;
   match(kind)
-    .with('control-killed', () => loseControl(world, control, forMs, () => control.kill()))
-    .with('control-stopped', () => loseControl(world, control, forMs, () => control.stop()))
-    .with('control-wiped', () => loseControl(world, control, forMs, () => control.wipe()))
+    .with('control-killed', () => takeDownControl(world, control, forMs, () => control.kill()))
+    .with('control-stopped', () => takeDownControl(world, control, forMs, () => control.stop()))
+    .with('control-wiped', () => takeDownControl(world, control, forMs, () => control.wipe()))
     .with('control-frozen', () => {
       control.freeze(forMs);
-      disturb(world, forMs);
+      recordDisturbance(world, forMs);
     })
-    .with('control-links-silent', () => silenceFor(world, control, forMs))
+    .with('control-links-silent', () => silenceLinks(world, control, forMs))
     .with('control-links-slow', () => {
-      world.wires.limitStreams(host, SLOW_BYTES_PER_MS);
-      endLater(world, forMs, () => world.wires.limitStreams(host, undefined));
+      world.wires.limitStreams(host, SLOW_LINK_BYTES_PER_MS);
+      scheduleEnd(world, forMs, () => world.wires.limitStreams(host, undefined));
     })
     .with('control-links-reset', () => {
       world.wires.resetLinksOf(host);
-      disturb(world, 0);
+      recordDisturbance(world, 0);
     })
     .with('control-open-links-silent', () => {
       world.wires.silenceLinksOf(host);
-      disturb(world, 0);
+      recordDisturbance(world, 0);
     })
     .with('all-controls-killed', () =>
-      world.controls.forEach((each) => loseControl(world, each, RESTART_MS, () => each.kill())),
+      world.controls.forEach((each) =>
+        takeDownControl(world, each, MIN_RESTART_DELAY_MS, () => each.kill()),
+      ),
     )
     .with('balancer-killed', () => {
       balancer.kill();
-      startLater(world, balancer, forMs);
+      scheduleStart(world, balancer, forMs);
     })
     .with('balancer-stopped', () => stopBalancer(world, balancer, forMs))
     .with('balancer-frozen', () => {
       balancer.freeze(forMs);
-      disturb(world, forMs);
+      recordDisturbance(world, forMs);
     })
-    .otherwise((ofStandIns) => strikeStandIns(world, ofStandIns, target, forMs));
+    .otherwise((standInKind) => injectStandInFault(world, standInKind, target, forMs));
 }
 
-function loseControl(
+function takeDownControl(
   world: IngressWorld,
   control: SimulatedControlMachine,
   forMs: number,
-  lose: () => void,
+  takeDown: () => void,
 ): void {
-  lose();
-  endLater(world, Math.max(RESTART_MS, forMs), () => {
+  takeDown();
+  scheduleEnd(world, Math.max(MIN_RESTART_DELAY_MS, forMs), () => {
     if (!control.isRunning) {
       control.start(false);
     }
   });
 }
 
-/** One direction or both, by the length of the fault. */
-function silenceFor(
+/** Cuts one or both directions; the duration selects which. */
+function silenceLinks(
   world: IngressWorld,
   { address }: SimulatedControlMachine,
   forMs: number,
@@ -111,16 +111,16 @@
     ...controls.filter((other) => other.address !== address).map((other) => other.address.host),
     ...balancers.map(({ host }) => host),
   ];
-  const isCutIn = forMs % 3 !== 1;
-  const isCutOut = forMs % 3 !== 0;
-  const cut = (isCut: boolean) => {
+  const cutsInbound = forMs % 3 !== 1;
+  const cutsOutbound = forMs % 3 !== 0;
+  const setCut = (isCut: boolean) => {
     for (const other of others) {
-      wires.cutOneWay(other, address.host, isCut && isCutIn);
-      wires.cutOneWay(address.host, other, isCut && isCutOut);
+      wires.cutOneWay(other, address.host, isCut && cutsInbound);
+      wires.cutOneWay(address.host, other, isCut && cutsOutbound);
     }
   };
-  cut(true);
-  endLater(world, forMs, () => cut(false));
+  setCut(true);
+  scheduleEnd(world, forMs, () => setCut(false));
 }
 
 function stopBalancer(
@@ -135,11 +135,15 @@
       balancer.kill();
     }
   });
-  startLater(world, balancer, BALANCER_STOP_MS + forMs);
+  scheduleStart(world, balancer, BALANCER_STOP_MS + forMs);
 }
 
-function startLater(world: IngressWorld, balancer: SimulatedIngressBalancer, forMs: number): void {
-  endLater(world, forMs, () => {
+function scheduleStart(
+  world: IngressWorld,
+  balancer: SimulatedIngressBalancer,
+  forMs: number,
+): void {
+  scheduleEnd(world, forMs, () => {
     if (balancer.process === undefined) {
       balancer.start();
     }
--- a/src/tools/cli/demo.ts
+++ b/src/tools/cli/demo.ts
@@ -4,7 +4,7 @@
 import type { CAC } from 'cac';
 import { Presets, SingleBar } from 'cli-progress';
 import { runDemo, type DemoProgress } from '../../proof/demo/demo.js';
-import { isUnharmed } from '../../proof/demo/harm-summary.js';
+import { hasNoViolations } from '../../proof/demo/run-summary.js';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 import { describeFigures } from './figures-table.js';
 
@@ -27,7 +27,7 @@
     process.stdout.write(`${JSON.stringify(report)}\n`);
   }
   process.exitCode =
-    isUnharmed(report) && report.answered === report.requests
+    hasNoViolations(report) && report.answered === report.requests
       ? exitCodes.success
       : exitCodes.failure;
 }
--- a/src/tools/cli/soak.ts
+++ b/src/tools/cli/soak.ts
@@ -6,7 +6,7 @@
 import type { CAC } from 'cac';
 import { exitCodes } from '../../shared/common/error-kinds.js';
 import { runSoak, type SoakVerdict } from '../../proof/soak/run-soak.js';
-import { smallSoak, type SoakPlace } from '../../proof/soak/soak-world.js';
+import { smallSoak, type SoakDeployment } from '../../proof/soak/soak-world.js';
 
 interface SoakFlags {
   readonly seed: number;
@@ -53,7 +53,12 @@
     const seed = flags.seed + runIndex;
     const folder = join(flags.into, `seed-${seed}`);
     const durationMs = flags.seconds * MS_PER_SECOND;
-    const verdict = await runSoak({ seed, durationMs, folder, place: soakPlaceFromFlags(flags) });
+    const verdict = await runSoak({
+      seed,
+      durationMs,
+      folder,
+      deployment: soakPlaceFromFlags(flags),
+    });
     verdicts.push(verdict);
     process.stdout.write(`${describe(verdict, folder)}\n`);
   }
@@ -63,7 +68,7 @@
   process.exitCode = verdicts.every(isClean) ? exitCodes.success : exitCodes.failure;
 }
 
-function soakPlaceFromFlags({ balancers, clients, block }: SoakFlags): SoakPlace {
+function soakPlaceFromFlags({ balancers, clients, block }: SoakFlags): SoakDeployment {
   return { sizes: { ...smallSoak.sizes, balancers, clients }, block };
 }
 
--- a/test/proof/demo/harm-summary.test.ts
+++ b/test/proof/demo/run-summary.test.ts
@@ -1,6 +1,10 @@
-/** @file The counts of harm: what callers were promised against what back ends ran. */
+/** @file The run summary counts each contradiction between outcomes at callers and runs at back ends. */
 import t from 'tap';
-import { isUnharmed, summarizeHarm, type RunRecord } from '../../../src/proof/demo/harm-summary.js';
+import {
+  hasNoViolations,
+  summarizeRun,
+  type RunRecord,
+} from '../../../src/proof/demo/run-summary.js';
 import type { RequestOutcome } from '../../../src/proof/standins/caller-state.js';
 
 const answered = (requestNumber: number): RequestOutcome => ({
@@ -19,20 +23,20 @@
   kind: 'deadline-exceeded',
 });
 
-function recordOf(outcomes: RequestOutcome[], seen: Partial<RunRecord> = {}): RunRecord {
+function recordOf(outcomes: RequestOutcome[], totals: Partial<RunRecord> = {}): RunRecord {
   const notices = { noticesDelivered: 0, noticesLost: 0, noticesDoubled: 0 };
-  return { outcomes, brokenFlows: 0, wrongAnswers: 0, ...notices, ...seen };
+  return { outcomes, brokenFlows: 0, wrongAnswers: 0, ...notices, ...totals };
 }
 
 const noRuns = { misrouted: 0, runs: [] };
 
-t.test('answers and truthful refusals are no harm', async (t) => {
-  const summary = summarizeHarm(recordOf([answered(1), refused(2)]), [{ misrouted: 0, runs: [1] }]);
+t.test('answers and correct refusals are no violations', async (t) => {
+  const summary = summarizeRun(recordOf([answered(1), refused(2)]), [{ misrouted: 0, runs: [1] }]);
   t.match(summary, { requests: 2, answered: 1, refused: 1, outcomeUnknown: 0 });
-  t.ok(isUnharmed(summary));
+  t.ok(hasNoViolations(summary));
 });
 
-t.test('each harm is counted on its own', async (t) => {
+t.test('each violation is counted separately', async (t) => {
   const cases = [
     [recordOf([refused(2)]), [{ misrouted: 0, runs: [2] }], 'falseNotRun'],
     [
@@ -51,8 +55,8 @@
     [recordOf([], { noticesDoubled: 1 }), [noRuns], 'noticesDoubled'],
   ] as const;
   for (const [record, backends, figure] of cases) {
-    const summary = summarizeHarm(record, backends);
+    const summary = summarizeRun(record, backends);
     t.equal(summary[figure], 1, figure);
-    t.notOk(isUnharmed(summary), figure);
+    t.notOk(hasNoViolations(summary), figure);
   }
 });
--- a/test/proof/soak/link-proxy.test.ts
+++ b/test/proof/soak/link-proxy.test.ts
@@ -1,4 +1,4 @@
-/** @file The proxy passes bytes on, holds them up in one direction, slows them down, and resets links. */
+/** @file The link proxy forwards bytes, blocks one direction, throttles, silences and resets links. */
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import t, { type Test } from 'tap';
@@ -7,14 +7,14 @@
 const HOST = '127.0.0.1';
 
 interface Link {
-  readonly near: Socket;
-  readonly far: Socket;
+  readonly client: Socket;
+  readonly upstream: Socket;
 }
 
-interface Joined extends Link {
+interface ProxiedLink extends Link {
   readonly proxy: LinkProxy;
   /** Opens another link through the same proxy. */
-  joinAgain(): Promise<Link>;
+  openAnotherLink(): Promise<Link>;
 }
 
 async function freePort(): Promise<number> {
@@ -25,28 +25,28 @@
   return port;
 }
 
-/** A link through a proxy to a server. */
-async function join(test: Test): Promise<Joined> {
+/** Opens a link through a new proxy to a new server. */
+async function openProxiedLink(test: Test): Promise<ProxiedLink> {
   const server = createServer().listen(0, HOST);
   await once(server, 'listening');
-  const at = { host: HOST, port: await freePort() };
+  const proxyAddress = { host: HOST, port: await freePort() };
   const { port } = server.address() as AddressInfo;
-  const proxy = await startLinkProxy(at, { host: HOST, port });
+  const proxy = await startLinkProxy(proxyAddress, { host: HOST, port });
   const opened: Socket[] = [];
-  const joinAgain = async (): Promise<Link> => {
+  const openAnotherLink = async (): Promise<Link> => {
     const accepted = once(server, 'connection');
-    const near = connect(at.port, at.host);
-    const [far] = (await accepted) as [Socket];
-    [near, far].forEach((socket) => socket.on('error', () => undefined));
-    opened.push(near, far);
-    return { near, far };
+    const client = connect(proxyAddress.port, proxyAddress.host);
+    const [upstream] = (await accepted) as [Socket];
+    [client, upstream].forEach((socket) => socket.on('error', () => undefined));
+    opened.push(client, upstream);
+    return { client, upstream };
   };
   test.teardown(async () => {
     opened.forEach((socket) => socket.destroy());
     await proxy.close();
     await new Promise((resolve) => server.close(resolve));
   });
-  return { proxy, ...(await joinAgain()), joinAgain };
+  return { proxy, ...(await openAnotherLink()), openAnotherLink };
 }
 
 /** @returns the next bytes of a socket as text */
@@ -56,72 +56,69 @@
 }
 
 t.test('bytes pass in both directions', async (t) => {
-  const { near, far } = await join(t);
-  near.write('there');
-  t.equal(await next(far), 'there');
-  far.write('back');
-  t.equal(await next(near), 'back');
+  const { client, upstream } = await openProxiedLink(t);
+  client.write('there');
+  t.equal(await next(upstream), 'there');
+  upstream.write('back');
+  t.equal(await next(client), 'back');
 });
 
-t.test(
-  'what is held up in one direction does not hold up the other, and passes later',
-  async (t) => {
-    const { proxy, near, far } = await join(t);
-    const atFar: string[] = [];
-    far.on('data', (bytes: Buffer) => atFar.push(bytes.toString()));
-    proxy.setMode({ type: 'silent', towards: 'machine' });
-    near.write('held');
-    for (const word of ['one', 'two', 'three']) {
-      far.write(word);
-      t.equal(await next(near), word);
-    }
-    t.same(atFar, [], 'nothing has come while three answers went the other way');
-    proxy.setMode({ type: 'open' });
-    while (atFar.length === 0) {
-      await once(far, 'data');
-    }
-    t.equal(atFar.join(''), 'held');
-  },
-);
+t.test('a blocked direction does not block the other one and is delivered later', async (t) => {
+  const { proxy, client, upstream } = await openProxiedLink(t);
+  const receivedUpstream: string[] = [];
+  upstream.on('data', (bytes: Buffer) => receivedUpstream.push(bytes.toString()));
+  proxy.setMode({ type: 'silent', towards: 'machine' });
+  client.write('held');
+  for (const word of ['one', 'two', 'three']) {
+    upstream.write(word);
+    t.equal(await next(client), word);
+  }
+  t.same(receivedUpstream, [], 'nothing arrived while three messages passed the other way');
+  proxy.setMode({ type: 'open' });
+  while (receivedUpstream.length === 0) {
+    await once(upstream, 'data');
+  }
+  t.equal(receivedUpstream.join(''), 'held');
+});
 
 t.test('a slow link loses nothing and keeps the order', async (t) => {
-  const { proxy, near, far } = await join(t);
+  const { proxy, client, upstream } = await openProxiedLink(t);
   proxy.setMode({ type: 'slow', bytesPerS: 40_000, delayMs: 5 });
   const sent = Array.from({ length: 400 }, (_, at) => `${at} `).join('');
-  near.write(sent);
+  client.write(sent);
   let received = '';
   while (received.length < sent.length) {
-    received += await next(far);
+    received += await next(upstream);
   }
   t.equal(received, sent);
 });
 
-t.test('a reset ends the link at both ends', async (t) => {
-  const { proxy, near, far } = await join(t);
-  near.write('there');
-  await next(far);
-  const ends = [near, far].map(
+t.test('a reset closes the link at both ends', async (t) => {
+  const { proxy, client, upstream } = await openProxiedLink(t);
+  client.write('there');
+  await next(upstream);
+  const ends = [client, upstream].map(
     (socket) => new Promise<void>((resolve) => socket.once('close', () => resolve())),
   );
-  proxy.resetAll();
+  proxy.resetAllLinks();
   t.equal((await Promise.all(ends)).length, 2);
 });
 
-t.test('open links go silent for good and nobody is told, a new one works', async (t) => {
-  const { proxy, near, far, joinAgain } = await join(t);
-  const heard: string[] = [];
-  far.on('data', (bytes: Buffer) => heard.push(bytes.toString()));
-  let isFarClosed = false;
-  far.on('close', () => (isFarClosed = true));
-  proxy.silenceOpen();
-  near.write('lost');
+t.test('silenced links stay open without data, and a new link works', async (t) => {
+  const { proxy, client, upstream, openAnotherLink: joinAgain } = await openProxiedLink(t);
+  const received: string[] = [];
+  upstream.on('data', (bytes: Buffer) => received.push(bytes.toString()));
+  let isUpstreamClosed = false;
+  upstream.on('close', () => (isUpstreamClosed = true));
+  proxy.silenceOpenLinks();
+  client.write('lost');
   const later = await joinAgain();
-  later.near.write('there');
-  t.equal(await next(later.far), 'there');
-  near.destroy();
-  await once(near, 'close');
-  later.far.write('back');
-  t.equal(await next(later.near), 'back');
-  t.same(heard, []);
-  t.equal(isFarClosed, false, 'the end that is left hears of nothing');
+  later.client.write('there');
+  t.equal(await next(later.upstream), 'there');
+  client.destroy();
+  await once(client, 'close');
+  later.upstream.write('back');
+  t.equal(await next(later.client), 'back');
+  t.same(received, []);
+  t.equal(isUpstreamClosed, false, 'the other end does not notice the close');
 });
--- a/test/proof/soak/soak-calls.test.ts
+++ b/test/proof/soak/soak-calls.test.ts
@@ -1,4 +1,4 @@
-/** @file The soak's calls over HTTP say what the stand-ins mean: a start of a back end is read back as it was sent. */
+/** @file A call sent over HTTP is parsed as the same call, also for a restarted back end. */
 import t from 'tap';
 import { createDeclaredApi } from '../../../src/registered/daemon/declared-api.js';
 import type { GroupCall } from '../../../src/registered/daemon/group-process.js';
@@ -7,8 +7,8 @@
 const TO = { host: '127.0.0.1', port: 7_000 };
 const TOKEN = 'token';
 
-/** @returns what a control machine takes the request of a call for */
-function readBack(call: GroupCall) {
+/** @returns the call that a control machine parses from the request */
+function parseRequestOf(call: GroupCall) {
   const { method, path, body } = requestFor(call, TO, TOKEN);
   const text = body === undefined ? '' : JSON.stringify(body);
   return createDeclaredApi(TOKEN)({ method, path, body: text, bearerToken: TOKEN });
@@ -30,8 +30,8 @@
         sequence: 3,
       },
     };
-    t.same(readBack(heartbeat), { type: 'call', call: heartbeat });
+    t.same(parseRequestOf(heartbeat), { type: 'call', call: heartbeat });
     const departure: GroupCall = { type: 'deregister', backendId: id };
-    t.same(readBack(departure), { type: 'call', call: departure });
+    t.same(parseRequestOf(departure), { type: 'call', call: departure });
   });
 }
--- a/test/proof/soak/soak-schedule.test.ts
+++ b/test/proof/soak/soak-schedule.test.ts
@@ -1,9 +1,9 @@
-/** @file What happens in a soak: the same for a seed, and never more control machines disturbed than may be lost. */
+/** @file Schedules depend on the seed alone and never disturb more control machines at once than tolerated. */
 import fc from 'fast-check';
 import t from 'tap';
 import {
   drawSchedule,
-  isOfOneControl,
+  affectsOneControl,
   soakFaultKinds,
   type ScheduleOptions,
   type SoakFault,
@@ -19,18 +19,18 @@
   hasRestarts: true,
 };
 
-/** @returns how many control machines are disturbed when a fault begins, that one among them */
+/** @returns the control machines disturbed at a time, including those of faults that begin then */
 function disturbedAt(faults: readonly SoakFault[], atMs: number): Set<number> {
   const { catchUpMs } = OPTIONS;
   return new Set(
     faults
-      .filter(({ kind }) => isOfOneControl(kind))
+      .filter(({ kind }) => affectsOneControl(kind))
       .filter((fault) => fault.atMs <= atMs && atMs < fault.atMs + fault.forMs + catchUpMs)
       .map(({ target }) => target),
   );
 }
 
-t.test('a seed gives one schedule, another seed another one', async (t) => {
+t.test('the same seed gives the same schedule, another seed a different one', async (t) => {
   t.same(drawSchedule(OPTIONS), drawSchedule(OPTIONS));
   t.not(
     JSON.stringify(drawSchedule(OPTIONS)),
@@ -38,13 +38,13 @@
   );
 });
 
-t.test('restarts of back ends come beside what a seed gives without them', async (t) => {
+t.test('restarts of back ends leave the other faults of a seed unchanged', async (t) => {
   const without = drawSchedule({ ...OPTIONS, hasRestarts: false });
   const others = drawSchedule(OPTIONS).filter(({ kind }) => kind !== 'backend-restarted');
   t.same(others, without);
 });
 
-t.test('no schedule disturbs more control machines at once than may be lost', async (t) => {
+t.test('no schedule disturbs more control machines at once than tolerated', async (t) => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 1_000_000 }), (seed) => {
       const faults = drawSchedule({ ...OPTIONS, seed });
@@ -67,7 +67,7 @@
   t.ok(killed > 0);
 });
 
-t.test('every kind comes about, in order of time and within it', async (t) => {
+t.test('schedules contain every kind, ordered by time and within the duration', async (t) => {
   const kinds = new Set<string>();
   for (let seed = 1; seed <= 30; seed += 1) {
     const faults = drawSchedule({ ...OPTIONS, seed });
--- a/test/proof/soak/soak-verdict.test.ts
+++ b/test/proof/soak/soak-verdict.test.ts
@@ -1,9 +1,9 @@
-/** @file Calls reach control machines as the product's own calls, and logs tell who led. */
+/** @file Soak calls are translated to and from the declared HTTP API, and leaders are read from logs. */
 import t from 'tap';
 import { createDeclaredApi } from '../../../src/registered/daemon/declared-api.js';
 import type { GroupCall } from '../../../src/registered/daemon/group-process.js';
 import { IngressOracle } from '../../../src/proof/sim-registered/ingress-oracle.js';
-import { recordLeadersOf } from '../../../src/proof/soak/run-soak.js';
+import { recordLeadersFromLog } from '../../../src/proof/soak/run-soak.js';
 import { replyOf, requestFor } from '../../../src/proof/soak/soak-calls.js';
 
 const TOKEN = 'operator-token';
@@ -50,7 +50,7 @@
   { type: 'read-config' },
 ];
 
-t.test('each call is understood by the product as what it was', async (t) => {
+t.test('the declared API parses each call unchanged', async (t) => {
   const translate = createDeclaredApi(TOKEN);
   for (const call of calls) {
     const { method, path, body, bearerToken } = requestFor(call, TO, TOKEN);
@@ -60,7 +60,7 @@
   }
 });
 
-t.test('answers say whether a call was acknowledged, and which configuration holds', async (t) => {
+t.test('a response maps to an acknowledgement or to the current configuration', async (t) => {
   const [heartbeat, , , read] = calls;
   if (heartbeat === undefined || read === undefined) {
     throw new Error('No call.');
@@ -69,16 +69,20 @@
   t.equal(replyOf(heartbeat, { status: 503, body: {} }).type, 'unavailable');
   t.match(replyOf(read, { status: 200, body: { version: 7 } }), { document: { version: 7 } });
   t.same(replyOf(read, { status: 404, body: {} }), { type: 'config', document: undefined });
-  t.equal(replyOf(read, { status: 503, body: {} }).type, 'unavailable', 'it promises nothing');
+  t.equal(
+    replyOf(read, { status: 503, body: {} }).type,
+    'unavailable',
+    'an error makes no claim about the configuration',
+  );
 });
 
-t.test('two machines that led in one term are seen in their logs', async (t) => {
+t.test('logs that show two leaders in one term are a violation', async (t) => {
   const line = (term: number) =>
     `2026-01-01 info [control] role role=leader term=${term} commit=1\n`;
   const oracle = new IngressOracle(BOUNDS);
-  recordLeadersOf(line(1) + line(3), 'control-1', oracle, 0);
-  recordLeadersOf(line(2), 'control-2', oracle, 0);
+  recordLeadersFromLog(line(1) + line(3), 'control-1', oracle, 0);
+  recordLeadersFromLog(line(2), 'control-2', oracle, 0);
   t.same(oracle.violations, []);
-  recordLeadersOf(line(3), 'control-3', oracle, 0);
+  recordLeadersFromLog(line(3), 'control-3', oracle, 0);
   t.match(oracle.violations, [{ check: 'leader' }]);
 });
--- a/test/proof/soak/virtual-soak.test.ts
+++ b/test/proof/soak/virtual-soak.test.ts
@@ -1,6 +1,6 @@
 /**
- * @file Soaks on virtual time: faults in series that overlap, on deployments of several sizes, and deployments
- * that are broken on purpose. A seed gives the same verdict on any machine.
+ * @file Soaks on virtual time keep all invariants on small and large deployments, and find faults in deliberately broken
+ * ones.
  */
 import t from 'tap';
 import type { IngressProcess } from '../../../src/registered/daemon/ingress-process.js';
@@ -19,7 +19,7 @@
 const runs = [
   ...Array.from({ length: 14 }, (_, index) => ({ seed: 1 + index, options: small })),
   ...Array.from({ length: 2 }, (_, index) => ({ seed: 101 + index, options: large })),
-  // A control machine that had just started and knew of no other zone refused a proper order.
+  // Regression: a control machine that had just started and had no other zone in its state refused a valid zone order.
   { seed: 755, options: small },
 ];
 
@@ -56,7 +56,7 @@
 
 const MUTANT_SEEDS = 3;
 
-/** @returns the checks that a broken deployment fails over some seeds, each once */
+/** @returns the names of the checks that a broken deployment fails in any of several seeds */
 async function failedChecks(prepare: (world: IngressWorld) => void): Promise<Set<string>> {
   const failed = new Set<string>();
   for (let seed = 1; seed <= MUTANT_SEEDS; seed += 1) {
@@ -67,25 +67,26 @@
   return failed;
 }
 
-/** Breaks each balancer that runs, and each that starts later. */
-function breakBalancers(world: IngressWorld, breakOne: (process: IngressProcess) => void): void {
+/** Patches the running balancers and each one that starts later. */
+function patchBalancers(world: IngressWorld, patch: (process: IngressProcess) => void): void {
   for (const balancer of world.balancers) {
     const start = balancer.start.bind(balancer);
-    const breakRunning = () => balancer.process && breakOne(balancer.process);
+    const patchRunning = () => balancer.process && patch(balancer.process);
     balancer.start = () => {
       start();
-      breakRunning();
+      patchRunning();
     };
-    breakRunning();
+    patchRunning();
   }
 }
 
 t.test('mutant: a balancer keeps the first configuration that it gets', async (t) => {
   const failed = await failedChecks((world) =>
-    breakBalancers(world, ({ state }) => {
+    patchBalancers(world, ({ state }) => {
       const { routes } = state;
-      const take = routes.applyUpdate.bind(routes);
-      routes.applyUpdate = (update) => (routes.config === undefined ? take(update) : 'known');
+      const applyUpdate = routes.applyUpdate.bind(routes);
+      routes.applyUpdate = (update) =>
+        routes.config === undefined ? applyUpdate(update) : 'known';
     }),
   );
   t.ok(failed.has('config'), [...failed].join(' '));
@@ -93,7 +94,7 @@
 
 t.test('mutant: a balancer forgets the opens that it placed, and asks nobody', async (t) => {
   const failed = await failedChecks((world) =>
-    breakBalancers(world, ({ state }) => {
+    patchBalancers(world, ({ state }) => {
       state.opens.recall = () => undefined;
       Object.defineProperty(state.peers, 'size', { get: () => 0 });
     }),
