--- a/src/proof/demo/cluster.ts
+++ b/src/proof/demo/cluster.ts
@@ -103,7 +103,7 @@
   addressOf(service: DeployedService): Address {
     const address = this.serviceAddresses.get(service.name);
     if (address === undefined) {
-      throw new RangeError(`There is no service ${service.name}.`);
+      throw new RangeError(`Unknown service ${service.name}.`);
     }
     return address;
   }
@@ -273,7 +273,7 @@
     const endsAt = performance.now() + FORMATION_TIMEOUT_MS;
     while ((await this.clientOf(operator).query({ type: 'in-force' })).isErr()) {
       if (performance.now() > endsAt) {
-        throw new Error('The control machines did not begin a cluster in time.');
+        throw new Error('The control machines did not form a cluster in time.');
       }
       await sleep(POLL_INTERVAL_MS);
     }
--- a/src/proof/demo/demo.ts
+++ b/src/proof/demo/demo.ts
@@ -72,7 +72,7 @@
     await cluster.start();
     const revisions = revisionsOf(cluster.backends);
     if (!(await waitUntilInForce(cluster, revisions, IN_FORCE_TIMEOUT_MS))) {
-      throw new Error('The configuration did not come into force in time.');
+      throw new Error('The configuration was not in force on all balancers in time.');
     }
     await sleep(SETTLE_TIME_MS);
     return await runLoad(cluster, progress);
--- a/src/proof/soak/run-soak.ts
+++ b/src/proof/soak/run-soak.ts
@@ -85,7 +85,7 @@
   world.operator.declareNext();
   for (let waitedMs = 0; !world.isReady(); waitedMs += POLL_MS) {
     if (waitedMs >= STARTUP_TIMEOUT_MS) {
-      throw new Error(`The deployment was not at work within ${STARTUP_TIMEOUT_MS} ms.`);
+      throw new Error(`The deployment was not ready within ${STARTUP_TIMEOUT_MS} ms.`);
     }
     await sleep(POLL_MS);
   }
--- a/src/proof/soak/soak-wires.ts
+++ b/src/proof/soak/soak-wires.ts
@@ -39,7 +39,7 @@
     }
     const socket = createSocket({ type: 'udp4', reuseAddr: true });
     socket.on('error', (cause) => {
-      throw new Error(`No packets can be taken at ${formatAddress(address)}: ${cause.message}`);
+      throw new Error(`Cannot receive datagrams at ${formatAddress(address)}: ${cause.message}`);
     });
     socket.on('message', handler);
     socket.bind(address.port, address.host);
