--- a/src/managed/health/judgement.ts
+++ b/src/managed/health/judgement.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendAdminState } from '../control/routing-config.js';
 import type { HealthReport, LoadReport } from './backend-report.js';
-import { markBusyIfRefusing } from './busy-hold.js';
+import { markBusyIfRefusing } from './busy-backoff.js';
 import { ejectIfTimingOut, updateTimeoutShare } from './ejection.js';
 import { probesFail, evaluateState, type EvaluatedState } from './judgement-rules.js';
 import type { Judgement, JudgementGroup, JudgementTransition } from './judgement-state.js';
--- a/src/managed/health/probe-ring.ts
+++ b/src/managed/health/probe-ring.ts
@@ -1,6 +1,6 @@
 /**
  * @file Paces probes: visits each target once per interval, spread evenly over time. The interval grows with the number
- * of targets where the probe rate would exceed its limit.
+ * of targets if the probe rate would exceed its limit.
  */
 import type { Backend } from '../control/routing-config.js';
 import { createMapCursor, nextEntry, type MapCursor } from './map-cursor.js';
--- a/src/managed/routing/zone-shares.ts
+++ b/src/managed/routing/zone-shares.ts
@@ -50,7 +50,7 @@
   );
 }
 
-/** Share of the total capacity for each zone, reduced where utilization is above the mean. */
+/** Share of the total capacity for each zone, reduced if its utilization is above the mean. */
 function effectiveCapacityShares(zones: readonly ZoneCapacity[]): number[] {
   const total = sum(zones.map(({ capacity }) => capacity));
   const meanUtilization =
--- a/src/registered/daemon/frame-links.ts
+++ b/src/registered/daemon/frame-links.ts
@@ -15,7 +15,7 @@
 /** Timeouts and limits of links. */
 export interface FrameLinkOptions {
   /** Interval of keep-alives, in milliseconds. */
-  readonly pulseIntervalMs: number;
+  readonly keepAliveIntervalMs: number;
   /** A link on which nothing is received for this time is closed, in milliseconds. */
   readonly silentAfterMs: number;
   /** Time limit for establishing a connection, in milliseconds. */
@@ -76,7 +76,7 @@
     private readonly options: FrameLinkOptions,
     private readonly dial: (to: Address) => Socket = ({ port, host }) => connect(port, host),
   ) {
-    this.timer = setInterval(() => this.checkLinks(), options.pulseIntervalMs);
+    this.timer = setInterval(() => this.checkLinks(), options.keepAliveIntervalMs);
     this.timer.unref();
   }
 
@@ -193,7 +193,10 @@
     for (const link of this.links) {
       if (now - link.receivedAtMs > this.options.silentAfterMs) {
         link.abort(`no data received for ${this.options.silentAfterMs} ms`);
-      } else if (now - link.sentAtMs >= this.options.pulseIntervalMs / 2 && link.socket.writable) {
+      } else if (
+        now - link.sentAtMs >= this.options.keepAliveIntervalMs / 2 &&
+        link.socket.writable
+      ) {
         link.sentAtMs = now;
         link.socket.write(keepAliveFrame);
       }
--- a/src/registered/daemon/ingress-process.ts
+++ b/src/registered/daemon/ingress-process.ts
@@ -139,7 +139,7 @@
 
   function tick(): void {
     const tickAtMs = nowMs();
-    state.stallGuard.recordActivity(tickAtMs);
+    state.stallDetector.recordActivity(tickAtMs);
     feed.tick(tickAtMs);
     zones.tick(tickAtMs);
     log.changedZones(tickAtMs);
--- a/src/registered/daemon/packet-handler.ts
+++ b/src/registered/daemon/packet-handler.ts
@@ -74,7 +74,7 @@
     }
     const nowMs = options.nowMs();
     lastPacketAtMs = nowMs;
-    state.stallGuard.recordActivity(nowMs);
+    state.stallDetector.recordActivity(nowMs);
     carryOut(decidePacket(state, packet, nowMs), datagram, packet);
   }
 
--- a/src/registered/decisions/answer-sizes.ts
+++ b/src/registered/decisions/answer-sizes.ts
@@ -9,7 +9,7 @@
   /**
    * Records the size of an answer.
    * @param bytes first bytes that the client acknowledged; a few packets of a long answer
-   * @returns true where the answer is far shorter than usual on its route
+   * @returns true if the answer is far shorter than usual on its route
    */
   isShort(route: RouteKey, bytes: number): boolean;
 }
--- a/src/registered/decisions/dead-flow.ts
+++ b/src/registered/decisions/dead-flow.ts
@@ -16,7 +16,7 @@
 interface DeadFlowEvidence {
   /** False while this balancer may be cut off from control machines; liveness may then be out of date. */
   readonly isFeedCurrent: boolean;
-  /** True where another back end with the same address is alive. */
+  /** True if another back end with the same address is alive. */
   readonly isReplaced: boolean;
   readonly unacknowledged: UnacknowledgedData;
 }
@@ -24,7 +24,7 @@
 /** Clients retransmit after about 200, 600 and 1,400 ms; two may be lost on the way to a live back end. */
 const MIN_RETRANSMISSIONS = 3;
 
-/** @returns true where the flow may be reset; false where only one source says that the back end is dead */
+/** @returns true if the flow may be reset; false if only one source says that the back end is dead */
 export function isProvenDead(
   backend: KnownBackend,
   { isFeedCurrent, isReplaced, unacknowledged }: DeadFlowEvidence,
--- a/src/registered/decisions/ejection/by-answers.ts
+++ b/src/registered/decisions/ejection/by-answers.ts
@@ -6,7 +6,7 @@
 import { busyInFleet, type KnownBackend } from '../../ingress/known-backend.js';
 import type { ObservedBackend } from '../fleet-answer-stats.js';
 import { MAX_EJECTED_SHARE_BY_ANSWERS } from './caps.js';
-import { detectFailure, sumAnswers, type Failure } from './failure-signs.js';
+import { detectFailure, sumAnswers, type Failure } from './failure-detection.js';
 
 /** Ejection of back ends whose answers show that they fail. */
 export interface EjectionByAnswers {
@@ -17,7 +17,7 @@
   detect(all: readonly ObservedBackend[], nowMs: number): void;
   /**
    * @param candidates back ends of one service
-   * @returns those that are not ejected, in the same order; all of them where more than the cap would be
+   * @returns those that are not ejected, in the same order; all of them if more than the cap would be
    * ejected
    */
   withoutEjected(candidates: readonly KnownBackend[], nowMs: number): readonly KnownBackend[];
--- a/src/registered/decisions/ejection/failure-signs.ts
+++ b/src/registered/decisions/ejection/failure-detection.ts
@@ -49,7 +49,7 @@
 /**
  * @param stats stats of the back end over all balancers
  * @param service sums over its service, the back end included
- * @returns the failure; undefined where none is detected
+ * @returns the failure; undefined if none is detected
  */
 export function detectFailure(
   backend: KnownBackend,
--- a/src/registered/decisions/feed-source.ts
+++ b/src/registered/decisions/feed-source.ts
@@ -117,7 +117,7 @@
 
   /**
    * Records that the link is closed.
-   * @returns true where a message had arrived: the feed is lost, not just unreachable
+   * @returns true if a message had arrived: the feed is lost, not just unreachable
    */
   recordClosed(nowMs: number): boolean {
     const hadFeed = this.link?.receivedAtMs !== undefined;
--- a/src/registered/decisions/least-load-choice.ts
+++ b/src/registered/decisions/least-load-choice.ts
@@ -4,7 +4,7 @@
 /**
  * @param flowHash chooses among candidates with equal load
  * @param loadOf requests in progress per slot
- * @returns undefined where there are no candidates
+ * @returns undefined if there are no candidates
  */
 export function leastLoaded(
   candidates: readonly KnownBackend[],
--- a/src/registered/decisions/load-per-slot.ts
+++ b/src/registered/decisions/load-per-slot.ts
@@ -6,7 +6,7 @@
 import type { MechanismSwitches } from './mechanism-switches.js';
 import type { SlowStart } from './slow-start.js';
 
-/** @returns requests in progress per slot of a back end, plus a penalty where it is cold */
+/** @returns requests in progress per slot of a back end, plus a penalty if it is cold */
 export type LoadPerSlot = (backend: KnownBackend, nowMs: number) => number;
 
 /** Requests per slot added to a cold back end, so that idle warm ones are preferred. */
--- a/src/registered/decisions/open-admission.ts
+++ b/src/registered/decisions/open-admission.ts
@@ -7,7 +7,7 @@
   createStallDetector,
   type InputFreshness,
   type StallDetector,
-} from '../../shared/common/stall-guard.js';
+} from '../../shared/common/stall-detector.js';
 import { OPEN_LIFETIME_MS } from '../ingress/open-memory.js';
 
 type OpenAdmission = 'place' | 'ask-peers' | 'drop';
@@ -18,21 +18,21 @@
  */
 const STALL_MS = 150;
 
-/** @returns a guard that must record each turn of the process; its trust is an input of `admitOpen` */
-export function createOpenStallGuard(): StallDetector {
+/** @returns a detector that must record each turn of the process; `admitOpen` takes its freshness */
+export function createOpenStallDetector(): StallDetector {
   return createStallDetector({ stallThresholdMs: STALL_MS, peerRetentionMs: OPEN_LIFETIME_MS });
 }
 
 /**
  * @param copyNumber retransmissions of the open before this one
- * @param canAskPeers false where the memory of opens is not shared, or no other balancer is known
+ * @param canAskPeers false if the memory of opens is not shared or no other balancer is known
  */
 export function admitOpen(
-  trust: InputFreshness,
+  freshness: InputFreshness,
   copyNumber: number,
   canAskPeers: boolean,
 ): OpenAdmission {
-  switch (trust) {
+  switch (freshness) {
     case 'stale':
       return 'drop';
     case 'doubtful':
--- a/src/registered/decisions/open-claims.ts
+++ b/src/registered/decisions/open-claims.ts
@@ -15,7 +15,7 @@
    * @returns false while another balancer holds a claim
    */
   claim(key: FlowKey, claimant: Address, nowMs: number): boolean;
-  /** @returns the peer address of the balancer that holds a claim; undefined where none does */
+  /** @returns the peer address of the balancer that holds a claim; undefined if none does */
   claimantOf(key: FlowKey, nowMs: number): Address | undefined;
 }
 
--- a/src/registered/decisions/open-refusal.ts
+++ b/src/registered/decisions/open-refusal.ts
@@ -1,6 +1,6 @@
 /**
  * @file Decides how an open without a back end is refused: reset, so that its client fails at once, or
- * dropped, so that its client retries, where there may be back ends that this balancer does not know yet.
+ * dropped, so that its client retries, if there may be back ends that this balancer does not know yet.
  */
 import type { KnownBackend } from '../ingress/known-backend.js';
 
@@ -12,7 +12,7 @@
 /**
  * @param active active back ends of the service
  * @param eligible the active ones outside of evacuated zones
- * @param mayLearnMore true where there may be back ends that are not known yet
+ * @param mayLearnMore true if there may be back ends that are not known yet
  */
 export function refuseOpen(
   active: readonly KnownBackend[],
--- a/src/registered/decisions/placement.ts
+++ b/src/registered/decisions/placement.ts
@@ -20,7 +20,7 @@
   /**
    * @param eligible active back ends of one service, outside of evacuated zones
    * @param flowHash 32 bits; spreads flows over equal candidates
-   * @returns undefined where no back end may take the flow
+   * @returns undefined if no back end may take the flow
    */
   choose(
     eligible: readonly KnownBackend[],
--- a/src/registered/decisions/restarted-backend.ts
+++ b/src/registered/decisions/restarted-backend.ts
@@ -9,7 +9,7 @@
  * @param previous the start that the token names
  * @param current the later start, which is alive
  * @returns `follow` to forward to the later start, which may hold flows opened before this balancer learned
- * of the restart and resets all others; `end` to reset the client, where the address has changed
+ * of the restart and resets all others; `end` to reset the client if the address has changed
  */
 export function actionAfterRestart(
   previous: KnownBackend,
--- a/src/registered/decisions/slow-start.ts
+++ b/src/registered/decisions/slow-start.ts
@@ -17,22 +17,22 @@
 }
 
 interface SlowStartOptions {
-  /** Undefined where the deployment sets no limit: cold back ends then only count as busier. */
+  /** Undefined if the deployment sets no limit: cold back ends then only count as busier. */
   readonly bounds: SlowStartBounds | undefined;
   /** Time between two heartbeats of a back end. */
   readonly heartbeatIntervalMs: number;
   readonly zones: ZoneTable;
   readonly peers: PeerTable;
-  /** @returns the warm-up settings of a service; undefined where its back ends are never cold */
+  /** @returns the warm-up settings of a service; undefined if its back ends are never cold */
   readonly warmUpOf: (service: string) => ServiceWarmUp | undefined;
-  /** @returns true where the feed is current, so that the list of balancers is too */
+  /** @returns true if the feed is current, so that the list of balancers is too */
   readonly isFeedCurrent: (nowMs: number) => boolean;
 }
 
 /** Slow start at one balancer. */
 export interface SlowStart {
   isCold(backend: KnownBackend, nowMs: number): boolean;
-  /** @returns true where a back end is warm, or within its limit at this balancer */
+  /** @returns true if a back end is warm, or within its limit at this balancer */
   admits(backend: KnownBackend, nowMs: number): boolean;
   /** Records that a new flow was placed at a back end. */
   recordPlacement(backend: KnownBackend, nowMs: number): void;
@@ -60,7 +60,7 @@
     return nowMs < backend.registration.coldUntilMs || nowMs < coldUntilByReadmission(backend);
   }
 
-  /** @returns the end of the warm-up after a readmission, where the last heartbeat may be older than it */
+  /** @returns the end of the warm-up after a readmission; the last heartbeat may be older than it */
   function coldUntilByReadmission({ zone, service, registration }: KnownBackend): number {
     const readmittedAtMs = zones.readmittedAtMs(zone);
     const graceMs = READMISSION_GRACE_INTERVALS * options.heartbeatIntervalMs;
--- a/src/registered/decisions/speed-draw.ts
+++ b/src/registered/decisions/speed-draw.ts
@@ -16,7 +16,7 @@
 
 const HASH_VALUES = 2 ** 32;
 
-/** @returns the chosen back end; undefined where there are no candidates */
+/** @returns the chosen back end; undefined if there are no candidates */
 export function drawBySpeed(
   candidates: readonly KnownBackend[],
   { flowHash, speeds, loadOf }: ChoiceContext,
--- a/src/registered/decisions/weighted-round-robin.ts
+++ b/src/registered/decisions/weighted-round-robin.ts
@@ -6,9 +6,9 @@
 
 /** Weighted round-robin of one route. */
 export interface WeightedRoundRobin {
-  /** @returns the service of the next flow; undefined where all weights are 0 */
+  /** @returns the service of the next flow; undefined if all weights are 0 */
   next(): string | undefined;
-  /** @returns true where the targets have the same services and weights, in the same order */
+  /** @returns true if the targets have the same services and weights, in the same order */
   hasTargets(targets: readonly WeightedTarget[]): boolean;
 }
 
--- a/src/registered/decisions/zone-choice.ts
+++ b/src/registered/decisions/zone-choice.ts
@@ -1,6 +1,6 @@
 /**
  * @file Prefers back ends of the own zone, since traffic between zones costs money and time. Other zones are
- * used where the own one has no candidates or a clearly higher load, and then the least loaded of them.
+ * used if the own one has no candidates or a clearly higher load, and then the least loaded of them.
  */
 import { slotsOf, type KnownBackend } from '../ingress/known-backend.js';
 import type { MechanismSwitches } from './mechanism-switches.js';
--- a/src/registered/egress/packet-scheduler.ts
+++ b/src/registered/egress/packet-scheduler.ts
@@ -28,7 +28,7 @@
 export type SchedulerDrop =
   /** The queue was full, and the flow of the packet had the most bytes in it. */
   | 'queue-full'
-  /** The packet was queued for so long that its sender has retransmitted or abandoned it. */
+  /** The packet exceeded the maximum queueing delay; its sender has retransmitted or abandoned it. */
   | 'too-old';
 
 /** Outcome of offering a packet. */
--- a/src/registered/group/calls/zone-order-calls.ts
+++ b/src/registered/group/calls/zone-order-calls.ts
@@ -12,7 +12,7 @@
 type ZoneOrderCall = Extract<GroupEvent, { readonly type: 'order-zone' }>;
 
 /** State that orders are validated against. */
-type ZoneOrderState = CallState & Pick<GroupState, 'balancers' | 'stallGuard'>;
+type ZoneOrderState = CallState & Pick<GroupState, 'balancers' | 'stallDetector'>;
 
 /**
  * Handles an order: forwards it to the leader, or replies `unknown-zone` or `unavailable`.
@@ -26,7 +26,7 @@
   if (!hasZone(state, zone)) {
     return [{ type: 'reply', requestId, reply: unknownZone(state, zone, nowMs) }];
   }
-  if (state.stallGuard.freshnessAt(nowMs) !== 'fresh') {
+  if (state.stallDetector.freshnessAt(nowMs) !== 'fresh') {
     const reason = 'This process was paused a moment ago, so the order may be outdated.';
     return [{ type: 'reply', requestId, reply: { type: 'unavailable', reason } }];
   }
--- a/src/registered/group/feed/balancer-feed.ts
+++ b/src/registered/group/feed/balancer-feed.ts
@@ -1,6 +1,6 @@
 /**
  * @file Feeds the balancers that are connected to this control machine: a full sync, then the updates of each tick, and
- * keepalives when nothing changes. feed-plan.ts plans the messages, feed-messages.ts builds them.
+ * keep-alives when nothing changes. feed-plan.ts plans the messages, feed-messages.ts builds them.
  */
 import type { LinkId } from '../../../shared/common/link-table.js';
 import { messageForPlan, type FeedMessageState } from './feed-messages.js';
@@ -100,7 +100,7 @@
   const plans = planMessages(state, subscriber, isCurrent(state, nowMs), nowMs);
   return plans.map((plan) => {
     subscriber.lastSentIsCurrent = plan.isCurrent;
-    subscriber.nextKeepaliveAtMs = nowMs + state.options.timing.feedKeepaliveIntervalMs;
+    subscriber.nextKeepAliveAtMs = nowMs + state.options.timing.feedKeepAliveIntervalMs;
     return { type: 'send-feed', linkId, message: messageForPlan(state, plan, nowMs) };
   });
 }
--- a/src/registered/group/feed/feed-plan.ts
+++ b/src/registered/group/feed/feed-plan.ts
@@ -1,5 +1,5 @@
 /**
- * @file Plans which messages a balancer is sent next: a full sync, updates, or a keepalive.
+ * @file Plans which messages a balancer is sent next: a full sync, updates, or a keep-alive.
  *
  * - A balancer gets a full sync after it subscribes, and another one when this machine becomes current if it was not
  *   current during the first.
@@ -7,7 +7,7 @@
  *   gets the newest state and delays no other.
  * - Messages are bounded in size, since a large one on a slow link would outlast the feed timeout. Back ends are sent
  *   before routes: placement needs both, and there may be many routes.
- * - If nothing is due, a keepalive says whether this machine is current: at intervals, and when that changes unless the
+ * - If nothing is due, a keep-alive says whether this machine is current: at intervals, and when that changes unless the
  *   window is full.
  */
 import { partOf, type ConfigPart, type ConfigUpdate } from '../../declared/config-update.js';
@@ -65,8 +65,8 @@
     plans.push(planNextMessage(state, subscriber, isCurrent));
     subscriber.countedSent += 1;
   }
-  if (plans.length === 0 && isKeepaliveDue(subscriber, isCurrent, nowMs)) {
-    plans.push(planKeepalive(state, subscriber, isCurrent));
+  if (plans.length === 0 && isKeepAliveDue(subscriber, isCurrent, nowMs)) {
+    plans.push(planKeepAlive(state, subscriber, isCurrent));
   }
   return plans;
 }
@@ -184,12 +184,12 @@
   return isSame ? unfinished.changesTaken : 0;
 }
 
-function isKeepaliveDue(subscriber: Subscriber, isCurrent: boolean, nowMs: number): boolean {
+function isKeepAliveDue(subscriber: Subscriber, isCurrent: boolean, nowMs: number): boolean {
   const hasStatusChanged = isCurrent !== subscriber.lastSentIsCurrent && !isWindowFull(subscriber);
-  return hasStatusChanged || nowMs >= subscriber.nextKeepaliveAtMs;
+  return hasStatusChanged || nowMs >= subscriber.nextKeepAliveAtMs;
 }
 
-function planKeepalive(
+function planKeepAlive(
   state: FeedPlanState,
   subscriber: Subscriber,
   isCurrent: boolean,
--- a/src/registered/group/feed/load-table-exchange.ts
+++ b/src/registered/group/feed/load-table-exchange.ts
@@ -105,7 +105,7 @@
     if (fields === undefined) {
       continue;
     }
-    subscriber.nextKeepaliveAtMs = nowMs + state.options.timing.feedKeepaliveIntervalMs;
+    subscriber.nextKeepAliveAtMs = nowMs + state.options.timing.feedKeepAliveIntervalMs;
     const isComplete = !isBehind(state, subscriber);
     effects.push({
       type: 'send-feed',
--- a/src/registered/group/feed/subscribers.ts
+++ b/src/registered/group/feed/subscribers.ts
@@ -47,8 +47,8 @@
   countedApplied: number;
   /** True if the last message said that this machine was current. */
   lastSentIsCurrent: boolean;
-  /** When it is sent a keepalive, unless another message is sent before. */
-  nextKeepaliveAtMs: number;
+  /** Time at which a keep-alive is due, unless another message is sent before. */
+  nextKeepAliveAtMs: number;
   readonly loads: PublishedTable;
   readonly answerStats: PublishedTable;
 }
@@ -66,7 +66,7 @@
     countedSent: 0,
     countedApplied: 0,
     lastSentIsCurrent: false,
-    nextKeepaliveAtMs: Number.NEGATIVE_INFINITY,
+    nextKeepAliveAtMs: Number.NEGATIVE_INFINITY,
     loads: createPublishedTable(LOAD_ROWS),
     answerStats: createPublishedTable(ANSWER_STATS_ROWS),
   };
--- a/src/registered/group/group-consensus.ts
+++ b/src/registered/group/group-consensus.ts
@@ -21,7 +21,7 @@
 export type ConsensusRunState = AppliedState & Pick<GroupState, 'announcements'>;
 
 /** Proposal ID of the leader's own changes, which no call waits for. */
-export const OWN_PROPOSAL = 0;
+export const INTERNAL_PROPOSAL_ID = 0;
 
 /**
  * Runs the consensus step and carries out the effects that change the state of this machine.
@@ -50,7 +50,7 @@
     )
     .with({ type: 'restore-snapshot' }, ({ snapshot }) => restoreSnapshot(state, snapshot.data))
     .with({ type: 'proposal-appended' }, ({ proposalId, index, term }) => {
-      if (proposalId !== OWN_PROPOSAL) {
+      if (proposalId !== INTERNAL_PROPOSAL_ID) {
         state.calls.recordAppended(index, term, proposalId);
       }
       return [];
--- a/src/registered/group/group-state.ts
+++ b/src/registered/group/group-state.ts
@@ -4,7 +4,7 @@
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
 import type { LinkId } from '../../shared/common/link-table.js';
-import type { StallDetector } from '../../shared/common/stall-guard.js';
+import type { StallDetector } from '../../shared/common/stall-detector.js';
 import {
   createConsensusState,
   type ConsensusOptions,
@@ -20,7 +20,7 @@
 } from './backends/backend-list-progress.js';
 import { createHeartbeatExchange, type HeartbeatExchange } from './backends/heartbeat-exchange.js';
 import type { StartNumber } from './calls/forward-ids.js';
-import { createOrderGuard } from './calls/order-guard.js';
+import { createOrderStallDetector } from './calls/order-stall-detector.js';
 import { createPendingCalls, type PendingCalls } from './calls/pending-calls.js';
 import { createBalancerList, type BalancerList } from './feed/balancer-list.js';
 import { createConfigHistory, type ConfigHistory } from './feed/config-history.js';
@@ -70,8 +70,8 @@
   readonly configs: ConfigHistory;
   /** Times at which this machine observed zone readmissions (zone-readmissions.ts). */
   readonly readmissions: ZoneReadmissions;
-  /** Detects pauses of this process, after which queued orders may be outdated (calls/order-guard.ts). */
-  readonly stallGuard: StallDetector;
+  /** Detects pauses of this process, after which queued orders may be outdated (calls/order-stall-detector.ts). */
+  readonly stallDetector: StallDetector;
 }
 
 /**
@@ -119,7 +119,7 @@
     answerStats: createExchangedTable(ANSWER_STATS_ROWS),
     configs: createConfigHistory(document && options.readDocument(document)),
     readmissions: createZoneReadmissions(),
-    stallGuard: createOrderGuard(),
+    stallDetector: createOrderStallDetector(),
   };
 }
 
--- a/src/registered/group/group-step.ts
+++ b/src/registered/group/group-step.ts
@@ -39,7 +39,7 @@
   context: StepContext,
 ): GroupEffect[] {
   const { nowMs } = context;
-  state.stallGuard.recordActivity(nowMs);
+  state.stallDetector.recordActivity(nowMs);
   const run = (consensusEvent: ConsensusEvent) => runConsensus(state, consensusEvent, context);
   return match(event)
     .with({ type: 'heartbeat' }, (call) => handleHeartbeat(state, call, nowMs, run))
--- a/src/registered/group/group-tick.ts
+++ b/src/registered/group/group-tick.ts
@@ -6,7 +6,7 @@
 import { nextBackendListCommand } from './backends/backend-list.js';
 import { feedSubscribers } from './feed/balancer-feed.js';
 import { removeSilentPeers, shareBalancers } from './feed/balancer-list-exchange.js';
-import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
+import { INTERNAL_PROPOSAL_ID, runConsensus, type ConsensusRunState } from './group-consensus.js';
 import type { GroupEffect } from './group-events.js';
 import { announceIfDue, requestRemoval, bootstrapEvent } from './members/group-formation.js';
 import type { GroupState } from './group-state.js';
@@ -57,7 +57,7 @@
   }
   return runConsensus(
     state,
-    { type: 'change-membership', proposalId: OWN_PROPOSAL, change },
+    { type: 'change-membership', proposalId: INTERNAL_PROPOSAL_ID, change },
     context,
   );
 }
@@ -69,5 +69,5 @@
   }
   state.backendList.recordProposal(state.consensus.log.last.index + 1);
   const data = encodeGroupCommand(command);
-  return runConsensus(state, { type: 'propose', proposalId: OWN_PROPOSAL, data }, context);
+  return runConsensus(state, { type: 'propose', proposalId: INTERNAL_PROPOSAL_ID, data }, context);
 }
--- a/src/registered/group/peer-messages.ts
+++ b/src/registered/group/peer-messages.ts
@@ -5,7 +5,7 @@
 import type { StepContext } from '../../shared/common/step.js';
 import type { ConsensusEvent } from '../../shared/consensus/consensus-events.js';
 import { applyPeerBalancers } from './feed/balancer-list-exchange.js';
-import { OWN_PROPOSAL, runConsensus, type ConsensusRunState } from './group-consensus.js';
+import { INTERNAL_PROPOSAL_ID, runConsensus, type ConsensusRunState } from './group-consensus.js';
 import type { GroupEffect } from './group-events.js';
 import { changeForLeaveRequest, handleAnnouncement } from './members/group-formation.js';
 import type { PeerMessage } from './group-messages.js';
@@ -32,7 +32,7 @@
       const change = changeForLeaveRequest(state, message);
       return change === undefined
         ? []
-        : run({ type: 'change-membership', proposalId: OWN_PROPOSAL, change });
+        : run({ type: 'change-membership', proposalId: INTERNAL_PROPOSAL_ID, change });
     })
     .with({ type: 'heartbeats' }, ({ records }) => {
       records.forEach((aged) => applyHeartbeat(state, aged, nowMs));
--- a/src/registered/group/timing.ts
+++ b/src/registered/group/timing.ts
@@ -34,13 +34,13 @@
     readonly firstElectionTimeoutMs: number;
   };
   readonly links: {
-    readonly pulseIntervalMs: number;
+    readonly keepAliveIntervalMs: number;
     readonly silentAfterMs: number;
     readonly connectTimeoutMs: number;
   };
   readonly feed: FeedTiming;
   /** Interval of keep-alive messages to a balancer while nothing changes. */
-  readonly feedKeepaliveIntervalMs: number;
+  readonly feedKeepAliveIntervalMs: number;
 }
 
 /** Bounds for which the maximum times below are valid. */
@@ -56,7 +56,7 @@
 /** Election timeout after a start, while no leader is known; short, so that a group recovers quickly from a full restart. */
 const FIRST_ELECTION_TIMEOUT_MS = 80;
 /** Three keep-alives fit into the link timeout. */
-const LINK_KEEPALIVE_INTERVAL_MS = 400;
+const LINK_KEEP_ALIVE_INTERVAL_MS = 400;
 const LINK_TIMEOUT_MS = 1_200;
 /** Not scaled, because round-trip times do not depend on the bounds. */
 const CONNECT_TIMEOUT_MS = 200;
@@ -67,7 +67,7 @@
 /** A balancer with an older feed does not reset flow opens of unknown routes, which may just have been added. */
 const FEED_FRESH_MS = 1_500;
 /** Two keep-alives fit into the feed timeout. */
-const FEED_KEEPALIVE_INTERVAL_MS = 400;
+const FEED_KEEP_ALIVE_INTERVAL_MS = 400;
 
 /**
  * @returns the timeouts and intervals for a deployment with these bounds
@@ -82,7 +82,7 @@
       firstElectionTimeoutMs: scaled(FIRST_ELECTION_TIMEOUT_MS),
     },
     links: {
-      pulseIntervalMs: scaled(LINK_KEEPALIVE_INTERVAL_MS),
+      keepAliveIntervalMs: scaled(LINK_KEEP_ALIVE_INTERVAL_MS),
       silentAfterMs: scaled(LINK_TIMEOUT_MS),
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
     },
@@ -92,7 +92,7 @@
       firstMessageAfterMs: scaled(FEED_FIRST_MESSAGE_TIMEOUT_MS),
       freshMs: scaled(FEED_FRESH_MS),
     },
-    feedKeepaliveIntervalMs: scaled(FEED_KEEPALIVE_INTERVAL_MS),
+    feedKeepAliveIntervalMs: scaled(FEED_KEEP_ALIVE_INTERVAL_MS),
   };
 }
 
--- a/src/registered/ingress/ingress-state.ts
+++ b/src/registered/ingress/ingress-state.ts
@@ -10,13 +10,13 @@
  * | `activities`                                         | `established-packet`, `open-step`, `sweep`     |
  * | `slowStart`, `placement`                             | `open-step`                                    |
  * | `livenessLog`                                        | `sweep`                                        |
- * | `stallGuard`, `isStopping`                           | the ingress process                            |
+ * | `stallDetector`, `isStopping`                        | the ingress process                            |
  *
  * Nothing is persisted; after a restart the balancer receives everything through its feed.
  */
-import type { StallDetector } from '../../shared/common/stall-guard.js';
+import type { StallDetector } from '../../shared/common/stall-detector.js';
 import type { MechanismSwitches } from '../decisions/mechanism-switches.js';
-import { createOpenStallGuard } from '../decisions/open-admission.js';
+import { createOpenStallDetector } from '../decisions/open-admission.js';
 import { createPlacement, type Placement } from '../decisions/placement.js';
 import { createSlowStart, type SlowStartBounds, type SlowStart } from '../decisions/slow-start.js';
 import type { FeedTiming } from '../group/timing.js';
@@ -67,7 +67,7 @@
   readonly placement: Placement;
   /** Last logged liveness of back ends. */
   readonly livenessLog: LivenessLog;
-  readonly stallGuard: StallDetector;
+  readonly stallDetector: StallDetector;
   /** True once a graceful shutdown has begun. */
   readonly isStopping: boolean;
   beginStop(): void;
@@ -116,7 +116,7 @@
     slowStart,
     placement: createPlacement(options.zone, options.switches, slowStart),
     livenessLog: createLivenessLog(),
-    stallGuard: createOpenStallGuard(),
+    stallDetector: createOpenStallDetector(),
     get isStopping() {
       return isStopping;
     },
--- a/src/registered/ingress/open-step.ts
+++ b/src/registered/ingress/open-step.ts
@@ -28,7 +28,9 @@
       ? { type: 'reset', reason: 'no-route' }
       : { type: 'drop', reason: 'not-current' };
   }
-  switch (admitOpen(state.stallGuard.freshnessAt(nowMs), packet.copyNumber, canAskPeers(state))) {
+  switch (
+    admitOpen(state.stallDetector.freshnessAt(nowMs), packet.copyNumber, canAskPeers(state))
+  ) {
     case 'drop':
       return { type: 'drop', reason: 'stale-open' };
     case 'ask-peers':
--- a/src/shared/consensus/persistence.ts
+++ b/src/shared/consensus/persistence.ts
@@ -117,7 +117,7 @@
   return writeId;
 }
 
-/** A persisted commit index lets a restarted member apply entries before it hears from a leader. */
+/** A persisted commit index lets a restarted member apply entries before a leader contacts it. */
 function queueCommitIndex(state: ConsensusState): void {
   if (state.commitIndex > state.persistence.queuedCommitIndex) {
     state.persistence.queuedCommitIndex = state.commitIndex;
--- a/test/managed/dissemination/lease-world.ts
+++ b/test/managed/dissemination/lease-world.ts
@@ -44,7 +44,7 @@
   readonly authority: LeaseAuthority;
   readonly port: number;
   term: number;
-  /** True while it believes to lead; a deposed leader may not know of its successor. */
+  /** True while it considers itself the leader; a deposed leader may not have noticed its successor. */
   isLeading: boolean;
 }
 
--- a/test/registered/group/balancer-feed.test.ts
+++ b/test/registered/group/balancer-feed.test.ts
@@ -292,7 +292,7 @@
   };
 }
 
-t.test('without acknowledgements a balancer gets two messages, then keepalives', async (t) => {
+t.test('without acknowledgements a balancer gets two messages, then keep-alives', async (t) => {
   const group = await formedGroup();
   const { state, nowMs } = group;
   state.configs.apply(configWith(100, 5_000));
@@ -302,7 +302,7 @@
   t.same(
     messagesTo(FIRST_LINK, feedSubscribers(state, nowMs + SILENCE_MS)).length,
     1,
-    'a keepalive',
+    'a keep-alive',
   );
   const [third] = messagesTo(FIRST_LINK, applyAcknowledgement(state, FIRST_LINK, 1, nowMs));
   t.equal(third?.config?.firstChange, 2_000);
--- a/test/registered/ingress/evacuation.test.ts
+++ b/test/registered/ingress/evacuation.test.ts
@@ -3,7 +3,7 @@
  * readmitted zone, whose back ends are cold.
  */
 import t from 'tap';
-import { createStallDetector } from '../../../src/shared/common/stall-guard.js';
+import { createStallDetector } from '../../../src/shared/common/stall-detector.js';
 import { defaultSwitches } from '../../../src/registered/decisions/mechanism-switches.js';
 import { DrawnFaults } from '../../../src/proof/sim-registered/drawn-faults.js';
 import type { IngressCheck } from '../../../src/proof/sim-registered/ingress-oracle.js';
@@ -231,8 +231,8 @@
   const violations = await delayedOrder((world) =>
     world.controls.forEach(({ process }) => {
       if (process !== undefined) {
-        const guard = createStallDetector({ stallThresholdMs: 300, peerRetentionMs: 0 });
-        process.state.stallGuard.freshnessAt = (nowMs) => guard.freshnessAt(nowMs);
+        const detector = createStallDetector({ stallThresholdMs: 300, peerRetentionMs: 0 });
+        process.state.stallDetector.freshnessAt = (nowMs) => detector.freshnessAt(nowMs);
         const { zones } = process.state.replicated;
         const apply = zones.apply.bind(zones);
         zones.apply = (order) =>
--- a/test/registered/ingress/frozen-balancer.test.ts
+++ b/test/registered/ingress/frozen-balancer.test.ts
@@ -2,22 +2,22 @@
 import t from 'tap';
 import type { IngressWorld } from '../../../src/proof/sim-registered/ingress-world.js';
 import { runIngressWorld } from '../../../src/proof/sim-registered/run-ingress-world.js';
-import { createStallDetector } from '../../../src/shared/common/stall-guard.js';
+import { createStallDetector } from '../../../src/shared/common/stall-detector.js';
 
 const SEEDS = 6;
 const FAULTS = 10;
 
 /** Makes all balancers trust opens that were queued during a stall. */
-function disableStallGuard(world: IngressWorld): void {
+function disableStallDetector(world: IngressWorld): void {
   for (const { process } of world.balancers) {
     if (process !== undefined) {
-      process.state.stallGuard.freshnessAt = () => 'fresh';
+      process.state.stallDetector.freshnessAt = () => 'fresh';
     }
   }
 }
 
 t.test(
-  'no flow breaks when balancers freeze and resume; without the stall guard, flows break',
+  'no flow breaks when balancers freeze and resume; without the stall detector, flows break',
   async (t) => {
     let isCaught = false;
     for (let seed = 1; seed <= SEEDS; seed += 1) {
@@ -30,7 +30,7 @@
       const baseline = await runIngressWorld(run);
       t.same(baseline.violations, [], `seed ${seed}`);
       if (!isCaught) {
-        const mutant = await runIngressWorld({ ...run, prepare: disableStallGuard });
+        const mutant = await runIngressWorld({ ...run, prepare: disableStallDetector });
         isCaught = mutant.violations.some(({ check }) => check === 'flow');
       }
     }
@@ -40,11 +40,11 @@
 
 t.test('opens are doubtful after a stall, and stale after a long one', async (t) => {
   const trustAfter = (pauseMs: number, laterMs = 0) => {
-    const guard = createStallDetector({ stallThresholdMs: 300, peerRetentionMs: 2_000 });
-    guard.recordActivity(1_000);
-    guard.recordActivity(1_100);
-    guard.recordActivity(1_100 + pauseMs);
-    return guard.freshnessAt(1_100 + pauseMs + laterMs);
+    const detector = createStallDetector({ stallThresholdMs: 300, peerRetentionMs: 2_000 });
+    detector.recordActivity(1_000);
+    detector.recordActivity(1_100);
+    detector.recordActivity(1_100 + pauseMs);
+    return detector.freshnessAt(1_100 + pauseMs + laterMs);
   };
   t.equal(trustAfter(100), 'fresh');
   t.equal(trustAfter(299), 'fresh', 'a late tick');
--- a/test/shared/daemon/line-writer.test.ts
+++ b/test/shared/daemon/line-writer.test.ts
@@ -48,11 +48,11 @@
   turn();
 `;
 
-t.test('a process keeps running if nobody reads its log pipe', async (t) => {
+t.test('a process keeps running if its log pipe is not read', async (t) => {
   const child = spawn(process.execPath, ['--input-type=module', '--eval', FLOOD], {
     stdio: ['ignore', 'pipe', 'pipe'],
   });
-  // Nobody reads child.stderr: its pipe is full after 64 KB.
+  // child.stderr is not read: its pipe is full after 64 KB.
   const [text] = (await once(child.stdout, 'data')) as [Buffer];
   const report = JSON.parse(text.toString('utf8')) as { turns: number; dropped: number };
   t.equal(report.turns, 100, 'the event loop was not blocked');
