--- a/src/proof/bench/bench-forward-config.ts
+++ b/src/proof/bench/bench-forward-config.ts
@@ -1,6 +1,6 @@
 /**
- * @file The configuration and the datagrams of the forwarding bench: services of ten back ends each,
- * all back ends at loopback numbers of their own and one port, so that one socket receives for all.
+ * @file Configuration and datagrams of the forwarding benchmark. Back ends have distinct loopback
+ * addresses and share a port, so that one socket receives for all of them.
  */
 import type { Address } from '../../shared/common/address.js';
 import type { Backend, Service, TokenKey } from '../../managed/control/routing-config.js';
@@ -24,59 +24,54 @@
 const CLIENT_PORT_COUNT = 50_000;
 const FIRST_CLIENT_PORT = 10_000;
 const OPEN_DEADLINE_MS = 2_000;
-/** Length in bytes of the opaque body of an established flow's packet. */
+/** Length of the packet body of an established flow. */
 const BODY_BYTES = 64;
-/** What every back end of the bench says that its incarnation is. */
+/** Incarnation that all back ends report. */
 export const BENCH_INCARNATION = 1;
 
 const secret = Uint8Array.from({ length: TOKEN_KEY_LENGTH_BYTES }, (_, index) => index + 1);
 const tokenKey: TokenKey = { id: KEY_ID, secret, state: 'current' };
 
-/** Where the back ends of the bench are. */
-export interface BackendPlaces {
+/** UDP port and health endpoint that all back ends share. */
+export interface BackendEndpoints {
   readonly port: number;
   readonly healthAddress: Address;
 }
 
-/**
- * @returns a whole configuration with that many back ends
- */
-export function benchConfig(backendCount: number, places: BackendPlaces): ConfigSnapshot {
+/** @returns a full configuration with `backendCount` back ends */
+export function benchConfig(backendCount: number, endpoints: BackendEndpoints): ConfigSnapshot {
   const serviceCount = Math.ceil(backendCount / BACKENDS_PER_SERVICE);
   return {
     type: 'snapshot',
     to: { term: 1, index: 1 },
     services: Array.from({ length: serviceCount }, (_, number) => benchService(number)),
-    backends: Array.from({ length: backendCount }, (_, number) => benchBackend(number, places)),
+    backends: Array.from({ length: backendCount }, (_, number) => benchBackend(number, endpoints)),
     keys: [tokenKey],
   };
 }
 
 /**
- * @param firstCount how many back ends, with their services, stand in the earlier configuration
- * @returns the change from that one to `config`
+ * @param initialCount back ends that the balancer already has, with their services
+ * @returns the delta that adds the remaining services and back ends of `config`
  */
-export function benchDelta(config: ConfigSnapshot, firstCount: number): ConfigDelta {
-  const firstServices = Math.ceil(firstCount / BACKENDS_PER_SERVICE);
+export function benchDelta(config: ConfigSnapshot, initialCount: number): ConfigDelta {
+  const initialServiceCount = Math.ceil(initialCount / BACKENDS_PER_SERVICE);
   return {
     type: 'delta',
     from: config.to,
     to: { ...config.to, index: config.to.index + 1 },
     changes: [
       ...config.services
-        .slice(firstServices)
+        .slice(initialServiceCount)
         .map((service): ConfigChange => ({ type: 'service-set', service })),
       ...config.backends
-        .slice(firstCount)
+        .slice(initialCount)
         .map((backend): ConfigChange => ({ type: 'backend-set', backend })),
     ],
   };
 }
 
-/**
- * @returns datagrams as the fabric hands them over, one for each established flow, spread over all
- *   back ends
- */
+/** @returns one enveloped datagram for each established flow, spread over all back ends */
 export function establishedDatagrams(flowCount: number, backendCount: number): Buffer[] {
   const key = prepareTokenKey(secret);
   const body = Buffer.alloc(BODY_BYTES, 1);
@@ -99,27 +94,20 @@
   });
 }
 
-/**
- * @returns the datagram that opens flow `number` at the first service
- */
+/** @returns the datagram that opens flow `number` at the first service */
 export function openDatagram(number: number): Buffer {
   const body = encodeMessage({ type: 'open', deadlineMs: OPEN_DEADLINE_MS });
   const packet = encodeLongHeader(new Uint8Array(0), flowIdOf(number), body);
   return encodeEnvelope({ client: clientOf(number), service: benchService(0).address, packet });
 }
 
-/**
- * @returns the flow ID of flow `number`
- */
 function flowIdOf(number: number): Buffer {
   const flowId = Buffer.alloc(FLOW_ID_LENGTH_BYTES);
   flowId.writeUInt32BE(number, FLOW_ID_LENGTH_BYTES - 4);
   return flowId;
 }
 
-/**
- * @returns the number of the flow with this ID
- */
+/** @returns the number encoded in a flow ID of this benchmark */
 export function flowNumberOf(flowId: Uint8Array): number {
   return Buffer.from(flowId).readUInt32BE(FLOW_ID_LENGTH_BYTES - 4);
 }
@@ -141,12 +129,12 @@
   };
 }
 
-function benchBackend(number: number, places: BackendPlaces): Backend {
+function benchBackend(number: number, endpoints: BackendEndpoints): Backend {
   return {
     id: number + 1,
     serviceId: Math.floor(number / BACKENDS_PER_SERVICE) + 1,
-    address: { host: `127.1.${number >> 8}.${number & 255}`, port: places.port },
-    healthAddress: places.healthAddress,
+    address: { host: `127.1.${number >> 8}.${number & 255}`, port: endpoints.port },
+    healthAddress: endpoints.healthAddress,
     zone: 'zone-a',
     adminState: 'active',
   };
--- a/src/proof/bench/bench-forward-control.ts
+++ b/src/proof/bench/bench-forward-control.ts
@@ -1,6 +1,6 @@
 /**
- * @file What a balancer needs around it in the forwarding bench: a link that hands it one
- * configuration, and one HTTP endpoint that answers the probes of all back ends.
+ * @file Minimal control machine of the forwarding benchmark: a link that configures a balancer,
+ * and an HTTP endpoint that answers the probes of all back ends.
  */
 import type { Address } from '../../shared/common/address.js';
 import { listenHttp } from '../../shared/daemon/http-server.js';
@@ -11,53 +11,57 @@
 import { BENCH_INCARNATION, benchConfig, benchDelta } from './bench-forward-config.js';
 import { processorTimeMs } from './bench-forward-process.js';
 
-/** Back ends that a balancer gets first. */
-const FIRST_BACKENDS = 10;
+/** Back ends in the first configuration update. */
+const INITIAL_BACKENDS = 10;
 const SETTLE_POLL_MS = 500;
-const SETTLE_LIMIT_MS = 30_000;
-/** Share of one processor below which a balancer counts as idle. */
-const IDLE_SHARE = 0.3;
+const SETTLE_TIMEOUT_MS = 30_000;
+/** Share of one processor below which a balancer is considered idle. */
+const MAX_IDLE_PROCESSOR_SHARE = 0.3;
 const CONNECTION_LIMIT = 1_000_000;
-const loopback: Address = { host: '127.0.0.1', port: 0 };
+const LOOPBACK: Address = { host: '127.0.0.1', port: 0 };
 
-/** A configuration source with the endpoints of its back ends. */
+/** Configuration source and health endpoint for one balancer. */
 export interface BenchControl {
   readonly linkAddress: Address;
-  /** Resolves once the configuration is in force and the balancer process is about idle. */
+  /** Resolves when the configuration is in force and the balancer process is idle. */
   settle(balancerPid: number): Promise<void>;
   close(): Promise<void>;
 }
 
 /**
  * Starts the link and the HTTP endpoint.
- * @param backendPort UDP port at which all back ends receive
+ * @param backendPort UDP port that all back ends receive on
  */
 export async function startBenchControl(
   backendCount: number,
   backendPort: number,
 ): Promise<BenchControl> {
   let indexInForce = 0;
-  const health = await listenHttp(loopback, (request, response) => {
+  const health = await listenHttp(LOOPBACK, (request, response) => {
     const isHealth = request.url?.startsWith('/health') ?? false;
     respondJson(response, 200, isHealth ? readyReport : idleReport);
   });
-  const places = { port: backendPort, healthAddress: health.address };
-  const config = benchConfig(backendCount, places);
-  // A balancer probes all that come with one update at once, and its ports may not reach for thousands: those
-  // that take new flows in this bench come first.
-  const firstCount = Math.min(backendCount, FIRST_BACKENDS);
-  const first = benchConfig(firstCount, places);
-  const delta = benchDelta(config, firstCount);
-  const linked: { link?: MessageLink } = {};
-  const links = await listenForLinks(loopback, {
+  const endpoints = { port: backendPort, healthAddress: health.address };
+  const config = benchConfig(backendCount, endpoints);
+  // A balancer probes all back ends of an update at once and can run out of ports with thousands of them.
+  // The back ends that receive new flows are sent first.
+  const initialCount = Math.min(backendCount, INITIAL_BACKENDS);
+  const initialConfig = benchConfig(initialCount, endpoints);
+  const delta = benchDelta(config, initialCount);
+  const latest: { link?: MessageLink } = {};
+  const links = await listenForLinks(LOOPBACK, {
     onMessage: (message, link) => {
-      linked.link = link;
-      const sent = message as BalancerToControlMessage;
-      if (sent.type === 'subscribe' && sent.position.index === 0) {
-        link.send({ type: 'update', update: first });
+      latest.link = link;
+      const balancerMessage = message as BalancerToControlMessage;
+      if (balancerMessage.type === 'subscribe' && balancerMessage.position.index === 0) {
+        link.send({ type: 'update', update: initialConfig });
       }
-      indexInForce = Math.max(indexInForce, sent.position.index);
-      link.send({ type: 'heartbeat', committed: sent.position, lease: grantLease(sent.sentAtMs) });
+      indexInForce = Math.max(indexInForce, balancerMessage.position.index);
+      link.send({
+        type: 'heartbeat',
+        committed: balancerMessage.position,
+        lease: grantLease(balancerMessage.sentAtMs),
+      });
       return true;
     },
     onClose: () => undefined,
@@ -67,8 +71,8 @@
   return {
     linkAddress: links.address,
     settle: async (balancerPid) => {
-      await settleAt(balancerPid, first.to.index);
-      linked.link?.send({ type: 'update', update: delta });
+      await settleAt(balancerPid, initialConfig.to.index);
+      latest.link?.send({ type: 'update', update: delta });
       await settleAt(balancerPid, delta.to.index);
     },
     close: async () => {
@@ -77,21 +81,21 @@
   };
 }
 
-/** The configuration never changes here, so every lease may be extended. */
+/** Always extends the lease, since no newer configuration can be committed elsewhere. */
 function grantLease(askedAtMs: number): LeaseGrant {
   return { askedAtMs, remainingMs: LEASE_DURATION_MS, floorIndex: 0 };
 }
 
 async function settle(balancerPid: number, isInForce: () => boolean): Promise<void> {
-  const endsAtMs = performance.now() + SETTLE_LIMIT_MS;
+  const deadlineMs = performance.now() + SETTLE_TIMEOUT_MS;
   let usedMs = processorTimeMs(balancerPid);
   for (;;) {
     await new Promise((resolve) => setTimeout(resolve, SETTLE_POLL_MS));
     const nowUsedMs = processorTimeMs(balancerPid);
-    if (isInForce() && nowUsedMs - usedMs < IDLE_SHARE * SETTLE_POLL_MS) {
+    if (isInForce() && nowUsedMs - usedMs < MAX_IDLE_PROCESSOR_SHARE * SETTLE_POLL_MS) {
       return;
     }
-    if (performance.now() > endsAtMs) {
+    if (performance.now() > deadlineMs) {
       throw new Error('The balancer did not come to rest with its configuration in force.');
     }
     usedMs = nowUsedMs;
--- a/src/proof/bench/bench-forward-memory.ts
+++ b/src/proof/bench/bench-forward-memory.ts
@@ -1,6 +1,6 @@
 /**
- * @file Memory per established flow of the balancer's decision step, against a flow table. The
- * process runs with `--expose-gc`, so that heap in use is counted after a full collection.
+ * @file Measures the memory per established flow of `balancerStep` and of a flow table. Requires
+ * `--expose-gc` to read the heap size after a full garbage collection.
  */
 import { createBalancerState } from '../../managed/balancer/balancer-state.js';
 import { applyConfigUpdate } from '../../managed/balancer/config-tables.js';
@@ -16,22 +16,20 @@
 
 const BACKEND_COUNT = 10;
 const WARM_UP_FLOWS = 20_000;
-const loopback = { host: '127.0.0.1', port: 0 };
+const LOOPBACK = { host: '127.0.0.1', port: 0 };
 
-/**
- * Passes one packet of each of so many established flows.
- */
+/** Forwards one packet of each established flow and measures the heap growth per flow. */
 export function measureMemory(flowCount: number): MemoryResult {
   const datagrams = establishedDatagrams(flowCount, BACKEND_COUNT);
   return {
     flowCount,
-    bytesPerFlow: measureStep(datagrams) / flowCount,
-    bytesPerFlowOfTable: measureTable(datagrams) / flowCount,
+    bytesPerFlow: measureStateGrowth(datagrams) / flowCount,
+    bytesPerFlowOfTable: measureFlowTableGrowth(datagrams) / flowCount,
   };
 }
 
-/** @returns bytes that the balancer's state grew by */
-function measureStep(datagrams: readonly Buffer[]): number {
+/** @returns heap growth of the balancer state in bytes */
+function measureStateGrowth(datagrams: readonly Buffer[]): number {
   const state = createBalancerState({
     ...defaultBalancerOptions,
     balancerId: 'bench',
@@ -39,42 +37,42 @@
     clusterKey: 'bench-cluster-key',
     controlAddresses: [],
   });
-  applyConfigUpdate(state, benchConfig(BACKEND_COUNT, { port: 1, healthAddress: loopback }));
+  applyConfigUpdate(state, benchConfig(BACKEND_COUNT, { port: 1, healthAddress: LOOPBACK }));
   state.subscription.lease.expiresAtMs = Infinity;
   const context = { nowMs: 0, random: seededRandom(1) };
-  const pass = (datagram: Buffer): void => {
-    // A copy, as each datagram is fresh from the socket; decoders may keep a view with a buffer.
-    const fresh = Buffer.from(datagram);
-    balancerStep(state, { type: 'client-datagram', datagram: fresh, replyTo: loopback }, context);
+  const forward = (datagram: Buffer): void => {
+    // Copied because decoders may keep a view of the buffer, and a socket delivers a new one each time.
+    const copy = Buffer.from(datagram);
+    balancerStep(state, { type: 'client-datagram', datagram: copy, replyTo: LOOPBACK }, context);
   };
-  datagrams.slice(0, WARM_UP_FLOWS).forEach(pass);
-  const before = heapInUse();
-  datagrams.forEach(pass);
-  const grown = heapInUse() - before;
+  datagrams.slice(0, WARM_UP_FLOWS).forEach(forward);
+  const initialBytes = usedHeapBytes();
+  datagrams.forEach(forward);
+  const growthBytes = usedHeapBytes() - initialBytes;
   if (state.forwardedPackets !== datagrams.length + Math.min(WARM_UP_FLOWS, datagrams.length)) {
     throw new Error('The balancer did not forward every packet.');
   }
-  return grown;
+  return growthBytes;
 }
 
-/** @returns bytes that a table from flow to back end grew by */
-function measureTable(datagrams: readonly Buffer[]): number {
+/** @returns heap growth in bytes of a map from flow to back end */
+function measureFlowTableGrowth(datagrams: readonly Buffer[]): number {
   const table = new Map<string, number>();
-  const before = heapInUse();
+  const initialBytes = usedHeapBytes();
   for (const datagram of datagrams) {
     const { client, packet } = decodeEnvelope(Buffer.from(datagram))._unsafeUnwrap();
     const { destinationId } = parseShortHeader(packet, TOKEN_LENGTH_BYTES)._unsafeUnwrap();
     const { flowId, backendId } = readToken(destinationId);
     table.set(`${formatAddress(client)}/${Buffer.from(flowId).toString('hex')}`, backendId);
   }
-  const grown = heapInUse() - before;
+  const growthBytes = usedHeapBytes() - initialBytes;
   if (table.size !== datagrams.length) {
     throw new Error('Two flows share an entry of the table.');
   }
-  return grown;
+  return growthBytes;
 }
 
-function heapInUse(): number {
+function usedHeapBytes(): number {
   globalThis.gc?.();
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
--- a/src/proof/bench/bench-forward-messages.ts
+++ b/src/proof/bench/bench-forward-messages.ts
@@ -1,25 +1,25 @@
 /**
- * @file What the forwarding bench asks of its peer processes, and what they answer, over the channel
- * of `node:child_process`.
+ * @file Roles, requests and results exchanged between the forwarding benchmark and its peer processes
+ * over `node:child_process` IPC.
  */
 import type { Address } from '../../shared/common/address.js';
 
-/** What a peer process is, given once at its start. */
+/** Role of a peer process, passed at its start. */
 export type PeerRole =
-  /** Receives each datagram and sends it on, with `node:dgram` alone. */
+  /** Relays each datagram with plain `node:dgram`. */
   | { readonly type: 'relay'; readonly to: Address; readonly resolvesHost: boolean }
-  /** Receives for all back ends, and counts. */
+  /** Receives for all back ends and counts datagrams. */
   | { readonly type: 'sink' }
-  /** Receives for all back ends, and accepts every open. */
+  /** Receives for all back ends and accepts all opens. */
   | { readonly type: 'backend' }
-  /** Sends established flows' datagrams as fast as it can. */
+  /** Sends datagrams of established flows as fast as possible. */
   | { readonly type: 'sender'; readonly flowCount: number; readonly backendCount: number }
-  /** Opens new flows at a steady rate. */
+  /** Opens new flows at a constant rate. */
   | { readonly type: 'opener' }
-  /** Feeds the decision step alone, and measures its memory. */
+  /** Measures the memory of `balancerStep` without sockets. */
   | { readonly type: 'memory' };
 
-/** One request to a peer. */
+/** Request to a peer process. */
 export type PeerRequest =
   | { readonly type: 'count' }
   | { readonly type: 'send'; readonly to: Address; readonly durationMs: number }
@@ -31,40 +31,39 @@
     }
   | { readonly type: 'measure-memory'; readonly flowCount: number };
 
-/** Datagrams received so far. */
+/** Datagrams that a peer has received since its start. */
 export interface CountResult {
   readonly received: number;
-  /** On the clock of the peer, in milliseconds. */
+  /** Time on the peer's monotonic clock. */
   readonly atMs: number;
 }
 
-/** What a sender did. */
+/** Datagrams that a sender sent for one request. */
 export interface SendResult {
   readonly sent: number;
 }
 
-/** What came of new flows. */
+/** Outcomes of new flows; latencies are from the open to its acceptance. */
 export interface OpenResult {
   readonly offered: number;
   readonly accepted: number;
   /** Refusals by error kind. */
   readonly refused: Readonly<Record<string, number>>;
   readonly unanswered: number;
-  /** Accepted opens a second while the opener ran. */
+  /** Accepted opens per second of sending time. */
   readonly acceptedPerSecond: number;
-  /** From the open to its answer, in milliseconds. */
   readonly p50Ms: number;
   readonly p99Ms: number;
 }
 
-/** What came of new flows at a balancer. */
+/** Outcomes and processor cost of new flows at one balancer. */
 export interface NewFlowFigures extends OpenResult {
   readonly backendCount: number;
-  /** Processor time of the balancer for one open offered, in microseconds. */
+  /** Processor time of the balancer per open offered. */
   readonly processorMicrosecondsPerOpen: number;
 }
 
-/** Memory after passing that many established flows, in bytes of heap in use after collection. */
+/** Heap growth per established flow, after garbage collection. */
 export interface MemoryResult {
   readonly flowCount: number;
   readonly bytesPerFlow: number;
--- a/src/proof/bench/bench-forward-opener.ts
+++ b/src/proof/bench/bench-forward-opener.ts
@@ -1,5 +1,5 @@
 /**
- * @file Opens new flows at a steady rate, and counts how they ended.
+ * @file Opens new flows at a constant rate and counts the outcomes.
  */
 import type { Socket } from 'node:dgram';
 import { build } from 'hdr-histogram-js';
@@ -9,16 +9,14 @@
 import { flowNumberOf, openDatagram } from './bench-forward-config.js';
 import type { OpenResult, PeerRequest } from './bench-forward-messages.js';
 
-/** How long answers are waited for after the last open. */
+/** Wait for outstanding replies after the last open. */
 const ANSWER_WAIT_MS = 1_000;
 const MICROSECONDS_PER_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
 let nextFlowNumber = 1;
 
-/**
- * Opens flows; never sends one twice.
- */
+/** Opens flows at a constant rate, without retransmission. */
 export async function openFlows(
   socket: Socket,
   { to, opensPerSecond, durationMs }: Extract<PeerRequest, { type: 'open' }>,
@@ -50,8 +48,11 @@
   let sent = 0;
   while (sent < offered) {
     const nowMs = performance.now();
-    const due = Math.min(offered, Math.ceil(((nowMs - startMs) * opensPerSecond) / MS_PER_SECOND));
-    for (; sent < due; sent += 1) {
+    const dueCount = Math.min(
+      offered,
+      Math.ceil(((nowMs - startMs) * opensPerSecond) / MS_PER_SECOND),
+    );
+    for (; sent < dueCount; sent += 1) {
       sentAtMs[sent] = nowMs;
       socket.send(datagrams[sent] ?? '', to.port, to.host);
     }
--- a/src/proof/bench/bench-forward-peer.ts
+++ b/src/proof/bench/bench-forward-peer.ts
@@ -1,5 +1,5 @@
 /**
- * @file The script of the forwarding bench's peer processes. Its one argument is the role in JSON.
+ * @file Entry point of the forwarding benchmark's peer processes; the only argument is a `PeerRole` in JSON.
  */
 import { createSocket, type Socket } from 'node:dgram';
 import { once } from 'node:events';
@@ -12,22 +12,22 @@
 import type { PeerRequest, PeerRole } from './bench-forward-messages.js';
 import { openFlows } from './bench-forward-opener.js';
 
-const BUFFER_BYTES = 4 * 1024 * 1024;
-/** Datagrams sent before the sender lets the event loop turn. */
-const BURST = 32;
+const SOCKET_BUFFER_BYTES = 4 * 1024 * 1024;
+/** Datagrams sent between two turns of the event loop. */
+const BURST_DATAGRAMS = 32;
 
 type Role<T extends PeerRole['type']> = Extract<PeerRole, { type: T }>;
 type Request<T extends PeerRequest['type']> = Extract<PeerRequest, { type: T }>;
 
 async function bind(host: string): Promise<Socket> {
-  const sizes = { recvBufferSize: BUFFER_BYTES, sendBufferSize: BUFFER_BYTES };
+  const sizes = { recvBufferSize: SOCKET_BUFFER_BYTES, sendBufferSize: SOCKET_BUFFER_BYTES };
   const socket = createSocket({ type: 'udp4', ...sizes });
   socket.bind(0, host);
   await once(socket, 'listening');
   return socket;
 }
 
-function answerRequests(handle: (request: PeerRequest) => Promise<object>, port: number): void {
+function serveRequests(handle: (request: PeerRequest) => Promise<object>, port: number): void {
   process.on('message', (request: PeerRequest) => {
     void handle(request).then((result) => process.send?.(result));
   });
@@ -35,12 +35,12 @@
   process.send?.({ port });
 }
 
-/** Counts what a socket receives, and answers `count`. */
-function answerCounts(socket: Socket): void {
+/** Counts received datagrams and replies to `count` requests. */
+function serveCounts(socket: Socket): void {
   let received = 0;
   socket.on('message', () => (received += 1));
   const count = (): Promise<object> => Promise.resolve({ received, atMs: performance.now() });
-  answerRequests(count, socket.address().port);
+  serveRequests(count, socket.address().port);
 }
 
 async function runRelay({ to, resolvesHost }: Role<'relay'>): Promise<void> {
@@ -53,14 +53,14 @@
     await once(output, 'connect');
     input.on('message', (datagram) => output.send(datagram));
   }
-  answerCounts(input);
+  serveCounts(input);
 }
 
 async function runSink(): Promise<void> {
-  answerCounts(await bind('0.0.0.0'));
+  serveCounts(await bind('0.0.0.0'));
 }
 
-/** Accepts every open, as a back end does. */
+/** Accepts all opens on behalf of all back ends. */
 async function runBackend(): Promise<void> {
   const socket = await bind('0.0.0.0');
   const body = encodeMessage({ type: 'accept', incarnation: BENCH_INCARNATION });
@@ -73,31 +73,31 @@
     const reply = encodeLongHeader(sourceId, destinationId, body);
     socket.send(encodeEnvelope({ client, service, packet: reply }), from.port, from.address);
   });
-  answerCounts(socket);
+  serveCounts(socket);
 }
 
 function runSender({ flowCount, backendCount }: Role<'sender'>): void {
   const datagrams = establishedDatagrams(flowCount, backendCount);
-  let next = 0;
+  let nextIndex = 0;
   const send = async ({ to, durationMs }: Request<'send'>): Promise<object> => {
     const socket = await bind('127.0.0.1');
     socket.connect(to.port, to.host);
     await once(socket, 'connect');
     socket.on('error', () => undefined);
-    const endsAtMs = performance.now() + durationMs;
+    const deadlineMs = performance.now() + durationMs;
     let sent = 0;
-    while (performance.now() < endsAtMs) {
-      for (let count = 0; count < BURST; count += 1) {
-        socket.send(datagrams[next] ?? '');
-        next = (next + 1) % datagrams.length;
+    while (performance.now() < deadlineMs) {
+      for (let count = 0; count < BURST_DATAGRAMS; count += 1) {
+        socket.send(datagrams[nextIndex] ?? '');
+        nextIndex = (nextIndex + 1) % datagrams.length;
       }
-      sent += BURST;
+      sent += BURST_DATAGRAMS;
       await new Promise((resolve) => setImmediate(resolve));
     }
     socket.close();
     return { sent };
   };
-  answerRequests((request) => send(request as Request<'send'>), 0);
+  serveRequests((request) => send(request as Request<'send'>), 0);
 }
 
 const role = JSON.parse(process.argv[2] ?? '{}') as PeerRole;
@@ -108,11 +108,11 @@
   .with({ type: 'sender' }, runSender)
   .with({ type: 'opener' }, async () => {
     const socket = await bind('127.0.0.1');
-    answerRequests((request) => openFlows(socket, request as Request<'open'>), 0);
+    serveRequests((request) => openFlows(socket, request as Request<'open'>), 0);
   })
   .with({ type: 'memory' }, () => {
     const measure = (request: PeerRequest): Promise<object> =>
       Promise.resolve(measureMemory((request as Request<'measure-memory'>).flowCount));
-    answerRequests(measure, 0);
+    serveRequests(measure, 0);
   })
   .exhaustive();
--- a/src/proof/bench/bench-forward-process.ts
+++ b/src/proof/bench/bench-forward-process.ts
@@ -1,5 +1,6 @@
 /**
- * @file Starts the peer processes of the forwarding bench and exchanges messages with them; reads their processor time and memory.
+ * @file Starts and controls the peer processes of the forwarding benchmark, and reads processor time and
+ * memory of processes from /proc.
  */
 import { fork } from 'node:child_process';
 import { once } from 'node:events';
@@ -9,23 +10,21 @@
 
 const SCRIPT = fileURLToPath(new URL('./bench-forward-peer.js', import.meta.url));
 const CLOCK_TICK_MS = 10;
-/** Position of `utime` in `/proc/PID/stat`, counted after the name's closing bracket. */
+/** Index of `utime` in `/proc/PID/stat`, counted after the process name. */
 const USER_TIME_FIELD = 11;
 
-/** A peer process. */
+/** Handle of a peer process. */
 export interface Peer {
   readonly pid: number;
-  /** UDP port that it receives at; 0 where it has none. */
+  /** UDP port that it receives on, or 0 if it has none. */
   readonly port: number;
-  /** Sends one request; the caller knows which result belongs to it. */
-  ask<TResult>(request: PeerRequest): Promise<TResult>;
-  /** Ends the process by its ID. */
+  /** Sends a request and resolves with the next message; only one request may be pending. */
+  request<TResult>(request: PeerRequest): Promise<TResult>;
+  /** Kills the process and waits until it has exited. */
   stop(): Promise<void>;
 }
 
-/**
- * Starts a peer and waits until it is ready.
- */
+/** Starts a peer process and waits until it is ready. */
 export async function startPeer(role: PeerRole): Promise<Peer> {
   const child = fork(SCRIPT, [JSON.stringify(role)], { execArgv: ['--expose-gc'] });
   const exited = once(child, 'exit');
@@ -33,10 +32,10 @@
   return {
     pid: child.pid ?? 0,
     port: ready.port,
-    ask: async <TResult>(request: PeerRequest): Promise<TResult> => {
-      const answer = once(child, 'message');
+    request: async <TResult>(request: PeerRequest): Promise<TResult> => {
+      const response = once(child, 'message');
       child.send(request);
-      const [result] = (await answer) as [TResult];
+      const [result] = (await response) as [TResult];
       return result;
     },
     stop: async () => {
@@ -46,9 +45,7 @@
   };
 }
 
-/**
- * @returns processor time that a process has used, in milliseconds; a step is 10 ms
- */
+/** @returns processor time of a process in milliseconds, with a resolution of 10 ms */
 export function processorTimeMs(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
@@ -56,9 +53,7 @@
   return ticks * CLOCK_TICK_MS;
 }
 
-/**
- * @returns resident memory of a process, in bytes
- */
+/** @returns resident memory of a process in bytes */
 export function residentBytes(pid: number): number {
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
   const kilobytes = Number(/^VmRSS:\s+(\d+) kB$/m.exec(status)?.[1] ?? Number.NaN);
--- a/src/proof/bench/bench-forward.ts
+++ b/src/proof/bench/bench-forward.ts
@@ -1,9 +1,9 @@
 /**
- * @file The forwarding bench: one real balancer process against bare `dgram` relay processes on
- * loopback, round by round in one run, and medians of the rounds.
+ * @file `amberlift bench forward`: compares a balancer process with bare `dgram` relay processes on
+ * loopback.
  */
 import { formatAddress, type Address } from '../../shared/common/address.js';
-import { median, refuseUnknownSettings, type Bench, type BenchTable } from './bench.js';
+import { median, rejectUnknownSettings, type Bench, type BenchTable } from './bench.js';
 import { startBenchControl, type BenchControl } from './bench-forward-control.js';
 import type {
   CountResult,
@@ -22,18 +22,18 @@
 const FLOWS_PER_SENDER = 10_000;
 const FEW_BACKENDS = 10;
 const MANY_BACKENDS = 12_000;
-/** Part of a round before the count begins, in milliseconds. */
-const LEAD_IN_MS = 300;
-const LEAD_OUT_MS = 100;
-/** Long enough that no second probe of a back end comes while the bench runs. */
+/** Sending time before the measurement in each round. */
+const WARM_UP_MS = 300;
+const COOL_DOWN_MS = 100;
+/** Longer than the benchmark, so that each back end is probed only once. */
 const PROBE_INTERVAL_MS = 3_600_000;
 const MIN_RATIO_TO_RELAY = 0.85;
 const MAX_FEW_OVER_MANY = 1.1;
-/** What collections leave behind at random, over 300,000 flows, lies below this. */
+/** Allows for noise in the heap size after garbage collection. */
 const MAX_BYTES_PER_FLOW = 1;
 const LOG_LEVEL = 'warn';
 
-/** Options of the bench; times in milliseconds. */
+/** Options of the forwarding benchmark. */
 export interface ForwardBenchOptions {
   readonly rounds: number;
   readonly roundMs: number;
@@ -41,7 +41,6 @@
   readonly establishedFlows: number;
 }
 
-/** Options that apply where none are given. */
 const defaultForwardBenchOptions: ForwardBenchOptions = {
   rounds: 5,
   roundMs: 1_000,
@@ -49,39 +48,39 @@
   establishedFlows: 300_000,
 };
 
-/** What one forwarder did, as medians over the rounds. */
+/** Throughput and cost of one forwarder, as medians over the rounds. */
 export interface ForwarderFigures {
   readonly packetsPerSecond: number;
-  /** Processor time of the forwarder for one packet, in microseconds. */
+  /** Processor time of the forwarder per packet. */
   readonly processorMicrosecondsPerPacket: number;
 }
 
-/** The figures of the bench. */
+/** Figures of the forwarding benchmark. */
 export interface ForwardBenchReport {
   readonly options: ForwardBenchOptions;
-  /** Datagrams sent over datagrams received by the relay's sink; above 1 where it was saturated. */
+  /** Ratio of datagrams sent to datagrams received through the relay; above 1 if it is saturated. */
   readonly offeredOverRelayed: number;
-  /** A relay that calls `send(datagram, port, host)`, as most do. */
+  /** Relay that passes the destination with each `send`. */
   readonly relay: ForwarderFigures;
-  /** A relay over a connected socket: the least that `node:dgram` can do for a packet. */
+  /** Relay over a connected socket, the cheapest way to send with `node:dgram`. */
   readonly connectedRelay: ForwarderFigures;
   readonly fewBackends: ForwarderFigures;
   readonly manyBackends: ForwarderFigures;
   readonly backendCounts: readonly number[];
-  /** Packets a second with few back ends over the relay's; to reach: 0.85. */
+  /** Packet rate with few back ends relative to the relay; target: `MIN_RATIO_TO_RELAY`. */
   readonly ratioToRelay: number;
   readonly ratioToConnectedRelay: number;
-  /** Packets a second with few back ends over those with many; to reach: at most 1.10. */
+  /** Packet rate with few back ends relative to many back ends; limit: `MAX_FEW_OVER_MANY`. */
   readonly fewOverManyBackends: number;
   readonly memory: MemoryResult & {
-    /** Growth of the balancer process's resident memory while those flows passed, in bytes. */
+    /** Growth of the balancer's resident memory while it forwards these flows. */
     readonly residentGrowthBytes: number;
   };
-  /** To reach: 10,000 a second, none refused by the balancer itself. */
+  /** Target: all opens offered are accepted. */
   readonly newFlows: readonly NewFlowFigures[];
 }
 
-/** A process under test. */
+/** Process under test. */
 interface Forwarder {
   readonly name: 'relay' | 'connectedRelay' | 'fewBackends' | 'manyBackends';
   readonly pid: number;
@@ -92,47 +91,47 @@
   readonly offeredOverReceived: number;
 }
 
-/** `amberlift bench forward`. */
+/** Measures packet rate, memory per flow and open rate of a balancer. */
 export const forwardBench: Bench = {
   name: 'forward',
   summary: 'packets and new flows a second of one balancer against a bare relay',
-  run: async (given) => {
-    refuseUnknownSettings(given, []);
-    const rounds = given.rounds ?? defaultForwardBenchOptions.rounds;
+  run: async (options) => {
+    rejectUnknownSettings(options, []);
+    const rounds = options.rounds ?? defaultForwardBenchOptions.rounds;
     const report = await measure({ ...defaultForwardBenchOptions, rounds }, (message) =>
-      given.progress(message),
+      options.progress(message),
     );
     return { figures: report, table: tableOf(report), missed: missedTargets(report) };
   },
 };
 
 /**
- * Runs the bench.
- * @param progress called with one short sentence as the bench goes on
+ * Runs the benchmark and stops its processes at the end.
+ * @param progress called with one short sentence per step
  */
 async function measure(
   options: ForwardBenchOptions,
   progress: (message: string) => void,
 ): Promise<ForwardBenchReport> {
-  const stops: (() => Promise<unknown>)[] = [];
+  const cleanups: (() => Promise<unknown>)[] = [];
   try {
-    const lab = new Lab(options, stops, progress);
-    return await lab.measure();
+    const benchRun = new ForwardBenchRun(options, cleanups, progress);
+    return await benchRun.measure();
   } finally {
-    await Promise.all(stops.map((stop) => stop()));
+    await Promise.all(cleanups.map((stop) => stop()));
   }
 }
 
-class Lab {
+class ForwardBenchRun {
   constructor(
     private readonly options: ForwardBenchOptions,
-    private readonly stops: (() => Promise<unknown>)[],
+    private readonly cleanups: (() => Promise<unknown>)[],
     private readonly progress: (message: string) => void,
   ) {}
 
   async measure(): Promise<ForwardBenchReport> {
     const memory = await this.measureMemory();
-    const sink = await this.peer({ type: 'sink' });
+    const sink = await this.startPeer({ type: 'sink' });
     const forwarders = await this.startForwarders(sink.port);
     const rounds = await this.measureRounds(forwarders, sink);
     const residentGrowthBytes = await this.measureResidentGrowth(forwarders);
@@ -141,15 +140,15 @@
       await this.measureNewFlows(MANY_BACKENDS),
     ];
     const figures = summarize(rounds);
-    const rate = (name: Forwarder['name']): number => figures[name].packetsPerSecond;
+    const packetRate = (name: Forwarder['name']): number => figures[name].packetsPerSecond;
     return {
       options: this.options,
       ...figures,
       offeredOverRelayed: median(rounds.relay.map((round) => round.offeredOverReceived)),
       backendCounts: [FEW_BACKENDS, MANY_BACKENDS],
-      ratioToRelay: rate('fewBackends') / rate('relay'),
-      ratioToConnectedRelay: rate('fewBackends') / rate('connectedRelay'),
-      fewOverManyBackends: rate('fewBackends') / rate('manyBackends'),
+      ratioToRelay: packetRate('fewBackends') / packetRate('relay'),
+      ratioToConnectedRelay: packetRate('fewBackends') / packetRate('connectedRelay'),
+      fewOverManyBackends: packetRate('fewBackends') / packetRate('manyBackends'),
       memory: { ...memory, residentGrowthBytes },
       newFlows,
     };
@@ -157,17 +156,17 @@
 
   private async measureMemory(): Promise<MemoryResult> {
     this.progress('Memory per established flow.');
-    const peer = await this.peer({ type: 'memory' });
+    const peer = await this.startPeer({ type: 'memory' });
     const flowCount = this.options.establishedFlows;
-    return peer.ask<MemoryResult>({ type: 'measure-memory', flowCount });
+    return peer.request<MemoryResult>({ type: 'measure-memory', flowCount });
   }
 
   private async startForwarders(sinkPort: number): Promise<Forwarder[]> {
     const to = { host: '127.0.0.1', port: sinkPort };
-    const relay = await this.peer({ type: 'relay', to, resolvesHost: true });
-    const connected = await this.peer({ type: 'relay', to, resolvesHost: false });
-    const few = await this.balancer(FEW_BACKENDS, sinkPort);
-    const many = await this.balancer(MANY_BACKENDS, sinkPort);
+    const relay = await this.startPeer({ type: 'relay', to, resolvesHost: true });
+    const connected = await this.startPeer({ type: 'relay', to, resolvesHost: false });
+    const few = await this.startBalancer(FEW_BACKENDS, sinkPort);
+    const many = await this.startBalancer(MANY_BACKENDS, sinkPort);
     return [
       { name: 'relay', pid: relay.pid, address: { host: '127.0.0.1', port: relay.port } },
       { name: 'connectedRelay', pid: connected.pid, address: { ...to, port: connected.port } },
@@ -176,7 +175,7 @@
     ];
   }
 
-  /** Rounds take turns, so that whatever else the machine does falls on all alike. */
+  /** Alternates between forwarders so that other load on the machine affects all of them alike. */
   private async measureRounds(
     forwarders: readonly Forwarder[],
     sink: Peer,
@@ -187,8 +186,8 @@
       fewBackends: [],
       manyBackends: [],
     };
-    const fewSenders = await this.senders(FLOWS_PER_SENDER, FEW_BACKENDS);
-    const manySenders = await this.senders(FLOWS_PER_SENDER, MANY_BACKENDS);
+    const fewSenders = await this.startSenders(FLOWS_PER_SENDER, FEW_BACKENDS);
+    const manySenders = await this.startSenders(FLOWS_PER_SENDER, MANY_BACKENDS);
     const warmUpRounds = 1;
     for (let number = 0; number < this.options.rounds + warmUpRounds; number += 1) {
       this.progress(`Packets a second, round ${number} of ${this.options.rounds}.`);
@@ -208,17 +207,17 @@
     sink: Peer,
     senders: readonly Peer[],
   ): Promise<Round> {
-    const durationMs = LEAD_IN_MS + this.options.roundMs + LEAD_OUT_MS;
+    const durationMs = WARM_UP_MS + this.options.roundMs + COOL_DOWN_MS;
     const sending = Promise.all(
       senders.map((sender) =>
-        sender.ask<SendResult>({ type: 'send', to: forwarder.address, durationMs }),
+        sender.request<SendResult>({ type: 'send', to: forwarder.address, durationMs }),
       ),
     );
-    await pause(LEAD_IN_MS);
-    const first = await sink.ask<CountResult>({ type: 'count' });
+    await pause(WARM_UP_MS);
+    const first = await sink.request<CountResult>({ type: 'count' });
     const firstProcessorMs = processorTimeMs(forwarder.pid);
     await pause(this.options.roundMs);
-    const last = await sink.ask<CountResult>({ type: 'count' });
+    const last = await sink.request<CountResult>({ type: 'count' });
     const processorMs = processorTimeMs(forwarder.pid) - firstProcessorMs;
     const results = await sending;
     const received = last.received - first.received;
@@ -238,56 +237,56 @@
       throw new Error('No balancer runs.');
     }
     const { establishedFlows, roundMs, rounds } = this.options;
-    const sender = await this.peer({
+    const sender = await this.startPeer({
       type: 'sender',
       flowCount: establishedFlows,
       backendCount: FEW_BACKENDS,
     });
-    const before = residentBytes(balancer.pid);
-    await sender.ask<SendResult>({
+    const initialBytes = residentBytes(balancer.pid);
+    await sender.request<SendResult>({
       type: 'send',
       to: balancer.address,
       durationMs: roundMs * rounds,
     });
-    return residentBytes(balancer.pid) - before;
+    return residentBytes(balancer.pid) - initialBytes;
   }
 
   private async measureNewFlows(backendCount: number): Promise<NewFlowFigures> {
     this.progress(`New flows a second with ${backendCount} back ends.`);
-    const backend = await this.peer({ type: 'backend' });
-    const balancer = await this.balancer(backendCount, backend.port);
-    const opener = await this.peer({ type: 'opener' });
+    const backend = await this.startPeer({ type: 'backend' });
+    const balancer = await this.startBalancer(backendCount, backend.port);
+    const opener = await this.startPeer({ type: 'opener' });
     const request = {
       type: 'open',
       to: balancer.ready.frontAddress as Address,
       opensPerSecond: this.options.opensPerSecond,
     } as const;
-    await opener.ask<OpenResult>({ ...request, durationMs: this.options.roundMs });
+    await opener.request<OpenResult>({ ...request, durationMs: this.options.roundMs });
     const durationMs = this.options.roundMs * this.options.rounds;
     const firstProcessorMs = processorTimeMs(balancer.pid);
-    const result = await opener.ask<OpenResult>({ ...request, durationMs });
+    const result = await opener.request<OpenResult>({ ...request, durationMs });
     const processorMs = processorTimeMs(balancer.pid) - firstProcessorMs;
     const processorMicrosecondsPerOpen = (processorMs * MICROSECONDS_PER_MS) / result.offered;
     return { backendCount, processorMicrosecondsPerOpen, ...result };
   }
 
-  private async senders(flowCount: number, backendCount: number): Promise<Peer[]> {
+  private async startSenders(flowCount: number, backendCount: number): Promise<Peer[]> {
     const role: PeerRole = { type: 'sender', flowCount, backendCount };
-    return Promise.all(Array.from({ length: SENDER_COUNT }, () => this.peer(role)));
+    return Promise.all(Array.from({ length: SENDER_COUNT }, () => this.startPeer(role)));
   }
 
-  private async peer(role: PeerRole): Promise<Peer> {
+  private async startPeer(role: PeerRole): Promise<Peer> {
     const peer = await startPeer(role);
-    this.stops.push(() => peer.stop());
+    this.cleanups.push(() => peer.stop());
     return peer;
   }
 
-  /** Starts a balancer process and waits until its configuration is in force. */
-  private async balancer(backendCount: number, backendPort: number): Promise<ManagedProcess> {
+  /** Starts a balancer process and waits until its configuration is in force and it is idle. */
+  private async startBalancer(backendCount: number, backendPort: number): Promise<ManagedProcess> {
     const control = await startBenchControl(backendCount, backendPort);
-    this.stops.push(() => control.close());
+    this.cleanups.push(() => control.close());
     const balancer = await startProcess('balancer', balancerArgs(control));
-    this.stops.push(async () => {
+    this.cleanups.push(async () => {
       balancer.signal('SIGKILL');
       await balancer.exited;
     });
@@ -329,17 +328,17 @@
 
 function tableOf(report: ForwardBenchReport): BenchTable {
   const { relay, connectedRelay, fewBackends, manyBackends, memory, newFlows } = report;
-  const forwarded = (name: string, { packetsPerSecond }: ForwarderFigures): [string, number] => [
+  const rateRow = (name: string, { packetsPerSecond }: ForwarderFigures): [string, number] => [
     `${name}, packets/s`,
     Math.round(packetsPerSecond),
   ];
   return {
     head: ['figure', 'value'],
     rows: [
-      forwarded('bare relay', relay),
-      forwarded('bare relay, connected', connectedRelay),
-      forwarded('balancer, 10 back ends', fewBackends),
-      forwarded('balancer, 12,000 back ends', manyBackends),
+      rateRow('bare relay', relay),
+      rateRow('bare relay, connected', connectedRelay),
+      rateRow('balancer, 10 back ends', fewBackends),
+      rateRow('balancer, 12,000 back ends', manyBackends),
       ['ratioToRelay', report.ratioToRelay.toFixed(3)],
       ['fewOverManyBackends', report.fewOverManyBackends.toFixed(3)],
       ['bytes per established flow', memory.bytesPerFlow.toFixed(2)],
@@ -363,7 +362,7 @@
       `${options.opensPerSecond} new flows/s with ${backendCount} back ends, all accepted`,
     ]),
   ];
-  return targets.filter(([reached]) => !reached).map(([, target]) => target);
+  return targets.filter(([isMet]) => !isMet).map(([, target]) => target);
 }
 
 function pause(durationMs: number): Promise<void> {
--- a/src/proof/bench/bench-in-force.ts
+++ b/src/proof/bench/bench-in-force.ts
@@ -1,11 +1,11 @@
 /**
- * @file `amberlift bench in-force`: the time from an accepted change until the leader knows that all
- * balancers have it in force, with real processes on loopback.
+ * @file `amberlift bench in-force`: measures the time from acceptance of a configuration change until
+ * the leader reports it in force on all balancers, with real processes on loopback.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { OperatorCommand } from '../../managed/control/commands.js';
-import { refuseUnknownSettings, type Bench, type BenchResult } from './bench.js';
-import { InForceCluster, usageOf, type ProcessUsage } from './in-force-cluster.js';
+import { rejectUnknownSettings, type Bench, type BenchResult } from './bench.js';
+import { InForceCluster, readProcessUsage, type ProcessUsage } from './in-force-cluster.js';
 
 const DEFAULT_SIZES = '3,10,30';
 const DEFAULT_CHANGES = 100;
@@ -13,36 +13,36 @@
 const PAUSE_BETWEEN_CHANGES_MS = 20;
 const IN_FORCE_TIMEOUT_MS = 20_000;
 const IDLE_MS = 3_000;
-/** What p99 should stay under with 30 balancers. */
+/** Highest acceptable p99 at the largest balancer count. */
 const TARGET_P99_MS = 1_000;
 const BYTES_PER_MB = 1_000_000;
 const PERCENT = 100;
 
-/** The figures at one number of balancers; times in milliseconds. */
+/** Figures for one balancer count. */
 interface InForceFigures {
   readonly balancers: number;
   readonly controls: number;
   readonly changes: number;
-  /** From sending the command until it was answered as accepted. */
+  /** From sending the command until the reply that accepts it. */
   readonly acceptedP50Ms: number;
   readonly acceptedP99Ms: number;
-  /** From accepted until the leader knows that all balancers have it in force. */
+  /** From acceptance until the leader reports the change in force on all balancers. */
   readonly inForceP50Ms: number;
   readonly inForceP99Ms: number;
   readonly inForceMaxMs: number;
-  /** Per process, without load. */
+  /** Mean per process, without load. */
   readonly balancerIdleCorePercent: number;
   readonly balancerResidentMb: number;
   readonly controlIdleCorePercent: number;
   readonly controlResidentMb: number;
 }
 
-/** The bench. */
+/** Measures the propagation time of configuration changes and the idle cost of the processes. */
 export const inForceBench: Bench = {
   name: 'in-force',
   summary: 'accepted to in force on all balancers, with real processes',
   run: async (options) => {
-    refuseUnknownSettings(options, ['balancers', 'changes']);
+    rejectUnknownSettings(options, ['balancers', 'changes']);
     const sizes = (options.settings.get('balancers') ?? DEFAULT_SIZES).split(',').map(Number);
     const changes = Number(options.settings.get('changes') ?? DEFAULT_CHANGES);
     if (![...sizes, changes].every((count) => Number.isInteger(count) && count > 0)) {
@@ -61,16 +61,16 @@
   const cluster = new InForceCluster();
   try {
     await cluster.start(balancers);
-    const backendId = await defineServices(cluster);
+    const backendId = await addServiceWithBackends(cluster);
     const idle = await measureIdle(cluster);
     const accepted: number[] = [];
     const inForce: number[] = [];
     for (let number = 0; number < changes; number += 1) {
       const type = number % 2 === 0 ? 'drain-backend' : 'cancel-drain';
       const sentAtMs = performance.now();
-      const revision = await send(cluster, `change-${number}`, { type, backendId });
+      const revision = await sendForRevision(cluster, `change-${number}`, { type, backendId });
       const acceptedAtMs = performance.now();
-      await untilInForce(cluster, revision, balancers);
+      await waitUntilInForce(cluster, revision, balancers);
       accepted.push(acceptedAtMs - sentAtMs);
       inForce.push(performance.now() - acceptedAtMs);
       await sleep(PAUSE_BETWEEN_CHANGES_MS);
@@ -91,8 +91,8 @@
   }
 }
 
-async function defineServices(cluster: InForceCluster): Promise<number> {
-  await send(cluster, 'define', {
+async function addServiceWithBackends(cluster: InForceCluster): Promise<number> {
+  await sendForRevision(cluster, 'define', {
     type: 'define-service',
     service: 'authd',
     address: { host: '127.1.0.1', port: 443 },
@@ -128,7 +128,7 @@
   return result.value;
 }
 
-async function send(
+async function sendForRevision(
   cluster: InForceCluster,
   commandId: string,
   command: OperatorCommand,
@@ -136,60 +136,63 @@
   return (await sendForOutcome(cluster, commandId, command)).revision;
 }
 
-async function untilInForce(
+async function waitUntilInForce(
   cluster: InForceCluster,
   revision: number,
   balancers: number,
 ): Promise<void> {
-  const endsAtMs = performance.now() + IN_FORCE_TIMEOUT_MS;
+  const deadlineMs = performance.now() + IN_FORCE_TIMEOUT_MS;
   for (;;) {
-    const shown = await cluster.inForce();
-    const known = shown?.balancerCount ?? 0;
-    if (known >= balancers && (shown?.revisionInForceEverywhere ?? 0) >= revision) {
+    const summary = await cluster.queryInForce();
+    const reportedBalancers = summary?.balancerCount ?? 0;
+    if (reportedBalancers >= balancers && (summary?.revisionInForceEverywhere ?? 0) >= revision) {
       return;
     }
-    if (performance.now() > endsAtMs) {
-      const lagging = shown?.lagging.length ?? 0;
-      throw new Error(`${lagging} balancers lack revision ${revision} of ${known} known ones.`);
+    if (performance.now() > deadlineMs) {
+      const lagging = summary?.lagging.length ?? 0;
+      throw new Error(
+        `${lagging} balancers lack revision ${revision} of ${reportedBalancers} known ones.`,
+      );
     }
   }
 }
 
 async function measureIdle(cluster: InForceCluster) {
-  const pids = (of: 'balancers' | 'controls') => cluster[of].map(({ pid }) => pid);
-  const before = await usages([...pids('balancers'), ...pids('controls')]);
+  const pids = (role: 'balancers' | 'controls') => cluster[role].map(({ pid }) => pid);
+  const usagesBefore = await readUsages([...pids('balancers'), ...pids('controls')]);
   await sleep(IDLE_MS);
-  const after = await usages([...before.keys()]);
-  const core = (pid: number) =>
-    ((after.get(pid)?.processorSeconds ?? 0) - (before.get(pid)?.processorSeconds ?? 0)) *
+  const usagesAfter = await readUsages([...usagesBefore.keys()]);
+  const corePercent = (pid: number) =>
+    ((usagesAfter.get(pid)?.processorSeconds ?? 0) -
+      (usagesBefore.get(pid)?.processorSeconds ?? 0)) *
     ((PERCENT * 1_000) / IDLE_MS);
-  const resident = (pid: number) => (after.get(pid)?.residentBytes ?? 0) / BYTES_PER_MB;
+  const residentMb = (pid: number) => (usagesAfter.get(pid)?.residentBytes ?? 0) / BYTES_PER_MB;
   return {
-    balancerIdleCorePercent: mean(pids('balancers').map(core)),
-    balancerResidentMb: mean(pids('balancers').map(resident)),
-    controlIdleCorePercent: mean(pids('controls').map(core)),
-    controlResidentMb: mean(pids('controls').map(resident)),
+    balancerIdleCorePercent: mean(pids('balancers').map(corePercent)),
+    balancerResidentMb: mean(pids('balancers').map(residentMb)),
+    controlIdleCorePercent: mean(pids('controls').map(corePercent)),
+    controlResidentMb: mean(pids('controls').map(residentMb)),
   };
 }
 
-async function usages(pids: readonly number[]): Promise<Map<number, ProcessUsage>> {
-  const entries = pids.map(async (pid) => [pid, await usageOf(pid)] as const);
+async function readUsages(pids: readonly number[]): Promise<Map<number, ProcessUsage>> {
+  const entries = pids.map(async (pid) => [pid, await readProcessUsage(pid)] as const);
   return new Map(await Promise.all(entries));
 }
 
 function summarize(figures: readonly InForceFigures[]): BenchResult {
   const largest = figures.at(-1);
-  const isMissed = largest !== undefined && largest.inForceP99Ms > TARGET_P99_MS;
+  const isTargetMissed = largest !== undefined && largest.inForceP99Ms > TARGET_P99_MS;
   return {
     figures: { sizes: figures },
     table: {
       head: ['figure', ...figures.map(({ balancers }) => `${balancers} balancers`)],
       rows: Object.keys(largest ?? {}).map((name) => [
         name,
-        ...figures.map((one) => Number(one[name as keyof InForceFigures].toFixed(2))),
+        ...figures.map((figure) => Number(figure[name as keyof InForceFigures].toFixed(2))),
       ]),
     },
-    missed: isMissed ? [`p99 of accepted to in force: at most ${TARGET_P99_MS} ms.`] : [],
+    missed: isTargetMissed ? [`p99 of accepted to in force: at most ${TARGET_P99_MS} ms.`] : [],
   };
 }
 
@@ -197,7 +200,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function quantile(values: readonly number[], part: number): number {
+function quantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((one, other) => one - other);
-  return sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? 0;
+  return sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? 0;
 }
--- a/src/proof/bench/bench-placement.ts
+++ b/src/proof/bench/bench-placement.ts
@@ -1,11 +1,11 @@
 /**
- * @file `amberlift bench placement`: all placement policies in the same tenfold surges, through the
- * decision code of the daemon and in virtual time.
+ * @file `amberlift bench placement`: compares the placement policies of the daemon under the same
+ * tenfold surges in virtual time.
  */
 import { placementPolicyNames } from '../../managed/control/routing-config.js';
 import {
   median,
-  refuseUnknownSettings,
+  rejectUnknownSettings,
   type Bench,
   type BenchOptions,
   type BenchTable,
@@ -13,52 +13,54 @@
 import { choiceCost } from './placement-choice-cost.js';
 import { runPlacement, type PlacementFigures } from './placement-run.js';
 import { placementScenarios, TARGET_SCENARIO, type NamedScenario } from './placement-scenarios.js';
-import type { PlacementName } from './placement-world.js';
+import type { PlacementName } from './placement-simulation.js';
 
 const DEFAULT_ROUNDS = 5;
-const DIGITS = 3;
+const FRACTION_DIGITS = 3;
 const MAX_PEAK_CONNECTIONS = 1.1;
 const MAX_PEAK_SLOTS = 1.25;
 const BACKEND_COUNTS = [10, 1_000, 12_000] as const;
-const names: readonly PlacementName[] = [...placementPolicyNames, 'exact'];
+const placementNames: readonly PlacementName[] = [...placementPolicyNames, 'exact'];
 
-/** The medians over the rounds of one scenario under one policy. */
+/** Medians over the rounds of one scenario with one policy. */
 interface PlacementResult extends PlacementFigures {
   readonly scenario: string;
   readonly policy: PlacementName;
   readonly packetPath: 'token' | 'flow-table';
 }
 
-/** Compares the placement policies. */
+/** Measures broken flows and load imbalance of each placement policy. */
 export const placementBench: Bench = {
   name: 'placement',
   summary: 'broken flows and imbalance of every placement policy',
   run: async (options) => {
-    refuseUnknownSettings(options, ['scenario']);
+    rejectUnknownSettings(options, ['scenario']);
     const results: PlacementResult[] = [];
-    for (const named of chosenScenarios(options.settings.get('scenario'))) {
+    for (const named of selectScenarios(options.settings.get('scenario'))) {
       options.progress(`Scenario: ${named.name}.`);
-      names.forEach((policy) => results.push(measure(named, policy, options)));
-      // Lets signals in between scenarios.
+      placementNames.forEach((policy) => results.push(measurePolicy(named, policy, options)));
+      // Yields to the event loop so that signals are handled.
       await new Promise((resolve) => setImmediate(resolve));
     }
     const rounds = options.rounds ?? DEFAULT_ROUNDS;
-    const choiceCosts = BACKEND_COUNTS.map((backends) => measureChoices(backends, options));
+    const choiceCosts = BACKEND_COUNTS.map((backends) => measureChoiceCost(backends, options));
     const figures = { rounds, seed: options.seed, results, choiceCosts };
     return { figures, table: tableOf(results), missed: missedTargets(results) };
   },
 };
 
-function chosenScenarios(part: string | undefined): readonly NamedScenario[] {
-  const chosen = placementScenarios.filter(({ name }) => part === undefined || name.includes(part));
-  if (chosen.length === 0) {
+function selectScenarios(nameFilter: string | undefined): readonly NamedScenario[] {
+  const selected = placementScenarios.filter(
+    ({ name }) => nameFilter === undefined || name.includes(nameFilter),
+  );
+  if (selected.length === 0) {
     throw new RangeError('No scenario has that in its name.');
   }
-  return chosen;
+  return selected;
 }
 
-/** Maglev stands for the classic design and so keeps flow tables; all others route by tokens. */
-function measure(
+/** Maglev runs with flow tables as the conventional design; all other policies route by token. */
+function measurePolicy(
   { name, scenario }: NamedScenario,
   policy: PlacementName,
   options: BenchOptions,
@@ -68,23 +70,24 @@
   for (let round = 0; round < (options.rounds ?? DEFAULT_ROUNDS); round += 1) {
     runs.push(runPlacement({ ...scenario, policy, packetPath, seed: options.seed + round }));
   }
-  const middle = (figure: keyof PlacementFigures): number => median(runs.map((run) => run[figure]));
+  const medianOf = (figure: keyof PlacementFigures): number =>
+    median(runs.map((run) => run[figure]));
   return {
     scenario: name,
     policy,
     packetPath,
-    opened: middle('opened'),
-    droppedPackets: middle('droppedPackets'),
-    brokenFlows: middle('brokenFlows'),
-    peakOverMeanConnections: rounded(middle('peakOverMeanConnections')),
-    peakOverMeanSlots: rounded(middle('peakOverMeanSlots')),
-    peakOverMeanSlots5s: rounded(middle('peakOverMeanSlots5s')),
-    refused: middle('refused'),
+    opened: medianOf('opened'),
+    droppedPackets: medianOf('droppedPackets'),
+    brokenFlows: medianOf('brokenFlows'),
+    peakOverMeanConnections: rounded(medianOf('peakOverMeanConnections')),
+    peakOverMeanSlots: rounded(medianOf('peakOverMeanSlots')),
+    peakOverMeanSlots5s: rounded(medianOf('peakOverMeanSlots5s')),
+    refused: medianOf('refused'),
   };
 }
 
-/** How long one choice takes, on the clock of this machine. */
-function measureChoices(backends: number, options: BenchOptions) {
+/** Measures the wall-clock time of one choice. */
+function measureChoiceCost(backends: number, options: BenchOptions) {
   const costs: number[] = [];
   for (let round = 0; round < (options.rounds ?? DEFAULT_ROUNDS); round += 1) {
     costs.push(choiceCost(backends, options.seed + round));
@@ -93,7 +96,7 @@
 }
 
 function rounded(value: number): number {
-  return Number(value.toFixed(DIGITS));
+  return Number(value.toFixed(FRACTION_DIGITS));
 }
 
 function tableOf(results: readonly PlacementResult[]): BenchTable {
--- a/src/proof/bench/bench.ts
+++ b/src/proof/bench/bench.ts
@@ -1,60 +1,60 @@
 /**
- * @file The interface of benches: each is one file `bench-<name>.ts` that exports a `Bench`, and stands in the registry of
- * `src/tools/cli/bench.ts`. What each is kept for stands in docs/design/proof.md.
+ * @file Common interface of the benchmarks. Each is a file `bench-<name>.ts` that exports a `Bench`
+ * and is registered in `src/tools/cli/bench.ts`.
  */
 
-/** Options of a run of a bench. */
+/** Options of one benchmark run. */
 export interface BenchOptions {
-  /** How many rounds each figure is the median of; undefined takes the bench's default. */
+  /** Rounds; each figure is their median. Undefined selects the benchmark's default. */
   readonly rounds: number | undefined;
-  /** 32-bit seed of all that is random. */
+  /** 32-bit seed of the random source. */
   readonly seed: number;
-  /** Options of this bench alone, as given by `--set name=value`. */
+  /** Options specific to the benchmark, from `--set name=value`. */
   readonly settings: ReadonlyMap<string, string>;
-  /** Tells how far the run has come, in one short sentence. */
+  /** Reports progress in one short sentence. */
   progress(message: string): void;
 }
 
-/** A table for a terminal. */
+/** Table printed to the terminal. */
 export interface BenchTable {
   readonly head: readonly string[];
   readonly rows: readonly (readonly (string | number)[])[];
 }
 
-/** What a run of a bench gives. */
+/** Result of a benchmark run. */
 export interface BenchResult {
-  /** The figures; printed by `--json` and kept under docs/results. */
+  /** Printed by `--json` and written by `--out`; the keys are compared between result files. */
   readonly figures: object;
-  /** The same in short. */
+  /** Summary of the figures. */
   readonly table: BenchTable;
-  /** What was to be reached and was not; empty where all was. */
+  /** Descriptions of the missed targets; empty if all were met. */
   readonly missed: readonly string[];
 }
 
-/** A measurement that can be run by name. */
+/** A benchmark that can be run by name. */
 export interface Bench {
   readonly name: string;
-  /** One sentence for the help. */
+  /** Description in the help text. */
   readonly summary: string;
-  /** Rejects where the bench could not be run, also where a setting is unknown to it. */
+  /** Rejects if the benchmark fails or a setting is unsupported. */
   run(options: BenchOptions): Promise<BenchResult>;
 }
 
 /**
- * Refuses settings that a bench does not know.
- * @throws RangeError naming the setting
+ * Checks that a benchmark supports all settings of a run.
+ * @throws RangeError with the name of an unsupported setting
  */
-export function refuseUnknownSettings(options: BenchOptions, known: readonly string[]): void {
+export function rejectUnknownSettings(options: BenchOptions, supported: readonly string[]): void {
   for (const name of options.settings.keys()) {
-    if (!known.includes(name)) {
-      throw new RangeError(`The bench has no setting ${name}; it has: ${known.join(', ')}.`);
+    if (!supported.includes(name)) {
+      throw new RangeError(`The bench has no setting ${name}; it has: ${supported.join(', ')}.`);
     }
   }
 }
 
 /**
  * @param values at least one
- * @returns the median; of an even count the lower of the two in the middle
+ * @returns the median, which is the lower of the two middle values for an even count
  */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
--- a/src/proof/bench/in-force-cluster.ts
+++ b/src/proof/bench/in-force-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * @file Three control machines and some balancers as real processes on loopback, for measurements of the
- * control plane alone: the back ends are only defined and do not run.
+ * @file Runs three control machines and several balancers as processes on loopback, for measurements of
+ * the control plane. Back ends are only configured and do not run.
  */
 import { createServer, type AddressInfo } from 'node:net';
 import { once } from 'node:events';
@@ -18,40 +18,41 @@
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
 const START_BATCH = 5;
 const START_TIMEOUT_MS = 20_000;
-const END_TIMEOUT_MS = 5_000;
+const STOP_TIMEOUT_MS = 5_000;
 const POLL_INTERVAL_MS = 50;
-/** Ticks of processor time per second in /proc. */
+/** Unit of processor time in /proc. */
 const CLOCK_TICKS_PER_SECOND = 100;
-const UTIME_FIELD = 11;
+/** Index of `utime` in `/proc/PID/stat`, counted after the process name. */
+const USER_TIME_FIELD = 11;
 
-/** What one process has used. */
+/** Processor time since the start of a process, and its current resident memory. */
 export interface ProcessUsage {
   readonly processorSeconds: number;
   readonly residentBytes: number;
 }
 
-/** A running cluster. */
+/** A cluster of control and balancer processes. */
 export class InForceCluster {
   private readonly processes: ManagedProcess[] = [];
   private folder = '';
   readonly balancers: ManagedProcess[] = [];
   readonly controls: ManagedProcess[] = [];
-  private clientOrNone: OperatorClient | undefined;
+  private startedClient: OperatorClient | undefined;
 
-  /** The operators' client. */
+  /** @throws Error if the cluster has not been started */
   get client(): OperatorClient {
-    if (this.clientOrNone === undefined) {
+    if (this.startedClient === undefined) {
       throw new Error('The cluster has not been started.');
     }
-    return this.clientOrNone;
+    return this.startedClient;
   }
 
   async start(balancerCount: number): Promise<void> {
     this.folder = await mkdtemp(join(tmpdir(), 'amberlift-in-force-'));
-    const linkAddresses = await freeAddresses(ZONES.length);
+    const linkAddresses = await findFreeAddresses(ZONES.length);
     await Promise.all(linkAddresses.map((_, number) => this.startControl(number, linkAddresses)));
     const controlAddresses = this.controls.map(({ ready }) => ready.operatorAddress as Address);
-    this.clientOrNone = new OperatorClient({ controlAddresses, bearerToken: OPERATOR_TOKEN });
+    this.startedClient = new OperatorClient({ controlAddresses, bearerToken: OPERATOR_TOKEN });
     for (let first = 0; first < balancerCount; first += START_BATCH) {
       const batch = Array.from(
         { length: Math.min(START_BATCH, balancerCount - first) },
@@ -62,17 +63,17 @@
     await this.waitForBalancers(balancerCount);
   }
 
-  /** What the leader knows to be in force; undefined where it gave no answer. */
-  async inForce(): Promise<InForceSummary | undefined> {
+  /** @returns the leader's view of the revisions in force, or undefined if the query fails */
+  async queryInForce(): Promise<InForceSummary | undefined> {
     return (await this.client.query({ type: 'in-force' })).unwrapOr(undefined);
   }
 
   async stop(): Promise<void> {
     this.processes.forEach((process) => process.signal('SIGTERM'));
-    const ended = Promise.all(this.processes.map(({ exited }) => exited));
-    await Promise.race([ended, sleep(END_TIMEOUT_MS, undefined, { ref: false })]);
+    const allExited = Promise.all(this.processes.map(({ exited }) => exited));
+    await Promise.race([allExited, sleep(STOP_TIMEOUT_MS, undefined, { ref: false })]);
     this.processes.forEach((process) => process.signal('SIGKILL'));
-    await ended;
+    await allExited;
     await rm(this.folder, { recursive: true, force: true });
   }
 
@@ -81,7 +82,7 @@
       nodeId: `control-${other + 1}`,
       linkAddress: formatAddress(address),
     }));
-    const own = peers[number];
+    const ownPeer = peers[number];
     const process = await startProcess(`control-${number + 1}`, [
       'control',
       ...settingArgs({
@@ -90,8 +91,8 @@
         clusterKey: CLUSTER_KEY,
         logLevel: 'error',
         dataFolder: join(this.folder, `control-${number + 1}`),
-        'control.linkAddress': own?.linkAddress ?? '',
-        'control.peers': JSON.stringify(peers.filter((peer) => peer !== own)),
+        'control.linkAddress': ownPeer?.linkAddress ?? '',
+        'control.peers': JSON.stringify(peers.filter((peer) => peer !== ownPeer)),
         'control.operators': JSON.stringify([{ name: 'bench', token: OPERATOR_TOKEN }]),
       }),
     ]);
@@ -101,7 +102,7 @@
 
   private async startBalancer(number: number, controls: readonly Address[]): Promise<void> {
     const addresses = controls.map((_, offset) => controls[(number + offset) % controls.length]);
-    const texts = addresses.flatMap((address) =>
+    const addressTexts = addresses.flatMap((address) =>
       address === undefined ? [] : [formatAddress(address)],
     );
     const process = await startProcess(`balancer-${number + 1}`, [
@@ -111,7 +112,7 @@
         zone: ZONES[number % ZONES.length] ?? '',
         clusterKey: CLUSTER_KEY,
         logLevel: 'error',
-        'balancer.controlAddresses': JSON.stringify(texts),
+        'balancer.controlAddresses': JSON.stringify(addressTexts),
         'balancer.stopGraceMs': '0',
       }),
     ]);
@@ -120,9 +121,9 @@
   }
 
   private async waitForBalancers(count: number): Promise<void> {
-    const endsAtMs = performance.now() + START_TIMEOUT_MS;
-    while (((await this.inForce())?.balancerCount ?? 0) < count) {
-      if (performance.now() > endsAtMs) {
+    const deadlineMs = performance.now() + START_TIMEOUT_MS;
+    while (((await this.queryInForce())?.balancerCount ?? 0) < count) {
+      if (performance.now() > deadlineMs) {
         throw new Error(`The leader does not know all ${count} balancers.`);
       }
       await sleep(POLL_INTERVAL_MS);
@@ -130,14 +131,12 @@
   }
 }
 
-/**
- * @returns what a process has used since its start, from /proc
- */
-export async function usageOf(pid: number): Promise<ProcessUsage> {
+/** Reads the resource usage of a process from /proc. */
+export async function readProcessUsage(pid: number): Promise<ProcessUsage> {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
   const status = await readFile(`/proc/${pid}/status`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
-  const ticks = Number(fields[UTIME_FIELD]) + Number(fields[UTIME_FIELD + 1]);
+  const ticks = Number(fields[USER_TIME_FIELD]) + Number(fields[USER_TIME_FIELD + 1]);
   const kilobytes = Number(/^VmRSS:\s+(\d+)/m.exec(status)?.[1] ?? 0);
   return {
     processorSeconds: ticks / CLOCK_TICKS_PER_SECOND,
@@ -145,8 +144,8 @@
   };
 }
 
-/** Ports that are free now; they are closed again, for the processes to bind. */
-async function freeAddresses(count: number): Promise<Address[]> {
+/** @returns loopback addresses with ports that were free at the time of the call */
+async function findFreeAddresses(count: number): Promise<Address[]> {
   const servers = Array.from({ length: count }, () => createServer().listen(0, '127.0.0.1'));
   await Promise.all(servers.map((server) => once(server, 'listening')));
   const ports = servers.map((server) => (server.address() as AddressInfo).port);
--- a/src/proof/bench/placement-backend.ts
+++ b/src/proof/bench/placement-backend.ts
@@ -1,25 +1,26 @@
 /**
- * @file A back end of the placement bench: connections, slots, a queue, and load reports that lag.
+ * @file Simulated back end of the placement benchmark, with a connection limit, request slots, a queue
+ * and delayed load reports.
  */
 import type { RandomSource } from '../../shared/common/step.js';
 import type { Backend } from '../../managed/control/routing-config.js';
 import type { LoadReport } from '../../managed/health/backend-report.js';
-import type { VirtualAgenda } from './virtual-agenda.js';
+import type { VirtualScheduler } from './virtual-scheduler.js';
 
-/** Queued requests beyond which a back end refuses opens. */
+/** Queue length at which a back end refuses opens. */
 const MAX_QUEUED_REQUESTS = 200;
 
-/** The shape of a back end. */
+/** Capacity and timing of a back end. */
 export interface PlacementBackendShape {
   readonly slots: number;
   readonly connectionLimit: number;
-  /** Mean time that a request holds a slot; times are exponential. */
+  /** Mean of the exponentially distributed time that a request occupies a slot. */
   readonly serviceMs: number;
-  /** Age of the state in a load report. */
+  /** Age of the load in a report. */
   readonly reportLagMs: number;
 }
 
-/** What is wrong with the load reports of a back end: always idle, or the first one for ever. */
+/** Fault in load reports: `idle` reports no load, `frozen` repeats the report at fault injection. */
 export type ReportFault = 'idle' | 'frozen';
 
 interface TimedReport {
@@ -27,7 +28,7 @@
   readonly report: LoadReport;
 }
 
-/** One back end. */
+/** Simulated back end. */
 export class PlacementBackend {
   connections = 0;
   private usedSlotMs = 0;
@@ -36,17 +37,17 @@
   private queuedRequests = 0;
   private fault: ReportFault | undefined;
   private frozenReport: LoadReport | undefined;
-  private readonly history: TimedReport[] = [];
+  private readonly loadHistory: TimedReport[] = [];
 
   constructor(
     public backend: Backend,
     readonly incarnation: number,
     private readonly shape: PlacementBackendShape,
-    private readonly agenda: VirtualAgenda,
+    private readonly scheduler: VirtualScheduler,
     private readonly random: RandomSource,
   ) {}
 
-  /** @returns true where the open is accepted, and then holds a connection */
+  /** @returns true if the open is accepted; it then occupies a connection until `close` */
   open(): boolean {
     const full = this.connections >= this.shape.connectionLimit;
     if (full || this.queuedRequests >= MAX_QUEUED_REQUESTS) {
@@ -60,57 +61,57 @@
     this.connections -= 1;
   }
 
-  /** A request takes a slot, or waits for one. */
+  /** Processes a request in a free slot, or queues it. */
   request(): void {
     if (this.busySlots >= this.shape.slots) {
       this.queuedRequests += 1;
       return;
     }
-    this.countBusyTime();
+    this.addBusySlotTime();
     this.busySlots += 1;
     const serviceMs = -Math.log(1 - this.random.nextFloat()) * this.shape.serviceMs;
-    this.agenda.after(serviceMs, () => this.finishRequest());
+    this.scheduler.after(serviceMs, () => this.finishRequest());
   }
 
-  /** Keeps the present load for reports to come. */
+  /** Records the current load for later reports. */
   recordLoad(): void {
-    this.history.push({ atMs: this.agenda.nowMs, report: this.presentLoad() });
-    const oldestMs = this.agenda.nowMs - this.shape.reportLagMs;
-    while ((this.history[1]?.atMs ?? Infinity) <= oldestMs) {
-      this.history.shift();
+    this.loadHistory.push({ atMs: this.scheduler.nowMs, report: this.currentLoad() });
+    const oldestMs = this.scheduler.nowMs - this.shape.reportLagMs;
+    while ((this.loadHistory[1]?.atMs ?? Infinity) <= oldestMs) {
+      this.loadHistory.shift();
     }
   }
 
-  /** @returns the load as it was a report lag ago, or as early as is known */
+  /** @returns the load one report lag ago, or the oldest recorded load */
   reportedLoad(): LoadReport {
-    const report = this.history[0]?.report ?? this.presentLoad();
+    const report = this.loadHistory[0]?.report ?? this.currentLoad();
     if (this.fault === 'idle') {
       return { ...report, connections: 0, busySlots: 0, queuedRequests: 0 };
     }
     return this.frozenReport ?? report;
   }
 
-  /** From now on the reports are wrong. */
-  misreport(fault: ReportFault): void {
+  /** Makes all further reports faulty. */
+  injectReportFault(fault: ReportFault): void {
     this.frozenReport = fault === 'frozen' ? this.reportedLoad() : undefined;
     this.fault = fault;
   }
 
-  /** @returns how loaded it is in truth; the lowest has the most room */
-  trueUse(): number {
+  /** @returns connection utilization plus waiting requests per slot, without report lag or faults */
+  currentUtilization(): number {
     const { connectionLimit, slots } = this.shape;
     const waiting = Math.max(0, this.busySlots + this.queuedRequests - slots);
     return this.connections / connectionLimit + waiting / slots;
   }
 
-  /** @returns slot time used since the start, in milliseconds */
+  /** @returns accumulated busy time of all slots, in milliseconds */
   busySlotMs(): number {
-    this.countBusyTime();
+    this.addBusySlotTime();
     return this.usedSlotMs;
   }
 
   private finishRequest(): void {
-    this.countBusyTime();
+    this.addBusySlotTime();
     this.busySlots -= 1;
     if (this.queuedRequests > 0) {
       this.queuedRequests -= 1;
@@ -118,12 +119,12 @@
     }
   }
 
-  private countBusyTime(): void {
-    this.usedSlotMs += this.busySlots * (this.agenda.nowMs - this.busySinceMs);
-    this.busySinceMs = this.agenda.nowMs;
+  private addBusySlotTime(): void {
+    this.usedSlotMs += this.busySlots * (this.scheduler.nowMs - this.busySinceMs);
+    this.busySinceMs = this.scheduler.nowMs;
   }
 
-  private presentLoad(): LoadReport {
+  private currentLoad(): LoadReport {
     return {
       connections: this.connections,
       connectionLimit: this.shape.connectionLimit,
--- a/src/proof/bench/placement-choice-cost.ts
+++ b/src/proof/bench/placement-choice-cost.ts
@@ -1,5 +1,5 @@
 /**
- * @file The processor time of one choice of a back end, against the number of back ends.
+ * @file Measures the time to choose a back end, depending on the number of back ends.
  */
 import { createBackendView } from '../../managed/balancer/backend-view.js';
 import { createBalancerState, type BalancerState } from '../../managed/balancer/balancer-state.js';
@@ -15,8 +15,8 @@
 import { seededRandom } from '../../shared/common/random.js';
 import type { Backend, Service } from '../../managed/control/routing-config.js';
 
-const ADDRESS: Address = { host: '10.1.0.1', port: 5000 };
-const ZONES = 3;
+const PLACEHOLDER_ADDRESS: Address = { host: '10.1.0.1', port: 5000 };
+const ZONE_COUNT = 3;
 const WARM_UP_CHOICES = 20_000;
 const CHOICES = 100_000;
 const CHOICES_PER_MS = 10;
@@ -26,23 +26,24 @@
   id: 1,
   name: 'authd',
   owner: 'tarjeta',
-  address: ADDRESS,
+  address: PLACEHOLDER_ADDRESS,
   policy: 'adaptive',
   limits: {},
   version: 1,
 };
 
 /**
- * @param backendCount all of one service, all ready
- * @returns the cost of one choice by the adaptive policy with what is recorded of it, in nanoseconds
+ * Measures the adaptive policy, including the recording of each attempt.
+ * @param backendCount ready back ends, all of one service
+ * @returns mean time per choice in nanoseconds
  */
 export function choiceCost(backendCount: number, seed: number): number {
-  const state = stateWith(backendCount, seed);
+  const state = createStateWithBackends(backendCount, seed);
   const random = seededRandom(seed);
   const choose = (count: number): void => {
     for (let number = 0; number < count; number += 1) {
       const context = { nowMs: 1_000 + number / CHOICES_PER_MS, random };
-      const view = chooseBackend(state, openOf(), context);
+      const view = chooseBackend(state, createPendingOpen(), context);
       if (view === undefined) {
         throw new RangeError('No back end is ready.');
       }
@@ -56,7 +57,7 @@
   return Math.round(((performance.now() - startedAtMs) * NANOSECONDS_PER_MS) / CHOICES);
 }
 
-function stateWith(backendCount: number, seed: number): BalancerState {
+function createStateWithBackends(backendCount: number, seed: number): BalancerState {
   const state = createBalancerState({
     ...defaultBalancerOptions,
     balancerId: 'balancer-1',
@@ -67,7 +68,7 @@
   state.subscription.lease.expiresAtMs = Number.POSITIVE_INFINITY;
   const random = seededRandom(seed);
   for (let id = 1; id <= backendCount; id += 1) {
-    state.views.set(id, createBackendView(backendOf(id)));
+    state.views.set(id, createBackendView(createBackend(id)));
   }
   state.position = { term: 1, index: 1 };
   for (let id = 1; id <= backendCount; id += 1) {
@@ -79,19 +80,19 @@
   return state;
 }
 
-function backendOf(id: number): Backend {
-  const zone = `zone-${id % ZONES}`;
-  const where = { address: ADDRESS, healthAddress: ADDRESS, zone };
-  return { id, serviceId: service.id, adminState: 'active', ...where };
+function createBackend(id: number): Backend {
+  const zone = `zone-${id % ZONE_COUNT}`;
+  const location = { address: PLACEHOLDER_ADDRESS, healthAddress: PLACEHOLDER_ADDRESS, zone };
+  return { id, serviceId: service.id, adminState: 'active', ...location };
 }
 
-function openOf(): PendingOpen {
+function createPendingOpen(): PendingOpen {
   return {
     key: '',
     flowId: new Uint8Array(8),
-    client: ADDRESS,
+    client: PLACEHOLDER_ADDRESS,
     service,
-    replyTo: ADDRESS,
+    replyTo: PLACEHOLDER_ADDRESS,
     receivedAtMs: 0,
     deadlineAtMs: Infinity,
     triedBackendIds: [],
--- a/src/proof/bench/placement-run.ts
+++ b/src/proof/bench/placement-run.ts
@@ -1,60 +1,67 @@
 /**
- * @file One run of the placement bench, and its figures.
+ * @file Runs one simulation of the placement benchmark and computes its figures.
  */
 import type { PlacementBackend } from './placement-backend.js';
-import { PlacementWorld, type PlacementCounts, type PlacementScenario } from './placement-world.js';
+import {
+  PlacementSimulation,
+  type PlacementCounts,
+  type PlacementScenario,
+} from './placement-simulation.js';
 
 const CONNECTION_SAMPLE_MS = 100;
 const SHORT_SLOT_WINDOW_MS = 1_000;
 const LONG_SLOT_WINDOW_MS = 5_000;
 
-/** The figures of one run, from the start of the surge to the end. */
+/** Figures of one run; flow counts cover the whole run, peaks start with the surge. */
 export interface PlacementFigures extends PlacementCounts {
-  /** Highest over all samples of the most loaded back end's connections over the mean. */
+  /** Highest ratio, over all samples, of the most connections on a back end to the mean. */
   readonly peakOverMeanConnections: number;
-  /** The same for busy slots, each averaged over a window of 1 s. */
+  /** The same ratio for busy slots, averaged over windows of 1 s. */
   readonly peakOverMeanSlots: number;
-  /** The same for busy slots, each averaged over a window of 5 s. */
+  /** The same ratio for busy slots, averaged over windows of 5 s. */
   readonly peakOverMeanSlots5s: number;
 }
 
 /**
- * Runs one scenario. Imbalance is measured over the back ends that take flows throughout.
+ * Runs one scenario. The imbalance covers only back ends that accept flows during the whole run.
  */
 export function runPlacement(scenario: PlacementScenario): PlacementFigures {
-  const world = new PlacementWorld(scenario);
-  world.agenda.runUntil(scenario.surgeStartMs);
-  const { agenda } = world;
+  const simulation = new PlacementSimulation(scenario);
+  simulation.scheduler.runUntil(scenario.surgeStartMs);
+  const { scheduler } = simulation;
   let peakOverMeanConnections = 1;
-  agenda.every(CONNECTION_SAMPLE_MS, () => {
-    const connections = world.steadyBackends().map((backend) => backend.connections);
+  scheduler.every(CONNECTION_SAMPLE_MS, () => {
+    const connections = simulation.steadyBackends().map((backend) => backend.connections);
     peakOverMeanConnections = Math.max(peakOverMeanConnections, peakOverMean(connections));
   });
-  const shortSlots = watchSlots(world, SHORT_SLOT_WINDOW_MS);
-  const longSlots = watchSlots(world, LONG_SLOT_WINDOW_MS);
-  agenda.runUntil(scenario.endMs);
+  const shortSlots = trackPeakSlots(simulation, SHORT_SLOT_WINDOW_MS);
+  const longSlots = trackPeakSlots(simulation, LONG_SLOT_WINDOW_MS);
+  scheduler.runUntil(scenario.endMs);
   return {
-    ...world.counts,
+    ...simulation.counts,
     peakOverMeanConnections,
     peakOverMeanSlots: shortSlots.peak,
     peakOverMeanSlots5s: longSlots.peak,
   };
 }
 
-/** Keeps the highest peak over mean of the slot time used in each window. */
-function watchSlots(world: PlacementWorld, windowMs: number): { readonly peak: number } {
-  const watch = { peak: 1 };
-  const before = new Map<PlacementBackend, number>();
-  world.agenda.every(windowMs, () => {
-    const used = world.steadyBackends().map((backend) => {
+/** Tracks the highest peak-to-mean ratio of slot time per window. */
+function trackPeakSlots(
+  simulation: PlacementSimulation,
+  windowMs: number,
+): { readonly peak: number } {
+  const tracker = { peak: 1 };
+  const previousTotals = new Map<PlacementBackend, number>();
+  simulation.scheduler.every(windowMs, () => {
+    const slotTimes = simulation.steadyBackends().map((backend) => {
       const total = backend.busySlotMs();
-      const sinceLast = total - (before.get(backend) ?? total);
-      before.set(backend, total);
+      const sinceLast = total - (previousTotals.get(backend) ?? total);
+      previousTotals.set(backend, total);
       return sinceLast;
     });
-    watch.peak = Math.max(watch.peak, peakOverMean(used));
+    tracker.peak = Math.max(tracker.peak, peakOverMean(slotTimes));
   });
-  return watch;
+  return tracker;
 }
 
 function peakOverMean(values: readonly number[]): number {
--- a/src/proof/bench/placement-scenarios.ts
+++ b/src/proof/bench/placement-scenarios.ts
@@ -1,17 +1,16 @@
 /**
- * @file The scenarios of the placement bench: tenfold surges on the shapes of the two deployments,
- * with reports of several ages, several numbers of balancers, changes of back ends and balancers, and
- * load reports that lie.
+ * @file Scenarios of the placement benchmark: tenfold surges with varying report lags, balancer counts,
+ * membership changes and faulty load reports.
  */
-import type { PlacementChange, PlacementScenario } from './placement-world.js';
+import type { PlacementChange, PlacementScenario } from './placement-simulation.js';
 
-/** A scenario without what differs from run to run. */
-export type ScenarioShape = Omit<PlacementScenario, 'policy' | 'packetPath' | 'seed'>;
+/** A scenario without the fields that differ between runs. */
+export type ScenarioTemplate = Omit<PlacementScenario, 'policy' | 'packetPath' | 'seed'>;
 
-/** A scenario with its name. */
+/** A scenario and the name that `--set scenario` matches. */
 export interface NamedScenario {
   readonly name: string;
-  readonly scenario: ScenarioShape;
+  readonly scenario: ScenarioTemplate;
 }
 
 const REPORT_LAGS_MS = [100, 1_000, 5_000] as const;
@@ -19,11 +18,8 @@
 const SURGE_START_MS = 40_000;
 const SURGE_MS = 40_000;
 
-/**
- * The shape of authd: 10 back ends with 2 slots, and about 1,800 connections each at the end of the
- * surge. A flow asks when it opens and then each 30 s on average.
- */
-const authd: ScenarioShape = {
+/** Models authd: 10 back ends with 2 slots each and long-lived flows with few requests. */
+const authd: ScenarioTemplate = {
   balancers: 3,
   backends: 10,
   shape: { slots: 2, connectionLimit: 2_400, serviceMs: 12, reportLagMs: 1_000 },
@@ -39,38 +35,41 @@
   liars: [],
 };
 
-/** The same in Cairo, where zones are further apart. */
-const boardApi: ScenarioShape = { ...authd, crossZoneMs: 1.5 };
-/** The shape of settled and scan-intake: 3 back ends. */
-const settled: ScenarioShape = {
+/** Models board-api in Cairo, which has a higher latency between zones. */
+const boardApi: ScenarioTemplate = { ...authd, crossZoneMs: 1.5 };
+/** Models settled and scan-intake, which have 3 back ends. */
+const settled: ScenarioTemplate = {
   ...authd,
   backends: 3,
   opensPerSecond: authd.opensPerSecond * 0.3,
 };
 
-/** Ages of reports and numbers of balancers, each with each. */
-const surges: readonly NamedScenario[] = REPORT_LAGS_MS.flatMap((reportLagMs) =>
+/** All combinations of report lags and balancer counts. */
+const surgeScenarios: readonly NamedScenario[] = REPORT_LAGS_MS.flatMap((reportLagMs) =>
   BALANCER_COUNTS.map((balancers) => ({
     name: `surge, reports ${reportLagMs / 1_000} s late, balancers ${balancers}`,
     scenario: { ...authd, balancers, shape: { ...authd.shape, reportLagMs } },
   })),
 );
 
-/** Every scenario. */
+/** All scenarios of the benchmark. */
 export const placementScenarios: readonly NamedScenario[] = [
-  ...surges,
+  ...surgeScenarios,
   { name: 'surge, board-api', scenario: boardApi },
   { name: 'surge, 3 back ends', scenario: settled },
   {
     name: 'surge, 2 cold joins',
-    scenario: { ...authd, changes: changesOf('backend-joins', 2) },
+    scenario: { ...authd, changes: repeatedChanges('backend-joins', 2) },
+  },
+  {
+    name: 'surge, 2 drains',
+    scenario: { ...authd, changes: repeatedChanges('backend-drains', 2) },
   },
-  { name: 'surge, 2 drains', scenario: { ...authd, changes: changesOf('backend-drains', 2) } },
   {
     name: 'surge, a balancer joins and one dies',
     scenario: {
       ...authd,
-      changes: [...changesOf('balancer-joins', 1), { atMs: 60_000, type: 'balancer-dies' }],
+      changes: [...repeatedChanges('balancer-joins', 1), { atMs: 60_000, type: 'balancer-dies' }],
     },
   },
   {
@@ -85,10 +84,10 @@
   },
 ];
 
-/** The scenario that the targets are about. */
+/** Name of the scenario that the imbalance targets apply to. */
 export const TARGET_SCENARIO = 'surge, reports 1 s late, balancers 3';
 
-function changesOf(type: PlacementChange['type'], count: number): PlacementChange[] {
+function repeatedChanges(type: PlacementChange['type'], count: number): PlacementChange[] {
   const firstAtMs = SURGE_START_MS + 5_000;
   const gapMs = 10_000;
   return Array.from({ length: count }, (_, index) => ({ atMs: firstAtMs + index * gapMs, type }));
--- a/src/proof/bench/placement-world.ts
+++ b/src/proof/bench/placement-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * @file Callers, balancers and back ends of the placement bench in virtual time. The balancers run
- * the decision code of the daemon: they choose back ends, mint tokens and route by them.
+ * @file Simulates callers, balancers and back ends of the placement benchmark in virtual time. The
+ * balancers run the daemon's code for choosing back ends, minting tokens and routing by token.
  */
 import { match } from 'ts-pattern';
 import { createBalancerState, type BalancerState } from '../../managed/balancer/balancer-state.js';
@@ -32,49 +32,48 @@
   type PlacementBackendShape,
   type ReportFault,
 } from './placement-backend.js';
-import { VirtualAgenda } from './virtual-agenda.js';
+import { VirtualScheduler } from './virtual-scheduler.js';
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
-const KEY: TokenKey = { id: 1, secret: new Uint8Array(16).fill(7), state: 'current' };
-const PREPARED_KEY = prepareTokenKey(KEY.secret);
+const TOKEN_KEY: TokenKey = { id: 1, secret: new Uint8Array(16).fill(7), state: 'current' };
+const PREPARED_TOKEN_KEY = prepareTokenKey(TOKEN_KEY.secret);
 const SERVICE_ADDRESS: Address = { host: '10.1.0.1', port: 5000 };
-const CLIENT: Address = { host: '10.9.0.1', port: 5000 };
+const CLIENT_ADDRESS: Address = { host: '10.9.0.1', port: 5000 };
 const FLOW_ID_BYTES = 8;
 const MAX_UINT32 = 0xffff_ffff;
 const EMPTY_BODY = new Uint8Array(0);
 const OPEN_ROUND_TRIP_MS = 2;
-/** The longest that a change of the configuration takes to a balancer. */
+/** Upper bound of the random delay of a configuration update to a balancer. */
 const MAX_CONFIG_DELAY_MS = 2_000;
-/** After how long a caller sends a packet again, and how often it does so. */
 const RETRANSMIT_MS = 200;
-const MAX_SENDINGS = 10;
+const MAX_TRANSMISSIONS = 10;
 const LOAD_SAMPLE_MS = 50;
 const SECOND_MS = 1_000;
 
-/** A change in the course of a run. */
+/** A membership change during a run. */
 export interface PlacementChange {
   readonly atMs: number;
   readonly type: 'backend-joins' | 'backend-drains' | 'balancer-joins' | 'balancer-dies';
 }
 
-/** A back end whose load reports are wrong from the start of the surge. */
-export interface ReportLiar {
+/** A back end with faulty load reports from the start of the surge. */
+export interface MisreportingBackend {
   readonly backendId: number;
   readonly fault: ReportFault;
 }
 
 /**
- * How flows are placed: by one of the policies, or as a measure of what is possible at all, `exact`,
- * by what every back end carries in truth at that moment.
+ * A placement policy, or `exact`: a baseline that picks the back end with the lowest actual load at
+ * that moment.
  */
 export type PlacementName = PlacementPolicyName | 'exact';
 
-/** What one run is about. */
+/** Parameters of one run. */
 export interface PlacementScenario {
   readonly policy: PlacementName;
   /**
-   * How packets of established flows are routed: by tokens as in the daemon, or by a flow table in
-   * each balancer and, for a flow that is not in it, by the policy.
+   * Routing of established flows: by token as in the daemon, or by a flow table in each balancer,
+   * with the policy as fallback for flows without an entry.
    */
   readonly packetPath: 'token' | 'flow-table';
   readonly seed: number;
@@ -82,51 +81,51 @@
   readonly backends: number;
   readonly shape: PlacementBackendShape;
   readonly reportIntervalMs: number;
-  /** New flows a second over all balancers, outside of the surge. */
+  /** New flows per second over all balancers before the surge. */
   readonly opensPerSecond: number;
-  /** By how much the opens rise in the surge. */
+  /** Factor on the open rate during the surge. */
   readonly surgeFactor: number;
   readonly surgeStartMs: number;
   readonly endMs: number;
-  /** Mean life of a flow; lives are exponential. */
+  /** Mean of the exponentially distributed flow lifetime. */
   readonly flowLifeMs: number;
-  /** Mean time between two requests of a flow. */
+  /** Mean of the exponentially distributed time between requests of a flow. */
   readonly requestIntervalMs: number;
-  /** One way between two zones. */
+  /** One-way latency between zones. */
   readonly crossZoneMs: number;
   readonly changes: readonly PlacementChange[];
-  readonly liars: readonly ReportLiar[];
+  readonly liars: readonly MisreportingBackend[];
 }
 
-/** What came of the flows of one run. */
+/** Flow and packet counts of one run. */
 export interface PlacementCounts {
   opened: number;
   refused: number;
-  /** Packets that a balancer could not route; callers send them again. */
+  /** Packets that a balancer could not route; callers retransmit them. */
   droppedPackets: number;
-  /** Flows with a packet that came to another back end, or to none however often it was sent. */
+  /** Flows with a packet that reached the wrong back end, or none after all retransmissions. */
   brokenFlows: number;
 }
 
 interface Flow {
   readonly target: PlacementBackend;
   readonly request: PendingOpen;
-  /** The back end that each balancer has in its flow table, where it has one. */
+  /** Back end ID in each balancer's flow table. */
   readonly tableEntries: Map<BalancerState, number>;
   readonly packet: Uint8Array;
   open: boolean;
 }
 
-/** One run. */
-export class PlacementWorld {
-  readonly agenda = new VirtualAgenda();
+/** Simulation of one scenario. */
+export class PlacementSimulation {
+  readonly scheduler = new VirtualScheduler();
   readonly backends: PlacementBackend[] = [];
   readonly counts: PlacementCounts = { opened: 0, refused: 0, droppedPackets: 0, brokenFlows: 0 };
   private readonly balancers: BalancerState[] = [];
   private readonly random: RandomSource;
   private readonly service: Service;
-  private position = 0;
-  private balancerNumber = -1;
+  private configIndex = 0;
+  private lastBalancerNumber = -1;
   private nextOpenAtMs = 0;
   private nextFlowNumber = 0;
 
@@ -147,30 +146,32 @@
     for (let count = 0; count < scenario.balancers; count += 1) {
       this.addBalancer();
     }
-    this.configure(0);
-    this.agenda.runUntil(1);
-    this.balancers.forEach((balancer) => this.startProbes(balancer));
-    this.agenda.every(LOAD_SAMPLE_MS, () => this.backends.forEach((one) => one.recordLoad()));
-    this.agenda.every(1, () => this.openFlows());
-    this.planFaults();
+    this.publishConfig(0);
+    this.scheduler.runUntil(1);
+    this.balancers.forEach((balancer) => this.startProbingBackends(balancer));
+    this.scheduler.every(LOAD_SAMPLE_MS, () => this.backends.forEach((one) => one.recordLoad()));
+    this.scheduler.every(1, () => this.openFlows());
+    this.scheduleChangesAndFaults();
   }
 
-  /** @returns the back ends that take flows from the beginning of the run to the present */
+  /** @returns the initial back ends that are still active */
   steadyBackends(): PlacementBackend[] {
     return this.backends
       .slice(0, this.scenario.backends)
       .filter(({ backend }) => backend.adminState === 'active');
   }
 
-  private planFaults(): void {
+  private scheduleChangesAndFaults(): void {
     const { changes, liars, surgeStartMs } = this.scenario;
-    changes.forEach(({ atMs, type }) => this.agenda.after(atMs, () => this.change(type)));
-    this.agenda.after(surgeStartMs, () =>
-      liars.forEach(({ backendId, fault }) => this.backends[backendId - 1]?.misreport(fault)),
+    changes.forEach(({ atMs, type }) => this.scheduler.after(atMs, () => this.applyChange(type)));
+    this.scheduler.after(surgeStartMs, () =>
+      liars.forEach(({ backendId, fault }) =>
+        this.backends[backendId - 1]?.injectReportFault(fault),
+      ),
     );
   }
 
-  private change(type: PlacementChange['type']): void {
+  private applyChange(type: PlacementChange['type']): void {
     match(type)
       .with('backend-joins', () => this.joinBackend())
       .with('backend-drains', () => this.drainBackend())
@@ -184,7 +185,7 @@
 
   private joinBackend(): void {
     const joined = this.addBackend();
-    this.configure(MAX_CONFIG_DELAY_MS);
+    this.publishConfig(MAX_CONFIG_DELAY_MS);
     this.balancers.forEach((balancer) => this.startProbing(balancer, joined));
   }
 
@@ -192,14 +193,14 @@
     const draining = this.backends.find(({ backend }) => backend.adminState === 'active');
     if (draining !== undefined) {
       draining.backend = { ...draining.backend, adminState: 'draining' };
-      this.configure(MAX_CONFIG_DELAY_MS);
+      this.publishConfig(MAX_CONFIG_DELAY_MS);
     }
   }
 
   private joinBalancer(): void {
     const joined = this.addBalancer();
     applyConfigUpdate(joined, this.snapshot());
-    this.startProbes(joined);
+    this.startProbingBackends(joined);
     this.publishFleetSize();
   }
 
@@ -215,48 +216,48 @@
       adminState: 'active',
     };
     const { shape } = this.scenario;
-    const added = new PlacementBackend(backend, id, shape, this.agenda, this.random);
+    const added = new PlacementBackend(backend, id, shape, this.scheduler, this.random);
     this.backends.push(added);
     return added;
   }
 
   private addBalancer(): BalancerState {
-    this.balancerNumber += 1;
+    this.lastBalancerNumber += 1;
     const balancer = createBalancerState({
       ...defaultBalancerOptions,
-      balancerId: `balancer-${this.balancerNumber}`,
-      zone: ZONES[this.balancerNumber % ZONES.length] ?? ZONES[0],
+      balancerId: `balancer-${this.lastBalancerNumber}`,
+      zone: ZONES[this.lastBalancerNumber % ZONES.length] ?? ZONES[0],
       controlAddresses: [],
       clusterKey: '',
     });
-    // No control machine is a part of this world, so the lease never runs out.
+    // The simulation has no control machines to renew the lease.
     balancer.subscription.lease.expiresAtMs = Number.POSITIVE_INFINITY;
     this.balancers.push(balancer);
     this.publishFleetSize();
     return balancer;
   }
 
-  /** Sends the present configuration; it reaches each balancer within the delay. */
-  private configure(maxDelayMs: number): void {
-    this.position += 1;
+  /** Sends the current configuration to each balancer with a random delay. */
+  private publishConfig(maxDelayMs: number): void {
+    this.configIndex += 1;
     const update = this.snapshot();
     for (const balancer of this.balancers) {
       const delayMs = this.random.nextFloat() * maxDelayMs;
-      this.agenda.after(delayMs, () => applyConfigUpdate(balancer, update));
+      this.scheduler.after(delayMs, () => applyConfigUpdate(balancer, update));
     }
   }
 
   private snapshot(): ConfigSnapshot {
     return {
       type: 'snapshot',
-      to: { term: 1, index: this.position },
+      to: { term: 1, index: this.configIndex },
       services: [this.service],
       backends: this.backends.map(({ backend }) => backend),
-      keys: [KEY],
+      keys: [TOKEN_KEY],
     };
   }
 
-  /** Sets the number of balancers at each; in the daemon it comes from gossip. */
+  /** Sets the balancer counts on each balancer, which the daemon obtains by gossip. */
   private publishFleetSize(): void {
     for (const { fleet, options } of this.balancers) {
       const local = this.balancers.filter((other) => other.options.zone === options.zone);
@@ -265,16 +266,16 @@
     }
   }
 
-  private startProbes(balancer: BalancerState): void {
+  private startProbingBackends(balancer: BalancerState): void {
     this.backends.forEach((backend) => this.startProbing(balancer, backend));
   }
 
-  /** Probes begin at a random time, so that they are spread over the interval. */
+  /** Probes once, then periodically from a random offset that spreads probes over the interval. */
   private startProbing(balancer: BalancerState, backend: PlacementBackend): void {
     const { reportIntervalMs } = this.scenario;
     this.probe(balancer, backend);
-    this.agenda.after(this.random.nextFloat() * reportIntervalMs, () =>
-      this.agenda.every(reportIntervalMs, () => this.probe(balancer, backend)),
+    this.scheduler.after(this.random.nextFloat() * reportIntervalMs, () =>
+      this.scheduler.every(reportIntervalMs, () => this.probe(balancer, backend)),
     );
   }
 
@@ -286,15 +287,15 @@
   }
 
   private context(): StepContext {
-    return { nowMs: this.agenda.nowMs, random: this.random };
+    return { nowMs: this.scheduler.nowMs, random: this.random };
   }
 
-  /** Opens come one by one with exponential gaps in each millisecond: a Poisson process. */
+  /** Opens the flows due by now; arrivals form a Poisson process. */
   private openFlows(): void {
     const { opensPerSecond, surgeFactor, surgeStartMs } = this.scenario;
-    const surging = this.agenda.nowMs >= surgeStartMs;
+    const surging = this.scheduler.nowMs >= surgeStartMs;
     const meanGapMs = SECOND_MS / (surging ? opensPerSecond * surgeFactor : opensPerSecond);
-    while (this.nextOpenAtMs <= this.agenda.nowMs) {
+    while (this.nextOpenAtMs <= this.scheduler.nowMs) {
       this.openFlow();
       this.nextOpenAtMs += this.exponential(meanGapMs);
     }
@@ -305,21 +306,21 @@
     flowId.writeUInt32BE(this.random.nextInt(MAX_UINT32), 0);
     flowId.writeUInt32BE(this.nextFlowNumber, FLOW_ID_BYTES / 2);
     this.nextFlowNumber += 1;
-    this.attempt(this.anyBalancer(), {
+    this.attemptOpen(this.randomBalancer(), {
       key: flowId.toString('hex'),
       flowId,
-      client: CLIENT,
+      client: CLIENT_ADDRESS,
       service: this.service,
-      replyTo: CLIENT,
-      receivedAtMs: this.agenda.nowMs,
+      replyTo: CLIENT_ADDRESS,
+      receivedAtMs: this.scheduler.nowMs,
       deadlineAtMs: Infinity,
       triedBackendIds: [],
       attemptEndsAtMs: Infinity,
     });
   }
 
-  private attempt(balancer: BalancerState, open: PendingOpen): void {
-    const view = this.choose(balancer, open);
+  private attemptOpen(balancer: BalancerState, open: PendingOpen): void {
+    const view = this.chooseTarget(balancer, open);
     const target = this.backends.find(({ backend }) => backend.id === view?.backend.id);
     const exhausted = open.triedBackendIds.length >= balancer.options.maxOpenAttempts;
     if (view === undefined || target === undefined || exhausted) {
@@ -328,19 +329,19 @@
     }
     open.triedBackendIds.push(view.backend.id);
     recordAttempt(balancer, view, this.context());
-    this.agenda.after(this.roundTripMs(balancer, target), () => {
+    this.scheduler.after(this.roundTripMs(balancer, target), () => {
       const accepted = target.open();
       const outcome = accepted ? 'accepted' : 'refused';
       recordAttemptEnd(balancer, view, outcome, target.incarnation, this.context());
       if (accepted) {
         this.startFlow(balancer, open, target);
       } else {
-        this.attempt(balancer, open);
+        this.attemptOpen(balancer, open);
       }
     });
   }
 
-  private choose(balancer: BalancerState, open: PendingOpen): BackendView | undefined {
+  private chooseTarget(balancer: BalancerState, open: PendingOpen): BackendView | undefined {
     if (this.scenario.policy !== 'exact') {
       return chooseBackend(balancer, open, this.context());
     }
@@ -351,11 +352,12 @@
         !open.triedBackendIds.includes(backend.id),
     );
     const [first, ...others] = untried;
-    const least = others.reduce<PlacementBackend | undefined>(
-      (best, one) => (best !== undefined && best.trueUse() <= one.trueUse() ? best : one),
+    const leastUtilized = others.reduce<PlacementBackend | undefined>(
+      (best, one) =>
+        best !== undefined && best.currentUtilization() <= one.currentUtilization() ? best : one,
       first,
     );
-    return least === undefined ? undefined : balancer.views.get(least.backend.id);
+    return leastUtilized === undefined ? undefined : balancer.views.get(leastUtilized.backend.id);
   }
 
   private roundTripMs({ options }: BalancerState, { backend }: PlacementBackend): number {
@@ -367,8 +369,8 @@
     this.counts.opened += 1;
     const { backend, incarnation } = target;
     const { flowId } = open;
-    const fields = { keyId: KEY.id, serviceId: this.service.id, backendId: backend.id };
-    const token = mintToken({ ...fields, incarnation, flowId }, PREPARED_KEY);
+    const fields = { keyId: TOKEN_KEY.id, serviceId: this.service.id, backendId: backend.id };
+    const token = mintToken({ ...fields, incarnation, flowId }, PREPARED_TOKEN_KEY);
     const flow: Flow = {
       target,
       request: { ...open, triedBackendIds: [] },
@@ -376,7 +378,7 @@
       packet: encodeShortHeader(token, EMPTY_BODY),
       open: true,
     };
-    this.agenda.after(this.exponential(this.scenario.flowLifeMs), () => this.endFlow(flow));
+    this.scheduler.after(this.exponential(this.scenario.flowLifeMs), () => this.endFlow(flow));
     this.request(flow);
   }
 
@@ -387,49 +389,51 @@
     }
   }
 
-  /** The flow's next packet, a request, comes to whichever balancer the fabric sprays it to. */
-  private request(flow: Flow, sendings = 1): void {
+  /** Sends the flow's next request to a random balancer, as packet spraying does. */
+  private request(flow: Flow, transmissions = 1): void {
     if (!flow.open) {
       return;
     }
-    const reached = this.route(flow, this.anyBalancer());
-    if (reached === undefined && sendings < MAX_SENDINGS) {
+    const routedBackendId = this.route(flow, this.randomBalancer());
+    if (routedBackendId === undefined && transmissions < MAX_TRANSMISSIONS) {
       this.counts.droppedPackets += 1;
-      this.agenda.after(RETRANSMIT_MS, () => this.request(flow, sendings + 1));
+      this.scheduler.after(RETRANSMIT_MS, () => this.request(flow, transmissions + 1));
       return;
     }
-    if (reached !== flow.target.backend.id) {
+    if (routedBackendId !== flow.target.backend.id) {
       this.counts.brokenFlows += 1;
       this.endFlow(flow);
       return;
     }
     flow.target.request();
-    this.agenda.after(this.exponential(this.scenario.requestIntervalMs), () => this.request(flow));
+    this.scheduler.after(this.exponential(this.scenario.requestIntervalMs), () =>
+      this.request(flow),
+    );
   }
 
-  /** @returns the ID of the back end that the balancer sends the flow's packet to */
+  /** @returns ID of the back end that the balancer routes the flow's packet to */
   private route(flow: Flow, balancer: BalancerState): number | undefined {
     if (this.scenario.packetPath === 'flow-table') {
       return this.routeByTable(flow, balancer);
     }
-    const envelope = { client: CLIENT, service: SERVICE_ADDRESS, packet: flow.packet };
-    const routed = routeEstablished(balancer, envelope, this.agenda.nowMs);
+    const envelope = { client: CLIENT_ADDRESS, service: SERVICE_ADDRESS, packet: flow.packet };
+    const routed = routeEstablished(balancer, envelope, this.scheduler.nowMs);
     return routed.isOk() ? routed.value.port : undefined;
   }
 
   private routeByTable(flow: Flow, balancer: BalancerState): number | undefined {
-    const known = flow.tableEntries.get(balancer);
-    if (known !== undefined) {
-      return known;
+    const entry = flow.tableEntries.get(balancer);
+    if (entry !== undefined) {
+      return entry;
     }
-    const chosen = chooseBackend(balancer, flow.request, this.context())?.backend.id;
-    if (chosen !== undefined) {
-      flow.tableEntries.set(balancer, chosen);
+    const chosenBackendId = chooseBackend(balancer, flow.request, this.context())?.backend.id;
+    if (chosenBackendId !== undefined) {
+      flow.tableEntries.set(balancer, chosenBackendId);
     }
-    return chosen;
+    return chosenBackendId;
   }
 
-  private anyBalancer(): BalancerState {
+  private randomBalancer(): BalancerState {
     const balancer = this.balancers[this.random.nextInt(this.balancers.length)];
     if (balancer === undefined) {
       throw new RangeError('A placement world has at least one balancer.');
--- a/test/managed/routing/bench-placement.test.ts
+++ b/test/managed/routing/bench-placement.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'tap';
 import { median } from '../../../src/proof/bench/bench.js';
 import { runPlacement } from '../../../src/proof/bench/placement-run.js';
-import type { PlacementScenario } from '../../../src/proof/bench/placement-world.js';
+import type { PlacementScenario } from '../../../src/proof/bench/placement-simulation.js';
 
 const scenario: PlacementScenario = {
   policy: 'random',
