--- a/src/proof/bench/bench-forward-control.ts
+++ b/src/proof/bench/bench-forward-control.ts
@@ -96,7 +96,9 @@
       return;
     }
     if (performance.now() > deadlineMs) {
-      throw new Error('The balancer did not come to rest with its configuration in force.');
+      throw new Error(
+        'Timed out waiting for the balancer to be idle with its configuration in force.',
+      );
     }
     usedMs = nowUsedMs;
   }
--- a/src/proof/bench/bench-forward-memory.ts
+++ b/src/proof/bench/bench-forward-memory.ts
@@ -50,7 +50,7 @@
   datagrams.forEach(forward);
   const growthBytes = usedHeapBytes() - initialBytes;
   if (state.forwardedPackets !== datagrams.length + Math.min(WARM_UP_FLOWS, datagrams.length)) {
-    throw new Error('The balancer did not forward every packet.');
+    throw new Error('The balancer did not forward all packets.');
   }
   return growthBytes;
 }
@@ -67,7 +67,7 @@
   }
   const growthBytes = usedHeapBytes() - initialBytes;
   if (table.size !== datagrams.length) {
-    throw new Error('Two flows share an entry of the table.');
+    throw new Error('Two flows share a flow table entry.');
   }
   return growthBytes;
 }
--- a/src/proof/bench/bench-forward.ts
+++ b/src/proof/bench/bench-forward.ts
@@ -94,7 +94,7 @@
 /** Measures packet rate, memory per flow and open rate of a balancer. */
 export const forwardBench: Bench = {
   name: 'forward',
-  summary: 'packets and new flows a second of one balancer against a bare relay',
+  summary: 'packet and new-flow rates of one balancer compared with a bare relay',
   run: async (options) => {
     rejectUnknownSettings(options, []);
     const rounds = options.rounds ?? defaultForwardBenchOptions.rounds;
@@ -155,7 +155,7 @@
   }
 
   private async measureMemory(): Promise<MemoryResult> {
-    this.progress('Memory per established flow.');
+    this.progress('Measuring memory per established flow.');
     const peer = await this.startPeer({ type: 'memory' });
     const flowCount = this.options.establishedFlows;
     return peer.request<MemoryResult>({ type: 'measure-memory', flowCount });
@@ -190,7 +190,7 @@
     const manySenders = await this.startSenders(FLOWS_PER_SENDER, MANY_BACKENDS);
     const warmUpRounds = 1;
     for (let number = 0; number < this.options.rounds + warmUpRounds; number += 1) {
-      this.progress(`Packets a second, round ${number} of ${this.options.rounds}.`);
+      this.progress(`Measuring packet rate, round ${number} of ${this.options.rounds}.`);
       for (const forwarder of forwarders) {
         const senders = forwarder.name === 'manyBackends' ? manySenders : fewSenders;
         const round = await this.measureRound(forwarder, sink, senders);
@@ -231,10 +231,10 @@
   }
 
   private async measureResidentGrowth(forwarders: readonly Forwarder[]): Promise<number> {
-    this.progress('Resident memory of the balancer process.');
+    this.progress('Measuring resident memory of the balancer process.');
     const balancer = forwarders.find(({ name }) => name === 'fewBackends');
     if (balancer === undefined) {
-      throw new Error('No balancer runs.');
+      throw new Error('The forwarders do not include a balancer with few back ends.');
     }
     const { establishedFlows, roundMs, rounds } = this.options;
     const sender = await this.startPeer({
@@ -252,7 +252,7 @@
   }
 
   private async measureNewFlows(backendCount: number): Promise<NewFlowFigures> {
-    this.progress(`New flows a second with ${backendCount} back ends.`);
+    this.progress(`Measuring new-flow rate with ${backendCount} back ends.`);
     const backend = await this.startPeer({ type: 'backend' });
     const balancer = await this.startBalancer(backendCount, backend.port);
     const opener = await this.startPeer({ type: 'opener' });
--- a/src/proof/bench/bench-in-force.ts
+++ b/src/proof/bench/bench-in-force.ts
@@ -40,17 +40,19 @@
 /** Measures the propagation time of configuration changes and the idle cost of the processes. */
 export const inForceBench: Bench = {
   name: 'in-force',
-  summary: 'accepted to in force on all balancers, with real processes',
+  summary: 'time from acceptance of a change until it is in force on all balancers',
   run: async (options) => {
     rejectUnknownSettings(options, ['balancers', 'changes']);
     const sizes = (options.settings.get('balancers') ?? DEFAULT_SIZES).split(',').map(Number);
     const changes = Number(options.settings.get('changes') ?? DEFAULT_CHANGES);
     if (![...sizes, changes].every((count) => Number.isInteger(count) && count > 0)) {
-      throw new RangeError('balancers is a list such as 3,10; changes a whole number.');
+      throw new RangeError(
+        'The setting balancers must be a list of positive integers such as 3,10, and changes a positive integer.',
+      );
     }
     const figures: InForceFigures[] = [];
     for (const size of sizes) {
-      options.progress(`${size} balancers and 3 control machines.`);
+      options.progress(`Measuring ${size} balancers with 3 control machines.`);
       figures.push(await measureCluster(size, changes));
     }
     return summarize(figures);
@@ -123,7 +125,7 @@
 ) {
   const result = await cluster.client.send(commandId, command);
   if (result.isErr()) {
-    throw new Error(`${commandId} was refused: ${result.error.message}`);
+    throw new Error(`Command ${commandId} failed: ${result.error.message}`);
   }
   return result.value;
 }
@@ -151,7 +153,7 @@
     if (performance.now() > deadlineMs) {
       const lagging = summary?.lagging.length ?? 0;
       throw new Error(
-        `${lagging} balancers lack revision ${revision} of ${reportedBalancers} known ones.`,
+        `Timed out: ${lagging} balancers lag behind revision ${revision}; the leader reports ${reportedBalancers} balancers.`,
       );
     }
   }
--- a/src/proof/bench/bench-placement.ts
+++ b/src/proof/bench/bench-placement.ts
@@ -32,7 +32,7 @@
 /** Measures broken flows and load imbalance of each placement policy. */
 export const placementBench: Bench = {
   name: 'placement',
-  summary: 'broken flows and imbalance of every placement policy',
+  summary: 'broken flows and load imbalance of each placement policy',
   run: async (options) => {
     rejectUnknownSettings(options, ['scenario']);
     const results: PlacementResult[] = [];
@@ -54,7 +54,7 @@
     ({ name }) => nameFilter === undefined || name.includes(nameFilter),
   );
   if (selected.length === 0) {
-    throw new RangeError('No scenario has that in its name.');
+    throw new RangeError('The setting scenario matches no scenario name.');
   }
   return selected;
 }
--- a/src/proof/bench/bench.ts
+++ b/src/proof/bench/bench.ts
@@ -47,7 +47,7 @@
 export function rejectUnknownSettings(options: BenchOptions, supported: readonly string[]): void {
   for (const name of options.settings.keys()) {
     if (!supported.includes(name)) {
-      throw new RangeError(`The bench has no setting ${name}; it has: ${supported.join(', ')}.`);
+      throw new RangeError(`unknown setting ${name}; available: ${supported.join(', ')}.`);
     }
   }
 }
@@ -60,7 +60,7 @@
   const sorted = [...values].sort((left, right) => left - right);
   const middle = sorted[Math.floor((sorted.length - 1) / 2)];
   if (middle === undefined) {
-    throw new RangeError('There is no median of nothing.');
+    throw new RangeError('The median requires at least one value.');
   }
   return middle;
 }
--- a/src/proof/bench/in-force-cluster.ts
+++ b/src/proof/bench/in-force-cluster.ts
@@ -124,7 +124,7 @@
     const deadlineMs = performance.now() + START_TIMEOUT_MS;
     while (((await this.queryInForce())?.balancerCount ?? 0) < count) {
       if (performance.now() > deadlineMs) {
-        throw new Error(`The leader does not know all ${count} balancers.`);
+        throw new Error(`Timed out waiting for the leader to report ${count} balancers.`);
       }
       await sleep(POLL_INTERVAL_MS);
     }
--- a/src/proof/bench/placement-choice-cost.ts
+++ b/src/proof/bench/placement-choice-cost.ts
@@ -45,7 +45,7 @@
       const context = { nowMs: 1_000 + number / CHOICES_PER_MS, random };
       const view = chooseBackend(state, createPendingOpen(), context);
       if (view === undefined) {
-        throw new RangeError('No back end is ready.');
+        throw new RangeError('No back end was chosen although all of them are ready.');
       }
       recordAttempt(state, view, context);
       recordAttemptEnd(state, view, 'accepted', undefined, context);
--- a/src/proof/bench/placement-simulation.ts
+++ b/src/proof/bench/placement-simulation.ts
@@ -436,7 +436,7 @@
   private randomBalancer(): BalancerState {
     const balancer = this.balancers[this.random.nextInt(this.balancers.length)];
     if (balancer === undefined) {
-      throw new RangeError('A placement world has at least one balancer.');
+      throw new RangeError('The simulation has no running balancer.');
     }
     return balancer;
   }
