--- a/src/registered/daemon/call-listener.ts
+++ b/src/registered/daemon/call-listener.ts
@@ -81,7 +81,7 @@
   async function answerRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request);
     if (body === undefined) {
-      respond(response, errorReply('invalid-command', 'Request body is too large'));
+      respond(response, errorReply('invalid-command', 'HTTP body is too large'));
       return;
     }
     const callRequest = callRequestOf(request, body);
