--- a/src/proof/bench/in-force-cluster.ts
+++ b/src/proof/bench/in-force-cluster.ts
@@ -51,7 +51,9 @@
     this.folder = await mkdtemp(join(tmpdir(), 'amberlift-in-force-'));
     const linkAddresses = await findFreeAddresses(ZONES.length);
     await Promise.all(linkAddresses.map((_, number) => this.startControl(number, linkAddresses)));
-    const controlAddresses = this.controls.map(({ ready }) => ready.operatorAddress as Address);
+    const controlAddresses = this.controls.map(
+      ({ announcement }) => announcement.operatorAddress as Address,
+    );
     this.startedClient = new OperatorClient({ controlAddresses, bearerToken: OPERATOR_TOKEN });
     for (let first = 0; first < balancerCount; first += START_BATCH) {
       const batch = Array.from(
