--- a/test/frozen-forms/group.test.ts
+++ b/test/frozen-forms/group.test.ts
@@ -1,4 +1,5 @@
 /** @file Guards messages and stored state of a control group against changed names: machines of two versions talk. */
+import { Packr } from 'msgpackr';
 import t from 'tap';
 import { encodeFrame, FrameDecoder } from '../../src/shared/common/frame-codec.js';
 import type {
@@ -119,7 +120,22 @@
     configVersion: 6,
     unfinished: { version: 7, baseVersion: 6, changesTaken: 12 },
   },
+  'subscribe without an unfinished update': {
+    type: 'subscribe',
+    balancer: BALANCER,
+    configVersion: 0,
+  },
   'feed-taken': { type: 'feed-taken', count: 8 },
+  'load-report without answer stats': { type: 'load-report', loads: [7, 1] },
+  'load-sums without loads': {
+    type: 'load-sums',
+    sender: ADDRESS,
+    signals: [7, 1, 25, 310, 0],
+  },
+  'heartbeats of a back end without a start time': {
+    type: 'heartbeats',
+    records: [{ record: { ...RECORD, id: 'b-1' }, ageMs: 12 }],
+  },
   'load-report': { type: 'load-report', loads: [7, 1], signals: [7, 1, 25, 310, 0] },
 };
 
@@ -186,6 +202,13 @@
   },
 };
 
+/** A snapshot as versions without zone orders wrote it. */
+const oldSnapshot = new Packr({ useRecords: false }).pack({
+  config: DOCUMENT,
+  departures: [['b-2', 'gone']],
+  backends: [{ ...RECORD, id: 'b-1' }],
+});
+
 /** The state after one command of each type. */
 function snapshotBytes(): Uint8Array {
   const state = new ReplicatedState();
@@ -223,6 +246,7 @@
 );
 testFrozenForms('group-stored', {
   snapshot: hexOf(snapshotBytes()),
+  'snapshot without zones': hexOf(oldSnapshot),
   ...Object.fromEntries(
     Object.entries(commands).map(([name, command]) => [name, hexOf(encodeGroupCommand(command))]),
   ),
@@ -254,3 +278,12 @@
   t.same([...state.allBackends()], [RECORD]);
   t.same(state.zones.all(), [{ zone: 'zone-a', isEvacuated: true, orders: 1 }]);
 });
+
+t.test('a kept snapshot of a version without zone orders is restored', async (t) => {
+  const state = new ReplicatedState();
+  state.restore(keptBytes('group-stored', 'snapshot without zones'));
+  t.same(state.config, DOCUMENT);
+  t.same(state.allDepartures(), [{ backendId: 'b-2', kind: 'gone' }]);
+  t.same([...state.allBackends()], [{ ...RECORD, id: 'b-1' }]);
+  t.same(state.zones.all(), []);
+});
--- a/test/frozen-forms/managed-control.test.ts
+++ b/test/frozen-forms/managed-control.test.ts
@@ -69,6 +69,14 @@
     operatorAddress: HEALTH_ADDRESS,
     wantsAnswer: true,
   }),
+  'announcement of a machine without a cluster': {
+    type: 'peer',
+    proof: clusterProof('cluster-key'),
+    from: { nodeId: 'c1', storageId: 'disk-1' },
+    replyTo: ADDRESS,
+    to: { nodeId: 'c2' },
+    message: { type: 'announcement', operatorAddress: HEALTH_ADDRESS, wantsAnswer: false },
+  },
   'peer-refusal': envelopeOf({ type: 'peer-refusal', kind: 'wrong-cluster', reason: 'why' }),
 };
 
@@ -82,6 +90,15 @@
     sentAtMs: 100,
     subtree: SUBTREE,
   },
+  'subscribe without a subtree': {
+    type: 'subscribe',
+    clusterKey: 'cluster-key',
+    balancerId: 'balancer-1',
+    zone: 'zone-a',
+    position: POSITION,
+    sentAtMs: 100,
+  },
+  'acknowledge without a subtree': { type: 'acknowledge', position: POSITION, sentAtMs: 100 },
   acknowledge: { type: 'acknowledge', position: POSITION, sentAtMs: 100, subtree: SUBTREE },
 };
 
@@ -112,6 +129,7 @@
     leader: ADDRESS,
     subtreeSize: 3,
   },
+  'heartbeat without a lease': { type: 'heartbeat', committed: POSITION },
   'update, delta': {
     type: 'update',
     update: {
@@ -218,6 +236,13 @@
   })),
 ];
 
+/** An entry as versions without a replicated clock wrote it. */
+const entryWithoutTime: CommandEntry = {
+  commandId: 'id-1',
+  operator: 'tarjeta',
+  command: { type: 'drain-backend', backendId: 1 },
+};
+
 /** The state with each entry applied in turn; it holds records of accepted and refused commands. */
 function stateAfterAll(): ClusterState {
   const state = emptyClusterState();
@@ -246,6 +271,7 @@
   ...Object.fromEntries(
     entries.map((entry, at) => [nameOf(entry, at), hexOf(encodeCommandEntry(entry))]),
   ),
+  'entry without a time': hexOf(encodeCommandEntry(entryWithoutTime)),
   snapshot: hexOf(encodeClusterState(stateAfterAll())),
   'hashes of commands': entries.map(({ command }) => commandHash(command)),
 });
@@ -270,6 +296,7 @@
   entries.forEach((entry, at) => {
     t.same(decodeCommandEntry(keptBytes('managed-stored', nameOf(entry, at))), entry);
   });
+  t.same(decodeCommandEntry(keptBytes('managed-stored', 'entry without a time')), entryWithoutTime);
   const restored = decodeClusterState(keptBytes('managed-stored', 'snapshot'));
   t.same(restored, stateAfterAll());
 });
